--- a/cmd/dtcore/main.go
+++ b/cmd/dtcore/main.go
@@ -12,12 +12,12 @@
 	"github.com/labstack/echo/v4"
 
 	"damsontiller/cmd/start"
-	"damsontiller/coordination/core"
-	"damsontiller/coordination/web"
-	"damsontiller/platform"
-	"damsontiller/proto/spec"
-	"damsontiller/state/storage"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/platform"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport/code"
 )
 
 const usage = `dtcore serve [flags]                 run a core machine
--- a/cmd/dtcore/operate.go
+++ b/cmd/dtcore/operate.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"damsontiller/coordination/web"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // operate runs an operator's subcommand against a core machine.
--- a/cmd/dtcore/platform.go
+++ b/cmd/dtcore/platform.go
@@ -7,10 +7,10 @@
 	"github.com/labstack/echo/v4"
 
 	"damsontiller/cmd/start"
-	"damsontiller/coordination/core"
-	"damsontiller/platform"
-	"damsontiller/platform/control"
-	"damsontiller/state/storage"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/platform"
+	"damsontiller/internal/platform/control"
+	"damsontiller/internal/state/storage"
 )
 
 // onPlatform serves as a core machine of the platform.
--- a/cmd/dtpass/main.go
+++ b/cmd/dtpass/main.go
@@ -12,12 +12,12 @@
 	"github.com/labstack/echo/v4"
 
 	"damsontiller/cmd/start"
-	"damsontiller/coordination/metrics"
-	"damsontiller/coordination/web"
-	"damsontiller/dataplane/edge"
-	"damsontiller/dataplane/store"
-	"damsontiller/platform"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/metrics"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/store"
+	"damsontiller/internal/platform"
+	"damsontiller/internal/transport/code"
 )
 
 func main() { os.Exit(start.Exit(run(os.Args[1:]))) }
--- a/cmd/dtpass/platform.go
+++ b/cmd/dtpass/platform.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"damsontiller/cmd/start"
-	"damsontiller/coordination/web"
-	"damsontiller/dataplane/edge"
-	"damsontiller/dataplane/store"
-	"damsontiller/platform"
-	"damsontiller/platform/dialect"
-	"damsontiller/platform/list"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/store"
+	"damsontiller/internal/platform"
+	"damsontiller/internal/platform/dialect"
+	"damsontiller/internal/platform/list"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // onPlatform serves in a role as the platform's settings say.
--- a/cmd/dtreplay/main.go
+++ b/cmd/dtreplay/main.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"damsontiller/cmd/start"
-	"damsontiller/dataplane/day"
-	"damsontiller/kit/bubble"
-	"damsontiller/kit/rehearse"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/kit/bubble"
+	"damsontiller/internal/kit/rehearse"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 const usage = `dtreplay record [flags]   write what a fleet's edges answer into a day file
--- a/kit/dtrig/main.go
+++ b/cmd/dtrig/main.go
@@ -18,10 +18,10 @@
 	"syscall"
 	"time"
 
-	"damsontiller/dataplane/day"
-	"damsontiller/kit/fleet"
-	"damsontiller/kit/harness"
-	"damsontiller/kit/scale"
+	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/kit/fleet"
+	"damsontiller/internal/kit/harness"
+	"damsontiller/internal/kit/scale"
 )
 
 const usage = `dtrig up [flags]        start a fleet and keep it running until interrupted
--- a/kit/dtrig/scale.go
+++ b/cmd/dtrig/scale.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/kit/scale"
+	"damsontiller/internal/kit/scale"
 )
 
 // hollow is how dtrig starts a process of hollow nodes; it is for itself only.
--- a/cmd/start/platform.go
+++ b/cmd/start/platform.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"damsontiller/coordination/node"
-	"damsontiller/platform"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/platform"
 )
 
 // Platform is where a process stands, as the platform's settings say; http is
--- a/cmd/start/start.go
+++ b/cmd/start/start.go
@@ -19,15 +19,15 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/node"
-	"damsontiller/coordination/web"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
 )
 
 // Exit codes.
--- a/cmd/start/start_test.go
+++ b/cmd/start/start_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"damsontiller/cmd/start"
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 func parse(args ...string) (*start.Place, error) {
--- a/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -11,10 +11,10 @@
 	"sync"
 	"sync/atomic"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Key is the spec's register.
--- a/coordination/cluster/cluster_test.go
+++ b/internal/coordination/cluster/cluster_test.go
@@ -7,11 +7,11 @@
 	"slices"
 	"testing"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // machines are some in each of the zones a, b, c and so on.
--- a/coordination/cluster/fuzz_test.go
+++ b/internal/coordination/cluster/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"damsontiller/coordination/cluster"
+	"damsontiller/internal/coordination/cluster"
 )
 
 // FuzzApply: a value from the wire or the disk is put in force whole or refused, and
--- a/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // Edit makes f's change of a cluster whose next version is ver, and writes into the
--- a/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -11,16 +11,16 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/membership"
-	"damsontiller/coordination/node"
-	"damsontiller/coordination/tier"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Disk is what a core machine keeps.
--- a/coordination/core/explain.go
+++ b/internal/coordination/core/explain.go
@@ -9,8 +9,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/spec"
 )
 
 // explanation says which placements follow from an intent.
--- a/coordination/core/form.go
+++ b/internal/coordination/core/form.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // The first set is formed once. Every founder gives its identity, and version 1
--- a/coordination/core/identity.go
+++ b/internal/coordination/core/identity.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"damsontiller/coordination/node"
+	"damsontiller/internal/coordination/node"
 )
 
 // Notes are the small records that a machine keeps beside its data.
--- a/coordination/core/letgo.go
+++ b/internal/coordination/core/letgo.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"damsontiller/coordination/membership"
-	"damsontiller/coordination/node"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/transport/loop"
 )
 
 // LetGo watches for the word that this machine's identity was let go: another took
--- a/coordination/core/mend.go
+++ b/internal/coordination/core/mend.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
 )
 
 // Sets that look after themselves: the first live core compares each set with the
--- a/coordination/core/ops.go
+++ b/internal/coordination/core/ops.go
@@ -9,13 +9,13 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/coordination/duty"
-	"damsontiller/coordination/metrics"
-	"damsontiller/coordination/web"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/duty"
+	"damsontiller/internal/coordination/metrics"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // ack is the answer to a change.
--- a/coordination/core/policies.go
+++ b/internal/coordination/core/policies.go
@@ -6,9 +6,9 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/coordination/web"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // policyRoutes puts the commands for policy programs on e.
--- a/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 const (
--- a/coordination/core/retire_test.go
+++ b/internal/coordination/core/retire_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // storeSet is a set of stores of these names.
--- a/coordination/core/sets.go
+++ b/internal/coordination/core/sets.go
@@ -10,12 +10,12 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/coordination/web"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // The register first holds both sets, and every quorum is then a majority of each;
--- a/coordination/core/touch.go
+++ b/internal/coordination/core/touch.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Orders about zones and about retirement carry no number. One that lay unread at a
--- a/coordination/duty/duty.go
+++ b/internal/coordination/duty/duty.go
@@ -11,15 +11,15 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/peer"
-	"damsontiller/coordination/tier"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Fence remembers the highest epoch of a duty seen here.
--- a/coordination/duty/duty_test.go
+++ b/internal/coordination/duty/duty_test.go
@@ -3,11 +3,11 @@
 import (
 	"testing"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/duty"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/duty"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // TestFence: an epoch below the highest seen is refused, wherever that was seen.
--- a/coordination/lease/fuzz_renewal_test.go
+++ b/internal/coordination/lease/fuzz_renewal_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"testing"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // FuzzRenewal: whatever bytes come as a renewal, they are refused by number or its
--- a/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -10,12 +10,12 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/peer"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params are the lease's times.
--- a/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -11,13 +11,13 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/peer"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/memnet"
 )
 
 func node(i int) *wire.Member {
--- a/coordination/lease/table.go
+++ b/internal/coordination/lease/table.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // Table is a core machine's side: who has asked it, and when last. That a node
--- a/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -12,9 +12,9 @@
 import (
 	"slices"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // Set names one of the two sets, as operators write it.
--- a/coordination/membership/cores_history_test.go
+++ b/internal/coordination/membership/cores_history_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
 )
 
 // change has a proposer make one change with the answers of these cores only; it tells
--- a/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
 )
 
 // The cores' model: the cluster's own register is changed by several proposers while the
--- a/coordination/membership/fill.go
+++ b/internal/coordination/membership/fill.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/spec"
 )
 
 // Gains tells whether keys fall to a machine of the next set that it did not hold.
--- a/coordination/membership/identity.go
+++ b/internal/coordination/membership/identity.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // An identity that was in a set and was let go must never be admitted again: whoever
--- a/coordination/membership/identity_test.go
+++ b/internal/coordination/membership/identity_test.go
@@ -8,9 +8,9 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/spec"
 )
 
 // register is the cluster's value with its version.
--- a/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/spec"
 )
 
 const (
--- a/coordination/membership/plan_test.go
+++ b/internal/coordination/membership/plan_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/spec"
 )
 
 // machine is one named by id, zone and identity, as in "s1/a/i1"; its address is its
--- a/coordination/membership/stores_history_test.go
+++ b/internal/coordination/membership/stores_history_test.go
@@ -4,10 +4,10 @@
 	"slices"
 	"testing"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
 )
 
 // These are single histories of the stores' model, step by step: a store is removed, the
--- a/coordination/news/digest_test.go
+++ b/internal/coordination/news/digest_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/peer"
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/memnet"
 )
 
 // pair is two boards whose traffic is counted.
--- a/coordination/news/news.go
+++ b/internal/coordination/news/news.go
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/peer"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params are the tree's shape and times.
--- a/coordination/node/gate_test.go
+++ b/internal/coordination/node/gate_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"testing/synctest"
 
-	"damsontiller/coordination/node"
+	"damsontiller/internal/coordination/node"
 )
 
 // TestGate: a drain waits for all who were in before it and for nobody else, and keeps
--- a/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -10,15 +10,15 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/peer"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params place a node.
--- a/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -13,9 +13,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
 )
 
 // Handler answers one kind of request. A nil answer with a nil error is the
--- a/coordination/peer/peer_test.go
+++ b/internal/coordination/peer/peer_test.go
@@ -8,11 +8,11 @@
 	"github.com/hashicorp/go-hclog"
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"damsontiller/coordination/peer"
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/memnet"
 )
 
 // TestNeighbours: a message of a later version, with fields nobody here knows,
--- a/coordination/tier/health.go
+++ b/internal/coordination/tier/health.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // health is what the last dealings with the stores showed. A node that can't
--- a/coordination/tier/tier.go
+++ b/internal/coordination/tier/tier.go
@@ -8,11 +8,11 @@
 	"fmt"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/peer"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // Tier reads and changes shared state.
--- a/coordination/web/web.go
+++ b/internal/coordination/web/web.go
@@ -16,8 +16,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/transport"
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
 )
 
 // Failure is what a caller reads of a failed request.
--- a/coordination/web/web_test.go
+++ b/internal/coordination/web/web_test.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // TestFailEveryCode: every code that comes up to a caller is answered, also those that
--- a/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -11,13 +11,13 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/dataplane/job"
-	"damsontiller/dataplane/pick"
-	"damsontiller/dataplane/policy"
-	"damsontiller/dataplane/slots"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/pick"
+	"damsontiller/internal/dataplane/policy"
+	"damsontiller/internal/dataplane/slots"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params bound the backlog.
--- a/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -11,11 +11,11 @@
 	"errors"
 	"time"
 
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/job"
-	"damsontiller/proto/reg"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Value is a budget's register.
--- a/dataplane/call/call.go
+++ b/internal/dataplane/call/call.go
@@ -11,15 +11,15 @@
 	"net/http"
 	"time"
 
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/dataplane/dispatch"
-	"damsontiller/dataplane/job"
-	"damsontiller/dataplane/pick"
-	"damsontiller/dataplane/report"
-	"damsontiller/dataplane/resend"
-	"damsontiller/dataplane/slots"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/dispatch"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/pick"
+	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/dataplane/resend"
+	"damsontiller/internal/dataplane/slots"
+	"damsontiller/internal/transport/code"
 )
 
 // MaxAnswer bounds a runner's answer.
--- a/dataplane/call/call_test.go
+++ b/internal/dataplane/call/call_test.go
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"damsontiller/dataplane/job"
+	"damsontiller/internal/dataplane/job"
 )
 
 // pipeListener hands out the runner's ends of connections in memory.
--- a/dataplane/conversation/conversation.go
+++ b/internal/dataplane/conversation/conversation.go
@@ -9,9 +9,9 @@
 	"encoding/json"
 	"time"
 
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/job"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/transport/code"
 )
 
 // MaxBytes bounds one turn with its history.
--- a/dataplane/cooldown/cool.go
+++ b/internal/dataplane/cooldown/cool.go
@@ -14,14 +14,14 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/coordination/node"
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/job"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params are the worker's times.
--- a/dataplane/cooldown/cool_test.go
+++ b/internal/dataplane/cooldown/cool_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
 )
 
 // TestRaised: the source's six strings, in message or type name, in any case.
--- a/dataplane/cooldown/word.go
+++ b/internal/dataplane/cooldown/word.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/loop"
 )
 
 // WordParams are the times of the stores' word, on which a node that passes many
--- a/dataplane/cooldown/word_test.go
+++ b/internal/dataplane/cooldown/word_test.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/node"
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/dataplane/store"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/store"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/memnet"
 )
 
 // fleet is some stores and the desks of some edges, without a core.
--- a/dataplane/day/client.go
+++ b/internal/dataplane/day/client.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"damsontiller/dataplane/door"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/door"
+	"damsontiller/internal/transport/loop"
 )
 
 // Ask is one request and its answer.
--- a/dataplane/day/day.go
+++ b/internal/dataplane/day/day.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/job"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/transport/code"
 )
 
 // Format is the day file's version.
--- a/dataplane/day/day_test.go
+++ b/internal/dataplane/day/day_test.go
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/dataplane/day"
-	"damsontiller/dataplane/job"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/transport/code"
 )
 
 func file(t *testing.T, rows int) []byte {
--- a/dataplane/day/play.go
+++ b/internal/dataplane/day/play.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Player replays a day against a fleet.
--- a/dataplane/day/record.go
+++ b/internal/dataplane/day/record.go
@@ -9,8 +9,8 @@
 	"sort"
 	"time"
 
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Edge is one edge as the operators' list of members tells it.
--- a/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -20,13 +20,13 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/duty"
-	"damsontiller/coordination/node"
-	"damsontiller/dataplane/report"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/duty"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params are the dealer's times.
--- a/dataplane/door/door.go
+++ b/internal/dataplane/door/door.go
@@ -18,11 +18,11 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/web"
-	"damsontiller/dataplane/job"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // Headers that callers send.
--- a/dataplane/door/door_test.go
+++ b/internal/dataplane/door/door_test.go
@@ -10,12 +10,12 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/web"
-	"damsontiller/dataplane/door"
-	"damsontiller/dataplane/job"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/door"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 type ask struct {
--- a/dataplane/edge/raw.go
+++ b/internal/dataplane/edge/raw.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
-	"damsontiller/dataplane/loadreport"
-	"damsontiller/dataplane/raw"
-	"damsontiller/dataplane/roll"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/loadreport"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Raw is the part of an edge that passes raw jobs.
--- a/dataplane/job/job.go
+++ b/internal/dataplane/job/job.go
@@ -10,8 +10,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/transport/code"
 )
 
 // Ctx is a job under way.
--- a/dataplane/loadreport/loadreport.go
+++ b/internal/dataplane/loadreport/loadreport.go
@@ -14,14 +14,14 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/duty"
-	"damsontiller/coordination/node"
-	"damsontiller/dataplane/outlier"
-	"damsontiller/dataplane/raw"
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/duty"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/dataplane/outlier"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params are the load report's times.
--- a/dataplane/outlier/detector.go
+++ b/internal/dataplane/outlier/detector.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/roll"
+	"damsontiller/internal/dataplane/roll"
 )
 
 // A window is some slots long; counts older than the longest are base rate.
--- a/dataplane/outlier/outlier_test.go
+++ b/internal/dataplane/outlier/outlier_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/dataplane/roll"
+	"damsontiller/internal/dataplane/roll"
 )
 
 // fleet is a service as an evening has it: jobs come to its runners by chance, each
--- a/dataplane/policy/policy.go
+++ b/internal/dataplane/policy/policy.go
@@ -14,9 +14,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/dataplane/job"
-	"damsontiller/proto/script"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/script"
 )
 
 // Builtin is the name under which the built-in rules stand in traces.
--- a/dataplane/raw/budget.go
+++ b/internal/dataplane/raw/budget.go
@@ -6,12 +6,12 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/budget"
-	"damsontiller/dataplane/job"
-	"damsontiller/proto/reg"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/budget"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Budgets keeps the output budget that a program's own callers state, whole over
--- a/dataplane/raw/choose.go
+++ b/internal/dataplane/raw/choose.go
@@ -5,11 +5,11 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // pickShare is the service that a lot falls to.
--- a/dataplane/raw/door.go
+++ b/internal/dataplane/raw/door.go
@@ -15,14 +15,14 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/web"
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
--- a/dataplane/raw/fuzz_test.go
+++ b/internal/dataplane/raw/fuzz_test.go
@@ -7,8 +7,8 @@
 	"net/http/httptest"
 	"testing"
 
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
 )
 
 // taken is what became of bytes that were read as a runner's answer.
--- a/dataplane/raw/job.go
+++ b/internal/dataplane/raw/job.go
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
 )
 
 // MaxName bounds the names of tries and programs, which become keys at the stores:
--- a/dataplane/raw/load.go
+++ b/internal/dataplane/raw/load.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/time/rate"
 
-	"damsontiller/dataplane/outlier"
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/dataplane/outlier"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
 )
 
 // Load is the load of each runner: what this node has under way, what the
--- a/dataplane/raw/main_test.go
+++ b/internal/dataplane/raw/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"damsontiller/transport/fixed"
+	"damsontiller/internal/transport/fixed"
 )
 
 func TestMain(m *testing.M) { fixed.Main(m, 300) }
--- a/dataplane/raw/out.go
+++ b/internal/dataplane/raw/out.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Answer is what becomes of a job.
--- a/dataplane/raw/outlier_test.go
+++ b/internal/dataplane/raw/outlier_test.go
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/dataplane/outlier"
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/dataplane/outlier"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
 )
 
 // TestPickOutliers: an ejected runner is picked for its trial and where nobody
--- a/dataplane/raw/pass.go
+++ b/internal/dataplane/raw/pass.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"damsontiller/dataplane/resend"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/resend"
+	"damsontiller/internal/transport/code"
 )
 
 // sending is what became of one send.
--- a/dataplane/raw/pool.go
+++ b/internal/dataplane/raw/pool.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/dataplane/roll"
+	"damsontiller/internal/dataplane/roll"
 )
 
 // Pool keeps connections to runners. One job at a time is on a connection, and it
--- a/dataplane/raw/raw_test.go
+++ b/internal/dataplane/raw/raw_test.go
@@ -20,10 +20,10 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // TestPickShare: every service gets its weight, one lot always the same.
--- a/dataplane/raw/request.go
+++ b/internal/dataplane/raw/request.go
@@ -7,7 +7,7 @@
 	"net/url"
 	"strings"
 
-	"damsontiller/dataplane/roll"
+	"damsontiller/internal/dataplane/roll"
 )
 
 // request is the job as it goes to a runner: as it came, under the same name, to
--- a/dataplane/raw/send.go
+++ b/internal/dataplane/raw/send.go
@@ -6,12 +6,12 @@
 	"io"
 	"time"
 
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/dataplane/outlier"
-	"damsontiller/dataplane/resend"
-	"damsontiller/dataplane/roll"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/outlier"
+	"damsontiller/internal/dataplane/resend"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // unreachableWait is when a caller may come back whose runner could not be dialled.
--- a/dataplane/raw/turn.go
+++ b/internal/dataplane/raw/turn.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/tier"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // TurnParams are the times and bounds of kept turns.
--- a/dataplane/raw/verdict.go
+++ b/internal/dataplane/raw/verdict.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // promise are the statuses by which callers hear that a job did not run.
--- a/dataplane/resend/resend_test.go
+++ b/internal/dataplane/resend/resend_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"damsontiller/dataplane/resend"
+	"damsontiller/internal/dataplane/resend"
 )
 
 // TestAllowed: the whole table.
--- a/dataplane/roll/roll_test.go
+++ b/internal/dataplane/roll/roll_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"damsontiller/dataplane/roll"
+	"damsontiller/internal/dataplane/roll"
 )
 
 // TestList: runners by service and id, in one order on every node.
--- a/dataplane/slots/slots.go
+++ b/internal/dataplane/slots/slots.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/intern"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/dataplane/intern"
+	"damsontiller/internal/proto/wire"
 )
 
 // Kind of a slot.
--- a/dataplane/store/cool.go
+++ b/internal/dataplane/store/cool.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/core"
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
 )
 
 // cooldowns is the disk as the acceptor sees it, with what is left of each cooldown
--- a/dataplane/store/cool_test.go
+++ b/internal/dataplane/store/cool_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
 )
 
 // TestCooldowns: a store counts a wait from when it took it. Promises, write-backs
--- a/dataplane/store/fill.go
+++ b/internal/dataplane/store/fill.go
@@ -10,13 +10,13 @@
 	"sync"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/membership"
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/membership"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // While the set of stores changes, each store of the next set brings the keys that
--- a/dataplane/store/fill_test.go
+++ b/internal/dataplane/store/fill_test.go
@@ -7,15 +7,15 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/node"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/memnet"
 )
 
 // changing is a store alone, whose set is changing since version 5.
--- a/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"damsontiller/coordination/core"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // Copies are compared by digests over ranges and mended from the newer. A range
--- a/dataplane/store/store.go
+++ b/internal/dataplane/store/store.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/coordination/core"
-	"damsontiller/coordination/node"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Store is one store process.
--- a/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/job"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/transport/code"
 )
 
 // Row is one job.
--- a/kit/backend/callers_test.go
+++ b/internal/kit/backend/callers_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/dataplane/raw"
-	"damsontiller/kit/backend"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/kit/backend"
 )
 
 // lossy loses a runner's connections at random bytes of what it writes.
--- a/kit/backend/cut_test.go
+++ b/internal/kit/backend/cut_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/backend"
+	"damsontiller/internal/kit/backend"
 )
 
 // cutRig is a door before small stand-ins whose connections can be spoiled at any byte.
--- a/kit/backend/door_test.go
+++ b/internal/kit/backend/door_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/dataplane/raw"
-	"damsontiller/kit/backend"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/kit/backend"
 )
 
 // want is what the caller of a job hears whose first runner has a fault, the
--- a/kit/backend/fleet_test.go
+++ b/internal/kit/backend/fleet_test.go
@@ -11,13 +11,13 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/job"
-	"damsontiller/dataplane/raw"
-	"damsontiller/kit/backend"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/loop"
 )
 
 // fleet is three stores, three cores and edges on simulated time, each edge with a
@@ -33,7 +33,7 @@
 }
 
 func newFleet(t *testing.T, shape func(*backend.Params)) *fleet {
-	return newFleetOf(t, shape, sim.Params{Deploy: "../../deploy/andina", Seed: 1, Edges: 3})
+	return newFleetOf(t, shape, sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3})
 }
 
 func newFleetOf(t *testing.T, shape func(*backend.Params), p sim.Params) *fleet {
@@ -451,7 +451,7 @@
 // turn that ran is kept and answered whole, and can be followed.
 func TestKeptWhileSetChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleetOf(t, nil, sim.Params{Deploy: "../../deploy/andina", Seed: 1, Edges: 3, Found: true})
+		f := newFleetOf(t, nil, sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Found: true})
 		stores := func(want int) {
 			t.Helper()
 			if !sim.Until(5*time.Second, func() bool { v := f.s.Cluster(); return len(v.Cluster.Stores) == want && len(v.NextStores) == 0 }) {
--- a/kit/backend/outlier_test.go
+++ b/internal/kit/backend/outlier_test.go
@@ -9,12 +9,12 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/dataplane/edge"
-	"damsontiller/dataplane/loadreport"
-	"damsontiller/dataplane/roll"
-	"damsontiller/kit/backend"
-	"damsontiller/kit/sim"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/loadreport"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/transport/loop"
 )
 
 // evening is jobs from three edges that tell one another how the runners do.
@@ -39,7 +39,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		e := &evening{t: t, bs: farm(runners, func(p *backend.Params) { p.Work, p.Pace, p.Health = 20*time.Millisecond, 5*time.Millisecond, "/health" })}
 		var tallies []*loadreport.LoadReport
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: 1, Edges: 3, Edge: func(_ string, x *edge.Edge) {
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Edge: func(_ string, x *edge.Edge) {
 			r := newRig(t, e.bs)
 			e.rigs, tallies = append(e.rigs, r), append(tallies, loadreport.New(loadreport.DefaultParams, x.Node, r.roll, r.load))
 		}})
--- a/kit/backend/shape_test.go
+++ b/internal/kit/backend/shape_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/backend"
+	"damsontiller/internal/kit/backend"
 )
 
 // message spells an answer as a runner would; a nil entry of head leaves it out.
--- a/kit/client/audit.go
+++ b/internal/kit/client/audit.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/day"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/transport/loop"
 )
 
 // Lapse is something promised that was not so when it was read back.
--- a/kit/client/client.go
+++ b/internal/kit/client/client.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/dataplane/day"
-	"damsontiller/kit/runner"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/transport/loop"
 )
 
 // Ask is a line of the callers' ledger.
--- a/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
-	"damsontiller/kit/runner"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/loop"
 )
 
 // Machine is one process of the fleet.
--- a/kit/harness/harness.go
+++ b/internal/kit/harness/harness.go
@@ -12,12 +12,12 @@
 	"syscall"
 	"time"
 
-	"damsontiller/dataplane/day"
-	"damsontiller/kit/client"
-	"damsontiller/kit/fleet"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/kit/client"
+	"damsontiller/internal/kit/fleet"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params shape a run.
--- a/kit/harness/scenarios.go
+++ b/internal/kit/harness/scenarios.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"damsontiller/kit/fleet"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
+	"damsontiller/internal/kit/fleet"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
 )
 
 // Scenarios in the order in which they are run.
--- a/kit/judge/judge.go
+++ b/internal/kit/judge/judge.go
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/kit/client"
-	"damsontiller/kit/runner"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/kit/client"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // Line numbers the brief's list, in its order.
--- a/kit/judge/judge_test.go
+++ b/internal/kit/judge/judge_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"damsontiller/kit/client"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/kit/client"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 var t0 = time.Unix(1000, 0)
--- a/kit/rehearse/rehearse.go
+++ b/internal/kit/rehearse/rehearse.go
@@ -11,13 +11,13 @@
 	"strings"
 	"time"
 
-	"damsontiller/dataplane/day"
-	"damsontiller/dataplane/policy"
-	"damsontiller/kit/client"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/dataplane/policy"
+	"damsontiller/internal/kit/client"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // Params shape a rehearsal.
--- a/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/report"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/proto/spec"
 )
 
 // Order is a way to misbehave with the next jobs.
--- a/kit/scale/hollow.go
+++ b/internal/kit/scale/hollow.go
@@ -14,13 +14,13 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/node"
-	"damsontiller/dataplane/edge"
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/loop"
 )
 
 // Kinds of hollow nodes.
--- a/kit/scale/scale.go
+++ b/internal/kit/scale/scale.go
@@ -20,9 +20,9 @@
 	"sync"
 	"time"
 
-	"damsontiller/kit/fleet"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/kit/fleet"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/loop"
 )
 
 // Params shape a run.
--- a/kit/scale/wire_test.go
+++ b/internal/kit/scale/wire_test.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/wire"
 )
 
 // TestWireSizes: the bytes an entry of each list takes on the wire, from which
--- a/kit/sim/audit.go
+++ b/internal/kit/sim/audit.go
@@ -6,11 +6,11 @@
 	"net/http"
 	"time"
 
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/budget"
-	"damsontiller/dataplane/edge"
-	"damsontiller/kit/judge"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/budget"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/transport/loop"
 )
 
 // Note writes an event down.
--- a/kit/sim/brief_test.go
+++ b/internal/kit/sim/brief_test.go
@@ -11,15 +11,15 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/tier"
-	"damsontiller/dataplane/door"
-	"damsontiller/dataplane/job"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/reg"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/dataplane/door"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/transport/code"
 )
 
 // The tests of this file are named after the lines of the brief's list "What
@@ -66,7 +66,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		p := &stops{}
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/" + deploy, Seed: 1, Edges: 6, Point: p.point})
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/" + deploy, Seed: 1, Edges: 6, Point: p.point})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/kit/sim/chaos_test.go
+++ b/internal/kit/sim/chaos_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"damsontiller/dataplane/job"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
-	"damsontiller/kit/sim"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/kit/sim"
 )
 
 // TestChaos combines faults at random under a seed, for minutes of simulated
--- a/kit/sim/clock_test.go
+++ b/internal/kit/sim/clock_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"damsontiller/kit/sim"
+	"damsontiller/internal/kit/sim"
 )
 
 // TestClockBack: each kind of machine is started anew, and soon once more while its time of
--- a/kit/sim/config.go
+++ b/internal/kit/sim/config.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/kit/judge"
+	"damsontiller/internal/kit/judge"
 )
 
 // Times of an operator, as the platform states them.
--- a/kit/sim/cool_test.go
+++ b/internal/kit/sim/cool_test.go
@@ -13,15 +13,15 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/coordination/web"
-	"damsontiller/dataplane/cooldown"
-	"damsontiller/dataplane/edge"
-	"damsontiller/dataplane/raw"
-	"damsontiller/dataplane/roll"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // plain spells raw jobs in a few headers of its own, for tests.
@@ -144,7 +144,7 @@
 		defer stop()
 		f := &rawFleet{t: t, doors: map[string]*edge.Raw{}}
 		var err error
-		f.Sim, err = sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: 1, Edges: 6, Log: os.Getenv("SIMLOG") != "", Edge: func(id string, e *edge.Edge) {
+		f.Sim, err = sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 6, Log: os.Getenv("SIMLOG") != "", Edge: func(id string, e *edge.Edge) {
 			d := e.Raw(edge.DefaultRaw, plain{id})
 			f.mu.Lock()
 			f.doors[id] = d
--- a/kit/sim/disk.go
+++ b/internal/kit/sim/disk.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/kit/judge"
-	"damsontiller/state/storage/faultfs"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/state/storage/faultfs"
 )
 
 // faultyDisk is what a machine's disk does wrong, also across starts of the machine.
--- a/kit/sim/disk_test.go
+++ b/internal/kit/sim/disk_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"damsontiller/kit/sim"
-	"damsontiller/state/storage/faultfs"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/state/storage/faultfs"
 )
 
 // changing makes operators' changes all the while; each must come to an end, and
--- a/kit/sim/faults_machine.go
+++ b/internal/kit/sim/faults_machine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"damsontiller/kit/judge"
+	"damsontiller/internal/kit/judge"
 )
 
 // machineFaults take counted machines' processes, power or time.
--- a/kit/sim/faults_operator.go
+++ b/internal/kit/sim/faults_operator.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"damsontiller/kit/judge"
+	"damsontiller/internal/kit/judge"
 )
 
 // operatorFaults order changes, valid and not, and lose what is answered.
--- a/kit/sim/faults_runner.go
+++ b/internal/kit/sim/faults_runner.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"damsontiller/kit/backend"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
+	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
 )
 
 // runnerFaults trouble back ends.
--- a/kit/sim/faults_test.go
+++ b/internal/kit/sim/faults_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
-	"damsontiller/kit/sim"
-	"damsontiller/transport/code"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/transport/code"
 )
 
 // fault is one of the brief's failures, caused under the usual traffic.
--- a/kit/sim/form_test.go
+++ b/internal/kit/sim/form_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/sim"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/spec"
 )
 
 // found lays out a fleet whose sets form by themselves; nothing is started.
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: seed, Edges: 6, Found: true, Log: os.Getenv("SIMLOG") != ""})
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: seed, Edges: 6, Found: true, Log: os.Getenv("SIMLOG") != ""})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/kit/sim/history_test.go
+++ b/internal/kit/sim/history_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/kit/sim"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/spec"
 )
 
 // diskState is how a machine's disk comes back.
--- a/kit/sim/inspect.go
+++ b/internal/kit/sim/inspect.go
@@ -1,10 +1,10 @@
 package sim
 
 import (
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/core"
-	"damsontiller/dataplane/edge"
-	"damsontiller/dataplane/store"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/store"
 )
 
 // Cluster is what the first running core has in force.
--- a/kit/sim/loadreport_test.go
+++ b/internal/kit/sim/loadreport_test.go
@@ -8,11 +8,11 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/dataplane/edge"
-	"damsontiller/dataplane/loadreport"
-	"damsontiller/dataplane/raw"
-	"damsontiller/dataplane/roll"
-	"damsontiller/kit/sim"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/loadreport"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/kit/sim"
 )
 
 // clerk is an edge's load report with what it rests on.
@@ -30,7 +30,7 @@
 		cs := map[string]*clerk{}
 		list := []roll.Runner{{ID: "i-1", Service: "m", Addr: "127.0.0.1:1", Zone: "a", Room: 4}, {ID: "i-2", Service: "m", Addr: "127.0.0.1:2", Zone: "b", Room: 4, ColdMs: 2300}}
 		fail := false
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: 3, Edges: 3, Edge: func(id string, e *edge.Edge) {
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 3, Edges: 3, Edge: func(id string, e *edge.Edge) {
 			c := &clerk{roll: roll.New(), load: raw.NewLoad()}
 			c.t = loadreport.New(loadreport.DefaultParams, e.Node, c.roll, c.load)
 			mu.Lock()
--- a/kit/sim/measure_test.go
+++ b/internal/kit/sim/measure_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/sim"
+	"damsontiller/internal/kit/sim"
 )
 
 // TestCooldownsWorth: what the shared cooldown spares the runners. The tools
@@ -20,7 +20,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
-				s, err := sim.New(sim.Params{Deploy: "../../deploy/tsehay", Seed: seed, Edges: 6, Alone: alone})
+				s, err := sim.New(sim.Params{Deploy: "../../../deploy/tsehay", Seed: seed, Edges: 6, Alone: alone})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -103,7 +103,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: seed, Edges: 6, Bears: 3})
+			s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: seed, Edges: 6, Bears: 3})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -143,7 +143,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: seed, Edges: 6, Bears: 3})
+			s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: seed, Edges: 6, Bears: 3})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/kit/sim/membership_test.go
+++ b/internal/kit/sim/membership_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"damsontiller/coordination/cluster"
-	"damsontiller/coordination/tier"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/reg"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/spec"
 )
 
 // syncTime is how long after a machine's return the next loss must be borne: the
--- a/kit/sim/mend_test.go
+++ b/internal/kit/sim/mend_test.go
@@ -13,10 +13,10 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/judge"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // tended runs a fleet whose sets look after themselves, once it stands.
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: 5, Edges: 6, Up: true, Found: true, Log: os.Getenv("SIMLOG") != ""})
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 5, Edges: 6, Up: true, Found: true, Log: os.Getenv("SIMLOG") != ""})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -355,7 +355,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
-				s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: uint64(seed), Edges: 6, Up: true, Found: true, Log: os.Getenv("SIMLOG") != ""})
+				s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: uint64(seed), Edges: 6, Up: true, Found: true, Log: os.Getenv("SIMLOG") != ""})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/kit/sim/mix.go
+++ b/internal/kit/sim/mix.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // SyncTime is for how long a counted machine is taken as lost after its return: the
--- a/kit/sim/mix_test.go
+++ b/internal/kit/sim/mix_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/judge"
-	"damsontiller/kit/sim"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/sim"
 )
 
 // mixed runs a fleet that looks after itself, with a first configuration, under
@@ -26,7 +26,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: seed, Edges: 6, Up: true, Found: true, Spares: 12, Raw: 5, Log: os.Getenv("SIMLOG") != ""})
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: seed, Edges: 6, Up: true, Found: true, Spares: 12, Raw: 5, Log: os.Getenv("SIMLOG") != ""})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/kit/sim/network.go
+++ b/internal/kit/sim/network.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"damsontiller/kit/judge"
-	"damsontiller/transport"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/transport"
 )
 
 // CutOne cuts what some machines send to others, one way only.
--- a/kit/sim/operator.go
+++ b/internal/kit/sim/operator.go
@@ -7,7 +7,7 @@
 	"io"
 	"net/http"
 
-	"damsontiller/kit/judge"
+	"damsontiller/internal/kit/judge"
 )
 
 // Operate sends an operator's request to the first core that runs.
--- a/kit/sim/ops_test.go
+++ b/internal/kit/sim/ops_test.go
@@ -12,13 +12,13 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/coordination/web"
-	"damsontiller/dataplane/door"
-	"damsontiller/dataplane/report"
-	"damsontiller/kit/runner"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/door"
+	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // quiet runs a fleet without traffic of its own.
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: 1, Edges: 6})
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 6})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -409,7 +409,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: 1, Edges: 6, LogTo: &log})
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 6, LogTo: &log})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/kit/sim/orders_test.go
+++ b/internal/kit/sim/orders_test.go
@@ -14,10 +14,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/web"
-	"damsontiller/kit/sim"
-	"damsontiller/platform/control"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/platform/control"
+	"damsontiller/internal/transport/code"
 )
 
 // reply is a core's answer to an operator of the users' platform; status 0 is none.
--- a/kit/sim/policy_test.go
+++ b/internal/kit/sim/policy_test.go
@@ -9,12 +9,12 @@
 	"testing"
 	"time"
 
-	"damsontiller/dataplane/trace"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/sim"
-	"damsontiller/proto/script"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/trace"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/script"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // approval is an approval with good figures for a text.
--- a/kit/sim/raw.go
+++ b/internal/kit/sim/raw.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/roll"
-	"damsontiller/kit/backend"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/kit/backend"
 )
 
 // Headers of raw jobs, as the platform spells them.
--- a/kit/sim/runners.go
+++ b/internal/kit/sim/runners.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
 )
 
 // Runner finds a stand-in.
--- a/kit/sim/sim.go
+++ b/internal/kit/sim/sim.go
@@ -16,16 +16,16 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/coordination/lease"
-	"damsontiller/dataplane/edge"
-	"damsontiller/dataplane/job"
-	"damsontiller/kit/backend"
-	"damsontiller/kit/client"
-	"damsontiller/kit/judge"
-	"damsontiller/kit/runner"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/loop"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/client"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/runner"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/loop"
+	"damsontiller/internal/transport/memnet"
 )
 
 // Sim is the fleet.
--- a/kit/sim/sim_test.go
+++ b/internal/kit/sim/sim_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/judge"
-	"damsontiller/kit/sim"
+	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/sim"
 )
 
 // run runs a simulated fleet of one deployment under its usual traffic while
@@ -22,7 +22,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		var err error
-		s, err = sim.New(sim.Params{Deploy: "../../deploy/" + deploy, Seed: seed, Edges: 6, Up: true, Log: os.Getenv("SIMLOG") != ""})
+		s, err = sim.New(sim.Params{Deploy: "../../../deploy/" + deploy, Seed: seed, Edges: 6, Up: true, Log: os.Getenv("SIMLOG") != ""})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/kit/sim/turns.go
+++ b/internal/kit/sim/turns.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/dataplane/door"
+	"damsontiller/internal/dataplane/door"
 )
 
 // keptTurn is a turn whose answer its caller was given.
--- a/kit/sim/worst_test.go
+++ b/internal/kit/sim/worst_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/kit/sim"
-	"damsontiller/proto/spec"
+	"damsontiller/internal/kit/sim"
+	"damsontiller/internal/proto/spec"
 )
 
 // untroubled runs a fleet that looks after itself, with a first configuration and
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		s, err := sim.New(sim.Params{Deploy: "../../deploy/andina", Seed: seed, Edges: 6, Found: true, Spares: 12, Raw: 4})
+		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: seed, Edges: 6, Found: true, Spares: 12, Raw: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/platform/control/control_test.go
+++ b/internal/platform/control/control_test.go
@@ -19,17 +19,17 @@
 	"github.com/labstack/echo/v4"
 	"pgregory.net/rapid"
 
-	"damsontiller/coordination/core"
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/node"
-	"damsontiller/coordination/web"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/fixed"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/fixed"
+	"damsontiller/internal/transport/memnet"
 )
 
 func TestMain(m *testing.M) { fixed.Main(m, 1000) }
--- a/platform/control/fuzz_config_test.go
+++ b/internal/platform/control/fuzz_config_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // kept takes a table that passed its check through the register and back.
--- a/platform/control/operate.go
+++ b/internal/platform/control/operate.go
@@ -11,10 +11,10 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/coordination/core"
-	"damsontiller/coordination/web"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // hBase is the header of the revision that a configuration builds on.
--- a/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -19,15 +19,15 @@
 	"github.com/hashicorp/go-hclog"
 	"pgregory.net/rapid"
 
-	"damsontiller/coordination/core"
-	"damsontiller/coordination/lease"
-	"damsontiller/coordination/news"
-	"damsontiller/coordination/node"
-	"damsontiller/coordination/web"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/coordination/core"
+	"damsontiller/internal/coordination/lease"
+	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/memnet"
 )
 
 // Operators send orders to cores that are cut off, frozen, restarted and wiped, lose
--- a/platform/control/table.go
+++ b/internal/platform/control/table.go
@@ -8,8 +8,8 @@
 
 	"github.com/mailru/easyjson"
 
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 var kinds = map[string]string{"idempotent": spec.Repeatable, "non_idempotent": spec.Once, "streaming": spec.Stream}
--- a/platform/control/wire_easyjson.go
+++ b/internal/platform/control/wire_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonF4688553DecodeDamsontillerPlatformControl(in *jlexer.Lexer, out *wholeTable) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl(in *jlexer.Lexer, out *wholeTable) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -115,7 +115,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl(out *jwriter.Writer, in wholeTable) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl(out *jwriter.Writer, in wholeTable) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -171,27 +171,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v wholeTable) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerPlatformControl(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v wholeTable) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerPlatformControl(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *wholeTable) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerPlatformControl(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *wholeTable) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerPlatformControl(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl(l, v)
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl1(in *jlexer.Lexer, out *serviceItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(in *jlexer.Lexer, out *serviceItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -243,7 +243,7 @@
 				if out.Engine == nil {
 					out.Engine = new(engineItem)
 				}
-				easyjsonF4688553DecodeDamsontillerPlatformControl2(in, out.Engine)
+				easyjsonF4688553DecodeDamsontillerInternalPlatformControl2(in, out.Engine)
 			}
 		default:
 			in.SkipRecursive()
@@ -255,7 +255,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl1(out *jwriter.Writer, in serviceItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(out *jwriter.Writer, in serviceItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -290,7 +290,7 @@
 		if in.Engine == nil {
 			out.RawString("null")
 		} else {
-			easyjsonF4688553EncodeDamsontillerPlatformControl2(out, *in.Engine)
+			easyjsonF4688553EncodeDamsontillerInternalPlatformControl2(out, *in.Engine)
 		}
 	}
 	out.RawByte('}')
@@ -299,27 +299,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v serviceItem) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerPlatformControl1(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v serviceItem) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerPlatformControl1(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *serviceItem) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerPlatformControl1(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *serviceItem) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerPlatformControl1(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(l, v)
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl2(in *jlexer.Lexer, out *engineItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl2(in *jlexer.Lexer, out *engineItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -361,7 +361,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl2(out *jwriter.Writer, in engineItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl2(out *jwriter.Writer, in engineItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -382,7 +382,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl3(in *jlexer.Lexer, out *routeItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(in *jlexer.Lexer, out *routeItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -467,7 +467,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v7 splitItem
-					easyjsonF4688553DecodeDamsontillerPlatformControl4(in, &v7)
+					easyjsonF4688553DecodeDamsontillerInternalPlatformControl4(in, &v7)
 					out.Split = append(out.Split, v7)
 					in.WantComma()
 				}
@@ -513,7 +513,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl3(out *jwriter.Writer, in routeItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(out *jwriter.Writer, in routeItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -573,7 +573,7 @@
 				if v8 > 0 {
 					out.RawByte(',')
 				}
-				easyjsonF4688553EncodeDamsontillerPlatformControl4(out, v9)
+				easyjsonF4688553EncodeDamsontillerInternalPlatformControl4(out, v9)
 			}
 			out.RawByte(']')
 		}
@@ -609,27 +609,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v routeItem) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerPlatformControl3(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v routeItem) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerPlatformControl3(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *routeItem) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerPlatformControl3(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *routeItem) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerPlatformControl3(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(l, v)
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl4(in *jlexer.Lexer, out *splitItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl4(in *jlexer.Lexer, out *splitItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -665,7 +665,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl4(out *jwriter.Writer, in splitItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl4(out *jwriter.Writer, in splitItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -681,7 +681,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl5(in *jlexer.Lexer, out *patchTable) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(in *jlexer.Lexer, out *patchTable) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -710,9 +710,9 @@
 				}
 			}
 		case "upsert":
-			easyjsonF4688553DecodeDamsontillerPlatformControl6(in, &out.Put)
+			easyjsonF4688553DecodeDamsontillerInternalPlatformControl6(in, &out.Put)
 		case "remove":
-			easyjsonF4688553DecodeDamsontillerPlatformControl7(in, &out.Drop)
+			easyjsonF4688553DecodeDamsontillerInternalPlatformControl7(in, &out.Drop)
 		default:
 			in.SkipRecursive()
 		}
@@ -723,7 +723,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl5(out *jwriter.Writer, in patchTable) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(out *jwriter.Writer, in patchTable) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -739,12 +739,12 @@
 	{
 		const prefix string = ",\"upsert\":"
 		out.RawString(prefix)
-		easyjsonF4688553EncodeDamsontillerPlatformControl6(out, in.Put)
+		easyjsonF4688553EncodeDamsontillerInternalPlatformControl6(out, in.Put)
 	}
 	{
 		const prefix string = ",\"remove\":"
 		out.RawString(prefix)
-		easyjsonF4688553EncodeDamsontillerPlatformControl7(out, in.Drop)
+		easyjsonF4688553EncodeDamsontillerInternalPlatformControl7(out, in.Drop)
 	}
 	out.RawByte('}')
 }
@@ -752,27 +752,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v patchTable) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerPlatformControl5(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v patchTable) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerPlatformControl5(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *patchTable) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerPlatformControl5(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *patchTable) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerPlatformControl5(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(l, v)
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl7(in *jlexer.Lexer, out *dropItems) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl7(in *jlexer.Lexer, out *dropItems) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -850,7 +850,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl7(out *jwriter.Writer, in dropItems) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl7(out *jwriter.Writer, in dropItems) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -888,7 +888,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl6(in *jlexer.Lexer, out *wholeItems) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl6(in *jlexer.Lexer, out *wholeItems) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -972,7 +972,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl6(out *jwriter.Writer, in wholeItems) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl6(out *jwriter.Writer, in wholeItems) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1015,7 +1015,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerPlatformControl8(in *jlexer.Lexer, out *limitsItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(in *jlexer.Lexer, out *limitsItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1063,7 +1063,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerPlatformControl8(out *jwriter.Writer, in limitsItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(out *jwriter.Writer, in limitsItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1093,23 +1093,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v limitsItem) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerPlatformControl8(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v limitsItem) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerPlatformControl8(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *limitsItem) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerPlatformControl8(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *limitsItem) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerPlatformControl8(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(l, v)
 }
--- a/platform/dialect/dialect.go
+++ b/internal/platform/dialect/dialect.go
@@ -9,10 +9,10 @@
 	"time"
 	"unicode/utf8"
 
-	"damsontiller/dataplane/raw"
-	"damsontiller/dataplane/roll"
-	"damsontiller/platform"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/platform"
+	"damsontiller/internal/transport/code"
 )
 
 // The headers of the platform.
--- a/platform/dialect/dialect_test.go
+++ b/internal/platform/dialect/dialect_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"damsontiller/dataplane/raw"
-	"damsontiller/dataplane/roll"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/transport/code"
 )
 
 func head(kv ...string) http.Header {
--- a/platform/dialect/fuzz_headers_test.go
+++ b/internal/platform/dialect/fuzz_headers_test.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"testing"
 
-	"damsontiller/dataplane/raw"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/proto/wire"
 )
 
 // FuzzRequest: whatever a caller's headers hold, they are refused by number or give
--- a/platform/list/fuzz_page_test.go
+++ b/internal/platform/list/fuzz_page_test.go
@@ -5,7 +5,7 @@
 	"time"
 	"unicode/utf8"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // FuzzPage: whatever a page of the platform's list holds, it is refused or gives
--- a/platform/list/list.go
+++ b/internal/platform/list/list.go
@@ -12,10 +12,10 @@
 	"time"
 	"unicode/utf8"
 
-	"damsontiller/dataplane/roll"
-	"damsontiller/platform"
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/platform"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // Bounds of one reading of the list.
--- a/platform/list/list_test.go
+++ b/internal/platform/list/list_test.go
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/dataplane/roll"
-	"damsontiller/transport/code"
+	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/transport/code"
 )
 
 // answers speaks as the platform would; nothing leaves the process.
--- a/platform/params.go
+++ b/internal/platform/params.go
@@ -14,9 +14,9 @@
 
 	"github.com/BurntSushi/toml"
 
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // Env names the variable that holds the settings file's path.
--- a/platform/params_test.go
+++ b/internal/platform/params_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 const settings = `node-name = "core-a-1"
--- a/platform/ready.go
+++ b/internal/platform/ready.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"damsontiller/coordination/web"
+	"damsontiller/internal/coordination/web"
 )
 
 // Ready answers the platform's question whether this node may be sent callers.
--- a/platform/resting.go
+++ b/internal/platform/resting.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/proto/spec"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/loop"
 )
 
 // The limits that hold where the operator's configuration names none.
--- a/platform/resting_test.go
+++ b/internal/platform/resting_test.go
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/proto/spec"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/memnet"
 )
 
 // frontRig is a front with limits that a test may change.
--- a/platform/run.go
+++ b/internal/platform/run.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // Fit keeps the process within the memory told, with room for what the collector
--- a/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -12,8 +12,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/transport/code"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/memnet"
 )
 
 // TestReady: the node's own word, on the platform's question only.
--- a/proto/reg/acceptor.go
+++ b/internal/proto/reg/acceptor.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // Disk keeps records; Save returns only once the record is synced. After a Save that
--- a/proto/reg/ahead.go
+++ b/internal/proto/reg/ahead.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/wire"
 )
 
 // ahead is what lets a proposer change a key in one round: a ballot of its own that
--- a/proto/reg/ahead_test.go
+++ b/internal/proto/reg/ahead_test.go
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // put is a change to v, whatever there was.
--- a/proto/reg/ballot.go
+++ b/internal/proto/reg/ballot.go
@@ -1,7 +1,7 @@
 package reg
 
 import (
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/wire"
 )
 
 // ballot is one that this proposer has never used. Its number follows the clock,
--- a/proto/reg/change.go
+++ b/internal/proto/reg/change.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/loop"
 )
 
 // keepOps bounds the marks in a cell. A proposer that finds its mark gone from
--- a/proto/reg/fill.go
+++ b/internal/proto/reg/fill.go
@@ -3,7 +3,7 @@
 import (
 	"hash/fnv"
 
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/wire"
 )
 
 // Fill takes what another acceptor of the keys has taken, many at once and with one
--- a/proto/reg/fill_test.go
+++ b/internal/proto/reg/fill_test.go
@@ -5,8 +5,8 @@
 	"errors"
 	"testing"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
 )
 
 // TestFill: a copy is taken where it is newer than what is here, also below what was
--- a/proto/reg/fuzz_test.go
+++ b/internal/proto/reg/fuzz_test.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
 )
 
 // FuzzRecord: whatever bytes a record on disk has, the acceptor answers or refuses; it
--- a/proto/reg/mend_test.go
+++ b/internal/proto/reg/mend_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"damsontiller/transport/loop"
+	"damsontiller/internal/transport/loop"
 )
 
 // Mend writes a key's value back under a new ballot until every voter of the
--- a/proto/reg/model_test.go
+++ b/internal/proto/reg/model_test.go
@@ -20,9 +20,9 @@
 	"github.com/anishathalye/porcupine"
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // The model drives the true Acceptor and Proposer by one scheduler, which takes one
--- a/proto/reg/proposer.go
+++ b/internal/proto/reg/proposer.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/wire"
 )
 
 // ErrNoQuorum says that too few answered, and nothing was changed.
--- a/proto/reg/reg_test.go
+++ b/internal/proto/reg/reg_test.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
 )
 
 // disk is a synced map; fail makes the next saves fail.
--- a/proto/reg/round.go
+++ b/internal/proto/reg/round.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
 )
 
 // after ends what several calls share, with the last of them.
--- a/proto/reg/size_test.go
+++ b/internal/proto/reg/size_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"testing"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
 )
 
 // TestRecordSize: what a voter keeps of a key does not grow with the number of its
--- a/proto/reg/stamp.go
+++ b/internal/proto/reg/stamp.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/wire"
 )
 
 // stamp is the spec version that a caller acts on, with its requests.
--- a/proto/reg/unsynced_test.go
+++ b/internal/proto/reg/unsynced_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // TestFailedWrite: of a record whose write failed but which shows, nothing is answered
--- a/proto/reg/window_test.go
+++ b/internal/proto/reg/window_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
 )
 
 // gate lets a proposer's requests through, or holds everything back; of the first
--- a/proto/script/script.go
+++ b/internal/proto/script/script.go
@@ -15,7 +15,7 @@
 	"cel.dev/cel-go/common/operators"
 	"cel.dev/cel-go/ext"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Job is what a program sees of a job. It never sees words of a caller.
--- a/proto/script/script_test.go
+++ b/internal/proto/script/script_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"damsontiller/proto/script"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/script"
+	"damsontiller/internal/transport/code"
 )
 
 var (
--- a/proto/spec/check.go
+++ b/internal/proto/spec/check.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"damsontiller/proto/script"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/script"
+	"damsontiller/internal/transport/code"
 )
 
 // Limits on what operators may write.
--- a/proto/spec/fuzz_config_test.go
+++ b/internal/proto/spec/fuzz_config_test.go
@@ -5,13 +5,13 @@
 	"os"
 	"testing"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // deployed gives the committed specs as seeds.
 func deployed(f *testing.F) (first []byte) {
 	for _, name := range []string{"andina", "tsehay"} {
-		b, err := os.ReadFile("../../deploy/" + name + "/spec.json")
+		b, err := os.ReadFile("../../../deploy/" + name + "/spec.json")
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 	f.Add([]byte(`{"empty_zones":["a"]}`))
 	f.Add([]byte(`{"cooldown":{"first_ms":10,"cap_ms":100,"statuses":[429,503]},"keeping":[{"class":"*","keep_s":60}]}`))
 	f.Add([]byte(`{"state_keeping":{"longest_wait_s":60},"budgets":[{"programs":"*","output":1}]}`))
-	inForce, err := os.ReadFile("../../deploy/andina/spec.json")
+	inForce, err := os.ReadFile("../../../deploy/andina/spec.json")
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/proto/spec/fuzz_test.go
+++ b/internal/proto/spec/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"damsontiller/proto/spec"
+	"damsontiller/internal/proto/spec"
 )
 
 // FuzzCluster: a cluster's value that can be read is the same when written and read
--- a/proto/spec/spec_test.go
+++ b/internal/proto/spec/spec_test.go
@@ -5,13 +5,13 @@
 	"strings"
 	"testing"
 
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 func load(t *testing.T, deploy string) []byte {
 	t.Helper()
-	b, err := os.ReadFile("../../deploy/" + deploy + "/spec.json")
+	b, err := os.ReadFile("../../../deploy/" + deploy + "/spec.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/proto/spec/table_easyjson.go
+++ b/internal/proto/spec/table_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson63ba4a22DecodeDamsontillerProtoSpec(in *jlexer.Lexer, out *Table) {
+func easyjson63ba4a22DecodeDamsontillerInternalProtoSpec(in *jlexer.Lexer, out *Table) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -54,7 +54,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v1 Path
-					easyjson63ba4a22DecodeDamsontillerProtoSpec1(in, &v1)
+					easyjson63ba4a22DecodeDamsontillerInternalProtoSpec1(in, &v1)
 					out.Paths = append(out.Paths, v1)
 					in.WantComma()
 				}
@@ -77,14 +77,14 @@
 				}
 				for !in.IsDelim(']') {
 					var v2 Service
-					easyjson63ba4a22DecodeDamsontillerProtoSpec2(in, &v2)
+					easyjson63ba4a22DecodeDamsontillerInternalProtoSpec2(in, &v2)
 					out.Services = append(out.Services, v2)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
 		case "limits":
-			easyjson63ba4a22DecodeDamsontillerProtoSpec3(in, &out.Limits)
+			easyjson63ba4a22DecodeDamsontillerInternalProtoSpec3(in, &out.Limits)
 		default:
 			in.AddError(&jlexer.LexerError{
 				Offset: in.GetPos(),
@@ -99,7 +99,7 @@
 		in.Consumed()
 	}
 }
-func easyjson63ba4a22EncodeDamsontillerProtoSpec(out *jwriter.Writer, in Table) {
+func easyjson63ba4a22EncodeDamsontillerInternalProtoSpec(out *jwriter.Writer, in Table) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -119,7 +119,7 @@
 				if v3 > 0 {
 					out.RawByte(',')
 				}
-				easyjson63ba4a22EncodeDamsontillerProtoSpec1(out, v4)
+				easyjson63ba4a22EncodeDamsontillerInternalProtoSpec1(out, v4)
 			}
 			out.RawByte(']')
 		}
@@ -135,7 +135,7 @@
 				if v5 > 0 {
 					out.RawByte(',')
 				}
-				easyjson63ba4a22EncodeDamsontillerProtoSpec2(out, v6)
+				easyjson63ba4a22EncodeDamsontillerInternalProtoSpec2(out, v6)
 			}
 			out.RawByte(']')
 		}
@@ -143,7 +143,7 @@
 	{
 		const prefix string = ",\"limits\":"
 		out.RawString(prefix)
-		easyjson63ba4a22EncodeDamsontillerProtoSpec3(out, in.Limits)
+		easyjson63ba4a22EncodeDamsontillerInternalProtoSpec3(out, in.Limits)
 	}
 	out.RawByte('}')
 }
@@ -151,27 +151,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Table) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson63ba4a22EncodeDamsontillerProtoSpec(&w, v)
+	easyjson63ba4a22EncodeDamsontillerInternalProtoSpec(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Table) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson63ba4a22EncodeDamsontillerProtoSpec(w, v)
+	easyjson63ba4a22EncodeDamsontillerInternalProtoSpec(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Table) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson63ba4a22DecodeDamsontillerProtoSpec(&r, v)
+	easyjson63ba4a22DecodeDamsontillerInternalProtoSpec(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Table) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson63ba4a22DecodeDamsontillerProtoSpec(l, v)
+	easyjson63ba4a22DecodeDamsontillerInternalProtoSpec(l, v)
 }
-func easyjson63ba4a22DecodeDamsontillerProtoSpec3(in *jlexer.Lexer, out *Limits) {
+func easyjson63ba4a22DecodeDamsontillerInternalProtoSpec3(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -231,7 +231,7 @@
 		in.Consumed()
 	}
 }
-func easyjson63ba4a22EncodeDamsontillerProtoSpec3(out *jwriter.Writer, in Limits) {
+func easyjson63ba4a22EncodeDamsontillerInternalProtoSpec3(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -283,7 +283,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson63ba4a22DecodeDamsontillerProtoSpec2(in *jlexer.Lexer, out *Service) {
+func easyjson63ba4a22DecodeDamsontillerInternalProtoSpec2(in *jlexer.Lexer, out *Service) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -335,7 +335,7 @@
 				if out.Engine == nil {
 					out.Engine = new(Engine)
 				}
-				easyjson63ba4a22DecodeDamsontillerProtoSpec4(in, out.Engine)
+				easyjson63ba4a22DecodeDamsontillerInternalProtoSpec4(in, out.Engine)
 			}
 		case "origin":
 			if in.IsNull() {
@@ -359,7 +359,7 @@
 		in.Consumed()
 	}
 }
-func easyjson63ba4a22EncodeDamsontillerProtoSpec2(out *jwriter.Writer, in Service) {
+func easyjson63ba4a22EncodeDamsontillerInternalProtoSpec2(out *jwriter.Writer, in Service) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -391,7 +391,7 @@
 	if in.Engine != nil {
 		const prefix string = ",\"engine\":"
 		out.RawString(prefix)
-		easyjson63ba4a22EncodeDamsontillerProtoSpec4(out, *in.Engine)
+		easyjson63ba4a22EncodeDamsontillerInternalProtoSpec4(out, *in.Engine)
 	}
 	if len(in.Origin) != 0 {
 		const prefix string = ",\"origin\":"
@@ -400,7 +400,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson63ba4a22DecodeDamsontillerProtoSpec4(in *jlexer.Lexer, out *Engine) {
+func easyjson63ba4a22DecodeDamsontillerInternalProtoSpec4(in *jlexer.Lexer, out *Engine) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -446,7 +446,7 @@
 		in.Consumed()
 	}
 }
-func easyjson63ba4a22EncodeDamsontillerProtoSpec4(out *jwriter.Writer, in Engine) {
+func easyjson63ba4a22EncodeDamsontillerInternalProtoSpec4(out *jwriter.Writer, in Engine) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -467,7 +467,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson63ba4a22DecodeDamsontillerProtoSpec1(in *jlexer.Lexer, out *Path) {
+func easyjson63ba4a22DecodeDamsontillerInternalProtoSpec1(in *jlexer.Lexer, out *Path) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -522,7 +522,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v7 Share
-					easyjson63ba4a22DecodeDamsontillerProtoSpec5(in, &v7)
+					easyjson63ba4a22DecodeDamsontillerInternalProtoSpec5(in, &v7)
 					out.To = append(out.To, v7)
 					in.WantComma()
 				}
@@ -604,7 +604,7 @@
 		in.Consumed()
 	}
 }
-func easyjson63ba4a22EncodeDamsontillerProtoSpec1(out *jwriter.Writer, in Path) {
+func easyjson63ba4a22EncodeDamsontillerInternalProtoSpec1(out *jwriter.Writer, in Path) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -639,7 +639,7 @@
 				if v8 > 0 {
 					out.RawByte(',')
 				}
-				easyjson63ba4a22EncodeDamsontillerProtoSpec5(out, v9)
+				easyjson63ba4a22EncodeDamsontillerInternalProtoSpec5(out, v9)
 			}
 			out.RawByte(']')
 		}
@@ -696,7 +696,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson63ba4a22DecodeDamsontillerProtoSpec5(in *jlexer.Lexer, out *Share) {
+func easyjson63ba4a22DecodeDamsontillerInternalProtoSpec5(in *jlexer.Lexer, out *Share) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -736,7 +736,7 @@
 		in.Consumed()
 	}
 }
-func easyjson63ba4a22EncodeDamsontillerProtoSpec5(out *jwriter.Writer, in Share) {
+func easyjson63ba4a22EncodeDamsontillerInternalProtoSpec5(out *jwriter.Writer, in Share) {
 	out.RawByte('{')
 	first := true
 	_ = first
--- a/proto/spec/table_test.go
+++ b/internal/proto/spec/table_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // good is a table with one of everything.
--- a/proto/spec/taken.go
+++ b/internal/proto/spec/taken.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"encoding/hex"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // OrderDigest stands for the whole content of an operator's order.
--- a/proto/spec/taken_test.go
+++ b/internal/proto/spec/taken_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/proto/spec"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/spec"
+	"damsontiller/internal/transport/code"
 )
 
 // written is a cluster as it comes back from the register.
--- a/proto/spec/types_easyjson.go
+++ b/internal/proto/spec/types_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson6601e8cdDecodeDamsontillerProtoSpec(in *jlexer.Lexer, out *State) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec(in *jlexer.Lexer, out *State) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -57,7 +57,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec(out *jwriter.Writer, in State) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec(out *jwriter.Writer, in State) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -77,27 +77,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v State) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v State) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *State) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *State) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec1(in *jlexer.Lexer, out *Spec) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec1(in *jlexer.Lexer, out *Spec) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -161,7 +161,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v2 Runner
-					easyjson6601e8cdDecodeDamsontillerProtoSpec2(in, &v2)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec2(in, &v2)
 					out.Runners = append(out.Runners, v2)
 					in.WantComma()
 				}
@@ -184,7 +184,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v3 Route
-					easyjson6601e8cdDecodeDamsontillerProtoSpec3(in, &v3)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec3(in, &v3)
 					out.Routes = append(out.Routes, v3)
 					in.WantComma()
 				}
@@ -213,7 +213,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v4 Class
-					easyjson6601e8cdDecodeDamsontillerProtoSpec4(in, &v4)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec4(in, &v4)
 					out.Classes = append(out.Classes, v4)
 					in.WantComma()
 				}
@@ -236,7 +236,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v5 Keeping
-					easyjson6601e8cdDecodeDamsontillerProtoSpec5(in, &v5)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec5(in, &v5)
 					out.Keeping = append(out.Keeping, v5)
 					in.WantComma()
 				}
@@ -259,7 +259,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v6 Budget
-					easyjson6601e8cdDecodeDamsontillerProtoSpec6(in, &v6)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec6(in, &v6)
 					out.Budgets = append(out.Budgets, v6)
 					in.WantComma()
 				}
@@ -299,9 +299,9 @@
 				out.ForceEmpty = bool(in.Bool())
 			}
 		case "cooldown":
-			easyjson6601e8cdDecodeDamsontillerProtoSpec7(in, &out.Cooldown)
+			easyjson6601e8cdDecodeDamsontillerInternalProtoSpec7(in, &out.Cooldown)
 		case "state_keeping":
-			easyjson6601e8cdDecodeDamsontillerProtoSpec8(in, &out.StateKeeping)
+			easyjson6601e8cdDecodeDamsontillerInternalProtoSpec8(in, &out.StateKeeping)
 		case "policies":
 			if in.IsNull() {
 				in.Skip()
@@ -319,7 +319,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v8 Policy
-					easyjson6601e8cdDecodeDamsontillerProtoSpec9(in, &v8)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec9(in, &v8)
 					out.Policies = append(out.Policies, v8)
 					in.WantComma()
 				}
@@ -380,7 +380,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec1(out *jwriter.Writer, in Spec) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec1(out *jwriter.Writer, in Spec) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -416,7 +416,7 @@
 				if v12 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec2(out, v13)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec2(out, v13)
 			}
 			out.RawByte(']')
 		}
@@ -432,7 +432,7 @@
 				if v14 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec3(out, v15)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec3(out, v15)
 			}
 			out.RawByte(']')
 		}
@@ -453,7 +453,7 @@
 				if v16 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec4(out, v17)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec4(out, v17)
 			}
 			out.RawByte(']')
 		}
@@ -469,7 +469,7 @@
 				if v18 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec5(out, v19)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec5(out, v19)
 			}
 			out.RawByte(']')
 		}
@@ -485,7 +485,7 @@
 				if v20 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec6(out, v21)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec6(out, v21)
 			}
 			out.RawByte(']')
 		}
@@ -512,12 +512,12 @@
 	{
 		const prefix string = ",\"cooldown\":"
 		out.RawString(prefix)
-		easyjson6601e8cdEncodeDamsontillerProtoSpec7(out, in.Cooldown)
+		easyjson6601e8cdEncodeDamsontillerInternalProtoSpec7(out, in.Cooldown)
 	}
 	{
 		const prefix string = ",\"state_keeping\":"
 		out.RawString(prefix)
-		easyjson6601e8cdEncodeDamsontillerProtoSpec8(out, in.StateKeeping)
+		easyjson6601e8cdEncodeDamsontillerInternalProtoSpec8(out, in.StateKeeping)
 	}
 	if len(in.Policies) != 0 {
 		const prefix string = ",\"policies\":"
@@ -528,7 +528,7 @@
 				if v24 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec9(out, v25)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec9(out, v25)
 			}
 			out.RawByte(']')
 		}
@@ -558,27 +558,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Spec) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec1(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Spec) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec1(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Spec) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec1(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Spec) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec1(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec1(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec9(in *jlexer.Lexer, out *Policy) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec9(in *jlexer.Lexer, out *Policy) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -624,7 +624,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec9(out *jwriter.Writer, in Policy) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec9(out *jwriter.Writer, in Policy) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -645,7 +645,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec8(in *jlexer.Lexer, out *StateKeeping) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec8(in *jlexer.Lexer, out *StateKeeping) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -697,7 +697,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec8(out *jwriter.Writer, in StateKeeping) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec8(out *jwriter.Writer, in StateKeeping) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -739,7 +739,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec7(in *jlexer.Lexer, out *Cooldown) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec7(in *jlexer.Lexer, out *Cooldown) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -812,7 +812,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec7(out *jwriter.Writer, in Cooldown) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec7(out *jwriter.Writer, in Cooldown) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -863,7 +863,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec6(in *jlexer.Lexer, out *Budget) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec6(in *jlexer.Lexer, out *Budget) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -903,7 +903,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec6(out *jwriter.Writer, in Budget) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec6(out *jwriter.Writer, in Budget) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -919,7 +919,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec5(in *jlexer.Lexer, out *Keeping) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec5(in *jlexer.Lexer, out *Keeping) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -959,7 +959,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec5(out *jwriter.Writer, in Keeping) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec5(out *jwriter.Writer, in Keeping) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -975,7 +975,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec4(in *jlexer.Lexer, out *Class) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec4(in *jlexer.Lexer, out *Class) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1021,7 +1021,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec4(out *jwriter.Writer, in Class) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec4(out *jwriter.Writer, in Class) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1042,7 +1042,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec3(in *jlexer.Lexer, out *Route) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec3(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1088,7 +1088,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec3(out *jwriter.Writer, in Route) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec3(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1109,7 +1109,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec2(in *jlexer.Lexer, out *Runner) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec2(in *jlexer.Lexer, out *Runner) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1167,7 +1167,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec2(out *jwriter.Writer, in Runner) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec2(out *jwriter.Writer, in Runner) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1198,7 +1198,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec10(in *jlexer.Lexer, out *Put) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec10(in *jlexer.Lexer, out *Put) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1238,7 +1238,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec10(out *jwriter.Writer, in Put) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec10(out *jwriter.Writer, in Put) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1258,27 +1258,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Put) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec10(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec10(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Put) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec10(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec10(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Put) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec10(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec10(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Put) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec10(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec10(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec11(in *jlexer.Lexer, out *PolicyPut) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec11(in *jlexer.Lexer, out *PolicyPut) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1318,7 +1318,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec11(out *jwriter.Writer, in PolicyPut) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec11(out *jwriter.Writer, in PolicyPut) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1344,27 +1344,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v PolicyPut) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec11(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec11(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v PolicyPut) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec11(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec11(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *PolicyPut) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec11(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec11(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *PolicyPut) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec11(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec11(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec12(in *jlexer.Lexer, out *Patch) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec12(in *jlexer.Lexer, out *Patch) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1443,7 +1443,7 @@
 					}
 					for !in.IsDelim(']') {
 						var v32 Class
-						easyjson6601e8cdDecodeDamsontillerProtoSpec4(in, &v32)
+						easyjson6601e8cdDecodeDamsontillerInternalProtoSpec4(in, &v32)
 						*out.Classes = append(*out.Classes, v32)
 						in.WantComma()
 					}
@@ -1474,7 +1474,7 @@
 					}
 					for !in.IsDelim(']') {
 						var v33 Keeping
-						easyjson6601e8cdDecodeDamsontillerProtoSpec5(in, &v33)
+						easyjson6601e8cdDecodeDamsontillerInternalProtoSpec5(in, &v33)
 						*out.Keeping = append(*out.Keeping, v33)
 						in.WantComma()
 					}
@@ -1505,7 +1505,7 @@
 					}
 					for !in.IsDelim(']') {
 						var v34 Budget
-						easyjson6601e8cdDecodeDamsontillerProtoSpec6(in, &v34)
+						easyjson6601e8cdDecodeDamsontillerInternalProtoSpec6(in, &v34)
 						*out.Budgets = append(*out.Budgets, v34)
 						in.WantComma()
 					}
@@ -1520,7 +1520,7 @@
 				if out.Cooldown == nil {
 					out.Cooldown = new(Cooldown)
 				}
-				easyjson6601e8cdDecodeDamsontillerProtoSpec7(in, out.Cooldown)
+				easyjson6601e8cdDecodeDamsontillerInternalProtoSpec7(in, out.Cooldown)
 			}
 		case "state_keeping":
 			if in.IsNull() {
@@ -1530,7 +1530,7 @@
 				if out.StateKeeping == nil {
 					out.StateKeeping = new(StateKeeping)
 				}
-				easyjson6601e8cdDecodeDamsontillerProtoSpec8(in, out.StateKeeping)
+				easyjson6601e8cdDecodeDamsontillerInternalProtoSpec8(in, out.StateKeeping)
 			}
 		case "runners":
 			if in.IsNull() {
@@ -1556,7 +1556,7 @@
 					}
 					for !in.IsDelim(']') {
 						var v35 Runner
-						easyjson6601e8cdDecodeDamsontillerProtoSpec2(in, &v35)
+						easyjson6601e8cdDecodeDamsontillerInternalProtoSpec2(in, &v35)
 						*out.Runners = append(*out.Runners, v35)
 						in.WantComma()
 					}
@@ -1577,7 +1577,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec12(out *jwriter.Writer, in Patch) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec12(out *jwriter.Writer, in Patch) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1624,7 +1624,7 @@
 				if v38 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec4(out, v39)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec4(out, v39)
 			}
 			out.RawByte(']')
 		}
@@ -1645,7 +1645,7 @@
 				if v40 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec5(out, v41)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec5(out, v41)
 			}
 			out.RawByte(']')
 		}
@@ -1666,7 +1666,7 @@
 				if v42 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec6(out, v43)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec6(out, v43)
 			}
 			out.RawByte(']')
 		}
@@ -1679,7 +1679,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		easyjson6601e8cdEncodeDamsontillerProtoSpec7(out, *in.Cooldown)
+		easyjson6601e8cdEncodeDamsontillerInternalProtoSpec7(out, *in.Cooldown)
 	}
 	if in.StateKeeping != nil {
 		const prefix string = ",\"state_keeping\":"
@@ -1689,7 +1689,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		easyjson6601e8cdEncodeDamsontillerProtoSpec8(out, *in.StateKeeping)
+		easyjson6601e8cdEncodeDamsontillerInternalProtoSpec8(out, *in.StateKeeping)
 	}
 	if in.Runners != nil {
 		const prefix string = ",\"runners\":"
@@ -1707,7 +1707,7 @@
 				if v44 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec2(out, v45)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec2(out, v45)
 			}
 			out.RawByte(']')
 		}
@@ -1718,27 +1718,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Patch) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec12(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec12(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Patch) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec12(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec12(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Patch) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec12(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec12(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Patch) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec12(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec12(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec13(in *jlexer.Lexer, out *Live) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec13(in *jlexer.Lexer, out *Live) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1778,7 +1778,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec13(out *jwriter.Writer, in Live) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec13(out *jwriter.Writer, in Live) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1798,27 +1798,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Live) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec13(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec13(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Live) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec13(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec13(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Live) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec13(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec13(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Live) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec13(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec13(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec14(in *jlexer.Lexer, out *Cluster) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec14(in *jlexer.Lexer, out *Cluster) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1849,7 +1849,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v46 Machine
-					easyjson6601e8cdDecodeDamsontillerProtoSpec15(in, &v46)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec15(in, &v46)
 					out.Cores = append(out.Cores, v46)
 					in.WantComma()
 				}
@@ -1872,7 +1872,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v47 Machine
-					easyjson6601e8cdDecodeDamsontillerProtoSpec15(in, &v47)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec15(in, &v47)
 					out.Stores = append(out.Stores, v47)
 					in.WantComma()
 				}
@@ -1895,7 +1895,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v48 Machine
-					easyjson6601e8cdDecodeDamsontillerProtoSpec15(in, &v48)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec15(in, &v48)
 					out.NextCores = append(out.NextCores, v48)
 					in.WantComma()
 				}
@@ -1918,7 +1918,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v49 Machine
-					easyjson6601e8cdDecodeDamsontillerProtoSpec15(in, &v49)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec15(in, &v49)
 					out.NextStores = append(out.NextStores, v49)
 					in.WantComma()
 				}
@@ -2011,7 +2011,7 @@
 				}
 				for !in.IsDelim(']') {
 					var v52 Taken
-					easyjson6601e8cdDecodeDamsontillerProtoSpec16(in, &v52)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec16(in, &v52)
 					out.Taken = append(out.Taken, v52)
 					in.WantComma()
 				}
@@ -2097,7 +2097,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec14(out *jwriter.Writer, in Cluster) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec14(out *jwriter.Writer, in Cluster) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2112,7 +2112,7 @@
 				if v55 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec15(out, v56)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec15(out, v56)
 			}
 			out.RawByte(']')
 		}
@@ -2128,7 +2128,7 @@
 				if v57 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec15(out, v58)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec15(out, v58)
 			}
 			out.RawByte(']')
 		}
@@ -2142,7 +2142,7 @@
 				if v59 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec15(out, v60)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec15(out, v60)
 			}
 			out.RawByte(']')
 		}
@@ -2156,7 +2156,7 @@
 				if v61 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec15(out, v62)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec15(out, v62)
 			}
 			out.RawByte(']')
 		}
@@ -2219,7 +2219,7 @@
 				if v67 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6601e8cdEncodeDamsontillerProtoSpec16(out, v68)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec16(out, v68)
 			}
 			out.RawByte(']')
 		}
@@ -2268,27 +2268,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Cluster) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec14(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec14(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Cluster) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec14(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec14(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Cluster) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec14(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec14(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Cluster) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec14(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec14(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec16(in *jlexer.Lexer, out *Taken) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec16(in *jlexer.Lexer, out *Taken) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2328,7 +2328,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec16(out *jwriter.Writer, in Taken) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec16(out *jwriter.Writer, in Taken) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2344,7 +2344,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec15(in *jlexer.Lexer, out *Machine) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec15(in *jlexer.Lexer, out *Machine) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2396,7 +2396,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec15(out *jwriter.Writer, in Machine) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec15(out *jwriter.Writer, in Machine) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2422,7 +2422,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec17(in *jlexer.Lexer, out *Approval) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec17(in *jlexer.Lexer, out *Approval) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2461,9 +2461,9 @@
 				out.Seed = uint64(in.Uint64())
 			}
 		case "base":
-			easyjson6601e8cdDecodeDamsontillerProtoSpec18(in, &out.Base)
+			easyjson6601e8cdDecodeDamsontillerInternalProtoSpec18(in, &out.Base)
 		case "cand":
-			easyjson6601e8cdDecodeDamsontillerProtoSpec18(in, &out.Cand)
+			easyjson6601e8cdDecodeDamsontillerInternalProtoSpec18(in, &out.Cand)
 		default:
 			in.AddError(&jlexer.LexerError{
 				Offset: in.GetPos(),
@@ -2478,7 +2478,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec17(out *jwriter.Writer, in Approval) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec17(out *jwriter.Writer, in Approval) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2505,12 +2505,12 @@
 	{
 		const prefix string = ",\"base\":"
 		out.RawString(prefix)
-		easyjson6601e8cdEncodeDamsontillerProtoSpec18(out, in.Base)
+		easyjson6601e8cdEncodeDamsontillerInternalProtoSpec18(out, in.Base)
 	}
 	{
 		const prefix string = ",\"cand\":"
 		out.RawString(prefix)
-		easyjson6601e8cdEncodeDamsontillerProtoSpec18(out, in.Cand)
+		easyjson6601e8cdEncodeDamsontillerInternalProtoSpec18(out, in.Cand)
 	}
 	out.RawByte('}')
 }
@@ -2518,27 +2518,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Approval) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeDamsontillerProtoSpec17(&w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec17(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Approval) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeDamsontillerProtoSpec17(w, v)
+	easyjson6601e8cdEncodeDamsontillerInternalProtoSpec17(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Approval) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeDamsontillerProtoSpec17(&r, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec17(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Approval) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeDamsontillerProtoSpec17(l, v)
+	easyjson6601e8cdDecodeDamsontillerInternalProtoSpec17(l, v)
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec18(in *jlexer.Lexer, out *Figures) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec18(in *jlexer.Lexer, out *Figures) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2649,7 +2649,7 @@
 					key := string(in.String())
 					in.WantColon()
 					var v74 Wait
-					easyjson6601e8cdDecodeDamsontillerProtoSpec19(in, &v74)
+					easyjson6601e8cdDecodeDamsontillerInternalProtoSpec19(in, &v74)
 					(out.Waits)[key] = v74
 					in.WantComma()
 				}
@@ -2669,7 +2669,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec18(out *jwriter.Writer, in Figures) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec18(out *jwriter.Writer, in Figures) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2755,14 +2755,14 @@
 				}
 				out.String(string(v77Name))
 				out.RawByte(':')
-				easyjson6601e8cdEncodeDamsontillerProtoSpec19(out, v77Value)
+				easyjson6601e8cdEncodeDamsontillerInternalProtoSpec19(out, v77Value)
 			}
 			out.RawByte('}')
 		}
 	}
 	out.RawByte('}')
 }
-func easyjson6601e8cdDecodeDamsontillerProtoSpec19(in *jlexer.Lexer, out *Wait) {
+func easyjson6601e8cdDecodeDamsontillerInternalProtoSpec19(in *jlexer.Lexer, out *Wait) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2802,7 +2802,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeDamsontillerProtoSpec19(out *jwriter.Writer, in Wait) {
+func easyjson6601e8cdEncodeDamsontillerInternalProtoSpec19(out *jwriter.Writer, in Wait) {
 	out.RawByte('{')
 	first := true
 	_ = first
--- a/proto/wire/wire.go
+++ b/internal/proto/wire/wire.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Version is the messages' number; Oldest is the oldest neighbour understood.
--- a/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport"
 )
 
 // counts are the calls to the network's connections, both ends together.
--- a/state/storage/blob.go
+++ b/internal/state/storage/blob.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // Blobs are immutable values with a keeping time. Time is the time this folder
--- a/state/storage/bulk.go
+++ b/internal/state/storage/bulk.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // Many keys at once, for a store that brings copies to another.
--- a/state/storage/bulk_test.go
+++ b/internal/state/storage/bulk_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
 )
 
 // TestBulk: what goes page by page from one folder to another is all there, with the
--- a/state/storage/engine.go
+++ b/internal/state/storage/engine.go
@@ -19,8 +19,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/proto/wire"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/transport/code"
 )
 
 // Format is the data folder's version.
--- a/state/storage/engine_test.go
+++ b/internal/state/storage/engine_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/transport/code"
 )
 
 func open(t *testing.T, fs vfs.FS, id string) *storage.Engine {
--- a/state/storage/identity_test.go
+++ b/internal/state/storage/identity_test.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 
-	"damsontiller/state/storage"
+	"damsontiller/internal/state/storage"
 )
 
 // failingIdentity is a file system on which one kind of operation on the new identity's
--- a/state/storage/model_test.go
+++ b/internal/state/storage/model_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/state/storage/faultfs"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/state/storage/faultfs"
+	"damsontiller/internal/transport/code"
 )
 
 // voter is an acceptor on a disk that fails as the test says.
--- a/state/storage/room.go
+++ b/internal/state/storage/room.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Room watches how much room the disk has and how long it takes to sync.
--- a/state/storage/trouble_test.go
+++ b/internal/state/storage/trouble_test.go
@@ -13,11 +13,11 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/proto/reg"
-	"damsontiller/proto/wire"
-	"damsontiller/state/storage"
-	"damsontiller/state/storage/faultfs"
-	"damsontiller/transport/code"
+	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/wire"
+	"damsontiller/internal/state/storage"
+	"damsontiller/internal/state/storage/faultfs"
+	"damsontiller/internal/transport/code"
 )
 
 // searches is how many points or seeds a search goes through; DISK_SEARCHES multiplies it.
--- a/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -14,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/memnet"
 )
 
 // The frame's kinds and head, as on the wire.
--- a/transport/batch_test.go
+++ b/internal/transport/batch_test.go
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/transport"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/memnet"
 )
 
 // flood makes calls of all sizes at once, some of them given up, and checks that
--- a/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"damsontiller/transport"
+	"damsontiller/internal/transport"
 )
 
 // writes counts the writes to a network's connections.
--- a/transport/code/code_test.go
+++ b/internal/transport/code/code_test.go
@@ -7,12 +7,12 @@
 	"strings"
 	"testing"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // TestTable: the code and docs/codes.md say the same, row by row.
 func TestTable(t *testing.T) {
-	b, err := os.ReadFile("../../docs/codes.md")
+	b, err := os.ReadFile("../../../docs/codes.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/transport/frame.go
+++ b/internal/transport/frame.go
@@ -10,7 +10,7 @@
 	"runtime"
 	"sync"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Version is the frame layout's number. A peer that speaks another is told so.
--- a/transport/frame_fuzz_test.go
+++ b/internal/transport/frame_fuzz_test.go
@@ -7,7 +7,7 @@
 	"io"
 	"testing"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // FuzzFrame: whatever bytes a connection brings, each frame that is read is the one
--- a/transport/hub.go
+++ b/internal/transport/hub.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Params are the transport's settings.
--- a/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/transport"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/memnet"
 )
 
 // TestIdle: a connection on which nothing is asked for a while is let go once
--- a/transport/memnet/memnet.go
+++ b/internal/transport/memnet/memnet.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"damsontiller/transport"
-	"damsontiller/transport/loop"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/loop"
 )
 
 // Net is one simulated network.
--- a/transport/serve.go
+++ b/internal/transport/serve.go
@@ -7,7 +7,7 @@
 	"sync"
 	"sync/atomic"
 
-	"damsontiller/transport/code"
+	"damsontiller/internal/transport/code"
 )
 
 // Handler answers one call; a nil answer means the call is swallowed.
--- a/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -11,9 +11,9 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/transport"
-	"damsontiller/transport/code"
-	"damsontiller/transport/memnet"
+	"damsontiller/internal/transport"
+	"damsontiller/internal/transport/code"
+	"damsontiller/internal/transport/memnet"
 )
 
 // echo serves at addr and counts connections let go for speaking badly.
