--- a/cmd/dtcore/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -1,4 +1,4 @@
-// Command dtcore is the control plane: it serves on core machines, and its
+// Command damsontiller-control is the control plane: it serves on core machines, and its
 // subcommands are the operators' way in.
 package main
 
@@ -11,7 +11,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/cmd/start"
+	"damsontiller/cmd/internal/startup"
 	"damsontiller/internal/coordination/core"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/platform"
@@ -20,30 +20,30 @@
 	"damsontiller/internal/transport/code"
 )
 
-const usage = `dtcore serve [flags]                 run a core machine
-dtcore spec get|put|patch [flags]    read or change the spec
-dtcore spec version N [flags]        is version N in force everywhere?
-dtcore spec explain [flags]          which placements follow from the intents
-dtcore policy list                   the policy programs, their approvals, which is live
-dtcore policy put NAME -file F       take a program's text, JSON with rank and order
-dtcore policy approve NAME -file R   approve a rehearsal's report
-dtcore policy live NAME [-share N]   put it in force for N percent of all programs
-dtcore policy off                    back to the built-in rules
-dtcore policy drop NAME              forget a program
-dtcore trace JOB [-edge ADDR]        why a job went where it did
-dtcore zone empty|refill ZONE [-force]  take a zone out of service, or back
-dtcore store admit ID [-for OLD]     take a store into the set, in another's place or beside
-dtcore store retire ID               let a store go once its copies are elsewhere
-dtcore core admit ID -for OLD        replace a core machine
-dtcore store|core abandon            go back to the set as it was
-dtcore sets [flags]                  the sets, and what they change to
-dtcore members [flags]               list the members
-dtcore health [flags]                what is wrong, if anything
-dtcore check FILE                    check a spec file
+const usage = `damsontiller-control serve [flags]                 run a core machine
+damsontiller-control spec get|put|patch [flags]    read or change the spec
+damsontiller-control spec version N [flags]        is version N in force everywhere?
+damsontiller-control spec explain [flags]          which placements follow from the intents
+damsontiller-control policy list                   the policy programs, their approvals, which is live
+damsontiller-control policy put NAME -file F       take a program's text, JSON with rank and order
+damsontiller-control policy approve NAME -file R   approve a rehearsal's report
+damsontiller-control policy live NAME [-share N]   put it in force for N percent of all programs
+damsontiller-control policy off                    back to the built-in rules
+damsontiller-control policy drop NAME              forget a program
+damsontiller-control trace JOB [-edge ADDR]        why a job went where it did
+damsontiller-control zone empty|refill ZONE [-force]  take a zone out of service, or back
+damsontiller-control store admit ID [-for OLD]     take a store into the set, in another's place or beside
+damsontiller-control store retire ID               let a store go once its copies are elsewhere
+damsontiller-control core admit ID -for OLD        replace a core machine
+damsontiller-control store|core abandon            go back to the set as it was
+damsontiller-control sets [flags]                  the sets, and what they change to
+damsontiller-control members [flags]               list the members
+damsontiller-control health [flags]                what is wrong, if anything
+damsontiller-control check FILE                    check a spec file
 
 Each takes -h.`
 
-func main() { os.Exit(start.Exit(run(os.Args[1:]))) }
+func main() { os.Exit(startup.Exit(run(os.Args[1:]))) }
 
 func run(args []string) error {
 	if len(args) == 0 {
@@ -87,8 +87,8 @@
 	if file := os.Getenv(platform.Env); file != "" && len(args) == 0 {
 		return onPlatform(file)
 	}
-	fs := flag.NewFlagSet("dtcore serve", flag.ContinueOnError)
-	p := start.Flags(fs)
+	fs := flag.NewFlagSet("damsontiller-control serve", flag.ContinueOnError)
+	p := startup.Flags(fs)
 	boot := fs.Bool("bootstrap", false, "form the first set, once, together with every machine of -cores")
 	cores := fs.String("cores", "", "with -bootstrap: the core machines, as id=address/zone,...")
 	stores := fs.String("stores", "", "with -bootstrap: the store machines, as id=address/zone,...")
@@ -107,10 +107,10 @@
 	}
 	if *boot {
 		var err error
-		if cp.Cores, err = start.Machines("cores", *cores); err != nil {
+		if cp.Cores, err = startup.Machines("cores", *cores); err != nil {
 			return err
 		}
-		if cp.Stores, err = start.Machines("stores", *stores); err != nil {
+		if cp.Stores, err = startup.Machines("stores", *stores); err != nil {
 			return err
 		}
 		if cp.Spec, err = readSpec(*file); err != nil {
@@ -122,15 +122,15 @@
 	return runCore(p, cp, 2*time.Second, func(ctx context.Context, e *echo.Echo, c *core.Core, v *storage.Engine) {
 		if p.Faults {
 			web.Faults(e, c.Peer.Cuts)
-			start.DiskFaults(e, v)
+			startup.DiskFaults(e, v)
 		}
 	})
 }
 
 // runCore runs a core until it is told to stop; grace is for the orders under way
 // then. more adds, before the start, what this core has beside the others.
-func runCore(p *start.Place, cp core.Params, grace time.Duration, more func(context.Context, *echo.Echo, *core.Core, *storage.Engine)) error {
-	log := p.Log("dtcore")
+func runCore(p *startup.Place, cp core.Params, grace time.Duration, more func(context.Context, *echo.Echo, *core.Core, *storage.Engine)) error {
+	log := p.Log("damsontiller-control")
 	v, err := p.Engine("core", log)
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	sig, stop := start.Signals()
+	sig, stop := startup.Signals()
 	defer stop()
 	// The duties outlive the signal: an order under way still needs them. A core
 	// that does not serve yet has none.
--- a/cmd/dtcore/operate.go
+++ b/cmd/damsontiller-control/operator.go
@@ -19,7 +19,7 @@
 
 // operate runs an operator's subcommand against a core machine.
 func operate(args []string) error {
-	fs := flag.NewFlagSet("dtcore "+args[0], flag.ContinueOnError)
+	fs := flag.NewFlagSet("damsontiller-control "+args[0], flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	at := fs.String("core", "127.0.0.1:7200", "HTTP addresses of core machines, with commas between; the first that answers is asked")
 	file := fs.String("file", "-", "file to send; - is standard input")
--- a/cmd/dtcore/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -6,7 +6,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/cmd/start"
+	"damsontiller/cmd/internal/startup"
 	"damsontiller/internal/coordination/core"
 	"damsontiller/internal/platform"
 	"damsontiller/internal/platform/control"
@@ -22,7 +22,7 @@
 	if err := s.Need("core"); err != nil {
 		return err
 	}
-	p, err := start.Platform(s, s.Bind.Control)
+	p, err := startup.Platform(s, s.Bind.Control)
 	if err != nil {
 		return err
 	}
@@ -32,6 +32,6 @@
 	}
 	return runCore(p, cp, min(3*time.Second, s.Grace()/2), func(ctx context.Context, e *echo.Echo, c *core.Core, _ *storage.Engine) {
 		(&control.Door{Core: c, Sets: c}).Routes(e)
-		start.Reseed(ctx, s, c.Node)
+		startup.Reseed(ctx, s, c.Node)
 	})
 }
--- a/cmd/dtpass/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -1,4 +1,4 @@
-// Command dtpass is the data plane: -role edge serves callers, -role store
+// Command damsontiller-data is the data plane: -role edge serves callers, -role store
 // keeps the shared state.
 package main
 
@@ -11,7 +11,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/cmd/start"
+	"damsontiller/cmd/internal/startup"
 	"damsontiller/internal/coordination/metrics"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/dataplane/edge"
@@ -20,14 +20,14 @@
 	"damsontiller/internal/transport/code"
 )
 
-func main() { os.Exit(start.Exit(run(os.Args[1:]))) }
+func main() { os.Exit(startup.Exit(run(os.Args[1:]))) }
 
 func run(args []string) error {
 	if file := os.Getenv(platform.Env); file != "" && len(args) == 2 && args[0] == "-role" {
 		return onPlatform(file, args[1])
 	}
-	fs := flag.NewFlagSet("dtpass", flag.ContinueOnError)
-	p := start.Flags(fs)
+	fs := flag.NewFlagSet("damsontiller-data", flag.ContinueOnError)
+	p := startup.Flags(fs)
 	role := fs.String("role", "", "edge or store")
 	grace := fs.Duration("grace", 20*time.Second, "edge: how long jobs under way are given at a stop")
 	if err := p.Parse(args); err != nil {
@@ -48,12 +48,12 @@
 	return code.New(code.BadFlag, "-role: %q is neither edge nor store", *role)
 }
 
-func runEdge(p *start.Place, grace time.Duration) error {
+func runEdge(p *startup.Place, grace time.Duration) error {
 	if p.Data != "" {
 		return code.New(code.BadFlag, "-data: an edge keeps nothing on disk")
 	}
-	log := p.Log("dtpass")
-	sig, stop := start.Signals()
+	log := p.Log("damsontiller-data")
+	sig, stop := startup.Signals()
 	defer stop()
 	// The duties outlive the signal: what is under way still needs them.
 	ctx, cancel := context.WithCancel(context.Background())
@@ -111,14 +111,14 @@
 
 // runStore runs a store until it is told to stop; more adds, before the start, what
 // this store has beside the others.
-func runStore(p *start.Place, more func(context.Context, *store.Store)) error {
-	log := p.Log("dtpass")
+func runStore(p *startup.Place, more func(context.Context, *store.Store)) error {
+	log := p.Log("damsontiller-data")
 	v, err := p.Engine("store", log)
 	if err != nil {
 		return err
 	}
 	defer v.Close()
-	ctx, stop := start.Signals()
+	ctx, stop := startup.Signals()
 	defer stop()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -141,7 +141,7 @@
 	})
 	if p.Faults {
 		web.Faults(x, s.Peer.Cuts)
-		start.DiskFaults(x, v)
+		startup.DiskFaults(x, v)
 	}
 	log.Info("serving", "listen", p.Listen, "http", p.HTTP, "ident", v.Ident())
 	err = web.Serve(ctx, p.HTTP, x, time.Second)
--- a/cmd/dtpass/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -4,13 +4,13 @@
 	"context"
 	"time"
 
-	"damsontiller/cmd/start"
+	"damsontiller/cmd/internal/startup"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/dataplane/edge"
 	"damsontiller/internal/dataplane/store"
 	"damsontiller/internal/platform"
-	"damsontiller/internal/platform/dialect"
-	"damsontiller/internal/platform/list"
+	"damsontiller/internal/platform/discovery"
+	"damsontiller/internal/platform/headers"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
@@ -24,7 +24,7 @@
 	if err := s.Need(role); err != nil {
 		return err
 	}
-	p, err := start.Platform(s, s.Own())
+	p, err := startup.Platform(s, s.Own())
 	if err != nil {
 		return err
 	}
@@ -32,15 +32,15 @@
 	case "edge":
 		return platformEdge(p, s)
 	case "store":
-		return runStore(p, func(ctx context.Context, st *store.Store) { start.Reseed(ctx, s, st.Node) })
+		return runStore(p, func(ctx context.Context, st *store.Store) { startup.Reseed(ctx, s, st.Node) })
 	}
 	return code.New(code.BadFlag, "-role: %q is neither edge nor store", role)
 }
 
 // platformEdge serves the platform's callers.
-func platformEdge(p *start.Place, s *platform.Params) error {
-	log := p.Log("dtpass")
-	sig, stop := start.Signals()
+func platformEdge(p *startup.Place, s *platform.Params) error {
+	log := p.Log("damsontiller-data")
+	sig, stop := startup.Signals()
 	defer stop()
 	// The duties outlive the signal: what is under way still needs them.
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +48,7 @@
 	ep := edge.DefaultParams
 	ep.OnlyRaw = true
 	e := edge.New(ctx, ep, p.Node("edge", "", log))
-	door := e.Raw(edge.DefaultRaw, dialect.Dialect{})
+	door := e.Raw(edge.DefaultRaw, headers.Dialect{})
 	front := &platform.Front{Addr: s.Bind.Front, Handler: door, Limits: func() spec.Limits { return e.Cluster.Now().Table.Limits }}
 	may := func() error {
 		if sig.Err() != nil {
@@ -67,7 +67,7 @@
 	go func() { served <- platform.Side(side, s.Bind.Ready, platform.Ready(may)) }()
 	go func() { served <- platform.Side(side, p.HTTP, x) }()
 	// The seeds may change before any has answered.
-	start.Reseed(ctx, s, e.Node)
+	startup.Reseed(ctx, s, e.Node)
 	started := make(chan error, 1)
 	sctx, serves := context.WithCancel(ctx)
 	defer serves()
@@ -80,7 +80,7 @@
 			if started = nil; err != nil {
 				return err
 			}
-			reader := list.New(s.Platform.Address)
+			reader := discovery.New(s.Platform.Address)
 			e.Go(ctx, func(ctx context.Context) { door.Run(ctx, reader.List) })
 		case err = <-served:
 			done = true
--- a/cmd/dtrig/main.go
+++ b/cmd/damsontiller-faults/main.go
@@ -1,4 +1,4 @@
-// Command dtrig is the rehearsal kit: it starts a whole fleet on loopback, has
+// Command damsontiller-faults is the rehearsal kit: it starts a whole fleet on loopback, has
 // stand-in callers use it, causes failures, and judges what it saw.
 package main
 
@@ -18,24 +18,24 @@
 	"syscall"
 	"time"
 
-	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/dataplane/traffic"
 	"damsontiller/internal/kit/fleet"
 	"damsontiller/internal/kit/harness"
 	"damsontiller/internal/kit/scale"
 )
 
-const usage = `dtrig up [flags]        start a fleet and keep it running until interrupted
-dtrig run [flags]       run one scenario (-scenario) under traffic, and judge it
-dtrig all [flags]       run every scenario, for both deployments or the one named, and print a table
-dtrig ci [flags]        the short run of the test command
-dtrig scale [flags]     measure what each role costs, with real and hollow nodes
-dtrig list              list the scenarios
+const usage = `damsontiller-faults up [flags]        start a fleet and keep it running until interrupted
+damsontiller-faults run [flags]       run one scenario (-scenario) under traffic, and judge it
+damsontiller-faults all [flags]       run every scenario, for both deployments or the one named, and print a table
+damsontiller-faults ci [flags]        the short run of the test command
+damsontiller-faults scale [flags]     measure what each role costs, with real and hollow nodes
+damsontiller-faults list              list the scenarios
 
 Each takes -h.`
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
-		fmt.Fprintln(os.Stderr, "dtrig:", err)
+		fmt.Fprintln(os.Stderr, "damsontiller-faults:", err)
 		os.Exit(1)
 	}
 }
@@ -50,10 +50,10 @@
 	case hollow:
 		return scale.Hollow(os.Stdin, os.Stdout)
 	}
-	fs := flag.NewFlagSet("dtrig "+args[0], flag.ExitOnError)
+	fs := flag.NewFlagSet("damsontiller-faults "+args[0], flag.ExitOnError)
 	deploy := fs.String("deploy", "andina", "deployment: andina or tsehay")
 	deploys := fs.String("deploys", "deploy", "folder of the deployments")
-	bin := fs.String("bin", "bin", "folder of dtcore and dtpass")
+	bin := fs.String("bin", "bin", "folder of damsontiller-control and damsontiller-data")
 	dir := fs.String("dir", "run", "folder for data and logs; its fleets are replaced")
 	seed := fs.Uint64("seed", 1, "seed of the callers and runners")
 	seconds := fs.Int("seconds", 0, "least time of traffic")
@@ -73,14 +73,14 @@
 		return harness.Params{Fleet: fleet.Params{Deploy: filepath.Join(*deploys, deploy), Bin: *bin, Dir: d, Seed: seed, Net: *net, Log: *level},
 			Seconds: *seconds, Scale: *scale, Out: os.Stdout}
 	}
-	var theDay *day.Day
+	var theDay *traffic.Day
 	if *dayFile != "" {
 		f, err := os.Open(*dayFile)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		if theDay, err = day.Read(f); err != nil {
+		if theDay, err = traffic.Read(f); err != nil {
 			return err
 		}
 	}
--- a/cmd/dtrig/scale.go
+++ b/cmd/damsontiller-faults/scale.go
@@ -12,12 +12,12 @@
 	"damsontiller/internal/kit/scale"
 )
 
-// hollow is how dtrig starts a process of hollow nodes; it is for itself only.
+// hollow is how damsontiller-faults starts a process of hollow nodes; it is for itself only.
 const hollow = "hollow"
 
 // measure is the scale run.
 func measure(args []string) error {
-	fs := flag.NewFlagSet("dtrig scale", flag.ExitOnError)
+	fs := flag.NewFlagSet("damsontiller-faults scale", flag.ExitOnError)
 	p := scale.Params{Out: os.Stdout}
 	fs.IntVar(&p.Nodes, "nodes", 50, "nodes in all: 3 cores, 3 stores, the real edges, and hollow ones")
 	fs.IntVar(&p.Edges, "edges", 2, "real edges, 2 to 6")
@@ -31,7 +31,7 @@
 	fs.Uint64Var(&p.Seed, "seed", 1, "seed of the failures")
 	fs.StringVar(&p.Kind, "kind", scale.Member, "hollow nodes: member, what every process has, or edge, the whole edge without callers")
 	fs.IntVar(&p.Share, "share", 50, "hollow nodes to a process")
-	fs.StringVar(&p.Bin, "bin", "bin", "folder of dtcore and dtpass")
+	fs.StringVar(&p.Bin, "bin", "bin", "folder of damsontiller-control and damsontiller-data")
 	fs.StringVar(&p.Dir, "dir", filepath.Join("run", "scale"), "folder for data and logs; it is replaced")
 	fs.IntVar(&p.Net, "net", 0, "second number of the loopback network; 0 finds a free one")
 	fs.StringVar(&p.File, "out", "", "file to keep the figures in")
--- a/cmd/dtmutate/main.go
+++ b/cmd/damsontiller-mutants/main.go
@@ -1,4 +1,4 @@
-// Command dtmutate shows that tests hold the mechanisms they claim to hold: it takes
+// Command damsontiller-mutants shows that tests hold the mechanisms they claim to hold: it takes
 // a list of mutants, each of which switches one mechanism off, applies them one after
 // the other to a scratch copy of the tree, and runs the test that should fail.
 package main
@@ -20,13 +20,13 @@
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
-		fmt.Fprintln(os.Stderr, "dtmutate:", err)
+		fmt.Fprintln(os.Stderr, "damsontiller-mutants:", err)
 		os.Exit(1)
 	}
 }
 
 func run(args []string) error {
-	flags := flag.NewFlagSet("dtmutate", flag.ExitOnError)
+	flags := flag.NewFlagSet("damsontiller-mutants", flag.ExitOnError)
 	root := flags.String("root", ".", "the tree, which is only read")
 	list := flags.String("list", "docs/mutants.toml", "the list of mutants")
 	only := flags.String("only", "", "run the mutants whose names match this expression")
--- a/cmd/dtmutate/scratch.go
+++ b/cmd/damsontiller-mutants/scratch.go
@@ -14,7 +14,7 @@
 
 // newScratch copies the tree under root to a temporary folder.
 func newScratch(root string) (*scratch, error) {
-	to, err := os.MkdirTemp("", "dtmutate-")
+	to, err := os.MkdirTemp("", "damsontiller-mutants-")
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/dtreplay/main.go
+++ b/cmd/damsontiller-replay/main.go
@@ -1,4 +1,4 @@
-// Command dtreplay records the traffic of a fleet into a day file, shows one,
+// Command damsontiller-replay records the traffic of a fleet into a day file, shows one,
 // and replays one against a fleet.
 package main
 
@@ -13,28 +13,28 @@
 	"strings"
 	"time"
 
-	"damsontiller/cmd/start"
-	"damsontiller/internal/dataplane/day"
-	"damsontiller/internal/kit/bubble"
-	"damsontiller/internal/kit/rehearse"
+	"damsontiller/cmd/internal/startup"
+	"damsontiller/internal/dataplane/traffic"
+	"damsontiller/internal/kit/rehearsal"
+	"damsontiller/internal/kit/simtime"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
 
-const usage = `dtreplay record [flags]   write what a fleet's edges answer into a day file
-dtreplay play [flags]     replay a day file against a fleet, and report
-dtreplay show [flags]     report on a day file as it was recorded
-dtreplay rehearse [flags] replay a day on a simulated fleet under two policies, and compare
+const usage = `damsontiller-replay record [flags]   write what a fleet's edges answer into a day file
+damsontiller-replay play [flags]     replay a day file against a fleet, and report
+damsontiller-replay show [flags]     report on a day file as it was recorded
+damsontiller-replay rehearse [flags] replay a day on a simulated fleet under two policies, and compare
 
 Each takes -h.`
 
-func main() { os.Exit(start.Exit(run(os.Args[1:]))) }
+func main() { os.Exit(startup.Exit(run(os.Args[1:]))) }
 
 func run(args []string) error {
 	if len(args) == 0 {
 		return code.New(code.BadFlag, "a subcommand is missing\n%s", usage)
 	}
-	fs := flag.NewFlagSet("dtreplay "+args[0], flag.ContinueOnError)
+	fs := flag.NewFlagSet("damsontiller-replay "+args[0], flag.ContinueOnError)
 	file := fs.String("day", "day.jsonl", "the day file")
 	cores := fs.String("core", "127.0.0.1:7200", "HTTP addresses of core machines, with commas between")
 	most := fs.Duration("for", time.Minute, "record: how long; an interrupt ends it as well")
@@ -47,7 +47,7 @@
 	runs := fs.Int("runs", 3, "rehearse: runs of each column, under seeds from -seed on")
 	bears := fs.Int("bears", 8, "rehearse: jobs that each runner bears at once")
 	prefixes := fs.Int("prefixes", 16, "rehearse: prefixes that each model server's cache holds")
-	out := fs.String("out", "", "rehearse: where the report for dtcore policy approve goes; none: nowhere")
+	out := fs.String("out", "", "rehearse: where the report for damsontiller-control policy approve goes; none: nowhere")
 	if err := fs.Parse(args[1:]); err != nil {
 		if err == flag.ErrHelp {
 			return err
@@ -63,7 +63,7 @@
 			return code.New(code.BadFlag, "-core: %w", err)
 		}
 	}
-	ctx, stop := start.Signals()
+	ctx, stop := startup.Signals()
 	defer stop()
 	switch args[0] {
 	case "record":
@@ -86,14 +86,14 @@
 		if err != nil {
 			return err
 		}
-		p := rehearse.Params{Deploy: *deploy, Day: d, Seed: *seed, Runs: *runs, Speed: *speed, Bears: *bears, Prefixes: *prefixes}
+		p := rehearsal.Params{Deploy: *deploy, Day: d, Seed: *seed, Runs: *runs, Speed: *speed, Bears: *bears, Prefixes: *prefixes}
 		if p.Base, err = program(*base); err != nil {
 			return err
 		}
 		if p.Cand, err = program(*cand); err != nil {
 			return err
 		}
-		bubble.Main(func(run func(func())) error { return rehearsal(p, *out, run) }, func(err error) { fmt.Fprintln(os.Stderr, err) })
+		simtime.Main(func(run func(func())) error { return compare(p, *out, run) }, func(err error) { fmt.Fprintln(os.Stderr, err) })
 		return nil
 	case "-h", "help":
 		fmt.Println(usage)
@@ -106,14 +106,14 @@
 	ctx, stop := context.WithTimeout(ctx, most)
 	defer stop()
 	web := &http.Client{}
-	if _, err := day.Edges(ctx, web, cores); err != nil {
+	if _, err := traffic.Edges(ctx, web, cores); err != nil {
 		return err
 	}
 	f, err := os.Create(file)
 	if err != nil {
 		return code.New(code.BadDay, "%w", err)
 	}
-	rows, lost, err := day.Record(ctx, web, cores, day.Head{Name: name}, f)
+	rows, lost, err := traffic.Record(ctx, web, cores, traffic.Head{Name: name}, f)
 	if cerr := f.Close(); err == nil {
 		err = cerr
 	}
@@ -124,13 +124,13 @@
 	return nil
 }
 
-func read(file string) (*day.Day, error) {
+func read(file string) (*traffic.Day, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, code.New(code.BadDay, "%w", err)
 	}
 	defer f.Close()
-	d, err := day.Read(f)
+	d, err := traffic.Read(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -143,15 +143,15 @@
 		return err
 	}
 	web := &http.Client{}
-	edges, err := day.Edges(ctx, web, cores)
+	edges, err := traffic.Edges(ctx, web, cores)
 	if err != nil {
 		return err
 	}
-	p := &day.Player{Day: d, Speed: speed, Run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: day.NewClient(nil),
-		Edges: func(zone string) []string { return day.Near(edges, zone) }}
+	p := &traffic.Player{Day: d, Speed: speed, Run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: traffic.NewClient(nil),
+		Edges: func(zone string) []string { return traffic.Near(edges, zone) }}
 	fmt.Printf("%s: %d rows, digest %.12s, at speed %v\n", d.Name, len(d.Rows), d.Sum, speed)
 	p.Play(ctx)
-	day.Sum(p.Client.Ledger()).Print(os.Stdout)
+	traffic.Sum(p.Client.Ledger()).Print(os.Stdout)
 	return nil
 }
 
@@ -175,13 +175,13 @@
 	return &spec.Policy{Name: name, Rank: p.Rank, Order: p.Order}, nil
 }
 
-// rehearsal prints both columns and writes the report.
-func rehearsal(p rehearse.Params, out string, run func(func())) error {
-	a, err := rehearse.Run(p, run)
+// compare prints both columns and writes the report.
+func compare(p rehearsal.Params, out string, run func(func())) error {
+	a, err := rehearsal.Run(p, run)
 	if err != nil {
 		return err
 	}
-	rehearse.Print(os.Stdout, a)
+	rehearsal.Print(os.Stdout, a)
 	if out == "" {
 		return nil
 	}
@@ -198,6 +198,6 @@
 		return err
 	}
 	fmt.Printf("%s: recorded %s, %d rows, %d lost, digest %.12s\n", d.Name, d.Start, len(d.Rows), d.Lost, d.Sum)
-	day.Sum(d.Asks()).Print(os.Stdout)
+	traffic.Sum(d.Asks()).Print(os.Stdout)
 	return nil
 }
--- a/cmd/start/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -1,4 +1,4 @@
-package start
+package startup
 
 import (
 	"context"
--- a/cmd/start/start.go
+++ b/cmd/internal/startup/startup.go
@@ -1,6 +1,6 @@
-// Package start is what the programs have in common on the command line:
-// settings from flags and a file, checks that name the flag, logs, signals.
-package start
+// Package startup is what the programs share on the command line: settings from flags
+// and a file, checks that name the flag at fault, logging and signals.
+package startup
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/labstack/echo/v4"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/proto/spec"
@@ -178,7 +178,7 @@
 	return node.Params{
 		Self:  &wire.Member{Id: p.ID, Role: role, Addr: p.Listen, Http: p.HTTP, Zone: p.Zone, Ident: ident},
 		Seeds: p.SeedList(), Net: transport.TCP(transport.DefaultParams), Transport: transport.DefaultParams,
-		Lic: lease.Params{Renew: p.Renew, Lasts: p.Lasts, Hold: p.Hold}, News: news.DefaultParams, Log: log,
+		Lic: lease.Params{Renew: p.Renew, Lasts: p.Lasts, Hold: p.Hold}, News: broadcast.DefaultParams, Log: log,
 	}
 }
 
--- a/cmd/start/start_test.go
+++ b/cmd/internal/startup/startup_test.go
@@ -1,4 +1,4 @@
-package start_test
+package startup_test
 
 import (
 	"errors"
@@ -8,13 +8,13 @@
 	"strings"
 	"testing"
 
-	"damsontiller/cmd/start"
+	"damsontiller/cmd/internal/startup"
 	"damsontiller/internal/transport/code"
 )
 
-func parse(args ...string) (*start.Place, error) {
+func parse(args ...string) (*startup.Place, error) {
 	fs := flag.NewFlagSet("x", flag.ContinueOnError)
-	p := start.Flags(fs)
+	p := startup.Flags(fs)
 	return p, p.Parse(args)
 }
 
@@ -43,7 +43,7 @@
 		{[]string{"-params", dir + "/none"}, "-params"}, {[]string{"-params", file(`{"idd":"x"}`)}, "idd"},
 	} {
 		_, err := parse(append(good[:len(good):len(good)], tc.args...)...)
-		if code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), tc.name) || start.Exit(err) != start.ExitFlags {
+		if code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), tc.name) || startup.Exit(err) != startup.ExitFlags {
 			t.Errorf("%v: %v", tc.args, err)
 		}
 	}
--- a/internal/coordination/news/news.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -1,9 +1,10 @@
-// Package news carries versioned items to every member down a tree of relays
-// that is formed anew for each message: the sender splits its targets zone by
-// zone among up to four children, and each child does the same with its share.
-// A child that does not answer is passed over and its share is given to the
-// next in it; digests with a few random members mend whatever is left.
-package news
+// Package broadcast disseminates versioned items to every member: down a tree of relays
+// that is formed anew for each message, and by anti-entropy. The sender splits its
+// targets, in zone order, among up to Params.Fanout children, and each child does the
+// same with its part. A child that does not answer in time is skipped and its part goes
+// on through the next node in it. Digests exchanged with a few random members repair
+// whatever a lost message left behind.
+package broadcast
 
 import (
 	"context"
--- a/internal/coordination/news/news_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -1,4 +1,4 @@
-package news_test
+package broadcast_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/peer"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
@@ -20,7 +20,7 @@
 type town struct {
 	net    *memnet.Net
 	peers  []*peer.Peer
-	boards []*news.Board
+	boards []*broadcast.Board
 	mu     sync.Mutex
 	heard  map[string]int // id/topic/key: times handled
 	list   []*wire.Member
@@ -34,7 +34,7 @@
 		m := &wire.Member{Id: fmt.Sprintf("n%03d", i), Addr: fmt.Sprintf("h%d", i), Zone: string(rune('a' + i%3)), Live: true}
 		w.list = append(w.list, m)
 		p := peer.New(m, w.net.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
-		b := news.New(news.DefaultParams, p, func() []*wire.Member { return w.list })
+		b := broadcast.New(broadcast.DefaultParams, p, func() []*wire.Member { return w.list })
 		if i >= deaf {
 			for _, topic := range []string{"x", "brief"} {
 				b.On(topic, func(it *wire.Item) error {
--- a/internal/coordination/news/digest_test.go
+++ b/internal/coordination/broadcast/digest_test.go
@@ -1,4 +1,4 @@
-package news_test
+package broadcast_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"damsontiller/internal/coordination/news"
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/peer"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
@@ -21,7 +21,7 @@
 
 // pair is two boards whose traffic is counted.
 type pair struct {
-	boards [2]*news.Board
+	boards [2]*broadcast.Board
 	peers  [2]*peer.Peer
 	bytes  atomic.Int64
 	calls  atomic.Int64
@@ -58,7 +58,7 @@
 			return meters{l, w}, err
 		}
 		w.peers[i] = peer.New(m, host, transport.DefaultParams, hclog.NewNullLogger())
-		w.boards[i] = news.New(news.DefaultParams, w.peers[i], func() []*wire.Member { return list })
+		w.boards[i] = broadcast.New(broadcast.DefaultParams, w.peers[i], func() []*wire.Member { return list })
 		if err := w.peers[i].Serve(ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { w.boards[0].Run(ctx) })
-	time.Sleep(news.DefaultParams.Digest / 2)
+	time.Sleep(broadcast.DefaultParams.Digest / 2)
 	stop()
 	wg.Wait()
 	return w.bytes.Load()
@@ -166,13 +166,13 @@
 		var mu sync.Mutex
 		asked := map[string]int{}
 		var peers []*peer.Peer
-		var first *news.Board
+		var first *broadcast.Board
 		for i := range n {
 			list = append(list, &wire.Member{Id: fmt.Sprintf("n%02d", i), Addr: fmt.Sprintf("h%d", i), Live: true})
 		}
 		for i, m := range list {
 			p := peer.New(m, nw.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
-			b := news.New(news.DefaultParams, p, func() []*wire.Member { return list })
+			b := broadcast.New(broadcast.DefaultParams, p, func() []*wire.Member { return list })
 			if i == 0 {
 				first = b
 			} else {
@@ -190,7 +190,7 @@
 		}
 		var wg sync.WaitGroup
 		wg.Go(func() { first.Run(ctx) })
-		p := news.DefaultParams
+		p := broadcast.DefaultParams
 		minute := int(time.Minute / p.Digest)
 		time.Sleep(time.Minute)
 		mu.Lock()
--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -11,7 +11,7 @@
 	"sync"
 	"sync/atomic"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -51,7 +51,7 @@
 
 // Cluster holds the version in force in this process.
 type Cluster struct {
-	prop *reg.Proposer
+	prop *register.Proposer
 	cur  atomic.Pointer[View]
 	mu   sync.Mutex // guards on, and is held for changes of cur
 	keep func(raw []byte, ver uint64) error
@@ -66,7 +66,7 @@
 
 // New makes an empty cluster; keep, if set, puts each version on disk before it
 // comes into force.
-func New(prop *reg.Proposer, keep func(raw []byte, ver uint64) error) *Cluster {
+func New(prop *register.Proposer, keep func(raw []byte, ver uint64) error) *Cluster {
 	r := &Cluster{prop: prop, keep: keep, turn: make(chan struct{}, 1), keeping: make(chan struct{}, 1)}
 	r.cur.Store(&View{})
 	return r
@@ -121,29 +121,29 @@
 }
 
 // Cores is the spec register's voters: two groups while the set changes.
-func (v *View) Cores() reg.Set {
-	set := reg.Set{replicas(v.Cluster.Cores)}
+func (v *View) Cores() register.Set {
+	set := register.Set{replicas(v.Cluster.Cores)}
 	if len(v.NextCores) > 0 {
 		set = append(set, replicas(v.NextCores))
 	}
 	return set
 }
 
-func replicas(ms []spec.Machine) []reg.Replica {
-	out := make([]reg.Replica, len(ms))
+func replicas(ms []spec.Machine) []register.Replica {
+	out := make([]register.Replica, len(ms))
 	for i, m := range ms {
-		out[i] = reg.Replica{Addr: m.Addr, Ident: m.Ident}
+		out[i] = register.Replica{Addr: m.Addr, Ident: m.Ident}
 	}
 	return out
 }
 
 // Stores is the voters of one key: two groups while the set changes.
-func (v *View) Stores(key string) reg.Set {
+func (v *View) Stores(key string) register.Set {
 	g := Holders(v.Cluster.Stores, key, v.Copies())
 	if g == nil {
 		return nil
 	}
-	set := reg.Set{replicas(g)}
+	set := register.Set{replicas(g)}
 	if len(v.NextStores) > 0 {
 		set = append(set, replicas(Holders(v.NextStores, key, v.Copies())))
 	}
@@ -259,11 +259,11 @@
 // with deals with the voters under the version in force. Voters that belong to
 // newer sets refuse, so that nobody acts on an old one alone; then whoever knows
 // better is asked, and it is done anew.
-func (r *Cluster) with(ctx context.Context, do func(context.Context, reg.Set) error) error {
+func (r *Cluster) with(ctx context.Context, do func(context.Context, register.Set) error) error {
 	for try := 1; ; try++ {
 		v := r.Now()
-		err := do(reg.Stamp(ctx, v.Ver, false), v.Cores())
-		if try == tries || code.Of(err) != code.StaleSpec || errors.Is(err, reg.ErrMaybe) || r.Ask == nil || !r.Ask(ctx) || r.Now().Ver == v.Ver {
+		err := do(register.Stamp(ctx, v.Ver, false), v.Cores())
+		if try == tries || code.Of(err) != code.StaleSpec || errors.Is(err, register.ErrMaybe) || r.Ask == nil || !r.Ask(ctx) || r.Now().Ver == v.Ver {
 			return err
 		}
 	}
@@ -271,8 +271,8 @@
 
 // Read fetches the cluster at a majority and puts it in force.
 func (r *Cluster) Read(ctx context.Context) error {
-	var st reg.State
-	err := r.with(ctx, func(ctx context.Context, set reg.Set) (err error) {
+	var st register.State
+	err := r.with(ctx, func(ctx context.Context, set register.Set) (err error) {
 		st, err = r.prop.Read(ctx, set, Key)
 		return err
 	})
@@ -300,8 +300,8 @@
 		return 0, nil, code.New(code.CoreAway, "nothing changed: %w", ctx.Err())
 	}
 	var seen uint64
-	var st reg.State
-	work := func(s reg.State) ([]byte, bool, error) {
+	var st register.State
+	work := func(s register.State) ([]byte, bool, error) {
 		seen = s.Ver
 		if expect != 0 && s.Ver != expect {
 			return nil, false, code.New(code.SpecConflict, "expected version %d, version %d is in force", expect, s.Ver)
@@ -316,16 +316,16 @@
 		b, err := re.MarshalJSON()
 		return b, false, err
 	}
-	err := r.with(ctx, func(ctx context.Context, set reg.Set) (err error) {
+	err := r.with(ctx, func(ctx context.Context, set register.Set) (err error) {
 		st, err = r.prop.Change(ctx, set, Key, work)
 		return err
 	})
 	switch {
 	case err == nil:
 		return st.Ver, st.Val, r.chosen(st)
-	case errors.Is(err, reg.ErrMaybe):
+	case errors.Is(err, register.ErrMaybe):
 		return seen, nil, code.New(code.OutcomeUnknown, "the change may be in force, read the spec again: %w", err)
-	case errors.Is(err, reg.ErrNoQuorum):
+	case errors.Is(err, register.ErrNoQuorum):
 		return seen, nil, code.New(code.CoreAway, "nothing changed: %w", err)
 	}
 	return seen, nil, err
@@ -334,7 +334,7 @@
 // chosen puts a version in force that was chosen just now. A disk that does not take it
 // takes nothing back from that: this process then stays on its older version until it
 // hears of a newer one again, and confirms none.
-func (r *Cluster) chosen(st reg.State) error {
+func (r *Cluster) chosen(st register.State) error {
 	err := r.Apply(st.Ver, st.Val)
 	switch code.Of(err) {
 	case code.DiskFull, code.DiskStalled, code.WriteUnsure, code.DiskFailure:
--- a/internal/coordination/cluster/cluster_test.go
+++ b/internal/coordination/cluster/cluster_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -149,7 +149,7 @@
 // TestChosenOnFullDisk: a change that was chosen is no failure because this process's
 // own disk does not take it; but it is not in force here, so it is not confirmed.
 func TestChosenOnFullDisk(t *testing.T) {
-	acceptor := reg.NewAcceptor(memory{})
+	acceptor := register.NewAcceptor(memory{})
 	call := func(_ context.Context, _ string, q *wire.Req) (view *wire.Resp, err error) {
 		var v *wire.View
 		switch {
@@ -162,15 +162,15 @@
 		}
 		return &wire.Resp{Op: &wire.Resp_View{View: v}}, err
 	}
-	proposer := reg.NewProposer(1, call)
+	proposer := register.NewProposer(1, call)
 	cores := []spec.Machine{{ID: "c1", Addr: "c1", Ident: "ic1"}}
 	first := spec.Cluster{Cores: cores}
 	raw, err := first.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := reg.Set{{{Addr: "c1", Ident: "ic1"}}}
-	found := func(reg.State) ([]byte, bool, error) { return raw, false, nil }
+	set := register.Set{{{Addr: "c1", Ident: "ic1"}}}
+	found := func(register.State) ([]byte, bool, error) { return raw, false, nil }
 	if _, err := proposer.Change(t.Context(), set, cluster.Key, found); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/core/form.go
+++ b/internal/coordination/core/bootstrap.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -153,13 +153,13 @@
 		return err
 	}
 	// A group each: all of them are then the only quorum.
-	var all reg.Set
+	var all register.Set
 	for _, m := range set {
-		all = append(all, []reg.Replica{{Addr: m.Addr, Ident: m.Ident}})
+		all = append(all, []register.Replica{{Addr: m.Addr, Ident: m.Ident}})
 	}
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
-	st, err := c.Prop.Change(ctx, all, cluster.Key, func(s reg.State) ([]byte, bool, error) {
+	st, err := c.Prop.Change(ctx, all, cluster.Key, func(s register.State) ([]byte, bool, error) {
 		if s.Ver > 0 {
 			return nil, false, cluster.ErrSame
 		}
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -15,8 +15,8 @@
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/coordination/membership"
 	"damsontiller/internal/coordination/node"
-	"damsontiller/internal/coordination/tier"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/coordination/storeclient"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -25,7 +25,7 @@
 
 // Disk is what a core machine keeps.
 type Disk interface {
-	reg.Disk
+	register.Disk
 	Note(key string, b []byte) error
 	Noted(key string) ([]byte, error)
 	Notes(prefix string) (map[string][]byte, error)
@@ -84,7 +84,7 @@
 type Core struct {
 	p     Params
 	disk  Disk
-	acc   *reg.Acceptor
+	acc   *register.Acceptor
 	table *lease.Table
 	moved atomic.Int64 // keys moved in the change of a set under way
 	// What a set's duty is to look at again at once, and when a store that is in no
@@ -123,7 +123,7 @@
 // New makes a core over its disk.
 func New(p Params, np node.Params, d Disk) (*Core, error) {
 	np.Keep = Keep(d.Note)
-	c := &Core{p: p, disk: d, acc: reg.NewAcceptor(d), Node: node.New(np), began: time.Now()}
+	c := &Core{p: p, disk: d, acc: register.NewAcceptor(d), Node: node.New(np), began: time.Now()}
 	c.touch.start = c.began
 	c.kicks = map[membership.Set]loop.Kick{membership.Cores: c.Cluster.Watch(), membership.Stores: c.Cluster.Watch()}
 	c.came.Store(time.Now().UnixNano())
@@ -163,7 +163,7 @@
 
 // Vote answers the register's rounds, as long as this identity is in the set.
 // A machine that lost its disk has another identity and stays out.
-func Vote(n *node.Node, a *reg.Acceptor, fresh func(*wire.Req) error, set func() []spec.Machine) {
+func Vote(n *node.Node, a *register.Acceptor, fresh func(*wire.Req) error, set func() []spec.Machine) {
 	ok := func() error {
 		if id := n.Peer.Ident(); id == "" || !slices.ContainsFunc(set(), func(m spec.Machine) bool { return m.Ident == id }) {
 			return code.New(code.NotVoting, "%s is not admitted to the set", n.Peer.Self.Id)
@@ -339,7 +339,7 @@
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
 	type answer struct {
-		r   reg.Replica
+		r   register.Replica
 		ms  []*wire.Member
 		err error
 	}
@@ -352,7 +352,7 @@
 		}()
 	}
 	all := map[string]*wire.Member{}
-	have := map[reg.Replica]bool{}
+	have := map[register.Replica]bool{}
 	take := func(a answer) {
 		if a.err != nil {
 			return
@@ -406,7 +406,7 @@
 	// The fence's time runs while the silent are asked for.
 	var over <-chan time.Time
 	if c.fenced(all, ver, took) {
-		t := time.NewTimer(tier.Window)
+		t := time.NewTimer(storeclient.Window)
 		defer t.Stop()
 		over = t.C
 	}
--- a/internal/coordination/core/ops.go
+++ b/internal/coordination/core/operators.go
@@ -9,8 +9,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/internal/coordination/duty"
 	"damsontiller/internal/coordination/metrics"
+	"damsontiller/internal/coordination/singleton"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
@@ -27,7 +27,9 @@
 	Waiting []string `json:"waiting"`
 }
 
-func (c *Core) refused(ctx context.Context, addr string) bool { return duty.Gone(ctx, c.Peer, addr) }
+func (c *Core) refused(ctx context.Context, addr string) bool {
+	return singleton.Gone(ctx, c.Peer, addr)
+}
 
 // Routes puts the operators' interface on e.
 func (c *Core) Routes(e *echo.Echo) {
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -8,7 +8,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/membership"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -139,7 +139,7 @@
 	defer stop()
 	set := c.Cluster.Now().Cores()
 	type answer struct {
-		core reg.Replica
+		core register.Replica
 		told *wire.MembersAck
 		err  error
 	}
@@ -151,7 +151,7 @@
 			answers <- answer{core, resp.GetMembers(), err}
 		}()
 	}
-	witnesses := map[reg.Replica]bool{}
+	witnesses := map[register.Replica]bool{}
 	for range cores {
 		a := <-answers
 		if a.err != nil || a.told.GetUpMs() < heardWithin.Milliseconds() {
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -12,7 +12,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/peer"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -39,14 +39,14 @@
 	asked   time.Time // before the last renewal that a majority granted
 	members []*wire.Member
 	from    *roster // whose list members is
-	rosters map[reg.Replica]*roster
+	rosters map[register.Replica]*roster
 	// Status goes with each renewal, for operators to see.
 	Status func() string
 }
 
 // NewHolder makes a holder; Run renews.
 func NewHolder(p Params, pr *peer.Peer, r *cluster.Cluster) *Holder {
-	return &Holder{p: p, peer: pr, cluster: r, kick: r.Watch(), rosters: map[reg.Replica]*roster{}}
+	return &Holder{p: p, peer: pr, cluster: r, kick: r.Watch(), rosters: map[register.Replica]*roster{}}
 }
 
 // Run renews until ctx ends. A new spec in force renews at once, which
@@ -74,7 +74,7 @@
 	}
 	cctx, stop := context.WithTimeout(ctx, h.p.Lasts/2)
 	type answer struct {
-		r   reg.Replica
+		r   register.Replica
 		a   *wire.RenewAck
 		err error
 	}
@@ -98,7 +98,7 @@
 		wg.Wait()
 		stop()
 	}()
-	have, behind := map[reg.Replica]bool{}, false
+	have, behind := map[register.Replica]bool{}, false
 	for range cores {
 		a := <-ch
 		if a.a == nil {
@@ -185,7 +185,7 @@
 }
 
 // ask makes the renewal for one core machine.
-func (h *Holder) ask(c reg.Replica, self *wire.Member) *wire.Renew {
+func (h *Holder) ask(c register.Replica, self *wire.Member) *wire.Renew {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	q := &wire.Renew{Self: self}
@@ -196,7 +196,7 @@
 }
 
 // hear takes a core machine's list, or what changed in it.
-func (h *Holder) hear(c reg.Replica, a *wire.RenewAck) {
+func (h *Holder) hear(c register.Replica, a *wire.RenewAck) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	o := h.rosters[c]
@@ -224,7 +224,7 @@
 
 // take keeps the list of the core that hears most of those that granted: one that
 // has just come back knows few members yet.
-func (h *Holder) take(cores []reg.Replica, have map[reg.Replica]bool) {
+func (h *Holder) take(cores []register.Replica, have map[register.Replica]bool) {
 	var best *roster
 	for _, c := range cores {
 		o := h.rosters[c]
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -13,7 +13,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/peer"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
 	"damsontiller/internal/transport/code"
@@ -98,7 +98,7 @@
 func TestListFollows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
-			core := reg.Replica{Addr: "c", Ident: "i"}
+			core := register.Replica{Addr: "c", Ident: "i"}
 			h := NewHolder(DefaultParams, peer.New(&wire.Member{Id: "me", Addr: "m"}, memnet.New(1).Host("m"), transport.DefaultParams, hclog.NewNullLogger()), cluster.New(nil, nil))
 			tb, notes := table(rt, nil), map[string][]byte{}
 			tb.note = func(k string, b []byte) error { notes[k] = b; return nil }
@@ -109,7 +109,7 @@
 				h.hear(core, renew(rt, tb, h.ask(core, me)))
 				h.mu.Lock()
 				defer h.mu.Unlock()
-				h.take([]reg.Replica{core}, map[reg.Replica]bool{core: true})
+				h.take([]register.Replica{core}, map[register.Replica]bool{core: true})
 				want := tb.List()
 				if len(want) != len(h.members) {
 					rt.Fatalf("%d listed, %d in the table", len(h.members), len(want))
@@ -171,7 +171,7 @@
 		}
 	}
 	h := NewHolder(DefaultParams, peer.New(&wire.Member{Id: "me", Addr: "m"}, memnet.New(1).Host("m"), transport.DefaultParams, hclog.NewNullLogger()), cluster.New(nil, nil))
-	core := reg.Replica{Addr: "c"}
+	core := register.Replica{Addr: "c"}
 	for n := range 3 {
 		a := &wire.RenewAck{LastsMs: 3000, MembersSum: 5}
 		for i := range 3 - n {
--- a/internal/coordination/membership/cores_history_test.go
+++ b/internal/coordination/membership/cores_history_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"damsontiller/internal/coordination/membership"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -35,7 +35,7 @@
 	w.network = nil
 	for _, id := range ids {
 		n := w.nodes[id]
-		w.deliver(&coreMessage{to: reg.Replica{Addr: id, Ident: n.machine.Ident}, op: op, cell: op.cell})
+		w.deliver(&coreMessage{to: register.Replica{Addr: id, Ident: n.machine.Ident}, op: op, cell: op.cell})
 		for _, commit := range n.admitted {
 			commit()
 		}
--- a/internal/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -12,7 +12,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/membership"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 )
@@ -27,7 +27,7 @@
 	machine  spec.Machine
 	view     *cluster.Cluster
 	disk     *memory
-	voter    *reg.Acceptor
+	voter    *register.Acceptor
 	admitted []func()
 }
 
@@ -35,11 +35,11 @@
 type proposal struct {
 	name     string
 	version  uint64 // of the view it is made under
-	set      reg.Set
+	set      register.Set
 	edit     func(*spec.Cluster) error
 	ballot   *wire.Ballot
-	promised map[reg.Replica]*wire.View
-	accepted map[reg.Replica]bool
+	promised map[register.Replica]*wire.View
+	accepted map[register.Replica]bool
 	cell     *wire.Cell
 }
 
@@ -56,7 +56,7 @@
 }
 
 type coreMessage struct {
-	to    reg.Replica
+	to    register.Replica
 	op    *proposal
 	cell  *wire.Cell // nil: prepare
 	tries int
@@ -115,7 +115,7 @@
 	w.idents++
 	n := &coreNode{view: cluster.New(nil, nil), disk: newMemory()}
 	n.machine = spec.Machine{ID: id, Addr: id, Zone: zone, Ident: fmt.Sprintf("i%d", w.idents)}
-	n.voter = reg.NewAcceptor(n.disk)
+	n.voter = register.NewAcceptor(n.disk)
 	w.nodes[id] = n
 	return n
 }
@@ -196,7 +196,7 @@
 	w.clock++
 	w.edits++
 	p.op = &proposal{name: fmt.Sprintf("%s%d", name, w.edits), version: v.Ver, set: v.Cores(), edit: edit, ballot: &wire.Ballot{N: w.clock},
-		promised: map[reg.Replica]*wire.View{}, accepted: map[reg.Replica]bool{}}
+		promised: map[register.Replica]*wire.View{}, accepted: map[register.Replica]bool{}}
 	w.send(p.op)
 }
 
--- a/internal/coordination/membership/identity_test.go
+++ b/internal/coordination/membership/identity_test.go
@@ -14,12 +14,12 @@
 )
 
 // register is the cluster's value with its version.
-type register struct {
+type clusterRegister struct {
 	ver uint64
 	c   spec.Cluster
 }
 
-func (r *register) edit(f func(*spec.Cluster) error) error {
+func (r *clusterRegister) edit(f func(*spec.Cluster) error) error {
 	err := cluster.Edit(&r.c, r.ver+1, f)
 	if err == nil {
 		r.ver++
@@ -28,7 +28,7 @@
 }
 
 // replace has a set take a newcomer in another's place, in two steps.
-func (r *register) replace(set membership.Set, i int, m spec.Machine, madeUnder uint64) error {
+func (r *clusterRegister) replace(set membership.Set, i int, m spec.Machine, madeUnder uint64) error {
 	was := membership.Of(&r.c, set)
 	goal := membership.Goal{Machines: slices.Clone(was.Now), IdentityVersions: map[string]uint64{m.Ident: madeUnder}}
 	goal.Machines[i] = m
@@ -43,7 +43,7 @@
 // replaced, and none of them ever comes back, also not the very first ones, which an
 // earlier release has made and which were frozen all the while.
 func TestThousandReplaced(t *testing.T) {
-	r := &register{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), Cores: machinesOf("c1/a/k1 c2/b/k2 c3/c/k3"), StoresSince: 1, CoresSince: 1}}
+	r := &clusterRegister{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), Cores: machinesOf("c1/a/k1 c2/b/k2 c3/c/k3"), StoresSince: 1, CoresSince: 1}}
 	gone := map[string]uint64{} // identities let go, and what each was made under
 	madeUnder := map[string]uint64{"i1": 0, "i2": 0, "i3": 0, "k1": 0, "k2": 0, "k3": 0}
 	largest := 0
@@ -78,7 +78,7 @@
 	t.Logf("%d replaced, at most %d bytes, %d listed, floor %d of version %d", len(gone), largest, len(r.c.Used), r.c.IdentityFloor, r.ver)
 }
 
-func checkRefused(t *testing.T, r *register, gone map[string]uint64) {
+func checkRefused(t *testing.T, r *clusterRegister, gone map[string]uint64) {
 	t.Helper()
 	for ident, made := range gone {
 		if !membership.Refused(&r.c, ident, made) || !membership.LetGo(&r.c, ident, made) {
@@ -91,7 +91,7 @@
 // newcomers old and new, an identity that was in a set and is in none is refused.
 func TestNoIdentityBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &register{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), StoresSince: 1, CoresSince: 1}}
+		r := &clusterRegister{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), StoresSince: 1, CoresSince: 1}}
 		made := map[string]uint64{"i1": 0, "i2": 0, "i3": 0}
 		left := map[string]bool{}
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -115,7 +115,7 @@
 }
 
 // play makes one change of the stores at random; one that changes nothing is fine.
-func (r *register) play(t *rapid.T, made map[string]uint64, step int) {
+func (r *clusterRegister) play(t *rapid.T, made map[string]uint64, step int) {
 	was := membership.Of(&r.c, membership.Stores)
 	ident := fmt.Sprintf("n%d", step)
 	if rapid.IntRange(0, 3).Draw(t, "old") == 0 {
@@ -153,7 +153,7 @@
 		{[]string{"s4"}, false},
 		{[]string{"s1"}, true},
 	} {
-		r := &register{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), StoresSince: 1, CoresSince: 1}}
+		r := &clusterRegister{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), StoresSince: 1, CoresSince: 1}}
 		was := membership.Of(&r.c, membership.Stores)
 		r.c.Retired = tc.retired
 		_ = r.edit(func(c *spec.Cluster) error { return membership.Turn(c, membership.Stores, was, goal) })
--- a/internal/coordination/membership/stores_history_test.go
+++ b/internal/coordination/membership/stores_history_test.go
@@ -6,7 +6,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/membership"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -93,7 +93,7 @@
 
 // exchange brings one message of a write to a store and onto its disk.
 func (r *removal) exchange(op *write, m spec.Machine, acc bool) {
-	r.deliver(&message{to: reg.Replica{Addr: m.Addr, Ident: m.Ident}, op: op, acc: acc, cell: op.cell})
+	r.deliver(&message{to: register.Replica{Addr: m.Addr, Ident: m.Ident}, op: op, acc: acc, cell: op.cell})
 	n := r.nodes[m.Addr]
 	for _, commit := range n.admitted {
 		commit()
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -13,7 +13,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/membership"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 )
@@ -62,7 +62,7 @@
 	machine spec.Machine
 	view    *cluster.Cluster
 	disk    *memory
-	voter   *reg.Acceptor
+	voter   *register.Acceptor
 	// admitted are requests judged by the sets in force here, but not yet on the disk.
 	admitted []func()
 	fill     *filling
@@ -89,10 +89,10 @@
 type write struct {
 	key, name string
 	version   uint64
-	set       reg.Set
+	set       register.Set
 	ballot    *wire.Ballot
-	promised  map[reg.Replica]*wire.View
-	accepted  map[reg.Replica]bool
+	promised  map[register.Replica]*wire.View
+	accepted  map[register.Replica]bool
 	cell      *wire.Cell
 }
 
@@ -113,7 +113,7 @@
 
 // message is one on the network; it may be delivered late, twice or never.
 type message struct {
-	to    reg.Replica
+	to    register.Replica
 	op    *write
 	acc   bool
 	cell  *wire.Cell
@@ -173,7 +173,7 @@
 	w.idents++
 	n := &storeNode{view: cluster.New(nil, nil), disk: newMemory()}
 	n.machine = spec.Machine{ID: id, Addr: id, Zone: zone, Ident: fmt.Sprintf("i%d", w.idents)}
-	n.voter = reg.NewAcceptor(n.disk)
+	n.voter = register.NewAcceptor(n.disk)
 	w.nodes[id] = n
 	return n
 }
@@ -359,8 +359,8 @@
 	}
 }
 
-func quorum[V any](set reg.Set, answers map[reg.Replica]V) bool {
-	have := map[reg.Replica]bool{}
+func quorum[V any](set register.Set, answers map[register.Replica]V) bool {
+	have := map[register.Replica]bool{}
 	for r := range answers {
 		have[r] = true
 	}
@@ -416,7 +416,7 @@
 	w.clock++
 	w.writes++
 	u.op = &write{key: key, name: fmt.Sprintf("w%d", w.writes), version: v.Ver, set: set, ballot: &wire.Ballot{N: w.clock, Node: 1},
-		promised: map[reg.Replica]*wire.View{}, accepted: map[reg.Replica]bool{}}
+		promised: map[register.Replica]*wire.View{}, accepted: map[register.Replica]bool{}}
 	w.send(u.op, false)
 }
 
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -10,11 +10,11 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/peer"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
 	"damsontiller/internal/transport/code"
@@ -28,7 +28,7 @@
 	Net       transport.Net
 	Transport transport.Params
 	Lic       lease.Params
-	News      news.Params
+	News      broadcast.Params
 	// Keep puts a spec on disk, where there is one.
 	Keep func(raw []byte, ver uint64) error
 	Log  hclog.Logger
@@ -38,10 +38,10 @@
 type Node struct {
 	P       Params
 	Peer    *peer.Peer
-	Prop    *reg.Proposer
+	Prop    *register.Proposer
 	Cluster *cluster.Cluster
 	Lic     *lease.Holder
-	Board   *news.Board
+	Board   *broadcast.Board
 	Log     hclog.Logger
 
 	// Gate is where a request is let in to be judged by the sets in force here and is
@@ -58,11 +58,11 @@
 func New(p Params) *Node {
 	n := &Node{P: p, Log: p.Log, seeds: p.Seeds}
 	n.Peer = peer.New(p.Self, p.Net, p.Transport, p.Log.Named("peer"))
-	n.Prop = reg.NewProposer(n.Peer.Self.Inc, n.Peer.Call)
+	n.Prop = register.NewProposer(n.Peer.Self.Inc, n.Peer.Call)
 	n.Cluster = cluster.New(n.Prop, p.Keep)
 	n.Cluster.Ask = n.ask
 	n.Lic = lease.NewHolder(p.Lic, n.Peer, n.Cluster)
-	n.Board = news.New(p.News, n.Peer, n.Lic.Members)
+	n.Board = broadcast.New(p.News, n.Peer, n.Lic.Members)
 	n.Board.On("spec", func(i *wire.Item) error { return n.Cluster.Apply(i.Seq, i.Body) })
 	n.Peer.On(&wire.Req_Hello{}, n.hello)
 	return n
--- a/internal/coordination/duty/duty.go
+++ b/internal/coordination/singleton/singleton.go
@@ -1,8 +1,8 @@
-// Package duty gives each single duty to the first live member in an agreed
-// order, under an epoch from a register at the stores, so that it goes on
-// without the core. Everyone remembers the highest epoch seen and refuses lower
-// ones, so two holders can't both act.
-package duty
+// Package singleton runs a singleton role at the first live member in an agreed order,
+// under an epoch from a register at the stores, so that the role survives the loss of
+// the core. Every member remembers the highest epoch it has seen as a fencing token and
+// refuses lower ones, so no two holders can both act.
+package singleton
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/coordination/peer"
-	"damsontiller/internal/coordination/tier"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/coordination/storeclient"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
 	"damsontiller/internal/transport/code"
@@ -79,7 +79,7 @@
 	Peer    *peer.Peer
 	Cluster *cluster.Cluster
 	Lic     *lease.Holder
-	Tier    *tier.Tier
+	Tier    *storeclient.Tier
 	Fence   *Fence
 	// Work does the duty until ctx ends.
 	Work func(ctx context.Context, epoch uint64)
@@ -200,7 +200,7 @@
 	cctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
 	asked := time.Now()
-	st, err := d.Tier.Change(cctx, d.key(), func(reg.State) ([]byte, bool, error) {
+	st, err := d.Tier.Change(cctx, d.key(), func(register.State) ([]byte, bool, error) {
 		return []byte(d.Peer.Self.Id), false, nil
 	})
 	if err != nil {
--- a/internal/coordination/duty/duty_test.go
+++ b/internal/coordination/singleton/singleton_test.go
@@ -1,10 +1,10 @@
-package duty_test
+package singleton_test
 
 import (
 	"testing"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/coordination/duty"
+	"damsontiller/internal/coordination/singleton"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -12,7 +12,7 @@
 
 // TestFence: an epoch below the highest seen is refused, wherever that was seen.
 func TestFence(t *testing.T) {
-	var f duty.Fence
+	var f singleton.Fence
 	if err := f.Pass(3); err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	v := &cluster.View{}
 	v.Spec = spec.Spec{EmptyZones: []string{"a"}}
 	got := ""
-	for _, m := range duty.Order(v, []*wire.Member{
+	for _, m := range singleton.Order(v, []*wire.Member{
 		{Id: "e3", Role: "edge", Zone: "c", Live: true}, {Id: "e1", Role: "edge", Zone: "a", Live: true}, {Id: "e2", Role: "edge", Zone: "b", Live: true},
 		{Id: "e0", Role: "edge", Zone: "b"}, {Id: "c1", Role: "core", Zone: "b", Live: true},
 	}) {
--- a/internal/coordination/tier/tier.go
+++ b/internal/coordination/storeclient/client.go
@@ -1,6 +1,6 @@
-// Package tier is the way to the shared state: registers and immutable values
-// at a majority of the stores that hold each key.
-package tier
+// Package storeclient is the client of the replicated stores: registers and immutable
+// blobs, read and written at a majority of the stores that hold each key.
+package storeclient
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/peer"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 )
@@ -19,7 +19,7 @@
 type Tier struct {
 	Peer    *peer.Peer
 	Cluster *cluster.Cluster
-	Prop    *reg.Proposer
+	Prop    *register.Proposer
 	h       health
 }
 
@@ -28,17 +28,17 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, reg.ErrMaybe):
+	case errors.Is(err, register.ErrMaybe):
 		return code.New(code.OutcomeUnknown, "%w", err)
 	case code.Of(err) == code.StaleSpec:
 		return code.New(code.StaleSpec, "%w", err)
-	case errors.Is(err, reg.ErrNoQuorum):
+	case errors.Is(err, register.ErrNoQuorum):
 		return code.New(code.TierAway, "%w", err)
 	}
 	return err
 }
 
-func holders(v *cluster.View, key string) (reg.Set, error) {
+func holders(v *cluster.View, key string) (register.Set, error) {
 	s := v.Stores(key)
 	if len(s) == 0 {
 		return nil, code.New(code.TierAway, "the stores are not all bound yet")
@@ -51,12 +51,12 @@
 
 // under does something at a key's stores under the spec in force here. Stores
 // that know a newer one refuse it; then this node catches up and does it anew.
-func (t *Tier) under(ctx context.Context, key string, strict bool, do func(context.Context, reg.Set) error) (uint64, error) {
+func (t *Tier) under(ctx context.Context, key string, strict bool, do func(context.Context, register.Set) error) (uint64, error) {
 	for try := 1; ; try++ {
 		v := t.Cluster.Now()
 		s, err := holders(v, key)
 		if err == nil {
-			err = failure(do(reg.Stamp(ctx, v.Ver, strict), s))
+			err = failure(do(register.Stamp(ctx, v.Ver, strict), s))
 		}
 		if code.Of(err) != code.StaleSpec {
 			t.h.note(err)
@@ -70,7 +70,7 @@
 }
 
 // catchUp takes the newest spec that any of the stores has, wherever the core is.
-func (t *Tier) catchUp(ctx context.Context, s reg.Set) {
+func (t *Tier) catchUp(ctx context.Context, s register.Set) {
 	ctx, stop := context.WithTimeout(ctx, blind)
 	defer stop()
 	ch, n := t.ask(ctx, s, func() *wire.Req { return &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{}}} })
@@ -85,7 +85,7 @@
 }
 
 // Read is a majority read.
-func (t *Tier) Read(ctx context.Context, key string) (reg.State, error) {
+func (t *Tier) Read(ctx context.Context, key string) (register.State, error) {
 	st, _, err := t.read(ctx, key, false)
 	return st, err
 }
@@ -95,12 +95,12 @@
 
 // Look is a majority read under the newest spec of those stores; it tells which
 // that is. What rests on it must begin within the window.
-func (t *Tier) Look(ctx context.Context, key string) (reg.State, uint64, error) {
+func (t *Tier) Look(ctx context.Context, key string) (register.State, uint64, error) {
 	return t.read(ctx, key, true)
 }
 
-func (t *Tier) read(ctx context.Context, key string, strict bool) (st reg.State, ver uint64, err error) {
-	ver, err = t.under(ctx, key, strict, func(ctx context.Context, s reg.Set) error {
+func (t *Tier) read(ctx context.Context, key string, strict bool) (st register.State, ver uint64, err error) {
+	ver, err = t.under(ctx, key, strict, func(ctx context.Context, s register.Set) error {
 		st, err = t.Prop.Read(ctx, s, key)
 		return err
 	})
@@ -108,17 +108,17 @@
 }
 
 // Change is a majority change; a failure of outcome_unknown may be in force.
-func (t *Tier) Change(ctx context.Context, key string, f reg.Func) (reg.State, error) {
+func (t *Tier) Change(ctx context.Context, key string, f register.Func) (register.State, error) {
 	return t.change(ctx, key, false, f)
 }
 
 // Begin is a change that nobody with an older spec than the stores' may make.
-func (t *Tier) Begin(ctx context.Context, key string, f reg.Func) (reg.State, error) {
+func (t *Tier) Begin(ctx context.Context, key string, f register.Func) (register.State, error) {
 	return t.change(ctx, key, true, f)
 }
 
-func (t *Tier) change(ctx context.Context, key string, strict bool, f reg.Func) (st reg.State, err error) {
-	_, err = t.under(ctx, key, strict, func(ctx context.Context, s reg.Set) error {
+func (t *Tier) change(ctx context.Context, key string, strict bool, f register.Func) (st register.State, err error) {
+	_, err = t.under(ctx, key, strict, func(ctx context.Context, s register.Set) error {
 		st, err = t.Prop.Change(ctx, s, key, f)
 		return err
 	})
@@ -126,21 +126,21 @@
 }
 
 type got struct {
-	r     reg.Replica
+	r     register.Replica
 	g     *wire.Got
 	hello *wire.HelloAck
 	err   error
 }
 
 // ask sends to every voter; the channel has room for all answers.
-func (t *Tier) ask(ctx context.Context, s reg.Set, q func() *wire.Req) (<-chan got, int) {
+func (t *Tier) ask(ctx context.Context, s register.Set, q func() *wire.Req) (<-chan got, int) {
 	all := s.All()
 	ch := make(chan got, len(all))
 	for _, r := range all {
 		go func() {
 			m := q()
 			m.Ident = r.Ident
-			reg.PutStamp(ctx, m)
+			register.PutStamp(ctx, m)
 			a, err := t.Peer.Call(ctx, r.Addr, m)
 			ch <- got{r, a.GetGot(), a.GetHello(), err}
 		}()
@@ -150,11 +150,11 @@
 
 // PutBlob keeps an immutable value at a majority of every group.
 func (t *Tier) PutBlob(ctx context.Context, key string, val []byte, keep time.Duration) error {
-	_, err := t.under(ctx, key, false, func(ctx context.Context, s reg.Set) error { return t.put(ctx, s, key, val, keep) })
+	_, err := t.under(ctx, key, false, func(ctx context.Context, s register.Set) error { return t.put(ctx, s, key, val, keep) })
 	return err
 }
 
-func (t *Tier) put(ctx context.Context, s reg.Set, key string, val []byte, keep time.Duration) error {
+func (t *Tier) put(ctx context.Context, s register.Set, key string, val []byte, keep time.Duration) error {
 	// A straggler's copy is still worth having once a majority has answered.
 	bg, stop := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 	ch, n := t.ask(bg, s, func() *wire.Req {
@@ -163,7 +163,7 @@
 	done := make(chan error, 1)
 	go func() {
 		defer stop()
-		have, last := map[reg.Replica]bool{}, error(nil)
+		have, last := map[register.Replica]bool{}, error(nil)
 		tell := func(err error) {
 			select {
 			case done <- err:
@@ -206,7 +206,7 @@
 // GetKept is GetBlob with how much longer the copy that answered is kept.
 func (t *Tier) GetKept(ctx context.Context, key string) (val []byte, left time.Duration, err error) {
 	var g *wire.Got
-	_, err = t.under(ctx, key, false, func(ctx context.Context, s reg.Set) error {
+	_, err = t.under(ctx, key, false, func(ctx context.Context, s register.Set) error {
 		g, err = t.get(ctx, s, key)
 		return err
 	})
@@ -216,11 +216,11 @@
 	return g.Val, time.Duration(g.KeepMs-g.AgeMs) * time.Millisecond, nil
 }
 
-func (t *Tier) get(ctx context.Context, s reg.Set, key string) (*wire.Got, error) {
+func (t *Tier) get(ctx context.Context, s register.Set, key string) (*wire.Got, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	ch, n := t.ask(ctx, s, func() *wire.Req { return &wire.Req{Op: &wire.Req_Get{Get: &wire.Get{Key: key}}} })
-	without, past := map[reg.Replica]bool{}, false
+	without, past := map[register.Replica]bool{}, false
 	last := error(nil)
 	for range n {
 		g := <-ch
--- a/internal/coordination/tier/health.go
+++ b/internal/coordination/storeclient/health.go
@@ -1,4 +1,4 @@
-package tier
+package storeclient
 
 import (
 	"context"
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/assignment/assigner.go
@@ -1,15 +1,16 @@
-// Package dispatch is the dealing duty: it reads the runners' reports and the
-// platform's list, tells the tree who comes and goes, and deals each runner's
-// bearable load to the edge nodes as slots with a term.
+// Package assignment assigns the capacity of the runners to the edges. It is the work of
+// a singleton role: its holder polls the runners and the endpoint list, broadcasts which
+// runners come and go, and divides the concurrency that each runner bears into slots,
+// leased to the edges for a term.
 //
 // The sum of what all edges hold never exceeds what a runner can bear:
-//   - an edge counts its term from before it asked, the dealer from after it
+//   - an edge counts its term from before it asked, the assigner from after it
 //     answered, so a share ends at the edge first;
-//   - a share is lowered here only once the edge says it is;
-//   - a new dealer hands out no more than the edges it has heard of held,
-//     until every edge that could still hold shares has been heard or is gone;
-//   - a dealer that has not seen its epoch to be the last of late raises nothing.
-package dispatch
+//   - a share is lowered here only once the edge confirms it;
+//   - a new assigner hands out no more than the edges it has heard from held,
+//     until every edge that could still hold shares has reported or has departed;
+//   - an assigner that has not seen its epoch to be the latest of late raises nothing.
+package assignment
 
 import (
 	"context"
@@ -20,9 +21,9 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/coordination/duty"
 	"damsontiller/internal/coordination/node"
-	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/coordination/singleton"
+	"damsontiller/internal/dataplane/runnerapi"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -111,20 +112,20 @@
 	all    map[string]*runner
 	edges  map[uint64]*edge // by incarnation
 	opened time.Time
-	listed []report.Listed
+	listed []runnerapi.Listed
 }
 
 // Duty answers Deal and Tell calls for whichever tenure runs here.
 type Duty struct {
 	p     Params
 	n     *node.Node
-	fence *duty.Fence
+	fence *singleton.Fence
 	mu    sync.Mutex
 	cur   *Dispatcher
 }
 
 // New makes the duty's local end.
-func New(p Params, n *node.Node, f *duty.Fence) *Duty {
+func New(p Params, n *node.Node, f *singleton.Fence) *Duty {
 	d := &Duty{p: p, n: n, fence: f}
 	n.Peer.On(&wire.Req_Deal{}, d.deal)
 	n.Peer.On(&wire.Req_Tell{}, d.tell)
@@ -197,7 +198,7 @@
 	}
 	type seen struct {
 		r    spec.Runner
-		rep  *report.Report
+		rep  *runnerapi.Report
 		gone bool
 	}
 	ch := make(chan seen, len(want))
@@ -219,7 +220,7 @@
 	for name := range h.all {
 		if _, ok := want[name]; !ok {
 			h.all[name].Cap = 0
-			h.all[name].State.State = report.Gone
+			h.all[name].State.State = runnerapi.Gone
 		}
 	}
 	h.mu.Unlock()
@@ -230,11 +231,11 @@
 	}
 }
 
-func (h *Dispatcher) list(ctx context.Context, addr string) []report.Listed {
+func (h *Dispatcher) list(ctx context.Context, addr string) []runnerapi.Listed {
 	if addr == "" {
 		return nil
 	}
-	var l report.Platform
+	var l runnerapi.Platform
 	if err := h.get(ctx, "http://"+addr+"/v1/runners", &l); err != nil {
 		h.n.Log.Debug("platform list not read", "err", err)
 		// The list lags anyway; the last one read stays good.
@@ -265,8 +266,8 @@
 	return json.NewDecoder(http.MaxBytesReader(nil, r.Body, 1<<20)).Decode(into)
 }
 
-func (h *Dispatcher) ask(ctx context.Context, r spec.Runner) (rep *report.Report, gone bool) {
-	rep = &report.Report{}
+func (h *Dispatcher) ask(ctx context.Context, r spec.Runner) (rep *runnerapi.Report, gone bool) {
+	rep = &runnerapi.Report{}
 	if err := h.get(ctx, "http://"+r.Addr+"/v1/report", rep); err != nil {
 		return nil, Refused(err)
 	}
@@ -278,7 +279,7 @@
 }
 
 // note takes one report; it gives news where the state has changed.
-func (h *Dispatcher) note(now time.Time, r spec.Runner, rep *report.Report, gone bool) *wire.Item {
+func (h *Dispatcher) note(now time.Time, r spec.Runner, rep *runnerapi.Report, gone bool) *wire.Item {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	o := h.all[r.Name]
@@ -291,7 +292,7 @@
 	if rep == nil {
 		// One lost report is no leave; a refused port is.
 		if o.misses++; gone || o.misses >= 3 {
-			o.State.State, o.Cap, o.known = report.Gone, 0, false
+			o.State.State, o.Cap, o.known = runnerapi.Gone, 0, false
 		}
 	} else {
 		o.misses = 0
@@ -341,9 +342,9 @@
 
 // warm sets what may be dealt: a fresh runner starts with few and doubles
 // while its own reports show no refusals.
-func (h *Dispatcher) warm(now time.Time, o *runner, rep *report.Report) {
+func (h *Dispatcher) warm(now time.Time, o *runner, rep *runnerapi.Report) {
 	switch {
-	case rep.State != report.Ready:
+	case rep.State != runnerapi.Ready:
 		o.Cap, o.known = 0, false
 		return
 	case !o.known:
@@ -387,7 +388,7 @@
 		h.mu.Lock()
 		_, ok := h.edges[m.Inc]
 		h.mu.Unlock()
-		if !ok && !duty.Gone(ctx, h.n.Peer, m.Addr) {
+		if !ok && !singleton.Gone(ctx, h.n.Peer, m.Addr) {
 			return
 		}
 	}
--- a/internal/dataplane/dispatch/dispatcher_test.go
+++ b/internal/dataplane/assignment/assigner_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package assignment
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/dataplane/intern"
-	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/dataplane/runnerapi"
 	"damsontiller/internal/dataplane/slots"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
@@ -93,7 +93,7 @@
 		for _, e := range edges {
 			busy += len(e.taken)
 		}
-		h.note(time.Now(), spec.Runner{Name: runnerName, Zone: "a"}, &report.Report{Name: runnerName, State: report.Ready, Bears: bears, Busy: busy, UpMs: 60000}, false)
+		h.note(time.Now(), spec.Runner{Name: runnerName, Zone: "a"}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Bears: bears, Busy: busy, UpMs: 60000}, false)
 	}
 	note()
 	h.open = true
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newDispatcher(1)
 		rep := func(refused int64) int {
-			h.note(time.Now(), spec.Runner{Name: runnerName}, &report.Report{Name: runnerName, State: report.Ready, Bears: 16, Refused: refused}, false)
+			h.note(time.Now(), spec.Runner{Name: runnerName}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Bears: 16, Refused: refused}, false)
 			return h.all[runnerName].Cap
 		}
 		want := []int{2, 4, 8, 16, 16}
--- a/internal/dataplane/dispatch/main_test.go
+++ b/internal/dataplane/assignment/main_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package assignment
 
 import (
 	"testing"
--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
+	"damsontiller/internal/dataplane/balancer"
 	"damsontiller/internal/dataplane/cooldown"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/pick"
 	"damsontiller/internal/dataplane/policy"
 	"damsontiller/internal/dataplane/slots"
 	"damsontiller/internal/transport/code"
@@ -44,7 +44,7 @@
 // Backlog is the policy; Run hands out slots.
 type Backlog struct {
 	p    Params
-	dir  *pick.Dir
+	dir  *balancer.Dir
 	pol  *policy.Desk
 	box  *slots.Box
 	in   chan *waiter // a nil one only asks to look again
@@ -58,7 +58,7 @@
 }
 
 // New makes a backlog.
-func New(p Params, dir *pick.Dir, box *slots.Box, pol *policy.Desk) *Backlog {
+func New(p Params, dir *balancer.Dir, box *slots.Box, pol *policy.Desk) *Backlog {
 	return &Backlog{p: p, dir: dir, box: box, pol: pol, in: make(chan *waiter, p.Most), by: map[string]int32{}, pace: map[string]*pace{}}
 }
 
--- a/internal/dataplane/pick/pick.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package pick keeps what this node knows of the runners and pick one for a
-// job: one that holds its prefix, is little busy, and is near.
-package pick
+// Package balancer selects a runner for a turn or a call, from what this node knows of
+// the runners: one that has the prefix cached, has little load, and is near.
+package balancer
 
 import (
 	"encoding/json"
@@ -9,12 +9,12 @@
 	"time"
 
 	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/dataplane/assignment"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/dispatch"
 	"damsontiller/internal/dataplane/intern"
 	"damsontiller/internal/dataplane/job"
 	"damsontiller/internal/dataplane/policy"
-	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/dataplane/runnerapi"
 	"damsontiller/internal/dataplane/slots"
 	"damsontiller/internal/proto/script"
 	"damsontiller/internal/proto/spec"
@@ -46,18 +46,18 @@
 	mu   sync.Mutex
 	ver  uint64
 	all  []*entry
-	told map[string]dispatch.State
+	told map[string]assignment.State
 }
 
 // New makes the directory and listens for news of runners.
 func New(n *node.Node, runners *intern.Table, box *slots.Box, desk *cooldown.Desk, pol *policy.Desk) *Dir {
-	d := &Dir{n: n, Runners: runners, Routes: &intern.Table{}, box: box, desk: desk, pol: pol, told: map[string]dispatch.State{}}
+	d := &Dir{n: n, Runners: runners, Routes: &intern.Table{}, box: box, desk: desk, pol: pol, told: map[string]assignment.State{}}
 	n.Board.On("runner", d.hear)
 	return d
 }
 
 func (d *Dir) hear(i *wire.Item) error {
-	var s dispatch.State
+	var s assignment.State
 	if err := json.Unmarshal(i.Body, &s); err != nil {
 		return code.New(code.Garbled, "runner %s: %w", i.Key, err)
 	}
@@ -75,7 +75,7 @@
 }
 
 // Told is the last news heard of a runner.
-func (d *Dir) Told(name string) (dispatch.State, bool) {
+func (d *Dir) Told(name string) (assignment.State, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s, ok := d.told[name]
@@ -116,12 +116,12 @@
 		return e
 	}
 	for _, s := range d.told {
-		if s.State == report.Gone {
+		if s.State == runnerapi.Gone {
 			// Whoever comes up under that name holds no prefix yet.
 			s.Prefixes = nil
 		}
 		e := put(s.Runner)
-		e.leaving, e.mark = s.State != report.Ready, s.Mark
+		e.leaving, e.mark = s.State != runnerapi.Ready, s.Mark
 		e.prefixes = map[string]bool{}
 		for _, p := range s.Prefixes {
 			e.prefixes[p] = true
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -11,9 +11,9 @@
 	"errors"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
 )
@@ -69,7 +69,7 @@
 
 // Policy reserves before a model turn and settles after it.
 type Policy struct {
-	T *tier.Tier
+	T *storeclient.Tier
 	// Pre is the deadline of reserving, Write of one try at settling.
 	Pre, Write time.Duration
 	Bg         job.Bg
@@ -85,7 +85,7 @@
 }
 
 // Read is a program's budget as the stores hold it.
-func Read(ctx context.Context, t *tier.Tier, program string) (Value, error) {
+func Read(ctx context.Context, t *storeclient.Tier, program string) (Value, error) {
 	st, err := t.Read(ctx, key(program))
 	if err != nil {
 		return Value{}, err
@@ -93,7 +93,7 @@
 	return read(st)
 }
 
-func read(st reg.State) (Value, error) {
+func read(st register.State) (Value, error) {
 	var v Value
 	if st.Past {
 		return v, code.New(code.PastKeeping, "the program's budget is past its keeping time; a new program needs a new name")
@@ -116,7 +116,7 @@
 		return job.Bad(code.BadField, "no budget is stated for program %q", c.Root)
 	}
 	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
-	st, err := p.T.Begin(ctx, key(c.Root), func(st reg.State) ([]byte, bool, error) {
+	st, err := p.T.Begin(ctx, key(c.Root), func(st register.State) ([]byte, bool, error) {
 		v, err := read(st)
 		if err != nil {
 			return nil, false, err
@@ -171,7 +171,7 @@
 func (p Policy) settle(c *job.Ctx, spent int64) {
 	for try := 0; try < 60; try++ {
 		ctx, stop := context.WithTimeout(p.Bg.Ctx, p.Write)
-		_, err := p.T.Change(ctx, key(c.Root), func(st reg.State) ([]byte, bool, error) {
+		_, err := p.T.Change(ctx, key(c.Root), func(st register.State) ([]byte, bool, error) {
 			v, err := read(st)
 			if err != nil {
 				return nil, false, err
@@ -242,7 +242,7 @@
 	if c.Root == c.Program {
 		return code.New(code.BadProgram, "%q is the root of %q", c.Program, c.StartedBy)
 	}
-	_, err = p.T.Change(ctx, key(c.Program), func(st reg.State) ([]byte, bool, error) {
+	_, err = p.T.Change(ctx, key(c.Program), func(st register.State) ([]byte, bool, error) {
 		v, err := read(st)
 		switch {
 		case err != nil:
--- a/internal/dataplane/call/call.go
+++ b/internal/dataplane/call/call.go
@@ -11,13 +11,13 @@
 	"net/http"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
+	"damsontiller/internal/dataplane/assignment"
+	"damsontiller/internal/dataplane/balancer"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/dispatch"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/pick"
-	"damsontiller/internal/dataplane/report"
-	"damsontiller/internal/dataplane/resend"
+	"damsontiller/internal/dataplane/retry"
+	"damsontiller/internal/dataplane/runnerapi"
 	"damsontiller/internal/dataplane/slots"
 	"damsontiller/internal/transport/code"
 )
@@ -31,7 +31,7 @@
 // Caller is the end of the way.
 type Caller struct {
 	Desk *cooldown.Desk
-	Dir  *pick.Dir
+	Dir  *balancer.Dir
 	Box  *slots.Box
 	// Leaves tells the dealer that a runner seems to leave.
 	Leaves func(runner, why string)
@@ -109,7 +109,7 @@
 	switch w := p.Desk.Seen(r.Cool); {
 	case c.Err() != nil, c.Left() <= 0:
 		return job.Bad(code.DeadlinePassed, "no time is left, or the caller has gone"), false
-	case time.Since(c.Looked) > tier.Window:
+	case time.Since(c.Looked) > storeclient.Window:
 		return back("the look at the cooldown is too old")
 	case p.Desk.Spec() != c.Ver:
 		return back("the spec has changed since the look")
@@ -125,7 +125,7 @@
 
 // Do passes the job.
 func (p *Caller) Do(c *job.Ctx) job.Answer {
-	body, err := json.Marshal(report.Run{Job: c.ID, Route: c.Route, Mark: c.Runner.Mark, Program: c.Program, Class: c.Class, Parts: c.Parts,
+	body, err := json.Marshal(runnerapi.Run{Job: c.ID, Route: c.Route, Mark: c.Runner.Mark, Program: c.Program, Class: c.Class, Parts: c.Parts,
 		History: c.History, Words: c.Words, MaxOutput: c.Most, DeadlineMs: c.Left().Milliseconds()})
 	if err != nil {
 		return job.Bad(code.BadField, "%w", err)
@@ -185,13 +185,13 @@
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		// No byte was sent: surely not run.
-		if dispatch.Refused(err) {
+		if assignment.Refused(err) {
 			p.leaves(c, "port refused")
 		} else {
 			p.Dir.Avoid(c.Runner.Ix, p.Avoid)
 		}
 		a := job.Bad(code.NoRunner, "runner %s can't be reached", c.Runner.Name)
-		a.Again, a.Wait = resend.Allowed(resend.NotRun, repeatable(c)), 0
+		a.Again, a.Wait = retry.Allowed(retry.NotRun, repeatable(c)), 0
 		return a
 	}
 	if cooldown.Raised("", err.Error()) {
@@ -207,7 +207,7 @@
 		c.Log.Debug("answer lost", "job", c.ID, "runner", c.Runner.Name, "err", err)
 	}
 	a := job.Bad(n, "%s from runner %s", what, c.Runner.Name)
-	a.Again = resend.Allowed(resend.Unknown, repeatable(c))
+	a.Again = retry.Allowed(retry.Unknown, repeatable(c))
 	return a
 }
 
@@ -219,7 +219,7 @@
 // whole takes an answer only if it is all there and answers this job.
 func (p *Caller) whole(c *job.Ctx, b []byte) job.Answer {
 	var r struct {
-		report.Ran
+		runnerapi.Ran
 		Text *string `json:"text"`
 	}
 	if err := json.Unmarshal(b, &r); err != nil {
@@ -250,7 +250,7 @@
 // refused sorts out an answer that is no success. By the runners' contract a
 // 4xx or 503 means that nothing ran.
 func (p *Caller) refused(c *job.Ctx, r *http.Response, b []byte) job.Answer {
-	var pr report.Failure
+	var pr runnerapi.Failure
 	_ = json.Unmarshal(b, &pr) // words are a bonus; the status decides
 	clear := r.StatusCode/100 == 4 || r.StatusCode == http.StatusServiceUnavailable
 	if c.View.Spec.Cooldown.Refusal(r.StatusCode) {
@@ -259,14 +259,14 @@
 		a.Wait = p.Desk.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
 		return a
 	}
-	if pr.State == report.Other {
+	if pr.State == runnerapi.Other {
 		// Its successor answered: nothing ran, and the dealer should know.
 		p.leaves(c, "another process answers")
 		a := job.Bad(code.NoRunner, "runner %s is another process by now", c.Runner.Name)
 		a.Again = true
 		return a
 	}
-	if pr.State == report.Draining {
+	if pr.State == runnerapi.Draining {
 		p.leaves(c, "it drains")
 		a := job.Bad(code.NoRunner, "runner %s drains", c.Runner.Name)
 		a.Again = true
--- a/internal/dataplane/conversation/conversation.go
+++ b/internal/dataplane/conversation/conversation.go
@@ -9,7 +9,7 @@
 	"encoding/json"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
 	"damsontiller/internal/transport/code"
 )
@@ -26,7 +26,7 @@
 
 // Policy fetches the history before a turn and keeps the turn after it.
 type Policy struct {
-	T *tier.Tier
+	T *storeclient.Tier
 	// Read is the deadline of fetching a history, Late of keeping a turn whose own
 	// deadline has passed.
 	Read, Late time.Duration
--- a/internal/dataplane/cooldown/cool.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"damsontiller/internal/coordination/node"
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -42,7 +42,7 @@
 type Desk struct {
 	p Params
 	n *node.Node
-	t *tier.Tier
+	t *storeclient.Tier
 
 	mu sync.Mutex
 	// until is what this node has seen, on its own clock. It only ever saves
@@ -67,7 +67,7 @@
 }
 
 // New makes the desk and listens for what others spread.
-func New(p Params, n *node.Node, t *tier.Tier) *Desk {
+func New(p Params, n *node.Node, t *storeclient.Tier) *Desk {
 	d := &Desk{p: p, n: n, t: t, until: map[string]time.Time{}, gates: map[string]*gate{}, kept: map[string]time.Time{},
 		word: newWord(), wrote: map[string]time.Time{}, writes: map[string]*write{}, kick: loop.NewKick()}
 	n.Board.On("cool", d.hear)
@@ -235,7 +235,7 @@
 	return w, ver, err
 }
 
-func remains(st reg.State) (time.Duration, value, error) {
+func remains(st register.State) (time.Duration, value, error) {
 	if len(st.Val) == 0 {
 		return 0, value{}, nil
 	}
@@ -248,7 +248,7 @@
 
 // Next works out the value after one more refusal. Refusals within one
 // cooldown are one step; after a quiet spell the steps start again.
-func next(c *spec.Cooldown, st reg.State, floor time.Duration) (value, bool, error) {
+func next(c *spec.Cooldown, st register.State, floor time.Duration) (value, bool, error) {
 	left, v, err := remains(st)
 	if err != nil {
 		return v, false, err
@@ -300,7 +300,7 @@
 	defer stop()
 	c := d.n.Cluster.Now().Spec.Cooldown
 	var wait time.Duration
-	st, err := d.t.Change(ctx, regKey(key), func(st reg.State) ([]byte, bool, error) {
+	st, err := d.t.Change(ctx, regKey(key), func(st register.State) ([]byte, bool, error) {
 		v, changed, err := next(&c, st, floor)
 		if err != nil {
 			return nil, false, err
--- a/internal/dataplane/cooldown/cool_test.go
+++ b/internal/dataplane/cooldown/manager_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -53,7 +53,7 @@
 func TestNext(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := &spec.Cooldown{FirstMs: 1000, CapMs: 60000, QuietMs: 30000}
-		var st reg.State
+		var st register.State
 		now, end, step := time.Duration(0), time.Duration(0), 0
 		for range rapid.IntRange(1, 30).Draw(rt, "refusals") {
 			gap := time.Duration(rapid.IntRange(0, 100000).Draw(rt, "gap ms")) * time.Millisecond
@@ -68,7 +68,7 @@
 			was := end
 			if changed {
 				b, _ := json.Marshal(v)
-				st = reg.State{Ver: st.Ver + 1, Val: b}
+				st = register.State{Ver: st.Ver + 1, Val: b}
 				end = now + time.Duration(v.WaitMs)*time.Millisecond
 			}
 			switch {
--- a/internal/dataplane/cooldown/word.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/loop"
@@ -31,12 +31,12 @@
 
 // word is what the stores said of late. Desk.mu guards it.
 type word struct {
-	at   map[reg.Replica]time.Time // when the newest answer was asked for
-	told map[string]*told          // by cooldown key
+	at   map[register.Replica]time.Time // when the newest answer was asked for
+	told map[string]*told               // by cooldown key
 
 	// have are the stores whose answers are fresh, until one of them isn't; ok is
 	// whether they are a majority of a key's holders, under one spec.
-	have  map[reg.Replica]bool
+	have  map[register.Replica]bool
 	until time.Time
 	ver   uint64
 	ok    map[string]bool
@@ -61,7 +61,7 @@
 const remember = 10 * time.Minute
 
 func newWord() word {
-	return word{at: map[reg.Replica]time.Time{}, told: map[string]*told{}, ok: map[string]bool{}, looks: map[string]*look{}}
+	return word{at: map[register.Replica]time.Time{}, told: map[string]*told{}, ok: map[string]bool{}, looks: map[string]*look{}}
 }
 
 func (t *told) end() time.Time {
@@ -96,7 +96,7 @@
 
 // heard takes a store's answer. What is left counts from when it came, which is
 // never too short.
-func (d *Desk) heard(r reg.Replica, asked time.Time, cools []*wire.Cool) {
+func (d *Desk) heard(r register.Replica, asked time.Time, cools []*wire.Cool) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 func (d *Desk) fresh(key string) bool {
 	w, v, now := &d.word, d.n.Cluster.Now(), time.Now()
 	if v.Ver != w.ver || !now.Before(w.until) {
-		have, until := map[reg.Replica]bool{}, now.Add(d.p.Word.Old)
+		have, until := map[register.Replica]bool{}, now.Add(d.p.Word.Old)
 		for r, at := range w.at {
 			end := at.Add(d.p.Word.Old)
 			if !now.Before(end) {
@@ -173,7 +173,7 @@
 // askAll asks every store at once and waits for none.
 func (d *Desk) askAll(ctx context.Context, v *cluster.View, asked time.Time) {
 	seen := map[string]bool{}
-	ctx = reg.Stamp(ctx, v.Ver, false)
+	ctx = register.Stamp(ctx, v.Ver, false)
 	for _, m := range slices.Concat(v.Cluster.Stores, v.NextStores) {
 		if m.Ident == "" || seen[m.Ident] {
 			continue
@@ -185,14 +185,14 @@
 
 func (d *Desk) askOne(ctx context.Context, m spec.Machine, asked time.Time) {
 	q := &wire.Req{Ident: m.Ident, Op: &wire.Req_Cools{Cools: &wire.Cools{}}}
-	reg.PutStamp(ctx, q)
+	register.PutStamp(ctx, q)
 	d.words.Add(1)
 	a, err := d.n.Peer.CallFor(ctx, d.p.Word.Ask, m.Addr, q)
 	if err != nil {
 		// Away, or with another spec: it has no part in the word.
 		return
 	}
-	d.heard(reg.Replica{Addr: m.Addr, Ident: m.Ident}, asked, a.GetCools().GetCools())
+	d.heard(register.Replica{Addr: m.Addr, Ident: m.Ident}, asked, a.GetCools().GetCools())
 }
 
 // look is one majority read that several jobs wait for.
--- a/internal/dataplane/cooldown/word_test.go
+++ b/internal/dataplane/cooldown/snapshot_test.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/hashicorp/go-hclog"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/cooldown"
 	"damsontiller/internal/dataplane/store"
 	"damsontiller/internal/proto/spec"
@@ -35,7 +35,7 @@
 	f := &fleet{}
 	var re spec.Cluster
 	params := func(id, role, zone, addr string) node.Params {
-		return node.Params{Self: &wire.Member{Id: id, Role: role, Zone: zone, Addr: addr}, Net: host(addr), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: news.DefaultParams, Log: hclog.NewNullLogger()}
+		return node.Params{Self: &wire.Member{Id: id, Role: role, Zone: zone, Addr: addr}, Net: host(addr), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: broadcast.DefaultParams, Log: hclog.NewNullLogger()}
 	}
 	for i := range stores {
 		id, addr, zone := fmt.Sprint("s", i), fmt.Sprintf("127.0.77.%d:7100", 1+i), string(rune('a'+i%3))
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 		f.nodes = append(f.nodes, n)
-		f.desks = append(f.desks, cooldown.New(cooldown.DefaultParams, n, &tier.Tier{Peer: n.Peer, Cluster: n.Cluster, Prop: n.Prop}))
+		f.desks = append(f.desks, cooldown.New(cooldown.DefaultParams, n, &storeclient.Tier{Peer: n.Peer, Cluster: n.Cluster, Prop: n.Prop}))
 	}
 	return f
 }
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -12,26 +12,26 @@
 
 	"github.com/labstack/echo/v4"
 
-	"damsontiller/internal/coordination/duty"
 	"damsontiller/internal/coordination/metrics"
 	"damsontiller/internal/coordination/node"
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/singleton"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/assignment"
 	"damsontiller/internal/dataplane/backlog"
+	"damsontiller/internal/dataplane/balancer"
 	"damsontiller/internal/dataplane/budget"
 	"damsontiller/internal/dataplane/call"
-	"damsontiller/internal/dataplane/claim"
 	"damsontiller/internal/dataplane/conversation"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/day"
-	"damsontiller/internal/dataplane/dispatch"
-	"damsontiller/internal/dataplane/door"
+	"damsontiller/internal/dataplane/idempotency"
 	"damsontiller/internal/dataplane/intern"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/pick"
 	"damsontiller/internal/dataplane/policy"
 	"damsontiller/internal/dataplane/slots"
 	"damsontiller/internal/dataplane/trace"
+	"damsontiller/internal/dataplane/traffic"
+	"damsontiller/internal/dataplane/turnapi"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -39,9 +39,9 @@
 
 // Params are the edge's settings.
 type Params struct {
-	Door       door.Params
+	Door       turnapi.Params
 	Cool       cooldown.Params
-	Dispatcher dispatch.Params
+	Dispatcher assignment.Params
 	Backlog    backlog.Params
 	Ask        time.Duration // between two requests for slots
 	Pre        time.Duration // deadline of one dealing with the tier before a pass
@@ -57,23 +57,23 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Door: door.DefaultParams, Cool: cooldown.DefaultParams, Dispatcher: dispatch.DefaultParams, Backlog: backlog.DefaultParams,
+var DefaultParams = Params{Door: turnapi.DefaultParams, Cool: cooldown.DefaultParams, Dispatcher: assignment.DefaultParams, Backlog: backlog.DefaultParams,
 	Ask: 250 * time.Millisecond, Pre: 300 * time.Millisecond, Write: time.Second, Late: 2 * time.Second, Open: 3 * time.Second, Tape: 8192}
 
 // Edge is one edge process.
 type Edge struct {
 	*node.Node
 	p     Params
-	Door  *door.Door
+	Door  *turnapi.Door
 	Desk  *cooldown.Desk
-	dir   *pick.Dir
+	dir   *balancer.Dir
 	box   *slots.Box
-	tier  *tier.Tier
+	tier  *storeclient.Tier
 	back  *backlog.Backlog
-	Fence *duty.Fence
-	duty  *duty.Duty
+	Fence *singleton.Fence
+	duty  *singleton.Duty
 	kick  loop.Kick
-	tape  *day.Tape
+	tape  *traffic.Tape
 	book  *trace.Book
 	pol   *policy.Desk
 	bg    job.Bg
@@ -88,19 +88,19 @@
 
 // New makes an edge. ctx carries what goes on behind an answer.
 func New(ctx context.Context, p Params, np node.Params) *Edge {
-	e := &Edge{Node: node.New(np), p: p, Fence: &duty.Fence{}, kick: loop.NewKick(), bg: job.NewBg(ctx)}
-	t := &tier.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
+	e := &Edge{Node: node.New(np), p: p, Fence: &singleton.Fence{}, kick: loop.NewKick(), bg: job.NewBg(ctx)}
+	t := &storeclient.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
 	runners := &intern.Table{}
 	e.tier = t
 	e.box = slots.New(runners)
 	e.Desk = cooldown.New(p.Cool, e.Node, t)
 	e.pol = policy.New(e.Cluster, e.Log.Named("policy"))
-	e.dir = pick.New(e.Node, runners, e.box, e.Desk, e.pol)
+	e.dir = balancer.New(e.Node, runners, e.box, e.Desk, e.pol)
 	e.back = backlog.New(p.Backlog, e.dir, e.box, e.pol)
 	p.Dispatcher.Told = e.dir.Told
-	e.duty = &duty.Duty{Name: "deal", Peer: e.Peer, Cluster: e.Cluster, Lic: e.Lic, Tier: t, Fence: e.Fence, Silence: time.Second}
+	e.duty = &singleton.Duty{Name: "deal", Peer: e.Peer, Cluster: e.Cluster, Lic: e.Lic, Tier: t, Fence: e.Fence, Silence: time.Second}
 	p.Dispatcher.Since = e.duty.Since
-	e.duty.Work = dispatch.New(p.Dispatcher, e.Node, e.Fence).Work
+	e.duty.Work = assignment.New(p.Dispatcher, e.Node, e.Fence).Work
 	caller := &call.Caller{Desk: e.Desk, Dir: e.dir, Box: e.box, Leaves: e.leaves, Web: call.NewWeb(p.Dispatcher.Web), Avoid: 2 * time.Second}
 
 	// The way of a job, in the one place where it is fixed. What stands
@@ -110,15 +110,15 @@
 		call.Again{Room: p.Cool.Room},
 		e.back,
 		call.Cool{Desk: e.Desk},
-		claim.Start{T: t, Pre: p.Pre},
+		idempotency.Start{T: t, Pre: p.Pre},
 	}
-	keyed := claim.Policy{T: t, Pre: p.Pre, Write: p.Write, Late: p.Late, Bg: e.bg}
+	keyed := idempotency.Policy{T: t, Pre: p.Pre, Write: p.Write, Late: p.Late, Bg: e.bg}
 	spend := budget.Policy{T: t, Pre: p.Pre, Write: p.Write, Bg: e.bg}
 	turns := append([]job.Policy{keyed, conversation.Policy{T: t, Read: p.Pre, Late: p.Late, Bg: e.bg}, spend}, rest...)
 	calls := append([]job.Policy{keyed, budget.Kin{Policy: spend}}, rest...)
-	e.Door = &door.Door{P: p.Door, ID: np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36), Log: e.Log.Named("door"), View: e.Cluster.Now, Ready: e.mayTake, Point: p.Point,
+	e.Door = &turnapi.Door{P: p.Door, ID: np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36), Log: e.Log.Named("door"), View: e.Cluster.Now, Ready: e.mayTake, Point: p.Point,
 		Turn: job.Chain(caller.Do, turns...), Call: job.Chain(caller.Do, calls...)}
-	e.tape, e.book = day.NewTape(p.Tape), trace.New(p.Tape)
+	e.tape, e.book = traffic.NewTape(p.Tape), trace.New(p.Tape)
 	e.Door.Seen = func(c *job.Ctx, a job.Answer, took time.Duration) {
 		e.tape.Add(e.Peer.Self.Id, e.Peer.Self.Zone, c, a, took)
 		e.book.Add(c, a, took)
@@ -284,7 +284,7 @@
 
 // ask fetches slots from whoever deals.
 func (e *Edge) ask(ctx context.Context) {
-	for _, m := range duty.Order(e.Cluster.Now(), e.Lic.Members()) {
+	for _, m := range singleton.Order(e.Cluster.Now(), e.Lic.Members()) {
 		asked := time.Now()
 		r, err := e.Peer.CallFor(ctx, e.p.Dispatcher.Term/4, m.Addr, &wire.Req{Op: &wire.Req_Deal{Deal: &wire.Deal{
 			Epoch: e.Fence.Top(), Held: e.box.Held(), Waiting: e.back.Waiting()}}})
@@ -311,7 +311,7 @@
 func (e *Edge) leaves(runner, why string) {
 	e.Log.Info("runner seems to leave", "runner", runner, "why", why)
 	go func() {
-		for _, m := range duty.Order(e.Cluster.Now(), e.Lic.Members()) {
+		for _, m := range singleton.Order(e.Cluster.Now(), e.Lic.Members()) {
 			if _, err := e.Peer.CallFor(context.Background(), 500*time.Millisecond, m.Addr, &wire.Req{Op: &wire.Req_Tell{Tell: &wire.Tell{Runner: runner, Why: why}}}); err == nil {
 				e.kick.Poke()
 				return
--- a/internal/dataplane/edge/raw.go
+++ b/internal/dataplane/edge/proxy.go
@@ -4,19 +4,19 @@
 	"context"
 	"time"
 
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/dataplane/loadreport"
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/proxy"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
 )
 
 // Raw is the part of an edge that passes raw jobs.
 type Raw struct {
-	*raw.Door
-	Roll       *roll.Roll
-	load       *raw.Load
-	pool       *raw.Pool
+	*proxy.Door
+	Roll       *endpoints.Roll
+	load       *proxy.Load
+	pool       *proxy.Pool
 	loadReport *loadreport.LoadReport
 	e          *Edge
 	p          RawParams
@@ -24,20 +24,20 @@
 
 // RawParams are its settings.
 type RawParams struct {
-	raw.Params
+	proxy.Params
 	LoadReport loadreport.Params
 }
 
 // DefaultRaw are the design's.
-var DefaultRaw = RawParams{Params: raw.DefaultParams, LoadReport: loadreport.DefaultParams}
+var DefaultRaw = RawParams{Params: proxy.DefaultParams, LoadReport: loadreport.DefaultParams}
 
 // Raw joins the parts of a raw job's way, in one fixed order. It is called before
 // Start.
-func (e *Edge) Raw(p RawParams, dialect raw.Dialect) *Raw {
-	r := &Raw{Roll: roll.New(), load: raw.NewLoad(), pool: raw.NewPool(p.Pool, e.P.Net.Dial), e: e, p: p}
-	r.Door = raw.New(p.Params, raw.Parts{Self: e.P.Self, View: e.Cluster.Now, Members: e.Lic.Members, Ready: r.Ready, Roll: r.Roll, Load: r.load, Pool: r.pool,
+func (e *Edge) Raw(p RawParams, dialect proxy.Dialect) *Raw {
+	r := &Raw{Roll: endpoints.New(), load: proxy.NewLoad(), pool: proxy.NewPool(p.Pool, e.P.Net.Dial), e: e, p: p}
+	r.Door = proxy.New(p.Params, proxy.Parts{Self: e.P.Self, View: e.Cluster.Now, Members: e.Lic.Members, Ready: r.Ready, Roll: r.Roll, Load: r.load, Pool: r.pool,
 		Cool: e.Desk, Dialect: dialect, Log: e.Log.Named("raw"),
-		Way: []raw.Policy{raw.NewTurns(p.Turns, e.tier), raw.NewBudgets(p.Budgets, e.tier, e.bg)}})
+		Way: []proxy.Policy{proxy.NewTurns(p.Turns, e.tier), proxy.NewBudgets(p.Budgets, e.tier, e.bg)}})
 	r.loadReport = loadreport.New(p.LoadReport, e.Node, r.Roll, r.load)
 	return r
 }
--- a/internal/dataplane/roll/roll.go
+++ b/internal/dataplane/endpoints/endpoints.go
@@ -1,7 +1,6 @@
-// Package roll is the list of runners as this node knows it: who serves which
-// service, at which address, and how long it is still fresh. A runner is a
-// process, named by its own id; an address is only where it was last seen.
-package roll
+// Package endpoints is the endpoint list: the runners that the platform's discovery
+// names, as the edges pass it on to each other.
+package endpoints
 
 import (
 	"sort"
--- a/internal/dataplane/roll/roll_test.go
+++ b/internal/dataplane/endpoints/endpoints_test.go
@@ -1,4 +1,4 @@
-package roll_test
+package endpoints_test
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 )
 
 // TestList: runners by service and id, in one order on every node.
 func TestList(t *testing.T) {
-	l := roll.NewList(time.Now(), []roll.Runner{{ID: "c", Service: "x"}, {ID: "a", Service: "x"}, {ID: "b", Service: "y"}})
+	l := endpoints.NewList(time.Now(), []endpoints.Runner{{ID: "c", Service: "x"}, {ID: "a", Service: "x"}, {ID: "b", Service: "y"}})
 	if x := l.Of("x"); len(x) != 2 || x[0].ID != "a" || x[1].ID != "c" || len(l.Of("y")) != 1 || len(l.Of("z")) != 0 {
 		t.Errorf("%v", l.All)
 	}
@@ -22,21 +22,21 @@
 
 // TestTake: the latest reading stands, whoever comes last.
 func TestTake(t *testing.T) {
-	r, at := roll.New(), time.Now()
+	r, at := endpoints.New(), time.Now()
 	if len(r.Now().All) != 0 {
 		t.Error("somebody is on a new roll")
 	}
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Go(func() {
-			r.Take(roll.NewList(at.Add(time.Duration(i)*time.Millisecond), []roll.Runner{{ID: fmt.Sprint(i)}}))
+			r.Take(endpoints.NewList(at.Add(time.Duration(i)*time.Millisecond), []endpoints.Runner{{ID: fmt.Sprint(i)}}))
 		})
 	}
 	wg.Wait()
 	if r.Now().Get("99") == nil {
 		t.Errorf("%v stands", r.Now().All)
 	}
-	if r.Take(roll.NewList(at, nil)) || r.Now().Get("99") == nil {
+	if r.Take(endpoints.NewList(at, nil)) || r.Now().Get("99") == nil {
 		t.Error("an earlier reading was taken")
 	}
 }
--- a/internal/dataplane/claim/claim.go
+++ b/internal/dataplane/idempotency/idempotency.go
@@ -1,10 +1,9 @@
-// Package claim makes a job that may not be repeated run at most once. Its claim
-// is read at the door; right before the pass one register write says 'started',
-// and only where the claim is still as it was read; its result is kept before
-// its caller hears it. A job that never passes says so by a write as well, which
-// every request of the same key that came before it trips over: only then is
-// 'not run' true of the work.
-package claim
+// Package idempotency runs a job with an idempotency key at most once. Its claim is read
+// on arrival; right before it is forwarded one register write records 'started',
+// conditional on the claim as it was read; its result is stored before its caller gets
+// it. A job that is never forwarded records that by a write as well, which every earlier
+// request of the same key conflicts with: only then is 'not run' true of the work.
+package idempotency
 
 import (
 	"context"
@@ -12,9 +11,9 @@
 	"errors"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
 )
@@ -40,7 +39,7 @@
 
 // Policy stands around a keyed job's way.
 type Policy struct {
-	T *tier.Tier
+	T *storeclient.Tier
 	// Pre is the deadline of reading the claim, Write of one write after the pass,
 	// Late of writing down what is known of a job whose own deadline has passed.
 	Pre, Write, Late time.Duration
@@ -53,7 +52,7 @@
 // errTaken ends a change that found the claim another's.
 var errTaken = errors.New("claim is another's")
 
-func read(st reg.State) (v value, err error) {
+func read(st register.State) (v value, err error) {
 	if st.Past {
 		return v, code.New(code.ClaimPast, "the key was used, and its claim is past its keeping time")
 	}
@@ -104,7 +103,7 @@
 
 // Start is the step right before the pass.
 type Start struct {
-	T   *tier.Tier
+	T   *storeclient.Tier
 	Pre time.Duration
 }
 
@@ -116,7 +115,7 @@
 	}
 	var now value
 	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
-	_, err := p.T.Begin(ctx, key(c), func(st reg.State) ([]byte, bool, error) {
+	_, err := p.T.Begin(ctx, key(c), func(st register.State) ([]byte, bool, error) {
 		var err error
 		if now, err = read(st); err != nil {
 			return nil, false, err
@@ -162,7 +161,7 @@
 // own changes the claim as long as this job holds it, or nobody has touched it
 // since it was read.
 func (p Policy) own(ctx context.Context, c *job.Ctx, to value) error {
-	_, err := p.T.Change(ctx, key(c), func(st reg.State) ([]byte, bool, error) {
+	_, err := p.T.Change(ctx, key(c), func(st register.State) ([]byte, bool, error) {
 		v, err := read(st)
 		if err != nil {
 			return nil, false, err
--- a/internal/dataplane/loadreport/loadreport.go
+++ b/internal/dataplane/loadreport/loadreport.go
@@ -14,11 +14,11 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/coordination/duty"
 	"damsontiller/internal/coordination/node"
+	"damsontiller/internal/coordination/singleton"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/dataplane/outlier"
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/proxy"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -37,14 +37,14 @@
 var DefaultParams = Params{Ask: 250 * time.Millisecond, Wait: 150 * time.Millisecond, Read: 900 * time.Millisecond, Stale: 1900 * time.Millisecond, Count: time.Second}
 
 // List reads the list of runners.
-type List func(ctx context.Context) ([]roll.Runner, error)
+type List func(ctx context.Context) ([]endpoints.Runner, error)
 
 // LoadReport counts, and asks whoever counts.
 type LoadReport struct {
 	p    Params
 	n    *node.Node
-	roll *roll.Roll
-	load *raw.Load
+	roll *endpoints.Roll
+	load *proxy.Load
 	list List
 	out  *outlier.Detector
 
@@ -61,7 +61,7 @@
 }
 
 // New makes a load report; list may be set until Run.
-func New(p Params, n *node.Node, r *roll.Roll, l *raw.Load) *LoadReport {
+func New(p Params, n *node.Node, r *endpoints.Roll, l *proxy.Load) *LoadReport {
 	t := &LoadReport{p: p, n: n, roll: r, load: l, out: outlier.NewDetector(outlier.DefaultParams), heard: map[string]word{}}
 	n.Peer.On(&wire.Req_LoadReport{}, t.answer)
 	return t
@@ -78,7 +78,7 @@
 func (t *LoadReport) step(ctx context.Context) {
 	counts := t.load.Watch.Take()
 	own := t.own(counts)
-	for _, m := range duty.Order(t.n.Cluster.Now(), t.n.Lic.Members()) {
+	for _, m := range singleton.Order(t.n.Cluster.Now(), t.n.Lic.Members()) {
 		if m.Id == t.n.Peer.Self.Id {
 			// This edge is the first that answers: it counts.
 			t.load.Hear(t.others(m.Id))
@@ -161,7 +161,7 @@
 }
 
 func (t *LoadReport) take(at time.Time, body []byte, sum uint64) {
-	var all []roll.Runner
+	var all []endpoints.Runner
 	if err := json.Unmarshal(body, &all); err != nil {
 		t.n.Log.Warn("roll not taken", "err", err)
 		return
@@ -169,8 +169,8 @@
 	t.set(at, all, body, sum)
 }
 
-func (t *LoadReport) set(at time.Time, all []roll.Runner, body []byte, sum uint64) {
-	if t.roll.Take(roll.NewList(at, all)) {
+func (t *LoadReport) set(at time.Time, all []endpoints.Runner, body []byte, sum uint64) {
+	if t.roll.Take(endpoints.NewList(at, all)) {
 		t.mu.Lock()
 		t.body, t.sum = body, sum
 		t.mu.Unlock()
@@ -193,7 +193,7 @@
 		t.n.Log.Warn("list of runners not read", "err", err)
 		return
 	}
-	l := roll.NewList(at, all)
+	l := endpoints.NewList(at, all)
 	body, err := json.Marshal(settled(l.All))
 	if err != nil {
 		t.n.Log.Warn("list of runners not handed on", "err", err)
@@ -206,8 +206,8 @@
 
 // settled is the roll with fresh times rounded up, so that a runner that warms up
 // does not make a new roll of each reading.
-func settled(all []roll.Runner) []roll.Runner {
-	out := make([]roll.Runner, len(all))
+func settled(all []endpoints.Runner) []endpoints.Runner {
+	out := make([]endpoints.Runner, len(all))
 	copy(out, all)
 	for i := range out {
 		if out[i].ColdMs > 0 {
@@ -218,10 +218,10 @@
 }
 
 // others sums up what all but one have under way, as last heard.
-func (t *LoadReport) others(but string) map[string]raw.Busy {
+func (t *LoadReport) others(but string) map[string]proxy.Busy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := map[string]raw.Busy{}
+	out := map[string]proxy.Busy{}
 	for id, w := range t.heard {
 		if time.Since(w.at) > t.p.Count {
 			delete(t.heard, id)
@@ -235,16 +235,16 @@
 				continue
 			}
 			o := out[b.Runner]
-			out[b.Runner] = raw.Busy{N: o.N + int(b.Jobs), Tokens: o.Tokens + b.Tokens}
+			out[b.Runner] = proxy.Busy{N: o.N + int(b.Jobs), Tokens: o.Tokens + b.Tokens}
 		}
 	}
 	return out
 }
 
-func busy(bs []*wire.Busy) map[string]raw.Busy {
-	out := make(map[string]raw.Busy, len(bs))
+func busy(bs []*wire.Busy) map[string]proxy.Busy {
+	out := make(map[string]proxy.Busy, len(bs))
 	for _, b := range bs {
-		out[b.Runner] = raw.Busy{N: int(b.Jobs), Tokens: b.Tokens}
+		out[b.Runner] = proxy.Busy{N: int(b.Jobs), Tokens: b.Tokens}
 	}
 	return out
 }
@@ -275,7 +275,7 @@
 	// Its own is not kept: it is known at the moment.
 	for id, b := range t.load.Own() {
 		x := o[id]
-		o[id] = raw.Busy{N: x.N + b.N, Tokens: x.Tokens + b.Tokens}
+		o[id] = proxy.Busy{N: x.N + b.N, Tokens: x.Tokens + b.Tokens}
 	}
 	for id, b := range o {
 		a.Others = append(a.Others, &wire.Busy{Runner: id, Jobs: int32(b.N), Tokens: b.Tokens})
--- a/internal/dataplane/outlier/detector.go
+++ b/internal/dataplane/outlier/detector.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 )
 
 // A window is some slots long; counts older than the longest are base rate.
@@ -173,7 +173,7 @@
 
 // Decide judges all runners on the list, where some time has passed since it last
 // did. UnderWay is how many jobs each has.
-func (d *Detector) Decide(l *roll.List, underWay func() map[string]int, now time.Time) {
+func (d *Detector) Decide(l *endpoints.List, underWay func() map[string]int, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now.Sub(d.decided) < d.p.Decide {
@@ -191,7 +191,7 @@
 			delete(d.runners, id)
 		}
 	}
-	byService := map[string][]*roll.Runner{}
+	byService := map[string][]*endpoints.Runner{}
 	for i := range l.All {
 		if r := &l.All[i]; !r.Leaving {
 			byService[r.Service] = append(byService[r.Service], r)
@@ -221,7 +221,7 @@
 	rate float64
 }
 
-func (d *Detector) eject(rs []*roll.Runner, ts []*track, b *base, load map[string]int, now time.Time) {
+func (d *Detector) eject(rs []*endpoints.Runner, ts []*track, b *base, load map[string]int, now time.Time) {
 	var out []suspect
 	room, busy := 0.0, 0.0
 	for i, t := range ts {
@@ -317,7 +317,7 @@
 
 // lag finds the slow runners of a service: farther behind the middle than chance has
 // it.
-func (d *Detector) lag(rs []*roll.Runner, ts []*track) {
+func (d *Detector) lag(rs []*endpoints.Runner, ts []*track) {
 	for _, w := range windows[:2] {
 		var cs []Count
 		var means, paced []float64
--- a/internal/dataplane/outlier/outlier_test.go
+++ b/internal/dataplane/outlier/outlier_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 )
 
 // fleet is a service as an evening has it: jobs come to its runners by chance, each
@@ -24,7 +24,7 @@
 	failure              func(edge, runner int) bool                // one that this edge alone sees
 
 	d       *Detector
-	list    *roll.List
+	list    *endpoints.List
 	rnd     *rand.Rand
 	told    []map[string]Count
 	trials  []map[string]bool
@@ -46,11 +46,11 @@
 		f.p = DefaultParams
 	}
 	f.d, f.rnd, f.ejected = NewDetector(f.p), rand.New(rand.NewPCG(seed, 1)), map[string]bool{}
-	var all []roll.Runner
+	var all []endpoints.Runner
 	for i := range f.runners {
-		all = append(all, roll.Runner{ID: f.id(i), Service: "svc", Room: f.room})
+		all = append(all, endpoints.Runner{ID: f.id(i), Service: "svc", Room: f.room})
 	}
-	f.list = roll.NewList(epoch, all)
+	f.list = endpoints.NewList(epoch, all)
 	for range f.edges {
 		f.told, f.trials = append(f.told, map[string]Count{}), append(f.trials, map[string]bool{})
 	}
@@ -382,12 +382,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(100, 1500).Draw(rt, "ms")) * time.Millisecond)
 			// Runners come and go.
 			n = max(1, n+rapid.IntRange(-2, 2).Draw(rt, "more"))
-			var all []roll.Runner
+			var all []endpoints.Runner
 			load := map[string]int{}
 			busy := 0
 			for i := range n {
 				id := fmt.Sprint(i)
-				all = append(all, roll.Runner{ID: id, Service: "svc", Room: room})
+				all = append(all, endpoints.Runner{ID: id, Service: "svc", Room: room})
 				load[id] = rapid.IntRange(0, room).Draw(rt, "load")
 				busy += load[id]
 			}
@@ -402,7 +402,7 @@
 				}
 				d.Tell(e, cs, now)
 			}
-			d.Decide(roll.NewList(now, all), func() map[string]int { return load }, now)
+			d.Decide(endpoints.NewList(now, all), func() map[string]int { return load }, now)
 			if now.Sub(d.decided) > 0 {
 				continue
 			}
@@ -421,7 +421,7 @@
 // fails, and is back after some without a failure.
 func TestTrials(t *testing.T) {
 	d := NewDetector(DefaultParams)
-	l := roll.NewList(epoch, []roll.Runner{{ID: "a", Service: "s", Room: 4}, {ID: "b", Service: "s", Room: 4}, {ID: "c", Service: "s", Room: 4}})
+	l := endpoints.NewList(epoch, []endpoints.Runner{{ID: "a", Service: "s", Room: 4}, {ID: "b", Service: "s", Room: 4}, {ID: "c", Service: "s", Room: 4}})
 	idle := func() map[string]int { return nil }
 	now := epoch
 	d.Adopt([]string{"a"}, now)
--- a/internal/dataplane/raw/budget.go
+++ b/internal/dataplane/proxy/budget.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/budget"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
 )
@@ -18,7 +18,7 @@
 // all nodes: a turn reserves the most it may put out, and settles to what it did.
 // What nobody settles counts as spent.
 type Budgets struct {
-	t   *tier.Tier
+	t   *storeclient.Tier
 	p   BudgetParams
 	bg  job.Bg
 	mu  sync.Mutex
@@ -43,7 +43,7 @@
 var DefaultBudgets = BudgetParams{Pre: 800 * time.Millisecond, Settle: 200 * time.Millisecond, Write: time.Second}
 
 // NewBudgets makes the keeper of budgets.
-func NewBudgets(p BudgetParams, t *tier.Tier, bg job.Bg) *Budgets {
+func NewBudgets(p BudgetParams, t *storeclient.Tier, bg job.Bg) *Budgets {
 	c := &Budgets{t: t, p: p, bg: bg, due: map[string]map[string]settlement{}}
 	for i := range c.at {
 		c.at[i] = make(chan struct{}, 1)
@@ -54,7 +54,7 @@
 
 func budgetKey(program string) string { return "purse/raw/" + program }
 
-func readBudget(st reg.State) (budget.Value, error) {
+func readBudget(st register.State) (budget.Value, error) {
 	var v budget.Value
 	if len(st.Val) == 0 {
 		return v, nil
@@ -79,7 +79,7 @@
 		due[k] = n
 	}
 	p.mu.Unlock()
-	st, err := p.t.Change(ctx, budgetKey(program), func(st reg.State) ([]byte, bool, error) {
+	st, err := p.t.Change(ctx, budgetKey(program), func(st register.State) ([]byte, bool, error) {
 		v, err := readBudget(st)
 		if err != nil {
 			return nil, false, err
--- a/internal/dataplane/raw/turn.go
+++ b/internal/dataplane/proxy/conversation.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -28,7 +28,7 @@
 // came of it, with the names of all before it. A turn is at a majority of its
 // stores before its answer ends.
 type Turns struct {
-	t *tier.Tier
+	t *storeclient.Tier
 	p TurnParams
 
 	mu   sync.Mutex
@@ -38,7 +38,7 @@
 }
 
 // NewTurns makes the keeper of turns.
-func NewTurns(p TurnParams, t *tier.Tier) *Turns {
+func NewTurns(p TurnParams, t *storeclient.Tier) *Turns {
 	return &Turns{t: t, p: p, have: map[string]*list.Element{}, late: list.New()}
 }
 
--- a/internal/dataplane/raw/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"bufio"
@@ -7,7 +7,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -31,7 +31,7 @@
 		return taken{}
 	}
 	w := httptest.NewRecorder()
-	x := &exchange{j: &Job{Path: &spec.Path{Kind: kind}}, w: &Out{w: w}, r: &roll.Runner{ID: "i-1"}, c: c}
+	x := &exchange{j: &Job{Path: &spec.Path{Kind: kind}}, w: &Out{w: w}, r: &endpoints.Runner{ID: "i-1"}, c: c}
 	if a.word.NotRun {
 		return taken{refused: true, used: len(b) - left.Len() - c.br.Buffered()}
 	}
--- a/internal/dataplane/raw/door.go
+++ b/internal/dataplane/proxy/handler.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -52,7 +52,7 @@
 	View    func() *cluster.View
 	Members func() []*wire.Member
 	Ready   func() error
-	Roll    *roll.Roll
+	Roll    *endpoints.Roll
 	Load    *Load
 	Pool    *Pool
 	Cool    *cooldown.Desk
--- a/internal/dataplane/raw/job.go
+++ b/internal/dataplane/proxy/job.go
@@ -1,7 +1,8 @@
-// Package raw passes jobs whose request goes on as it came and whose answer
-// comes back as it is made: picked runner, cooldown, one send, and the word on
-// what became of it. What may be repeated is the path's to say.
-package raw
+// Package proxy is the path of proxied HTTP requests: the request is forwarded as it
+// came and the response is streamed back as it is produced. It selects a runner,
+// observes the cooldown, sends once, and classifies the outcome; package retry says what
+// may be sent again.
+package proxy
 
 import (
 	"context"
@@ -9,7 +10,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -74,7 +75,7 @@
 	Read(r *http.Request, j *Job) error
 	// Send writes what goes to a runner beside the caller's own headers: the try's
 	// name, the runner meant, the time left, the rank (0 first).
-	Send(h http.Header, j *Job, to *roll.Runner, left time.Duration, rank int)
+	Send(h http.Header, j *Job, to *endpoints.Runner, left time.Duration, rank int)
 	// Resume asks a runner to begin after an event.
 	Resume(h http.Header, after string)
 	// Heard reads an answer's head.
--- a/internal/dataplane/raw/load.go
+++ b/internal/dataplane/proxy/load.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 
 	"golang.org/x/time/rate"
 
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/dataplane/outlier"
-	"damsontiller/internal/dataplane/roll"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -98,7 +98,7 @@
 }
 
 // Under tells whether a runner has less under way than so many times its room.
-func (l *Load) Under(r *roll.Runner, s *spec.Service, times float64) bool {
+func (l *Load) Under(r *endpoints.Runner, s *spec.Service, times float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.of(r.ID).full(r, s) < times
@@ -198,14 +198,14 @@
 // Ask is what an choice rests on.
 type Ask struct {
 	Service *spec.Service
-	List    *roll.List
+	List    *endpoints.List
 	Zone    string // this node's
 	Key     string // jobs of one key go to one runner; empty: to the least busy
 	Home    string // the runner that the job's program ran on last
 	Part    string // what its prompt begins with; empty: nothing shared
-	May     func(*roll.Runner) bool
-	Cold    func(*roll.Runner) bool // it is fresh
-	Shares  func(*roll.Runner) int  // among how many nodes its rate is dealt; 0: this node has no part
+	May     func(*endpoints.Runner) bool
+	Cold    func(*endpoints.Runner) bool // it is fresh
+	Shares  func(*endpoints.Runner) int  // among how many nodes its rate is dealt; 0: this node has no part
 	// Repeatable jobs go to a doubtful runner earlier: they can go on elsewhere.
 	Repeatable bool
 }
@@ -228,7 +228,7 @@
 const unread = 3
 
 type cand struct {
-	r    *roll.Runner
+	r    *endpoints.Runner
 	b    *busy
 	f    float64 // of its room in use
 	g    float64 // how busy it is in the eyes of one more job: a slow runner is longer at each
@@ -238,7 +238,7 @@
 // Pick finds the runner for a job: the one that its key points to, in this
 // node's zone first, unless it is much busier than the rest; without a key the
 // least busy. Room tells whether the one found has a place free.
-func (l *Load) Pick(a Ask) (r *roll.Runner, room bool) {
+func (l *Load) Pick(a Ask) (r *endpoints.Runner, room bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -319,7 +319,7 @@
 	return nil, false
 }
 
-func (b *busy) full(r *roll.Runner, s *spec.Service) float64 {
+func (b *busy) full(r *endpoints.Runner, s *spec.Service) float64 {
 	f := float64(b.n+b.others) / float64(max(r.Room, 1))
 	if s.Engine != nil {
 		f = max(f, float64(b.tokens+b.otherTokens)/float64(s.Engine.CacheTokens))
--- a/internal/dataplane/raw/outlier_test.go
+++ b/internal/dataplane/proxy/outlier_test.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"testing"
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/dataplane/outlier"
-	"damsontiller/internal/dataplane/roll"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -41,7 +41,7 @@
 		never("i-a0", ask)
 		never("i-a0", homed)
 		only := ask
-		only.May = func(r *roll.Runner) bool { return r.ID == "i-a0" }
+		only.May = func(r *endpoints.Runner) bool { return r.ID == "i-a0" }
 		if pick(only) != "i-a0" {
 			t.Error("nobody rather than the ejected one")
 		}
--- a/internal/dataplane/raw/pass.go
+++ b/internal/dataplane/proxy/pass.go
@@ -1,15 +1,15 @@
-package raw
+package proxy
 
 import (
 	"time"
 
-	"damsontiller/internal/dataplane/resend"
+	"damsontiller/internal/dataplane/retry"
 	"damsontiller/internal/transport/code"
 )
 
 // sending is what became of one send.
 type sending struct {
-	outcome resend.Outcome
+	outcome retry.Outcome
 	good    bool // of an answered one: a success
 	sent    bool // a byte may have gone out
 	err     error
@@ -28,7 +28,7 @@
 	if x.sent {
 		s.count++
 	}
-	if x.outcome != resend.NotRun {
+	if x.outcome != retry.NotRun {
 		s.ran = true
 	}
 }
@@ -55,7 +55,7 @@
 		}
 		s.tried[r.ID] = true
 		x := d.send(j, w, r, admitted)
-		if x.outcome == resend.Answered {
+		if x.outcome == retry.Answered {
 			return Answer{Good: x.good}
 		}
 		s.note(x)
@@ -68,9 +68,9 @@
 // mayResend is the one place that decides whether a job goes to another runner: by what
 // is known of the last send, by the table's bound on runners, by the time left, and by
 // what the caller has been handed already.
-func mayResend(j *Job, w *Out, s *sends, last resend.Outcome) bool {
+func mayResend(j *Job, w *Out, s *sends, last retry.Outcome) bool {
 	switch {
-	case !resend.Allowed(last, j.Repeatable()):
+	case !retry.Allowed(last, j.Repeatable()):
 		return false
 	case j.Path.Tries > 0 && s.count >= j.Path.Tries:
 		return false
@@ -82,7 +82,7 @@
 
 // unserved is the answer to a job that is not sent again.
 func (d *Door) unserved(j *Job, s *sends, last sending) Answer {
-	if last.outcome != resend.NotRun {
+	if last.outcome != retry.NotRun {
 		return Answer{Err: last.err}
 	}
 	if _, all := d.cooling(j, nil); code.Of(last.err) == code.RunnerDrop {
--- a/internal/dataplane/raw/pool.go
+++ b/internal/dataplane/proxy/pool.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 )
 
 // Pool keeps connections to runners. One job at a time is on a connection, and it
@@ -54,10 +54,10 @@
 func (e errDial) Error() string { return "dial: " + e.err.Error() }
 func (e errDial) Unwrap() error { return e.err }
 
-func key(r *roll.Runner) string { return r.ID + "@" + r.Addr }
+func key(r *endpoints.Runner) string { return r.ID + "@" + r.Addr }
 
 // get gives an idle connection that is still clean, or a new one.
-func (p *Pool) get(ctx context.Context, r *roll.Runner, fresh bool) (*conn, error) {
+func (p *Pool) get(ctx context.Context, r *endpoints.Runner, fresh bool) (*conn, error) {
 	for !fresh {
 		c := p.take(key(r))
 		if c == nil {
@@ -93,7 +93,7 @@
 }
 
 // put gives a connection back after a whole answer.
-func (p *Pool) put(r *roll.Runner, c *conn, rest time.Duration) {
+func (p *Pool) put(r *endpoints.Runner, c *conn, rest time.Duration) {
 	if rest <= 0 || c.br.Buffered() > 0 || c.c.SetDeadline(time.Time{}) != nil {
 		c.c.Close()
 		return
--- a/internal/dataplane/raw/raw_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -170,7 +170,7 @@
 
 // pair is a runner's connection on loopback, as the pool sees it: real sockets, so
 // that what lies unread in one is seen.
-func pair(t *testing.T) (*Pool, *roll.Runner, func() net.Conn) {
+func pair(t *testing.T) (*Pool, *endpoints.Runner, func() net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	var d net.Dialer
 	p := NewPool(DefaultPool, func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) })
 	t.Cleanup(func() { p.Sweep(func(string) bool { return false }) })
-	return p, &roll.Runner{ID: "i-1", Addr: ln.Addr().String()}, func() net.Conn {
+	return p, &endpoints.Runner{ID: "i-1", Addr: ln.Addr().String()}, func() net.Conn {
 		c, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -260,7 +260,7 @@
 	}
 	accept()
 	p.put(r, c, time.Minute)
-	d, err := p.get(t.Context(), &roll.Runner{ID: "i-2", Addr: r.Addr}, false)
+	d, err := p.get(t.Context(), &endpoints.Runner{ID: "i-2", Addr: r.Addr}, false)
 	if err != nil || d == c {
 		t.Errorf("another process at the address got the connection, %v", err)
 	}
@@ -373,7 +373,7 @@
 func TestWrite(t *testing.T) {
 	for _, uri := range []string{"/", "/a//b/?", "//", "///x//y?//z", "//h.test/x?", "/%2F%2f"} {
 		d := &Door{pt: Parts{Dialect: nothing{}}}
-		q := d.request(&Job{Context: t.Context(), Path: &spec.Path{}, Body: []byte("body"), Req: &http.Request{Method: "POST", RequestURI: uri, Host: "h.test", Header: http.Header{}}}, &Out{}, &roll.Runner{Addr: "10.0.0.1:1"})
+		q := d.request(&Job{Context: t.Context(), Path: &spec.Path{}, Body: []byte("body"), Req: &http.Request{Method: "POST", RequestURI: uri, Host: "h.test", Header: http.Header{}}}, &Out{}, &endpoints.Runner{Addr: "10.0.0.1:1"})
 		var b bytes.Buffer
 		if err := write(&b, q); err != nil {
 			t.Fatal(err)
@@ -387,23 +387,23 @@
 
 type nothing struct{}
 
-func (nothing) Read(*http.Request, *Job) error                           { return nil }
-func (nothing) Send(http.Header, *Job, *roll.Runner, time.Duration, int) {}
-func (nothing) Resume(http.Header, string)                               {}
-func (nothing) Heard(*http.Response) Word                                { return Word{} }
+func (nothing) Read(*http.Request, *Job) error                                { return nil }
+func (nothing) Send(http.Header, *Job, *endpoints.Runner, time.Duration, int) {}
+func (nothing) Resume(http.Header, string)                                    {}
+func (nothing) Heard(*http.Response) Word                                     { return Word{} }
 
-func any(*roll.Runner) bool  { return true }
-func none(*roll.Runner) bool { return false }
+func any(*endpoints.Runner) bool  { return true }
+func none(*endpoints.Runner) bool { return false }
 
 // runners are n in each of the zones.
-func runners(room, n int, zones ...string) *roll.List {
-	var all []roll.Runner
+func runners(room, n int, zones ...string) *endpoints.List {
+	var all []endpoints.Runner
 	for _, z := range zones {
 		for i := range n {
-			all = append(all, roll.Runner{ID: fmt.Sprintf("i-%s%d", z, i), Service: "s", Zone: z, Room: room})
+			all = append(all, endpoints.Runner{ID: fmt.Sprintf("i-%s%d", z, i), Service: "s", Zone: z, Room: room})
 		}
 	}
-	return roll.NewList(time.Now(), all)
+	return endpoints.NewList(time.Now(), all)
 }
 
 // TestPickHome: jobs of one key go to one runner of this node's zone, elsewhere
@@ -454,10 +454,10 @@
 func TestPickNever(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := NewLoad()
-		var all []roll.Runner
+		var all []endpoints.Runner
 		not := map[string]bool{}
 		for i := range rapid.IntRange(0, 8).Draw(rt, "runners") {
-			r := roll.Runner{ID: fmt.Sprint(i), Service: "s", Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"), Room: rapid.IntRange(0, 3).Draw(rt, "room")}
+			r := endpoints.Runner{ID: fmt.Sprint(i), Service: "s", Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"), Room: rapid.IntRange(0, 3).Draw(rt, "room")}
 			switch rapid.IntRange(0, 5).Draw(rt, "state") {
 			case 0:
 				r.Leaving, not[r.ID] = true, true
@@ -474,8 +474,8 @@
 			}
 			all = append(all, r)
 		}
-		ask := Ask{Service: &spec.Service{Name: "s"}, List: roll.NewList(time.Now(), all), Zone: "a", Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
-			May: func(r *roll.Runner) bool { return !not[r.ID] }, Cold: none}
+		ask := Ask{Service: &spec.Service{Name: "s"}, List: endpoints.NewList(time.Now(), all), Zone: "a", Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
+			May: func(r *endpoints.Runner) bool { return !not[r.ID] }, Cold: none}
 		r, room := l.Pick(ask)
 		switch {
 		case r == nil && len(not) < len(all):
@@ -563,7 +563,7 @@
 				continue
 			}
 			for range rnd.IntN(3) {
-				if r, _ := e.l.Pick(Ask{Service: service, List: list, Zone: "a", May: any, Cold: any, Shares: func(r *roll.Runner) int { return e.d.shares(r, rps) }}); r != nil {
+				if r, _ := e.l.Pick(Ask{Service: service, List: list, Zone: "a", May: any, Cold: any, Shares: func(r *endpoints.Runner) int { return e.d.shares(r, rps) }}); r != nil {
 					at = append(at, time.Now())
 				}
 			}
--- a/internal/dataplane/raw/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"bytes"
@@ -7,12 +7,12 @@
 	"net/url"
 	"strings"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 )
 
 // request is the job as it goes to a runner: as it came, under the same name, to
 // that runner only.
-func (d *Door) request(j *Job, w *Out, r *roll.Runner) *http.Request {
+func (d *Door) request(j *Job, w *Out, r *endpoints.Runner) *http.Request {
 	p, query, some := strings.Cut(j.Req.RequestURI, "?")
 	q := &http.Request{Method: j.Req.Method, URL: &url.URL{Scheme: "http", Host: r.Addr, Opaque: p, RawQuery: query, ForceQuery: some},
 		Host: j.Req.Host, Header: http.Header{}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
--- a/internal/dataplane/raw/choose.go
+++ b/internal/dataplane/proxy/selection.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -80,7 +80,7 @@
 }
 
 // pick finds a runner that may be sent this job now.
-func (d *Door) pick(j *Job, tried map[string]bool) (*roll.Runner, bool) {
+func (d *Door) pick(j *Job, tried map[string]bool) (*endpoints.Runner, bool) {
 	v := d.pt.View()
 	l := d.pt.Roll.Now()
 	k, part := "", ""
@@ -95,10 +95,10 @@
 		k = j.Subject
 	}
 	return d.pt.Load.Pick(Ask{Service: j.Service, List: l, Zone: d.pt.Self.Zone, Key: k, Home: j.Home, Part: part,
-		May: func(r *roll.Runner) bool {
+		May: func(r *endpoints.Runner) bool {
 			return !tried[r.ID] && !v.Spec.Empty(r.Zone) && (d.pt.Cool.Calm() || d.pt.Cool.Open(coolKey(r)))
 		},
-		Cold: func(r *roll.Runner) bool {
+		Cold: func(r *endpoints.Runner) bool {
 			if j.Service.ColdRate <= 0 {
 				return false
 			}
@@ -111,16 +111,16 @@
 			s := d.zone.see(v.Spec.EmptyZones, r.Zone)
 			return !s.IsZero() && l.At.Before(s.Add(d.p.List)) && time.Since(s) < time.Duration(j.Service.ColdMs)*time.Millisecond+d.p.List
 		},
-		Shares:     func(r *roll.Runner) int { return d.shares(r, j.Service.ColdRate) },
+		Shares:     func(r *endpoints.Runner) int { return d.shares(r, j.Service.ColdRate) },
 		Repeatable: j.Repeatable(),
 	})
 }
 
-func coolKey(r *roll.Runner) string { return "runner/" + r.ID }
+func coolKey(r *endpoints.Runner) string { return "runner/" + r.ID }
 
 // shares is among how many nodes a fresh runner's rate is dealt, 0 where this one
 // has no part: the few edges that the runner's id points to.
-func (d *Door) shares(r *roll.Runner, perS float64) int {
+func (d *Door) shares(r *endpoints.Runner, perS float64) int {
 	most := Shares
 	if perS < 1 {
 		// Each may send one at once, which is most of what so slow a runner bears.
@@ -145,7 +145,7 @@
 
 // place waits for a runner with a free place, as long as a part of the job's aim,
 // and then gives whichever may be sent more than its room.
-func (d *Door) place(j *Job, tried map[string]bool) (*roll.Runner, Answer) {
+func (d *Door) place(j *Job, tried map[string]bool) (*endpoints.Runner, Answer) {
 	aim := time.Duration(j.Path.AimMs) * time.Millisecond
 	if aim == 0 {
 		aim = j.Left()
--- a/internal/dataplane/raw/send.go
+++ b/internal/dataplane/proxy/send.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"time"
 
 	"damsontiller/internal/dataplane/cooldown"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/dataplane/outlier"
-	"damsontiller/internal/dataplane/resend"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/retry"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
@@ -22,7 +22,7 @@
 	d *Door
 	j *Job
 	w *Out
-	r *roll.Runner
+	r *endpoints.Runner
 	c *conn
 
 	admitted *cooldown.Pass
@@ -36,7 +36,7 @@
 }
 
 // send passes a job to one runner.
-func (d *Door) send(j *Job, w *Out, r *roll.Runner, admitted *cooldown.Pass) sending {
+func (d *Door) send(j *Job, w *Out, r *endpoints.Runner, admitted *cooldown.Pass) sending {
 	first, done := d.pt.Load.Enter(r.ID, j.In+j.Most)
 	defer func() { done(); d.free.tell() }()
 	defer admitted.Leave()
@@ -63,7 +63,7 @@
 		x.d.pt.Load.Avoid(x.r.ID, x.d.p.Avoid)
 		x.d.pt.Load.Watch.Failure(x.r.ID)
 	}
-	return sending{outcome: resend.NotRun, wait: unreachableWait, err: code.New(code.NoRunner, "runner %s can't be reached: %w", x.r.ID, err)}
+	return sending{outcome: retry.NotRun, wait: unreachableWait, err: code.New(code.NoRunner, "runner %s can't be reached: %w", x.r.ID, err)}
 }
 
 // watch lets the connection hear of the deadline, and of a caller that has gone.
@@ -91,7 +91,7 @@
 // do writes the request and takes its answer.
 func (x *exchange) do() sending {
 	if !x.d.may(x.r) {
-		return sending{outcome: resend.NotRun, wait: refusedWait, err: code.New(code.NoRunner, "runner %s may not be sent to any more", x.r.ID)}
+		return sending{outcome: retry.NotRun, wait: refusedWait, err: code.New(code.NoRunner, "runner %s may not be sent to any more", x.r.ID)}
 	}
 	q := x.d.request(x.j, x.w, x.r)
 	if s, ok := x.stands(); !ok {
@@ -114,11 +114,11 @@
 // not be sent to any more.
 func (x *exchange) stands() (sending, bool) {
 	if x.j.Left() <= 0 || x.j.Err() != nil {
-		return sending{outcome: resend.NotRun, err: code.New(code.DeadlinePassed, "no time is left")}, false
+		return sending{outcome: retry.NotRun, err: code.New(code.DeadlinePassed, "no time is left")}, false
 	}
 	if !x.admitted.Stands(x.j, x.j.Left()) {
 		wait := x.d.pt.Cool.Seen(coolKey(x.r))
-		return sending{outcome: resend.NotRun, wait: wait, err: code.New(code.Cooling, "runner %s cools down", x.r.ID)}, false
+		return sending{outcome: retry.NotRun, wait: wait, err: code.New(code.Cooling, "runner %s cools down", x.r.ID)}, false
 	}
 	return sending{}, true
 }
@@ -146,7 +146,7 @@
 	if a.success() {
 		x.d.pt.Load.Watch.Good(x.r.ID, x.took())
 	}
-	return sending{outcome: resend.Answered, good: a.success(), sent: true}
+	return sending{outcome: retry.Answered, good: a.success(), sent: true}
 }
 
 // handOn passes an answer to the caller, as it comes or whole.
@@ -191,7 +191,7 @@
 }
 
 // may tells whether a runner may still be sent to: dialling takes a while.
-func (d *Door) may(r *roll.Runner) bool {
+func (d *Door) may(r *endpoints.Runner) bool {
 	now := d.pt.Roll.Now().Get(r.ID)
 	return now != nil && !now.Leaving && now.Addr == r.Addr && !d.pt.View().Spec.Empty(r.Zone)
 }
@@ -210,7 +210,7 @@
 
 // refusal is what a clear word means for the job and for its runner.
 func (x *exchange) refusal(a *reply) sending {
-	s := sending{outcome: resend.NotRun, sent: true, wait: refusedWait}
+	s := sending{outcome: retry.NotRun, sent: true, wait: refusedWait}
 	load := x.d.pt.Load
 	switch {
 	case a.word.Other:
--- a/internal/dataplane/raw/verdict.go
+++ b/internal/dataplane/proxy/verdict.go
@@ -1,4 +1,4 @@
-package raw
+package proxy
 
 import (
 	"errors"
--- a/internal/dataplane/resend/resend.go
+++ b/internal/dataplane/retry/retry.go
@@ -1,7 +1,7 @@
-// Package resend decides whether a request that was sent to a runner may be sent again.
-// Both request paths, turns and calls as well as raw jobs, ask here, so what may run only
-// once is guarded in one place.
-package resend
+// Package retry decides whether a request that was sent to a runner may be sent again.
+// Both request paths, named turns and calls as well as proxied requests, ask here, so
+// that at-most-once execution is guarded in one place.
+package retry
 
 // Outcome is what is known of a request after one send.
 type Outcome int
--- a/internal/dataplane/report/report.go
+++ b/internal/dataplane/runnerapi/runnerapi.go
@@ -1,6 +1,6 @@
-// Package report is the runners' HTTP contract: what is sent to them and what
-// they say. docs/runners.md describes it for their authors.
-package report
+// Package runnerapi is the HTTP contract between edges and runners: the requests sent to
+// a runner and its reports. docs/runners.md describes it for their authors.
+package runnerapi
 
 // Runner states.
 const (
--- a/internal/dataplane/store/cool_test.go
+++ b/internal/dataplane/store/cooldowns_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/state/storage"
 )
@@ -20,7 +20,7 @@
 func TestCooldowns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := vfs.NewCrashableMem()
-		open := func() (*storage.Engine, *reg.Acceptor, *cooldowns) {
+		open := func() (*storage.Engine, *register.Acceptor, *cooldowns) {
 			v, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs})
 			if err != nil {
 				t.Fatal(err)
@@ -29,7 +29,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			return v, reg.NewAcceptor(c), c
+			return v, register.NewAcceptor(c), c
 		}
 		v, a, c := open()
 		n := uint64(0)
--- a/internal/dataplane/store/fill_test.go
+++ b/internal/dataplane/store/fill_test.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/hashicorp/go-hclog"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
@@ -27,7 +27,7 @@
 	}
 	t.Cleanup(func() { _ = v.Close() })
 	self := &wire.Member{Id: "s1", Role: "store", Addr: "10.0.0.1:7100", Zone: "a", Ident: v.Ident()}
-	s, err := New(node.Params{Self: self, Net: memnet.New(1).Host(self.Addr), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: news.DefaultParams, Log: hclog.NewNullLogger()}, v)
+	s, err := New(node.Params{Self: self, Net: memnet.New(1).Host(self.Addr), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: broadcast.DefaultParams, Log: hclog.NewNullLogger()}, v)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/core"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -201,7 +201,7 @@
 		defer stop()
 		// Under sets that are no more it would go over what the new ones hold.
 		v := s.Cluster.Now()
-		_, err = s.Prop.Change(reg.Stamp(cctx, v.Ver, false), v.Stores(row.Key), row.Key, nil)
+		_, err = s.Prop.Change(register.Stamp(cctx, v.Ver, false), v.Stores(row.Key), row.Key, nil)
 	}
 	return err == nil, err
 }
--- a/internal/dataplane/store/store.go
+++ b/internal/dataplane/store/store.go
@@ -11,7 +11,7 @@
 
 	"damsontiller/internal/coordination/core"
 	"damsontiller/internal/coordination/node"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/state/storage"
@@ -23,7 +23,7 @@
 type Store struct {
 	*node.Node
 	v      *storage.Engine
-	acc    *reg.Acceptor
+	acc    *register.Acceptor
 	cool   *cooldowns
 	mended atomic.Int64 // keys taken from other stores
 	fills  fills
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{Node: node.New(np), v: v, acc: reg.NewAcceptor(c), cool: c, fills: fills{ready: make(chan struct{})}}
+	s := &Store{Node: node.New(np), v: v, acc: register.NewAcceptor(c), cool: c, fills: fills{ready: make(chan struct{})}}
 	if err := core.Recall(v.Noted, s.Cluster); err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/day/client.go
+++ b/internal/dataplane/traffic/client.go
@@ -1,4 +1,4 @@
-package day
+package traffic
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/internal/dataplane/door"
+	"damsontiller/internal/dataplane/turnapi"
 	"damsontiller/internal/transport/loop"
 )
 
@@ -141,11 +141,11 @@
 	}
 	q.ContentLength = int64(len(b))
 	q.Header.Set("Content-Type", "application/json")
-	q.Header.Set(door.HProgram, a.Program)
-	q.Header.Set(door.HLeft, fmt.Sprintf("%.3f", time.Until(end).Seconds()))
-	q.Header.Set(door.HWait, fmt.Sprintf("%.3f", a.Wait.Seconds()))
+	q.Header.Set(turnapi.HProgram, a.Program)
+	q.Header.Set(turnapi.HLeft, fmt.Sprintf("%.3f", time.Until(end).Seconds()))
+	q.Header.Set(turnapi.HWait, fmt.Sprintf("%.3f", a.Wait.Seconds()))
 	if a.Key != "" {
-		q.Header.Set(door.HKey, a.Key)
+		q.Header.Set(turnapi.HKey, a.Key)
 	}
 	a.Path, a.Body = path, b
 	a.Sent = time.Now()
--- a/internal/dataplane/day/play.go
+++ b/internal/dataplane/traffic/play.go
@@ -1,4 +1,4 @@
-package day
+package traffic
 
 import (
 	"context"
--- a/internal/dataplane/day/day.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -1,7 +1,7 @@
-// Package day holds recorded traffic: what an edge remembers of the jobs it
-// answered, the day file, and the replay of one against a fleet. A row holds no
-// words of any caller, only their length.
-package day
+// Package traffic records and replays traffic: what an edge remembers of the jobs it
+// answered, the day file, and the replay of one against a fleet. A row holds no text of
+// any caller, only its length.
+package traffic
 
 import (
 	"bufio"
--- a/internal/dataplane/day/day_test.go
+++ b/internal/dataplane/traffic/traffic_test.go
@@ -1,4 +1,4 @@
-package day_test
+package traffic_test
 
 import (
 	"bytes"
@@ -12,20 +12,20 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/dataplane/day"
 	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/traffic"
 	"damsontiller/internal/transport/code"
 )
 
 func file(t *testing.T, rows int) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	w, err := day.NewWriter(&b, day.Head{Name: "d"})
+	w, err := traffic.NewWriter(&b, traffic.Head{Name: "d"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range rows {
-		if err := w.Add(day.Row{T: int64(i), Job: "j", Route: "r", Program: "p", Code: 203}); err != nil {
+		if err := w.Add(traffic.Row{T: int64(i), Job: "j", Route: "r", Program: "p", Code: 203}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -39,12 +39,12 @@
 // of another format is refused, and the line is named.
 func TestFile(t *testing.T) {
 	good := file(t, 3)
-	d, err := day.Read(bytes.NewReader(good))
+	d, err := traffic.Read(bytes.NewReader(good))
 	if err != nil || len(d.Rows) != 3 || d.Lost != 1 || d.Name != "d" || d.Sum == "" {
 		t.Fatalf("%+v %v", d, err)
 	}
 	for n := range len(good) - 1 {
-		if _, err := day.Read(bytes.NewReader(good[:n])); code.Of(err) != code.BadDay {
+		if _, err := traffic.Read(bytes.NewReader(good[:n])); code.Of(err) != code.BadDay {
 			t.Fatalf("cut at byte %d: %v", n, err)
 		}
 	}
@@ -52,14 +52,14 @@
 		{`"format":1`, `"format":2`, "line 1"}, {`"code":203`, `"code":204`, "line 5"}, {`"t":1,`, `"t":-1,`, "line 3"}, {`{"t":2`, `{"t:2`, "line 4"}, {`"rows":3`, `"rows":4`, "line 5"},
 	} {
 		bad := strings.Replace(string(good), tc[0], tc[1], 1)
-		if _, err := day.Read(strings.NewReader(bad)); code.Of(err) != code.BadDay || !strings.Contains(err.Error(), tc[2]) {
+		if _, err := traffic.Read(strings.NewReader(bad)); code.Of(err) != code.BadDay || !strings.Contains(err.Error(), tc[2]) {
 			t.Errorf("%s: %v", tc[1], err)
 		}
 	}
-	if _, err := day.Read(strings.NewReader(string(good) + "{}\n")); code.Of(err) != code.BadDay {
+	if _, err := traffic.Read(strings.NewReader(string(good) + "{}\n")); code.Of(err) != code.BadDay {
 		t.Errorf("something after the end: %v", err)
 	}
-	if r := day.Sum(d.Asks()); r.Asks != 3 || r.Codes["cooling"] != 3 || r.Classes[""].Cooldown != 3 {
+	if r := traffic.Sum(d.Asks()); r.Asks != 3 || r.Codes["cooling"] != 3 || r.Classes[""].Cooldown != 3 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -67,7 +67,7 @@
 // TestTape: bounded, says what it has forgotten, and holds no words.
 func TestTape(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tape := day.NewTape(5)
+		tape := traffic.NewTape(5)
 		add := func() {
 			c := &job.Ctx{ID: "j", Program: "p/1", Route: "model", Conv: "reel", Key: "secret-key", Words: "secret words", AnswerBy: time.Now().Add(time.Second), View: &cluster.View{}}
 			tape.Add("e1", "a", c, job.Bad(code.Cooling, "secret"), 20*time.Millisecond)
@@ -93,7 +93,7 @@
 			t.Errorf("after a restart %d rows", len(p.Rows))
 		}
 		var b bytes.Buffer
-		w, err := day.NewWriter(&b, day.Head{})
+		w, err := traffic.NewWriter(&b, traffic.Head{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -126,10 +126,10 @@
 		_, _ = w.Write([]byte(`{"text":"x"}`))
 	}))
 	defer srv.Close()
-	row := day.Row{Job: "j", Route: "r", Program: "p", Key: "k", Words: 80, Wait: 5000}
-	p := &day.Player{Day: &day.Day{Rows: []day.Row{row, row, {Job: "j", Route: "r", Program: "p", Key: "other", Words: 80, Wait: 5000}}}, Speed: 1, Run: "run",
-		Client: day.NewClient(nil), Edges: func(string) []string { return []string{strings.TrimPrefix(srv.URL, "http://")} },
-		Words: func(_ day.Row, work string) string { return "work:" + work }}
+	row := traffic.Row{Job: "j", Route: "r", Program: "p", Key: "k", Words: 80, Wait: 5000}
+	p := &traffic.Player{Day: &traffic.Day{Rows: []traffic.Row{row, row, {Job: "j", Route: "r", Program: "p", Key: "other", Words: 80, Wait: 5000}}}, Speed: 1, Run: "run",
+		Client: traffic.NewClient(nil), Edges: func(string) []string { return []string{strings.TrimPrefix(srv.URL, "http://")} },
+		Words: func(_ traffic.Row, work string) string { return "work:" + work }}
 	p.Play(t.Context())
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/dataplane/door/door.go
+++ b/internal/dataplane/turnapi/handler.go
@@ -1,6 +1,6 @@
-// Package door takes callers' requests: it checks and parses them, fixes their
-// deadline, and turns answers into HTTP.
-package door
+// Package turnapi is the HTTP API for named turns and calls: it parses and checks
+// requests, fixes their deadline, and turns results into responses.
+package turnapi
 
 import (
 	"crypto/sha256"
--- a/internal/dataplane/door/door_test.go
+++ b/internal/dataplane/turnapi/handler_test.go
@@ -1,4 +1,4 @@
-package door_test
+package turnapi_test
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/web"
-	"damsontiller/internal/dataplane/door"
 	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/turnapi"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
@@ -25,14 +25,14 @@
 
 func good() ask {
 	return ask{"/v1/turns", `{"conversation":"reel","class":"live","words":"w","parts":["a","b"],"max_output":5}`,
-		map[string]string{door.HProgram: "reel/1", door.HLeft: "60", door.HWait: "5", door.HKey: "k"}}
+		map[string]string{turnapi.HProgram: "reel/1", turnapi.HLeft: "60", turnapi.HWait: "5", turnapi.HKey: "k"}}
 }
 
 func serve(t *testing.T, q ask, do job.Next) (*httptest.ResponseRecorder, web.Failure) {
 	t.Helper()
 	view := &cluster.View{Ver: 1}
 	view.Spec = spec.Spec{Routes: []spec.Route{{Name: "model", Model: true}, {Name: "assets"}}, Classes: []spec.Class{{Name: "live", Urgent: true}, {Name: "reel"}}}
-	d := &door.Door{P: door.DefaultParams, ID: "e1", Log: hclog.NewNullLogger(), View: func() *cluster.View { return view }, Ready: func() error { return nil }, Turn: do, Call: do}
+	d := &turnapi.Door{P: turnapi.DefaultParams, ID: "e1", Log: hclog.NewNullLogger(), View: func() *cluster.View { return view }, Ready: func() error { return nil }, Turn: do, Call: do}
 	e := web.New(hclog.NewNullLogger())
 	d.Routes(e)
 	r := httptest.NewRequest(http.MethodPost, q.path, strings.NewReader(q.body))
@@ -62,19 +62,19 @@
 		{"wrong type", code.BadJSON, func(q *ask) { q.body = `{"words":1}` }},
 		{"oversized", code.TooLarge, func(q *ask) { q.body = `{"words":"` + strings.Repeat("x", 1<<20) + `"}` }},
 		{"unknown field", code.UnknownField, func(q *ask) { q.body = `{"words":"w","wurds":""}` }},
-		{"no program", code.NoHeader, func(q *ask) { delete(q.head, door.HProgram) }},
-		{"bad program", code.BadHeader, func(q *ask) { q.head[door.HProgram] = "a b" }},
-		{"bad program class", code.BadHeader, func(q *ask) { q.head[door.HProgram] = "/x" }},
-		{"no time", code.NoHeader, func(q *ask) { delete(q.head, door.HLeft) }},
-		{"negative time", code.BadTime, func(q *ask) { q.head[door.HLeft] = "-1" }},
-		{"huge time", code.BadTime, func(q *ask) { q.head[door.HLeft] = "1e300" }},
-		{"time that is no number", code.BadTime, func(q *ask) { q.head[door.HLeft] = "soon" }},
-		{"time NaN", code.BadTime, func(q *ask) { q.head[door.HLeft] = "NaN" }},
-		{"negative wait", code.BadTime, func(q *ask) { q.head[door.HWait] = "-0.1" }},
-		{"no time left", code.DeadlinePassed, func(q *ask) { q.head[door.HLeft] = "0" }},
-		{"empty key", code.BadHeader, func(q *ask) { q.head[door.HKey] = "" }},
-		{"key with spaces", code.BadHeader, func(q *ask) { q.head[door.HKey] = "a b" }},
-		{"long key", code.BadHeader, func(q *ask) { q.head[door.HKey] = strings.Repeat("k", 129) }},
+		{"no program", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HProgram) }},
+		{"bad program", code.BadHeader, func(q *ask) { q.head[turnapi.HProgram] = "a b" }},
+		{"bad program class", code.BadHeader, func(q *ask) { q.head[turnapi.HProgram] = "/x" }},
+		{"no time", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HLeft) }},
+		{"negative time", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "-1" }},
+		{"huge time", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "1e300" }},
+		{"time that is no number", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "soon" }},
+		{"time NaN", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "NaN" }},
+		{"negative wait", code.BadTime, func(q *ask) { q.head[turnapi.HWait] = "-0.1" }},
+		{"no time left", code.DeadlinePassed, func(q *ask) { q.head[turnapi.HLeft] = "0" }},
+		{"empty key", code.BadHeader, func(q *ask) { q.head[turnapi.HKey] = "" }},
+		{"key with spaces", code.BadHeader, func(q *ask) { q.head[turnapi.HKey] = "a b" }},
+		{"long key", code.BadHeader, func(q *ask) { q.head[turnapi.HKey] = strings.Repeat("k", 129) }},
 		{"unknown route", code.NoRoute, func(q *ask) { q.path = "/v1/calls/nope"; q.body = "{}" }},
 		{"the model as a tool", code.NoRoute, func(q *ask) { q.path = "/v1/calls/model"; q.body = "{}" }},
 		{"a tool as a model", code.NoRoute, func(q *ask) { q.body = strings.Replace(q.body, "{", `{"model":"assets",`, 1) }},
--- a/internal/kit/judge/judge.go
+++ b/internal/kit/checker/checker.go
@@ -1,6 +1,6 @@
-// Package judge reads what callers were told and what runners did, and counts
-// every breach of what must never happen.
-package judge
+// Package checker checks the invariants after a run: it reads what callers were answered
+// and what runners executed, and counts every violation.
+package checker
 
 import (
 	"fmt"
--- a/internal/kit/client/audit.go
+++ b/internal/kit/client/audit.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/dataplane/traffic"
 	"damsontiller/internal/transport/loop"
 )
 
@@ -86,7 +86,7 @@
 }
 
 // hear asks one edge until it gives more than 'later'.
-func (c *Crowd) hear(ctx context.Context, a *Ask, body []byte) day.Answer {
+func (c *Crowd) hear(ctx context.Context, a *Ask, body []byte) traffic.Answer {
 	a.Wait = 10 * time.Second
 	for range 8 {
 		ans := c.Once(ctx, a, a.Path, body, time.Now().Add(time.Minute), nil)
@@ -99,7 +99,7 @@
 			return ans
 		}
 	}
-	return day.Answer{}
+	return traffic.Answer{}
 }
 
 // follow asks a turn's next one on an edge.
--- a/internal/kit/client/client.go
+++ b/internal/kit/client/client.go
@@ -13,13 +13,13 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/dataplane/traffic"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/transport/loop"
 )
 
 // Ask is a line of the callers' ledger.
-type Ask = day.Ask
+type Ask = traffic.Ask
 
 // Kind shapes the sessions of one kind.
 type Kind struct {
@@ -60,14 +60,14 @@
 	// just ask for a modest share.
 	Most int64
 
-	*day.Client
+	*traffic.Client
 	run  string
 	runs atomic.Int64
 }
 
 // New makes a crowd.
 func New(kinds []Kind, seed uint64, edges func(string) []string, web http.RoundTripper) *Crowd {
-	return &Crowd{Kinds: kinds, Seed: seed, Edges: edges, Most: 100, run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: day.NewClient(web)}
+	return &Crowd{Kinds: kinds, Seed: seed, Edges: edges, Most: 100, run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: traffic.NewClient(web)}
 }
 
 // Run starts sessions for d, at scale times the usual rate, and returns once
@@ -137,8 +137,8 @@
 }
 
 // checking holds past and the words for the look at an answer.
-func checking(past []Said, words string) day.Check {
-	return func(a *Ask, ans day.Answer) {
+func checking(past []Said, words string) traffic.Check {
+	return func(a *Ask, ans traffic.Answer) {
 		Verify(a, ans, past)
 		a.Hist = digest(append(past[:len(past):len(past)], Said{words, ans.Text}))
 	}
@@ -158,7 +158,7 @@
 
 // Verify looks whether a success is this job's whole answer, and whether the
 // runner was given the whole history.
-func Verify(a *Ask, ans day.Answer, past []Said) {
+func Verify(a *Ask, ans traffic.Answer, past []Said) {
 	head, rest, _ := strings.Cut(ans.Text, ";")
 	hist, tail, _ := strings.Cut(rest, ";")
 	if head != "work:"+a.Work || tail != "end" {
@@ -171,12 +171,12 @@
 }
 
 // Filler makes the words of a replayed row: the mark of its work, then filler.
-func Filler(r day.Row, work string) string {
+func Filler(r traffic.Row, work string) string {
 	return "work:" + work + ";" + strings.Repeat("w", max(r.Words-len(work)-6, 0))
 }
 
 // Look looks at a replayed answer as Verify does.
-func Look(a *Ask, ans day.Answer, past []day.Line) {
+func Look(a *Ask, ans traffic.Answer, past []traffic.Line) {
 	var said []Said
 	for _, l := range past {
 		said = append(said, Said(l))
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -115,10 +115,10 @@
 var zones = []string{"a", "b", "c"}
 
 func (f *Fleet) add(id, role string, z, host int) *Machine {
-	m := &Machine{ID: id, Role: role, Zone: zones[z], IP: fmt.Sprintf("%s%d.%d", f.net, z+1, host), bin: filepath.Join(f.P.Bin, "dtpass")}
+	m := &Machine{ID: id, Role: role, Zone: zones[z], IP: fmt.Sprintf("%s%d.%d", f.net, z+1, host), bin: filepath.Join(f.P.Bin, "damsontiller-data")}
 	m.Dir = filepath.Join(f.P.Dir, id)
 	if role == "core" {
-		m.bin = filepath.Join(f.P.Bin, "dtcore")
+		m.bin = filepath.Join(f.P.Bin, "damsontiller-control")
 	}
 	f.Machines = append(f.Machines, m)
 	return m
--- a/internal/kit/harness/harness.go
+++ b/internal/kit/harness/harness.go
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"damsontiller/internal/dataplane/day"
+	"damsontiller/internal/dataplane/traffic"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/client"
 	"damsontiller/internal/kit/fleet"
-	"damsontiller/internal/kit/judge"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/transport/loop"
 )
@@ -25,7 +25,7 @@
 	Fleet   fleet.Params
 	Seconds int
 	Scale   float64 // of the deployment's usual rate
-	Day     *day.Day
+	Day     *traffic.Day
 	Record  io.Writer // where a day file of the run goes, if anywhere
 	Out     io.Writer
 }
@@ -38,9 +38,9 @@
 	asks  func() []client.Ask
 
 	mu      sync.Mutex
-	events  []judge.Event
-	samples []judge.Sample
-	audit   judge.Verdict
+	events  []checker.Event
+	samples []checker.Sample
+	audit   checker.Verdict
 	rounds  uint64
 	sent    uint64
 }
@@ -49,7 +49,7 @@
 type Result struct {
 	Scenario string
 	Seed     uint64
-	Verdict  judge.Verdict
+	Verdict  checker.Verdict
 	Asks     int
 	Codes    map[string]int
 	Words    map[string]string // an example of what was said with each code
@@ -81,9 +81,9 @@
 func (r *Rig) say(f string, a ...any) { fmt.Fprintf(r.P.Out, f+"\n", a...) }
 
 // Note writes an event down.
-func (r *Rig) Note(k judge.EventKind, id string, ver uint64) {
+func (r *Rig) Note(k checker.EventKind, id string, ver uint64) {
 	r.mu.Lock()
-	r.events = append(r.events, judge.Event{At: time.Now(), Kind: k, ID: id, Ver: ver})
+	r.events = append(r.events, checker.Event{At: time.Now(), Kind: k, ID: id, Ver: ver})
 	r.mu.Unlock()
 	r.say("  %s %s", k, id)
 }
@@ -126,7 +126,7 @@
 	for _, n := range r.F.Runners {
 		n.Forget()
 	}
-	r.audit = judge.Audited(r.Crowd.Audit(ctx, r.edges("a"), 60))
+	r.audit = checker.Audited(r.Crowd.Audit(ctx, r.edges("a"), 60))
 	if err := <-recorded; err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
@@ -145,7 +145,7 @@
 		r.Crowd.Run(ctx, d, r.P.Scale)
 		return
 	}
-	p := &day.Player{Day: r.P.Day, Speed: r.P.Scale, Run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: day.NewClient(nil), Edges: r.edges,
+	p := &traffic.Player{Day: r.P.Day, Speed: r.P.Scale, Run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: traffic.NewClient(nil), Edges: r.edges,
 		Words: client.Filler, Look: client.Look}
 	r.mu.Lock()
 	r.asks = p.Client.Ledger
@@ -162,7 +162,7 @@
 	for _, m := range r.F.Of("core") {
 		cores = append(cores, m.HTTP())
 	}
-	rows, lost, err := day.Record(ctx, r.F.Web, cores, day.Head{Name: r.F.Spec.Name}, r.P.Record)
+	rows, lost, err := traffic.Record(ctx, r.F.Web, cores, traffic.Head{Name: r.F.Spec.Name}, r.P.Record)
 	r.say("  recorded %d rows, %d lost", rows, lost)
 	return err
 }
@@ -188,7 +188,7 @@
 			at := time.Now()
 			if s, err := r.F.Status(m); err == nil && s.Ready && ctx.Err() == nil {
 				r.mu.Lock()
-				r.samples = append(r.samples, judge.Sample{At: at, ID: m.ID, Ver: s.Spec})
+				r.samples = append(r.samples, checker.Sample{At: at, ID: m.ID, Ver: s.Spec})
 				r.mu.Unlock()
 			}
 		})
@@ -209,16 +209,16 @@
 	var a ack
 	st, err := r.F.Operate(method, path, body, &a)
 	if err == nil && st == http.StatusOK {
-		r.Note(judge.Acked, path, a.Version)
+		r.Note(checker.Acked, path, a.Version)
 	}
 	return st, a, err
 }
 
 // Zone empties or refills a zone.
 func (r *Rig) Zone(zone string, empty bool) error {
-	path, kind := "/v1/zones/"+zone+"/refill", judge.Refill
+	path, kind := "/v1/zones/"+zone+"/refill", checker.Refill
 	if empty {
-		path, kind = "/v1/zones/"+zone+"/empty", judge.Empty
+		path, kind = "/v1/zones/"+zone+"/empty", checker.Empty
 	} else {
 		// From here on work may come, whenever the change is in force.
 		r.Note(kind, zone, 0)
@@ -238,7 +238,7 @@
 
 // Kill ends a machine's process as a crash would.
 func (r *Rig) Kill(id string) error {
-	r.Note(judge.Hard, "kill "+id, 0)
+	r.Note(checker.Hard, "kill "+id, 0)
 	if !r.F.Get(id).Kill() {
 		return fmt.Errorf("%s did not run", id)
 	}
@@ -254,17 +254,17 @@
 // Quit stops a machine in an orderly way.
 func (r *Rig) Quit(id string) error {
 	m := r.F.Get(id)
-	r.Note(judge.Stopping, m.HTTP(), 0)
+	r.Note(checker.Stopping, m.HTTP(), 0)
 	if !m.Quit() {
 		return fmt.Errorf("%s did not run", id)
 	}
-	r.Note(judge.Stopped, m.HTTP(), 0)
+	r.Note(checker.Stopped, m.HTTP(), 0)
 	return nil
 }
 
 // Freeze stops a machine's process where it stands; Thaw lets it go on.
 func (r *Rig) Freeze(id string) error {
-	r.Note(judge.Hard, "freeze "+id, 0)
+	r.Note(checker.Hard, "freeze "+id, 0)
 	if !r.F.Get(id).Signal(syscall.SIGSTOP) {
 		return fmt.Errorf("%s does not run", id)
 	}
@@ -284,7 +284,7 @@
 func (r *Rig) Drain(name string) *runner.Runner {
 	n := r.Runner(name)
 	n.Drain()
-	r.Note(judge.Drained, name, 0)
+	r.Note(checker.Drained, name, 0)
 	return n
 }
 
@@ -292,7 +292,7 @@
 func (r *Rig) Return(name string) error {
 	n := r.Runner(name)
 	n.Stop()
-	r.Note(judge.Back, name, 0)
+	r.Note(checker.Back, name, 0)
 	return n.Start()
 }
 
@@ -320,17 +320,17 @@
 	if st != http.StatusOK {
 		return fmt.Errorf("status %d", st)
 	}
-	r.Note(judge.FinalRead, "", s.Version)
+	r.Note(checker.FinalRead, "", s.Version)
 	return nil
 }
 
 func (r *Rig) result(name string) *Result {
-	c := judge.Case{Spec: &r.F.Spec, Asks: r.asks(), Runs: judge.Runs(r.F.Runners), Most: r.Crowd.Most, Audit: r.audit}
+	c := checker.Case{Spec: &r.F.Spec, Asks: r.asks(), Runs: checker.Runs(r.F.Runners), Most: r.Crowd.Most, Audit: r.audit}
 	r.mu.Lock()
 	c.Events = append(c.Events, r.events...)
 	c.Samples = append(c.Samples, r.samples...)
 	r.mu.Unlock()
-	res := &Result{Scenario: name, Seed: r.P.Fleet.Seed, Verdict: judge.Judge(c), Asks: len(c.Asks), Runs: len(c.Runs), Codes: map[string]int{}, Words: map[string]string{}, Rounds: r.rounds, Sent: r.sent}
+	res := &Result{Scenario: name, Seed: r.P.Fleet.Seed, Verdict: checker.Judge(c), Asks: len(c.Asks), Runs: len(c.Runs), Codes: map[string]int{}, Words: map[string]string{}, Rounds: r.rounds, Sent: r.sent}
 	for _, a := range c.Asks {
 		switch {
 		case a.Lost:
@@ -356,7 +356,7 @@
 		}
 	}
 	for _, e := range c.Events {
-		if e.Kind == judge.Hard {
+		if e.Kind == checker.Hard {
 			if d, ok := c.BackAfter(e.At); ok {
 				res.Back = append(res.Back, Back{e.ID, d})
 			} else {
--- a/internal/kit/harness/scenarios.go
+++ b/internal/kit/harness/scenarios.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/fleet"
-	"damsontiller/internal/kit/judge"
 	"damsontiller/internal/kit/runner"
 )
 
@@ -226,7 +226,7 @@
 			rest = append(rest, m)
 		}
 	}
-	r.Note(judge.Hard, fmt.Sprintf("cut %v", ids), 0)
+	r.Note(checker.Hard, fmt.Sprintf("cut %v", ids), 0)
 	if err := r.F.Cut(of, rest); err != nil {
 		return err
 	}
@@ -384,7 +384,7 @@
 			gone = append(gone, m)
 		}
 	}
-	r.Note(judge.Hard, "zone a lost", 0)
+	r.Note(checker.Hard, "zone a lost", 0)
 	for _, m := range gone {
 		if !m.Kill() {
 			return fmt.Errorf("%s did not run", m.ID)
@@ -425,7 +425,7 @@
 		}
 	}
 	// The time of the failure is when all that is needed runs again.
-	r.Note(judge.Hard, judge.Everything+" down, started again", 0)
+	r.Note(checker.Hard, checker.Everything+" down, started again", 0)
 	if err := r.healthy(ctx, 30*time.Second); err != nil {
 		return err
 	}
--- a/internal/kit/backend/backend.go
+++ b/internal/kit/proxytest/backend.go
@@ -1,8 +1,8 @@
-// Package backend is a stand-in for runners of raw jobs: plain HTTP/1.1, whole
-// answers or events, and numbered faults. It keeps a ledger of what came and what
-// ran, for tests to judge by. It knows no platform: the headers that it reads and
-// writes are told.
-package backend
+// Package proxytest tests the path of proxied requests against a stand-in HTTP/1.1
+// runner, with complete or streamed responses and numbered faults. The runner keeps a
+// log of what it received and executed, for tests to check. It knows no platform: the
+// headers that it reads and writes are given to it.
+package proxytest
 
 import (
 	"bufio"
--- a/internal/kit/backend/callers_test.go
+++ b/internal/kit/proxytest/callers_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/kit/proxytest"
 )
 
 // lossy loses a runner's connections at random bytes of what it writes.
@@ -47,10 +47,10 @@
 		return c.Conn.Write(b)
 	}
 	n, _ := c.Conn.Write(b[:c.rnd.intN(len(b)+1)])
-	switch backend.Loss(c.rnd.intN(backend.Losses)) {
-	case backend.Reset:
+	switch proxytest.Loss(c.rnd.intN(proxytest.Losses)) {
+	case proxytest.Reset:
 		_ = c.Conn.(interface{ Reset() error }).Reset()
-	case backend.Silent:
+	case proxytest.Silent:
 		_, _ = io.Copy(io.Discard, c.Conn)
 	}
 	_ = c.Conn.Close()
@@ -156,9 +156,9 @@
 
 func manyCallers(t *testing.T, seed uint64) {
 	rnd := &lockedRand{r: rand.New(rand.NewPCG(seed, 7))}
-	pool := raw.DefaultPool
+	pool := proxy.DefaultPool
 	pool.Idle = 2
-	r := newRigOf(t, pool, farm(3, func(p *backend.Params) {
+	r := newRigOf(t, pool, farm(3, func(p *proxytest.Params) {
 		p.Bytes, p.Events, p.Before, p.Work, p.Pace, p.Chunks = 300, 5, 2, 3*time.Millisecond, time.Millisecond, seed%2 == 1
 		p.Wrap = func(c net.Conn) net.Conn { return lossy{c, rnd, 0.01} }
 	}))
@@ -197,14 +197,14 @@
 }
 
 // randomFaults are faults for the next jobs of a runner, most of them none.
-func randomFaults(rnd *lockedRand, n int) []backend.Fault {
-	var fs []backend.Fault
+func randomFaults(rnd *lockedRand, n int) []proxytest.Fault {
+	var fs []proxytest.Fault
 	for range n {
-		f := backend.None
+		f := proxytest.None
 		if rnd.below(0.1) {
 			// A refused dial would hold up the plan, a rate limit all callers.
-			if f = backend.Fault(rnd.intN(backend.Faults)); f == backend.RateLimit {
-				f = backend.LoseWord
+			if f = proxytest.Fault(rnd.intN(proxytest.Faults)); f == proxytest.RateLimit {
+				f = proxytest.LoseWord
 			}
 		}
 		fs = append(fs, f)
@@ -260,12 +260,12 @@
 // TestKeptEveryByte: a kept turn whose runner's connection is lost at any byte of its
 // answer runs once, and can be followed only where its caller got it whole.
 func TestKeptEveryByte(t *testing.T) {
-	cutter := &backend.Cutter{}
-	inBubble(t, func(p *backend.Params) { p.Events, p.Wrap = 2, cutter.Wrap }, func(t *testing.T, f *fleet) {
+	cutter := &proxytest.Cutter{}
+	inBubble(t, func(p *proxytest.Params) { p.Events, p.Wrap = 2, cutter.Wrap }, func(t *testing.T, f *fleet) {
 		r := f.at("e1")
 		_, size := sizes(t, r, cutter, kept)
 		for at := 0; at <= size+1; at += 3 {
-			loss := backend.Loss(at % backend.Losses)
+			loss := proxytest.Loss(at % proxytest.Losses)
 			time.Sleep(5 * time.Second)
 			cutter.Arm(true, at, loss)
 			x := r.askCut(kept)
--- a/internal/kit/backend/fleet_test.go
+++ b/internal/kit/proxytest/fleet_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/kit/proxytest"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/loop"
@@ -26,24 +26,24 @@
 	t    *testing.T
 	ctx  context.Context
 	s    *sim.Sim
-	bs   []*backend.Backend
+	bs   []*proxytest.Backend
 	rigs map[string]*rig
 	bgs  []job.Bg
-	turn raw.TurnParams
+	turn proxy.TurnParams
 }
 
-func newFleet(t *testing.T, shape func(*backend.Params)) *fleet {
+func newFleet(t *testing.T, shape func(*proxytest.Params)) *fleet {
 	return newFleetOf(t, shape, sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3})
 }
 
-func newFleetOf(t *testing.T, shape func(*backend.Params), p sim.Params) *fleet {
+func newFleetOf(t *testing.T, shape func(*proxytest.Params), p sim.Params) *fleet {
 	ctx, stop := context.WithCancel(t.Context())
 	s, err := sim.New(p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, ctx: ctx, s: s, rigs: map[string]*rig{}, turn: raw.DefaultTurns}
-	f.bs = farm(4, func(p *backend.Params) {
+	f := &fleet{t: t, ctx: ctx, s: s, rigs: map[string]*rig{}, turn: proxy.DefaultTurns}
+	f.bs = farm(4, func(p *proxytest.Params) {
 		p.Word = func(try string, n int) string { return fmt.Sprintf("%s says %d", try, n) }
 		if shape != nil {
 			shape(p)
@@ -75,10 +75,10 @@
 		return r
 	}
 	e := f.s.Edge(id)
-	t := &tier.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
+	t := &storeclient.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
 	bg := job.NewBg(f.ctx)
 	f.bgs = append(f.bgs, bg)
-	r := newRig(f.t, f.bs, raw.NewTurns(f.turn, t), raw.NewBudgets(raw.DefaultBudgets, t, bg))
+	r := newRig(f.t, f.bs, proxy.NewTurns(f.turn, t), proxy.NewBudgets(proxy.DefaultBudgets, t, bg))
 	f.rigs[id] = r
 	return r
 }
@@ -104,12 +104,12 @@
 }
 
 // inBubble runs a test on a fleet of its own. Cleanups run inside the bubble.
-func inBubble(t *testing.T, shape func(*backend.Params), do func(t *testing.T, f *fleet)) {
+func inBubble(t *testing.T, shape func(*proxytest.Params), do func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { do(t, newFleet(t, shape)) })
 }
 
-func out(p *backend.Params, try string) string {
+func out(p *proxytest.Params, try string) string {
 	var s strings.Builder
 	for i := 1; i <= p.Events; i++ {
 		s.WriteString(p.Word(try, i) + "\n")
@@ -129,8 +129,8 @@
 // TestKeptFaults: each fault at a kept turn: it runs once at most, what is promised
 // is true, and only a whole answer can be followed.
 func TestKeptFaults(t *testing.T) {
-	plan := &backend.Plan{}
-	inBubble(t, func(p *backend.Params) { p.Plan = plan }, func(t *testing.T, f *fleet) {
+	plan := &proxytest.Plan{}
+	inBubble(t, func(p *proxytest.Params) { p.Plan = plan }, func(t *testing.T, f *fleet) {
 		r := f.at("e1")
 		for _, w := range want {
 			plan.Set(w.f)
@@ -224,7 +224,7 @@
 		ask("back", 200, "first")
 		// A turn that is there, and one before it that nobody has: that is no certainty.
 		e := f.s.Edge("e1")
-		tr := &tier.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
+		tr := &storeclient.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
 		if err := tr.PutBlob(f.ctx, "turn/torn", wire.Encode(&wire.Turn{Before: []string{"ghost"}}), time.Hour); err != nil {
 			t.Fatal(err)
 		}
@@ -237,7 +237,7 @@
 func TestNotKept(t *testing.T) {
 	var f *fleet
 	cut := func(string, int) {}
-	inBubble(t, func(p *backend.Params) {
+	inBubble(t, func(p *proxytest.Params) {
 		p.Passed = func(try string, n int) { cut(try, n) }
 	}, func(t *testing.T, fl *fleet) {
 		f = fl
@@ -307,7 +307,7 @@
 // could not.
 func TestRenewedLater(t *testing.T) {
 	cut := func(int) {}
-	inBubble(t, func(p *backend.Params) { p.Passed = func(_ string, n int) { cut(n) } }, func(t *testing.T, f *fleet) {
+	inBubble(t, func(p *proxytest.Params) { p.Passed = func(_ string, n int) { cut(n) } }, func(t *testing.T, f *fleet) {
 		f.turn.Slack = 10 * time.Second
 		r := f.at("e1")
 		if x := r.ask(kept+"c", "i", try("a")); x.status != 200 || x.cut {
@@ -343,12 +343,12 @@
 // one turn, a 402 has not run, and the budget can be used up.
 func TestBudget(t *testing.T) {
 	for seed := range 3 {
-		inBubble(t, func(p *backend.Params) { p.Pace = 20 * time.Millisecond }, func(t *testing.T, f *fleet) {
+		inBubble(t, func(p *proxytest.Params) { p.Pace = 20 * time.Millisecond }, func(t *testing.T, f *fleet) {
 			const budget, most = 800, 64
 			var mu sync.Mutex
 			sum, over, good := int64(0), 0, 0
 			var wg sync.WaitGroup
-			turn := func(r *rig, n int, fault backend.Fault) {
+			turn := func(r *rig, n int, fault proxytest.Fault) {
 				defer wg.Done()
 				if fault != 0 {
 					f.bs[n%len(f.bs)].Next(fault)
@@ -368,7 +368,7 @@
 				}
 			}
 			n := 0
-			wave := func(faults ...backend.Fault) {
+			wave := func(faults ...proxytest.Fault) {
 				for i, e := range []string{"e1", "e2", "e3", "e1", "e2", "e3"} {
 					n++
 					wg.Add(1)
@@ -376,12 +376,12 @@
 				}
 				wg.Wait()
 			}
-			wave(backend.CutStream, backend.LoseWord)
+			wave(proxytest.CutStream, proxytest.LoseWord)
 			f.s.Kill(fmt.Sprintf("s%d", seed+1))
 			wave()
 			f.up(fmt.Sprintf("s%d", seed+1))
 			// An edge ends before it has written its settlements.
-			wave(backend.Drop)
+			wave(proxytest.Drop)
 			f.restart(fmt.Sprintf("e%d", seed+1))
 			for range 8 {
 				wave()
@@ -501,7 +501,7 @@
 func TestKeptThroughRestart(t *testing.T) {
 	var f *fleet
 	fault := func(string, int) {}
-	inBubble(t, func(p *backend.Params) {
+	inBubble(t, func(p *proxytest.Params) {
 		p.Passed = func(try string, n int) { fault(try, n) }
 	}, func(t *testing.T, fl *fleet) {
 		f = fl
--- a/internal/kit/backend/harness_test.go
+++ b/internal/kit/proxytest/harness_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import (
 	"bufio"
@@ -17,14 +17,14 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/dataplane/roll"
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/kit/proxytest"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
@@ -35,12 +35,12 @@
 
 func TestMain(m *testing.M) { fixed.Main(m, 300) }
 
-var names = backend.Names{Try: "X-Test-Try", Seal: "X-Test-Seal", NotRun: "X-Test-Not-Run", Target: "X-Test-Target"}
+var names = proxytest.Names{Try: "X-Test-Try", Seal: "X-Test-Seal", NotRun: "X-Test-Not-Run", Target: "X-Test-Target"}
 
 // dialect is the tests' own.
 type dialect struct{}
 
-func (dialect) Read(r *http.Request, j *raw.Job) error {
+func (dialect) Read(r *http.Request, j *proxy.Job) error {
 	h := r.Header
 	if j.Try = h.Get(names.Try); j.Try == "" {
 		return code.New(code.NoHeader, "no try")
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (dialect) Send(h http.Header, j *raw.Job, to *roll.Runner, left time.Duration, _ int) {
+func (dialect) Send(h http.Header, j *proxy.Job, to *endpoints.Runner, left time.Duration, _ int) {
 	h.Set(names.Try, j.Try)
 	h.Set(names.Target, to.ID)
 	h.Set("X-Test-Wait", strconv.FormatInt(left.Milliseconds(), 10))
@@ -61,8 +61,8 @@
 
 func (dialect) Resume(h http.Header, after string) { h.Set("Last-Event-Id", after) }
 
-func (dialect) Heard(r *http.Response) raw.Word {
-	return raw.Word{Try: r.Header.Get(names.Try), Sealed: r.Header.Get(names.Seal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest,
+func (dialect) Heard(r *http.Response) proxy.Word {
+	return proxy.Word{Try: r.Header.Get(names.Try), Sealed: r.Header.Get(names.Seal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest,
 		NotRun: r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != ""}
 }
 
@@ -107,29 +107,29 @@
 // rig is one door before some stand-ins.
 type rig struct {
 	t        testing.TB
-	door     *raw.Door
-	roll     *roll.Roll
-	pool     *raw.Pool
-	load     *raw.Load
+	door     *proxy.Door
+	roll     *endpoints.Roll
+	pool     *proxy.Pool
+	load     *proxy.Load
 	table    spec.Table
 	view     *cluster.View
-	backends []*backend.Backend
-	front    *backend.Listener
+	backends []*proxytest.Backend
+	front    *proxytest.Listener
 	http     *http.Server
 	n        atomic.Int64
 	dial     func() // called at each dial
 }
 
 // farm makes stand-ins.
-func farm(n int, shape func(*backend.Params)) []*backend.Backend {
-	var out []*backend.Backend
+func farm(n int, shape func(*proxytest.Params)) []*proxytest.Backend {
+	var out []*proxytest.Backend
 	for i := range n {
-		p := backend.Params{Names: names, ID: fmt.Sprintf("i-%d", i), Addr: fmt.Sprintf("10.1.0.%d:80", i), Bytes: 800, Events: 8, Before: 3,
+		p := proxytest.Params{Names: names, ID: fmt.Sprintf("i-%d", i), Addr: fmt.Sprintf("10.1.0.%d:80", i), Bytes: 800, Events: 8, Before: 3,
 			Streams: func(r *http.Request) bool { return streams(r.RequestURI) }}
 		if shape != nil {
 			shape(&p)
 		}
-		out = append(out, backend.New(p))
+		out = append(out, proxytest.New(p))
 	}
 	return out
 }
@@ -137,32 +137,32 @@
 // alone is a node that knows nobody.
 func alone(id string) *node.Node {
 	return node.New(node.Params{Self: &wire.Member{Id: id, Role: "edge", Zone: "a", Live: true}, Net: memnet.New(1).Host(id), Transport: transport.DefaultParams,
-		Lic: lease.DefaultParams, News: news.DefaultParams, Log: hclog.NewNullLogger()})
+		Lic: lease.DefaultParams, News: broadcast.DefaultParams, Log: hclog.NewNullLogger()})
 }
 
-func newRig(t testing.TB, bs []*backend.Backend, way ...raw.Policy) *rig {
-	return newRigOf(t, raw.DefaultPool, bs, way...)
+func newRig(t testing.TB, bs []*proxytest.Backend, way ...proxy.Policy) *rig {
+	return newRigOf(t, proxy.DefaultPool, bs, way...)
 }
 
 // newRigOf is newRig with a pool of its own size.
-func newRigOf(t testing.TB, pool raw.PoolParams, bs []*backend.Backend, way ...raw.Policy) *rig {
+func newRigOf(t testing.TB, pool proxy.PoolParams, bs []*proxytest.Backend, way ...proxy.Policy) *rig {
 	n := alone("e1")
-	r := &rig{t: t, roll: roll.New(), load: raw.NewLoad(), backends: bs, table: table(), front: backend.NewListener("10.0.0.1:80")}
+	r := &rig{t: t, roll: endpoints.New(), load: proxy.NewLoad(), backends: bs, table: table(), front: proxytest.NewListener("10.0.0.1:80")}
 	r.view = &cluster.View{Ver: 1, Cluster: spec.Cluster{Table: r.table}}
-	at := map[string]*backend.Backend{}
-	var all []roll.Runner
+	at := map[string]*proxytest.Backend{}
+	var all []endpoints.Runner
 	for _, b := range bs {
 		at[b.P.Addr] = b
-		all = append(all, roll.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Room: 8})
+		all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Room: 8})
 	}
-	r.roll.Take(roll.NewList(time.Now(), all))
-	r.pool = raw.NewPool(pool, func(ctx context.Context, addr string) (net.Conn, error) {
+	r.roll.Take(endpoints.NewList(time.Now(), all))
+	r.pool = proxy.NewPool(pool, func(ctx context.Context, addr string) (net.Conn, error) {
 		if r.dial != nil {
 			r.dial()
 		}
 		return at[addr].Dial(ctx)
 	})
-	r.door = raw.New(raw.DefaultParams, raw.Parts{Self: n.P.Self, View: func() *cluster.View { return r.view }, Members: func() []*wire.Member { return []*wire.Member{n.P.Self} },
+	r.door = proxy.New(proxy.DefaultParams, proxy.Parts{Self: n.P.Self, View: func() *cluster.View { return r.view }, Members: func() []*wire.Member { return []*wire.Member{n.P.Self} },
 		Ready: func() error { return nil }, Roll: r.roll, Load: r.load, Pool: r.pool, Cool: cooldown.New(cooldown.Params{Alone: true}, n, nil), Dialect: dialect{},
 		Log: hclog.NewNullLogger(), Way: way})
 	r.http = &http.Server{Handler: r.door, ErrorLog: log.New(io.Discard, "", 0)}
@@ -171,7 +171,7 @@
 }
 
 // setRoll puts another list in force.
-func (r *rig) setRoll(all []roll.Runner) { r.roll.Take(roll.NewList(time.Now(), all)) }
+func (r *rig) setRoll(all []endpoints.Runner) { r.roll.Take(endpoints.NewList(time.Now(), all)) }
 
 // stop ends the door, then its stand-ins if they are its own.
 func (r *rig) stop() {
@@ -247,8 +247,8 @@
 }
 
 // runs of a try, at all stand-ins.
-func (r *rig) runs(try string) []backend.Run {
-	var out []backend.Run
+func (r *rig) runs(try string) []proxytest.Run {
+	var out []proxytest.Run
 	for _, b := range r.backends {
 		for _, x := range b.Runs() {
 			if x.Try == try {
@@ -307,7 +307,7 @@
 		}
 		return nil
 	}
-	var by *backend.Run
+	var by *proxytest.Run
 	for i := range runs {
 		if runs[i].Seal == x.head.Get(names.Seal) {
 			by = &runs[i]
@@ -316,7 +316,7 @@
 	if by == nil || x.head.Get(names.Try) != x.try {
 		return fmt.Errorf("a success with the seal %q of %q, runs are %v", x.head.Get(names.Seal), x.head.Get(names.Try), runs)
 	}
-	want := backend.Whole(by.Runner, x.try, r.backends[0].P.Bytes)
+	want := proxytest.Whole(by.Runner, x.try, r.backends[0].P.Bytes)
 	if streams(kind) {
 		want = r.backends[0].P.Text(x.try, 0)
 	}
--- a/internal/kit/backend/door_test.go
+++ b/internal/kit/proxytest/ingress_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import (
 	"fmt"
@@ -9,33 +9,33 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/kit/proxytest"
 )
 
 // want is what the caller of a job hears whose first runner has a fault, the
 // others none; 0 is an answer that breaks off.
 var want = []struct {
-	f                                   backend.Fault
+	f                                   proxytest.Fault
 	repeatable, once, stream, resumable int
 	runs                                int // of the repeatable one
 }{
-	{backend.None, 200, 200, 200, 200, 1},
-	{backend.Drop, 200, 200, 200, 200, 1},
-	{backend.LoseWord, 200, 502, 502, 200, 2},
-	{backend.Cut, 200, 502, 0, 200, 2},
-	{backend.NoAnswer, 200, 502, 502, 200, 2},
-	{backend.Surplus, 200, 200, 200, 200, 1},
-	{backend.LateWord, 200, 200, 200, 200, 1},
-	{backend.NoSeal, 200, 502, 502, 200, 2},
-	{backend.Other, 200, 200, 200, 200, 1},
-	{backend.RateLimit, 200, 200, 200, 200, 1},
-	{backend.CutStream, 200, 502, 0, 200, 2},
-	{backend.ShutIdle, 200, 200, 200, 200, 1},
-	{backend.Slow, 504, 504, 504, 504, 1},
-	{backend.Own500, 500, 500, 500, 500, 1},
-	{backend.Bare503, 200, 502, 502, 200, 2},
-	{backend.NoDial, 200, 200, 200, 200, 1},
+	{proxytest.None, 200, 200, 200, 200, 1},
+	{proxytest.Drop, 200, 200, 200, 200, 1},
+	{proxytest.LoseWord, 200, 502, 502, 200, 2},
+	{proxytest.Cut, 200, 502, 0, 200, 2},
+	{proxytest.NoAnswer, 200, 502, 502, 200, 2},
+	{proxytest.Surplus, 200, 200, 200, 200, 1},
+	{proxytest.LateWord, 200, 200, 200, 200, 1},
+	{proxytest.NoSeal, 200, 502, 502, 200, 2},
+	{proxytest.Other, 200, 200, 200, 200, 1},
+	{proxytest.RateLimit, 200, 200, 200, 200, 1},
+	{proxytest.CutStream, 200, 502, 0, 200, 2},
+	{proxytest.ShutIdle, 200, 200, 200, 200, 1},
+	{proxytest.Slow, 504, 504, 504, 504, 1},
+	{proxytest.Own500, 500, 500, 500, 500, 1},
+	{proxytest.Bare503, 200, 502, 502, 200, 2},
+	{proxytest.NoDial, 200, 200, 200, 200, 1},
 }
 
 // TestFaults brings each fault about for each kind of job, at the runner that the
@@ -53,9 +53,9 @@
 	}
 }
 
-func oneFault(t *testing.T, f backend.Fault, kind string, status, runs int, used bool) {
-	plan := &backend.Plan{}
-	r := newRig(t, farm(3, func(p *backend.Params) { p.Plan = plan }))
+func oneFault(t *testing.T, f proxytest.Fault, kind string, status, runs int, used bool) {
+	plan := &proxytest.Plan{}
+	r := newRig(t, farm(3, func(p *proxytest.Params) { p.Plan = plan }))
 	defer r.stop()
 	if used {
 		for range 6 {
@@ -79,16 +79,16 @@
 	if n := len(r.runs(x.try)); kind == repeatable && n != runs {
 		t.Errorf("ran %d times, want %d", n, runs)
 	}
-	if f != backend.Slow && x.took > 100*time.Millisecond {
+	if f != proxytest.Slow && x.took > 100*time.Millisecond {
 		t.Errorf("took %s", x.took)
 	}
-	if f == backend.Slow && x.took > 2*time.Second {
+	if f == proxytest.Slow && x.took > 2*time.Second {
 		t.Errorf("held for %s", x.took)
 	}
 	plan.Set()
-	if made := r.made(); !used && f != backend.NoDial {
+	if made := r.made(); !used && f != proxytest.NoDial {
 		// One connection a runner that was sent to; those without a clean end are gone.
-		clean := f == backend.None || f == backend.Drop || f == backend.Other || f == backend.RateLimit || f == backend.Own500
+		clean := f == proxytest.None || f == proxytest.Drop || f == proxytest.Other || f == proxytest.RateLimit || f == proxytest.Own500
 		first := r.came(x.try)
 		if !clean && x.status != 200 {
 			first = 1
@@ -97,7 +97,7 @@
 			t.Errorf("%d connections for %d sends", made, first)
 		}
 		time.Sleep(time.Millisecond)
-		if open, want := r.open(), first; clean && open != want || !clean && open >= want && f != backend.NoSeal {
+		if open, want := r.open(), first; clean && open != want || !clean && open >= want && f != proxytest.NoSeal {
 			t.Errorf("%d of %d connections are still open", open, want)
 		}
 	}
@@ -112,13 +112,13 @@
 
 // TestAllFaulty: every runner has the fault, and none of what is promised breaks.
 func TestAllFaulty(t *testing.T) {
-	for f := range backend.Faults + 1 {
+	for f := range proxytest.Faults + 1 {
 		for _, kind := range []string{repeatable, once, stream, resumable} {
 			t.Run(fmt.Sprintf("%d%s", f, kind), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := backend.Fault(f)
+					f := proxytest.Fault(f)
 					n := 5
-					if f == backend.RateLimit {
+					if f == proxytest.RateLimit {
 						// With no other left it is told when the first is clear again.
 						n = tries
 					}
@@ -132,11 +132,11 @@
 						t.Error(err)
 					}
 					switch f {
-					case backend.Drop, backend.Other, backend.NoDial:
+					case proxytest.Drop, proxytest.Other, proxytest.NoDial:
 						if x.status != 503 || x.head.Get("Retry-After") == "" {
 							t.Errorf("status %d, Retry-After %q", x.status, x.head.Get("Retry-After"))
 						}
-					case backend.RateLimit:
+					case proxytest.RateLimit:
 						if x.status != 429 || x.head.Get("Retry-After") < "1.9" {
 							t.Errorf("status %d, Retry-After %q", x.status, x.head.Get("Retry-After"))
 						}
@@ -154,17 +154,17 @@
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(rt, "runners")
-		plan := map[int][]backend.Fault{}
+		plan := map[int][]proxytest.Fault{}
 		for i := range n {
-			for _, f := range rapid.SliceOfN(rapid.IntRange(0, backend.Faults), 0, 12).Draw(rt, "faults") {
-				plan[i] = append(plan[i], backend.Fault(f))
+			for _, f := range rapid.SliceOfN(rapid.IntRange(0, proxytest.Faults), 0, 12).Draw(rt, "faults") {
+				plan[i] = append(plan[i], proxytest.Fault(f))
 			}
 		}
 		jobs := rapid.SliceOfN(rapid.SampledFrom([]string{repeatable, once, stream, resumable}), 1, 10).Draw(rt, "jobs")
 		chunks := rapid.Bool().Draw(rt, "chunks")
 		var bad error
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t, farm(n, func(p *backend.Params) { p.Chunks = chunks }))
+			r := newRig(t, farm(n, func(p *proxytest.Params) { p.Chunks = chunks }))
 			defer r.stop()
 			for i, fs := range plan {
 				r.backends[i].Next(fs...)
@@ -188,10 +188,10 @@
 // next is not said to be not run.
 func TestLostThenRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, second := range []backend.Fault{backend.Drop, backend.RateLimit, backend.NoDial, backend.Other} {
-			plan := &backend.Plan{}
-			r := newRig(t, farm(2, func(p *backend.Params) { p.Plan = plan }))
-			plan.Set(backend.LoseWord, second)
+		for _, second := range []proxytest.Fault{proxytest.Drop, proxytest.RateLimit, proxytest.NoDial, proxytest.Other} {
+			plan := &proxytest.Plan{}
+			r := newRig(t, farm(2, func(p *proxytest.Params) { p.Plan = plan }))
+			plan.Set(proxytest.LoseWord, second)
 			x := r.ask(repeatable+"x", "")
 			if err := r.judge(repeatable, x); err != nil || x.status != 502 || len(r.runs(x.try)) != 1 {
 				t.Errorf("fault %d: status %d, %v", second, x.status, err)
@@ -360,12 +360,12 @@
 func TestBreaksOff(t *testing.T) {
 	for _, chunks := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t, farm(1, func(p *backend.Params) { p.Bytes, p.Chunks = 600<<10, chunks }))
+			r := newRig(t, farm(1, func(p *proxytest.Params) { p.Bytes, p.Chunks = 600<<10, chunks }))
 			defer r.stop()
 			if x := r.ask(repeatable+"x", ""); x.cut || len(x.body) != 600<<10 {
 				t.Errorf("chunks %v: %d bytes, cut %v", chunks, len(x.body), x.cut)
 			}
-			r.backends[0].Next(backend.Cut)
+			r.backends[0].Next(proxytest.Cut)
 			if x := r.ask(repeatable+"x", ""); !x.cut {
 				t.Errorf("chunks %v: status %d, %d bytes look whole", chunks, x.status, len(x.body))
 			}
@@ -376,7 +376,7 @@
 // TestNoEnd: an answer that does not say where it ends is not taken for a whole one.
 func TestNoEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, farm(1, func(p *backend.Params) { p.NoEnd = true }))
+		r := newRig(t, farm(1, func(p *proxytest.Params) { p.NoEnd = true }))
 		defer r.stop()
 		if x := r.ask(once+"x", ""); x.status != 502 {
 			t.Errorf("status %d, cut %v", x.status, x.cut)
@@ -387,10 +387,10 @@
 // TestUnsealedSlow: a stream without its mark is not heard to its end first.
 func TestUnsealedSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, farm(2, func(p *backend.Params) { p.Pace = 100 * time.Millisecond }))
+		r := newRig(t, farm(2, func(p *proxytest.Params) { p.Pace = 100 * time.Millisecond }))
 		defer r.stop()
 		for _, b := range r.backends {
-			b.Next(backend.NoSeal)
+			b.Next(proxytest.NoSeal)
 		}
 		x := r.ask(stream+"x", "")
 		if x.status != 502 || x.took > 50*time.Millisecond {
@@ -402,7 +402,7 @@
 // TestEventsAsMade: each event reaches the caller when it is made.
 func TestEventsAsMade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, farm(1, func(p *backend.Params) { p.Pace = 100 * time.Millisecond }))
+		r := newRig(t, farm(1, func(p *proxytest.Params) { p.Pace = 100 * time.Millisecond }))
 		defer r.stop()
 		c, err := r.front.Dial(t.Context())
 		if err != nil {
@@ -434,7 +434,7 @@
 		r := newRig(t, farm(3, nil))
 		defer r.stop()
 		for _, b := range r.backends {
-			b.Next(backend.CutStream)
+			b.Next(proxytest.CutStream)
 		}
 		x := r.ask(resumable+"x", "", head("Last-Event-Id", "2"))
 		// Events 3 to 8, of which each runner gives three before it breaks off.
@@ -448,7 +448,7 @@
 // is tried.
 func TestCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, farm(3, func(p *backend.Params) { p.Pace = 500 * time.Millisecond }))
+		r := newRig(t, farm(3, func(p *proxytest.Params) { p.Pace = 500 * time.Millisecond }))
 		defer r.stop()
 		c, err := r.front.Dial(t.Context())
 		if err != nil {
@@ -528,4 +528,4 @@
 	})
 }
 
-var _ raw.Dialect = dialect{}
+var _ proxy.Dialect = dialect{}
--- a/internal/kit/backend/name_test.go
+++ b/internal/kit/proxytest/name_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import "testing"
 
