--- a/internal/kit/backend/outlier_test.go
+++ b/internal/kit/proxytest/outlier_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"time"
 
 	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/dataplane/loadreport"
-	"damsontiller/internal/dataplane/roll"
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/proxytest"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/transport/loop"
 )
@@ -20,7 +20,7 @@
 // evening is jobs from three edges that tell one another how the runners do.
 type evening struct {
 	t    *testing.T
-	bs   []*backend.Backend
+	bs   []*proxytest.Backend
 	rigs []*rig
 
 	mu   sync.Mutex
@@ -37,7 +37,9 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		e := &evening{t: t, bs: farm(runners, func(p *backend.Params) { p.Work, p.Pace, p.Health = 20*time.Millisecond, 5*time.Millisecond, "/health" })}
+		e := &evening{t: t, bs: farm(runners, func(p *proxytest.Params) {
+			p.Work, p.Pace, p.Health = 20*time.Millisecond, 5*time.Millisecond, "/health"
+		})}
 		var tallies []*loadreport.LoadReport
 		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Edge: func(_ string, x *edge.Edge) {
 			r := newRig(t, e.bs)
@@ -49,14 +51,14 @@
 		if err := s.Start(ctx); err != nil {
 			t.Fatal(err)
 		}
-		var all []roll.Runner
+		var all []endpoints.Runner
 		for _, b := range e.bs {
-			all = append(all, roll.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Room: 8})
+			all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Room: 8})
 		}
 		var wg sync.WaitGroup
 		for _, x := range tallies {
 			wg.Go(func() {
-				x.Run(ctx, func(context.Context) ([]roll.Runner, error) { return append([]roll.Runner(nil), all...), nil })
+				x.Run(ctx, func(context.Context) ([]endpoints.Runner, error) { return append([]endpoints.Runner(nil), all...), nil })
 			})
 		}
 		loop.Wait(ctx, 2*time.Second)
@@ -136,20 +138,20 @@
 func TestOutliers(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		f    backend.Fault
+		f    proxytest.Fault
 		x    float64
 		kind string
 		bad  float64 // the most that may fail in the second half
 		part float64 // of its share that it gets then
 	}{
-		{"slow", backend.SlowBy, 6, once, 0, 0.25},
-		{"slow-stream", backend.SlowBy, 6, stream, 0, 0.25},
-		{"grey", backend.Grey, 0.34, once, 0.01, 0.4},
-		{"grey-stream", backend.Grey, 0.34, stream, 0.01, 0.4},
-		{"grey-repeatable", backend.Grey, 0.34, repeatable, 0.007, 0.4},
-		{"lies-well", backend.Lies, 1, once, 0.01, 0.15},
-		{"flaps", backend.Flaps, 0.9, once, 0.01, 0.2},
-		{"flaps-slowly", backend.Flaps, 3, once, 0.01, 0.25},
+		{"slow", proxytest.SlowBy, 6, once, 0, 0.25},
+		{"slow-stream", proxytest.SlowBy, 6, stream, 0, 0.25},
+		{"grey", proxytest.Grey, 0.34, once, 0.01, 0.4},
+		{"grey-stream", proxytest.Grey, 0.34, stream, 0.01, 0.4},
+		{"grey-repeatable", proxytest.Grey, 0.34, repeatable, 0.007, 0.4},
+		{"lies-well", proxytest.Lies, 1, once, 0.01, 0.15},
+		{"flaps", proxytest.Flaps, 0.9, once, 0.01, 0.2},
+		{"flaps-slowly", proxytest.Flaps, 3, once, 0.01, 0.25},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inEvening(t, func(t *testing.T, e *evening) {
@@ -166,7 +168,7 @@
 				if bad > tc.bad || part > tc.part {
 					t.Errorf("%.2f%% failed, it got %.2f of its share", 100*bad, part)
 				}
-				e.bs[4].Trouble(backend.None, 0)
+				e.bs[4].Trouble(proxytest.None, 0)
 				well := time.Now()
 				for e.play(tc.kind, 100*time.Millisecond); e.ejected() > 0; {
 					e.play(tc.kind, 100*time.Millisecond)
@@ -189,7 +191,7 @@
 // TestHealthUnheard: a runner in order that says it is ill is used as any other.
 func TestHealthUnheard(t *testing.T) {
 	inEvening(t, func(t *testing.T, e *evening) {
-		e.bs[4].Trouble(backend.Lies, 0)
+		e.bs[4].Trouble(proxytest.Lies, 0)
 		e.play(once, 5*time.Second)
 		if e.bad > 0 || e.ejected() > 0 || e.part(4) < 0.6 {
 			t.Errorf("%d failed, %d ejected, it got %.2f of its share", e.bad, e.ejected(), e.part(4))
@@ -201,18 +203,18 @@
 func TestAllAlike(t *testing.T) {
 	inEvening(t, func(t *testing.T, e *evening) {
 		for _, b := range e.bs[:8] {
-			b.Trouble(backend.Grey, 0.054)
+			b.Trouble(proxytest.Grey, 0.054)
 		}
 		e.play(once, 10*time.Second)
 		if e.ejected() > 0 {
 			t.Errorf("%d ejected", e.ejected())
 		}
 		for _, b := range e.bs {
-			b.Trouble(backend.Lies, 1)
+			b.Trouble(proxytest.Lies, 1)
 		}
 		e.play(once, 5*time.Second)
 		for _, b := range e.bs {
-			b.Trouble(backend.None, 0)
+			b.Trouble(proxytest.None, 0)
 		}
 		e.play(once, 5*time.Second)
 		e.play(once, 2*time.Second)
--- a/internal/kit/backend/shape_test.go
+++ b/internal/kit/proxytest/shape_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/proxytest"
 )
 
 // message spells an answer as a runner would; a nil entry of head leaves it out.
@@ -25,8 +25,8 @@
 }
 
 // good is the whole answer to a run.
-func good(run backend.Run) string {
-	return message(200, map[string]string{names.Try: run.Try, names.Seal: run.Seal}, backend.Whole(run.Runner, run.Try, 40))
+func good(run proxytest.Run) string {
+	return message(200, map[string]string{names.Try: run.Try, names.Seal: run.Seal}, proxytest.Whole(run.Runner, run.Try, 40))
 }
 
 // refusal says that a job did not run; try may be empty.
@@ -42,48 +42,48 @@
 // of a job that may run once.
 var shapes = []struct {
 	name   string
-	send   func(run backend.Run) string
+	send   func(run proxytest.Run) string
 	status int // 0: not judged
 }{
 	{"whole", good, 200},
-	{"provisional answers first", func(r backend.Run) string {
+	{"provisional answers first", func(r proxytest.Run) string {
 		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + good(r)
 	}, 200},
-	{"another protocol", func(backend.Run) string { return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" }, 502},
-	{"a success without a name", func(r backend.Run) string {
-		return message(200, map[string]string{names.Seal: r.Seal}, backend.Whole(r.Runner, r.Try, 40))
+	{"another protocol", func(proxytest.Run) string { return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" }, 502},
+	{"a success without a name", func(r proxytest.Run) string {
+		return message(200, map[string]string{names.Seal: r.Seal}, proxytest.Whole(r.Runner, r.Try, 40))
 	}, 502},
-	{"a success without a seal", func(r backend.Run) string {
-		return message(200, map[string]string{names.Try: r.Try}, backend.Whole(r.Runner, r.Try, 40))
+	{"a success without a seal", func(r proxytest.Run) string {
+		return message(200, map[string]string{names.Try: r.Try}, proxytest.Whole(r.Runner, r.Try, 40))
 	}, 502},
-	{"a failure without a name", func(r backend.Run) string {
+	{"a failure without a name", func(r proxytest.Run) string {
 		return message(500, map[string]string{names.Seal: "somebody's"}, "another's trouble")
 	}, 502},
-	{"a refusal without a name", func(backend.Run) string { return refusal(503, "") }, 502},
-	{"another runner's word without a name", func(backend.Run) string { return refusal(421, "") }, 502},
-	{"a refusal without a name, then the answer", func(r backend.Run) string { return refusal(503, "") + good(r) }, 502},
-	{"an earlier job's answer first", func(r backend.Run) string {
+	{"a refusal without a name", func(proxytest.Run) string { return refusal(503, "") }, 502},
+	{"another runner's word without a name", func(proxytest.Run) string { return refusal(421, "") }, 502},
+	{"a refusal without a name, then the answer", func(r proxytest.Run) string { return refusal(503, "") + good(r) }, 502},
+	{"an earlier job's answer first", func(r proxytest.Run) string {
 		return message(200, map[string]string{names.Try: "earlier", names.Seal: "x"}, "earlier") + good(r)
 	}, 200},
-	{"an earlier job's refusal first", func(r backend.Run) string { return refusal(503, "earlier") + good(r) }, 200},
-	{"only an earlier job's refusal", func(backend.Run) string { return refusal(503, "earlier") }, 504},
-	{"a second answer", func(r backend.Run) string { return good(r) + good(r) }, 200},
-	{"a refusal as second answer", func(r backend.Run) string { return good(r) + refusal(503, r.Try) }, 200},
-	{"a refusal without a name as second answer", func(r backend.Run) string { return good(r) + refusal(503, "") }, 200},
-	{"a promise without the word", func(r backend.Run) string {
+	{"an earlier job's refusal first", func(r proxytest.Run) string { return refusal(503, "earlier") + good(r) }, 200},
+	{"only an earlier job's refusal", func(proxytest.Run) string { return refusal(503, "earlier") }, 504},
+	{"a second answer", func(r proxytest.Run) string { return good(r) + good(r) }, 200},
+	{"a refusal as second answer", func(r proxytest.Run) string { return good(r) + refusal(503, r.Try) }, 200},
+	{"a refusal without a name as second answer", func(r proxytest.Run) string { return good(r) + refusal(503, "") }, 200},
+	{"a promise without the word", func(r proxytest.Run) string {
 		return message(503, map[string]string{names.Try: r.Try, names.Seal: r.Seal}, "its own")
 	}, 502},
-	{"a length too great", func(r backend.Run) string {
+	{"a length too great", func(r proxytest.Run) string {
 		return strings.Replace(good(r), "Content-Length: ", "Content-Length: 9", 1)
 	}, 504},
-	{"two lengths", func(r backend.Run) string {
+	{"two lengths", func(r proxytest.Run) string {
 		return strings.Replace(good(r), "Content-Length: ", "Content-Length: 5\r\nContent-Length: ", 1)
 	}, 502},
-	{"a length below nothing", func(r backend.Run) string {
+	{"a length below nothing", func(r proxytest.Run) string {
 		return strings.Replace(good(r), "Content-Length: ", "Content-Length: -", 1)
 	}, 502},
-	{"bytes that are no answer", func(backend.Run) string { return "\x16\x03\x01 no answer\r\n\r\n" }, 502},
-	{"a blank line first", func(r backend.Run) string { return "\r\n" + good(r) }, 502},
+	{"bytes that are no answer", func(proxytest.Run) string { return "\x16\x03\x01 no answer\r\n\r\n" }, 502},
+	{"a blank line first", func(r proxytest.Run) string { return "\r\n" + good(r) }, 502},
 }
 
 // TestShapes: whatever a runner that ran a job sends for it, on a fresh connection or on
@@ -100,11 +100,11 @@
 	}
 }
 
-func oneShape(t *testing.T, send func(backend.Run) string, status int, used bool) {
+func oneShape(t *testing.T, send func(proxytest.Run) string, status int, used bool) {
 	odd := false
-	r := newRig(t, farm(2, func(p *backend.Params) {
+	r := newRig(t, farm(2, func(p *proxytest.Params) {
 		p.Bytes = 40
-		p.Answer = func(w io.Writer, _ *http.Request, run backend.Run) bool {
+		p.Answer = func(w io.Writer, _ *http.Request, run proxytest.Run) bool {
 			answer := good(run)
 			if odd {
 				odd, answer = false, send(run)
@@ -140,7 +140,7 @@
 		"provisional": "HTTP/1.1 100 Continue\r\n\r\n", "no answer": "220 ready\r\n",
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t, farm(2, func(p *backend.Params) {
+			r := newRig(t, farm(2, func(p *proxytest.Params) {
 				p.Wrap = func(c net.Conn) net.Conn {
 					_, _ = io.WriteString(c, first)
 					return c
@@ -164,12 +164,12 @@
 	for _, kind := range []string{repeatable, once, stream, resumable} {
 		for _, runs := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
-				cutter := &backend.Cutter{}
+				cutter := &proxytest.Cutter{}
 				r := cutRig(t, cutter, false)
 				defer r.stop()
 				settle(r, kind, true)
 				// Reset at its first byte, or once all of it has come and it runs.
-				cutter.Arm(runs, 0, backend.Reset)
+				cutter.Arm(runs, 0, proxytest.Reset)
 				x := r.askCut(kind)
 				cutter.Disarm()
 				if err := r.judge(kind, x); err != nil {
--- a/internal/kit/backend/cut.go
+++ b/internal/kit/proxytest/truncate.go
@@ -1,4 +1,4 @@
-package backend
+package proxytest
 
 import (
 	"io"
--- a/internal/kit/backend/cut_test.go
+++ b/internal/kit/proxytest/truncate_test.go
@@ -1,4 +1,4 @@
-package backend_test
+package proxytest_test
 
 import (
 	"fmt"
@@ -7,19 +7,19 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/proxytest"
 )
 
 // cutRig is a door before small stand-ins whose connections can be spoiled at any byte.
-func cutRig(t *testing.T, cutter *backend.Cutter, chunks bool) *rig {
-	return newRig(t, farm(2, func(p *backend.Params) {
+func cutRig(t *testing.T, cutter *proxytest.Cutter, chunks bool) *rig {
+	return newRig(t, farm(2, func(p *proxytest.Params) {
 		p.Bytes, p.Events, p.Chunks, p.Wrap = 40, 3, chunks, cutter.Wrap
 		p.Word = func(_ string, n int) string { return fmt.Sprint(n) }
 	}))
 }
 
 // exchange asks one job while its first exchange is spoiled, and judges what came of it.
-func exchange(r *rig, cutter *backend.Cutter, kind string, answer bool, at int, loss backend.Loss) (heard, error) {
+func exchange(r *rig, cutter *proxytest.Cutter, kind string, answer bool, at int, loss proxytest.Loss) (heard, error) {
 	cutter.Arm(answer, at, loss)
 	x := r.askCut(kind)
 	cutter.Disarm()
@@ -37,10 +37,10 @@
 // judgeCut is what a caller may hear of a job whose first exchange broke off: a job that
 // may run twice is served unless nobody noticed in time; of another one a success only
 // where the runner's whole answer came, a failure that promises nothing, or a break.
-func (r *rig) judgeCut(kind string, x heard, answer bool, loss backend.Loss) error {
+func (r *rig) judgeCut(kind string, x heard, answer bool, loss proxytest.Loss) error {
 	runs := len(r.runs(x.try))
 	switch {
-	case mayRepeat(kind) && loss != backend.Silent && (x.status != 200 || x.cut):
+	case mayRepeat(kind) && loss != proxytest.Silent && (x.status != 200 || x.cut):
 		return fmt.Errorf("status %d, cut %v of a job that may be repeated", x.status, x.cut)
 	case !mayRepeat(kind) && r.came(x.try) > 1:
 		return fmt.Errorf("sent to %d runners", r.came(x.try))
@@ -48,7 +48,7 @@
 		return fmt.Errorf("status %d, %d runs of a job that never came whole", x.status, runs)
 	case x.status != 200 && x.status != 502 && x.status != 504:
 		return fmt.Errorf("status %d", x.status)
-	case loss != backend.Silent && x.took > 100*time.Millisecond:
+	case loss != proxytest.Silent && x.took > 100*time.Millisecond:
 		return fmt.Errorf("took %s", x.took)
 	case x.took > 2*time.Second:
 		return fmt.Errorf("held for %s", x.took)
@@ -72,11 +72,11 @@
 }
 
 func everyByte(t *testing.T, kind string, used bool) {
-	cutter := &backend.Cutter{}
+	cutter := &proxytest.Cutter{}
 	r := cutRig(t, cutter, used)
 	defer r.stop()
 	request, answer := sizes(t, r, cutter, kind)
-	stride, losses := 1, []backend.Loss{backend.Closed, backend.Reset, backend.Silent}
+	stride, losses := 1, []proxytest.Loss{proxytest.Closed, proxytest.Reset, proxytest.Silent}
 	if used {
 		losses = losses[1:]
 	}
@@ -101,7 +101,7 @@
 }
 
 // oneCut spoils one exchange and says what is wrong with what came of it.
-func (r *rig) oneCut(kind string, used bool, cutter *backend.Cutter, answer bool, at int, loss backend.Loss) {
+func (r *rig) oneCut(kind string, used bool, cutter *proxytest.Cutter, answer bool, at int, loss proxytest.Loss) {
 	r.t.Helper()
 	settle(r, kind, used)
 	if x, err := exchange(r, cutter, kind, answer, at, loss); err != nil {
@@ -110,10 +110,10 @@
 }
 
 // sizes measures a whole exchange of a kind.
-func sizes(t *testing.T, r *rig, cutter *backend.Cutter, kind string) (request, answer int) {
+func sizes(t *testing.T, r *rig, cutter *proxytest.Cutter, kind string) (request, answer int) {
 	t.Helper()
 	const never = 1 << 30
-	cutter.Arm(true, never, backend.Closed)
+	cutter.Arm(true, never, proxytest.Closed)
 	x := r.askCut(kind)
 	request, answer = cutter.Disarm()
 	if x.status != 200 || request == 0 || answer == 0 {
--- a/internal/kit/rehearse/rehearse.go
+++ b/internal/kit/rehearsal/rehearsal.go
@@ -1,6 +1,6 @@
-// Package rehearse replays a recorded day on the simulated fleet under one policy
-// and another, with the same seed, and puts their figures side by side.
-package rehearse
+// Package rehearsal replays a recorded day on the simulated fleet under one policy and
+// another, with the same seed, and puts their figures side by side.
+package rehearsal
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"damsontiller/internal/dataplane/day"
 	"damsontiller/internal/dataplane/policy"
+	"damsontiller/internal/dataplane/traffic"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/client"
-	"damsontiller/internal/kit/judge"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
@@ -23,7 +23,7 @@
 // Params shape a rehearsal.
 type Params struct {
 	Deploy string // folder with the deployment's spec
-	Day    *day.Day
+	Day    *traffic.Day
 	Seed   uint64
 	// Runs is how often each column is run, under seeds from Seed on. Which of the
 	// fleet's goroutines goes first is nobody's to say, so single runs differ.
@@ -93,7 +93,7 @@
 	}
 	// A day is not replayed on runners that are still warming up.
 	time.Sleep(10 * time.Second)
-	pl := &day.Player{Day: p.Day, Speed: p.Speed, Run: "r", Client: s.Crowd.Client, Edges: s.Edges, Words: client.Filler, Look: client.Look}
+	pl := &traffic.Player{Day: p.Day, Speed: p.Speed, Run: "r", Client: s.Crowd.Client, Edges: s.Edges, Words: client.Filler, Look: client.Look}
 	pl.Play(ctx)
 	for _, m := range s.Machines {
 		if e := s.Edge(m.ID); e != nil {
@@ -115,7 +115,7 @@
 		case a.Status == 200:
 			f.Served++
 			all[a.Class] = append(all[a.Class], a.Done.Sub(a.Sent))
-			if urgent[a.Class] && a.Done.Sub(a.Sent) > judge.UrgentMost {
+			if urgent[a.Class] && a.Done.Sub(a.Sent) > checker.UrgentMost {
 				f.UrgentLate++
 			}
 			if a.Turn {
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/dataplane/runnerapi"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -184,9 +184,9 @@
 
 func (r *Runner) report(w http.ResponseWriter, _ *http.Request) {
 	r.mu.Lock()
-	rep := report.Report{Name: r.P.Name, State: report.Ready, Mark: r.mark(), Bears: r.bears(), Busy: r.busy, UpMs: time.Since(r.start).Milliseconds(), Refused: r.refused, Prefixes: append([]string(nil), r.prefixes...)}
+	rep := runnerapi.Report{Name: r.P.Name, State: runnerapi.Ready, Mark: r.mark(), Bears: r.bears(), Busy: r.busy, UpMs: time.Since(r.start).Milliseconds(), Refused: r.refused, Prefixes: append([]string(nil), r.prefixes...)}
 	if !r.drained.IsZero() {
-		rep.State = report.Draining
+		rep.State = runnerapi.Draining
 	}
 	r.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
@@ -222,7 +222,7 @@
 }
 
 func (r *Runner) run(w http.ResponseWriter, q *http.Request) {
-	var j report.Run
+	var j runnerapi.Run
 	if err := json.NewDecoder(q.Body).Decode(&j); err != nil {
 		http.Error(w, "{}", http.StatusBadRequest)
 		return
@@ -238,13 +238,13 @@
 		e.Other, e.Over = true, false
 		r.ledger = append(r.ledger, e)
 		r.mu.Unlock()
-		failure(w, http.StatusPreconditionFailed, "Other", "meant for another process", report.Other)
+		failure(w, http.StatusPreconditionFailed, "Other", "meant for another process", runnerapi.Other)
 		return
 	case !r.drained.IsZero():
 		e.Left, e.Refused, e.Over = true, false, false
 		r.ledger = append(r.ledger, e)
 		r.mu.Unlock()
-		failure(w, http.StatusServiceUnavailable, "Draining", "going away", report.Draining)
+		failure(w, http.StatusServiceUnavailable, "Draining", "going away", runnerapi.Draining)
 		return
 	case full, now.Before(r.shut):
 		o = Refuse
@@ -296,7 +296,7 @@
 	t := time.NewTimer(take)
 	<-t.C
 	e.Ran, e.Output = true, out
-	ans := report.Ran{Job: j.Job, Text: fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)), Output: out, Held: held}
+	ans := runnerapi.Ran{Job: j.Job, Text: fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)), Output: out, Held: held}
 	r.mu.Lock()
 	if gen != r.gen {
 		// The process died with this work half done.
@@ -334,7 +334,7 @@
 }
 
 // bend spoils a whole answer b as ordered.
-func bend(o Order, ans report.Ran, b []byte) []byte {
+func bend(o Order, ans runnerapi.Ran, b []byte) []byte {
 	switch o {
 	case Garble:
 		return []byte(strings.ReplaceAll(string(b), ":", "="))
@@ -358,7 +358,7 @@
 var raised = []string{"error 429 upstream", "Rate Limit hit", "RateLimit hit", "Too Many Requests now", "please throttle", "Quota Exceeded for key"}
 
 func failure(w http.ResponseWriter, status int, typ, msg, state string) {
-	var p report.Failure
+	var p runnerapi.Failure
 	p.Error.Type, p.Error.Message, p.State = typ, msg, state
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -406,12 +406,12 @@
 	Addr string
 	Lag  time.Duration
 	mu   sync.Mutex
-	list []report.Listed
+	list []runnerapi.Listed
 	srv  *http.Server
 }
 
 // Set replaces the list, seen after the lag.
-func (p *Platform) Set(l []report.Listed) {
+func (p *Platform) Set(l []runnerapi.Listed) {
 	time.AfterFunc(p.Lag, func() {
 		p.mu.Lock()
 		p.list = l
@@ -428,7 +428,7 @@
 	p.srv = &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(report.Platform{Runners: p.list})
+		_ = json.NewEncoder(w).Encode(runnerapi.Platform{Runners: p.list})
 	})}
 	go func() { _ = p.srv.Serve(ln) }()
 	context.AfterFunc(ctx, p.Stop)
--- a/internal/kit/scale/hollow.go
+++ b/internal/kit/scale/hollow.go
@@ -14,8 +14,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/dataplane/edge"
 	"damsontiller/internal/proto/wire"
@@ -138,7 +138,7 @@
 	tcp := transport.TCP(transport.DefaultParams)
 	p := node.Params{
 		Self: &wire.Member{Id: h.ID, Role: "edge", Addr: h.Addr, Zone: h.Zone}, Seeds: h.seeds, Transport: transport.DefaultParams,
-		Lic: lease.DefaultParams, News: news.DefaultParams, Log: hclog.NewNullLogger(),
+		Lic: lease.DefaultParams, News: broadcast.DefaultParams, Log: hclog.NewNullLogger(),
 		Net: transport.Net{
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				c, err := tcp.Dial(ctx, addr)
--- a/internal/kit/sim/audit.go
+++ b/internal/kit/sim/audit.go
@@ -6,17 +6,17 @@
 	"net/http"
 	"time"
 
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/budget"
 	"damsontiller/internal/dataplane/edge"
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/transport/loop"
 )
 
 // Note writes an event down.
-func (s *Sim) Note(k judge.EventKind, id string, ver uint64) {
+func (s *Sim) Note(k checker.EventKind, id string, ver uint64) {
 	s.mu.Lock()
-	s.events = append(s.events, judge.Event{At: time.Now(), Kind: k, ID: id, Ver: ver})
+	s.events = append(s.events, checker.Event{At: time.Now(), Kind: k, ID: id, Ver: ver})
 	s.mu.Unlock()
 }
 
@@ -32,7 +32,7 @@
 			if m.live != nil && m.live.edge != nil {
 				select {
 				case <-m.live.ready:
-					s.samples = append(s.samples, judge.Sample{At: time.Now(), ID: m.ID, Ver: m.live.edge.Cluster.Now().Ver})
+					s.samples = append(s.samples, checker.Sample{At: time.Now(), ID: m.ID, Ver: m.live.edge.Cluster.Now().Ver})
 				default:
 				}
 			}
@@ -54,8 +54,8 @@
 	for _, r := range s.Runners {
 		r.Forget()
 	}
-	v := judge.Audited(s.Crowd.Audit(ctx, edges, most))
-	t := &tier.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
+	v := checker.Audited(s.Crowd.Audit(ctx, edges, most))
+	t := &storeclient.Tier{Peer: e.Peer, Cluster: e.Cluster, Prop: e.Prop}
 	got := map[string]int64{}
 	for _, a := range s.Crowd.Ledger() {
 		if a.Turn && a.Status == http.StatusOK {
@@ -68,27 +68,27 @@
 		stop()
 		total, _ := s.Spec.Output(p)
 		if all := w.All(); err != nil || all < n || all > total {
-			v[judge.Budget] = append(v[judge.Budget], fmt.Sprintf("%s was given %d of %d, its budget says %d, %v", p, n, total, all, err))
+			v[checker.Budget] = append(v[checker.Budget], fmt.Sprintf("%s was given %d of %d, its budget says %d, %v", p, n, total, all, err))
 		}
 	}
 	var now struct {
 		Version uint64 `json:"version"`
 	}
 	if st, err := s.Operate(http.MethodGet, "/v1/spec", nil, &now); err != nil || st != http.StatusOK {
-		v[judge.Spec] = append(v[judge.Spec], fmt.Sprintf("can't be read at the end: %d %v", st, err))
+		v[checker.Spec] = append(v[checker.Spec], fmt.Sprintf("can't be read at the end: %d %v", st, err))
 	}
-	s.Note(judge.FinalRead, "", now.Version)
+	s.Note(checker.FinalRead, "", now.Version)
 	s.mu.Lock()
 	s.audit = v
 	s.mu.Unlock()
 }
 
 // Judge reads the ledgers.
-func (s *Sim) Judge() (judge.Verdict, *judge.Case) {
-	c := &judge.Case{Spec: &s.Spec, Asks: s.Crowd.Ledger(), Runs: judge.Runs(s.Runners), Most: s.Crowd.Most, Audit: s.audit}
+func (s *Sim) Judge() (checker.Verdict, *checker.Case) {
+	c := &checker.Case{Spec: &s.Spec, Asks: s.Crowd.Ledger(), Runs: checker.Runs(s.Runners), Most: s.Crowd.Most, Audit: s.audit}
 	s.mu.Lock()
 	c.Events = append(c.Events, s.events...)
 	c.Samples = append(c.Samples, s.samples...)
 	s.mu.Unlock()
-	return judge.Judge(*c), c
+	return checker.Judge(*c), c
 }
--- a/internal/kit/sim/brief_test.go
+++ b/internal/kit/sim/brief_test.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/coordination/tier"
-	"damsontiller/internal/dataplane/door"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/dataplane/turnapi"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/kit/sim"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
 )
 
@@ -93,7 +93,7 @@
 	f := &fate{sent: time.Now()}
 	wg.Go(func() {
 		// Whoever is killed with it gives no answer.
-		f.said, _ = try(s, edge, "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{door.HKey: key, door.HWait: wait})
+		f.said, _ = try(s, edge, "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{turnapi.HKey: key, turnapi.HWait: wait})
 		f.done = time.Now()
 	})
 	return f
@@ -186,14 +186,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		q.Header.Set(door.HProgram, "reel/1")
-		q.Header.Set(door.HLeft, "60")
-		q.Header.Set(door.HKey, "gone")
+		q.Header.Set(turnapi.HProgram, "reel/1")
+		q.Header.Set(turnapi.HLeft, "60")
+		q.Header.Set(turnapi.HKey, "gone")
 		if _, err := s.RoundTrip(q); err == nil {
 			t.Error("the caller did not leave")
 		}
 		time.Sleep(4 * time.Second)
-		g := ask(t, s, "e4", "/v1/calls/assets", `{"args":{"do":"work:gone;"}}`, map[string]string{door.HKey: "gone"})
+		g := ask(t, s, "e4", "/v1/calls/assets", `{"args":{"do":"work:gone;"}}`, map[string]string{turnapi.HKey: "gone"})
 		if ran, _ := runs(s); g.status != http.StatusOK || ran != 1 {
 			t.Errorf("asked again: %+v, ran %d times", g, ran)
 		}
@@ -284,7 +284,7 @@
 	t.Parallel()
 	still(t, "andina", func(_ context.Context, s *sim.Sim, p *stops) {
 		p.set("e1", job.Heard, func(*job.Ctx) { s.Cut([]string{"e1"}, []string{"s2", "s3"}, true) })
-		g := ask(t, s, "e1", "/v1/turns", `{"conversation":"reel","words":"work:x;","max_output":1}`, map[string]string{door.HWait: "3"})
+		g := ask(t, s, "e1", "/v1/turns", `{"conversation":"reel","words":"work:x;","max_output":1}`, map[string]string{turnapi.HWait: "3"})
 		if g.status == http.StatusOK || g.Ran != "unknown" {
 			t.Errorf("with two of three stores out of reach: %+v", g)
 		}
@@ -321,7 +321,7 @@
 func TestNever04Budget(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(ctx context.Context, s *sim.Sim, p *stops) {
-		head := map[string]string{door.HProgram: "tagging/x"} // 600
+		head := map[string]string{turnapi.HProgram: "tagging/x"} // 600
 		for i, pt := range []job.Point{job.Reserved, job.Passing, job.Heard} {
 			e := fmt.Sprintf("e%d", i+2)
 			p.set(e, pt, func(*job.Ctx) { go s.Kill(e); time.Sleep(time.Second) })
@@ -366,7 +366,7 @@
 					r.Give(o)
 				}
 				body := map[string]string{"/v1/turns": `{"conversation":"reel","words":"work:x;","max_output":9}`, "/v1/calls/assets": `{"args":{"do":"work:x;"}}`}[path]
-				g := ask(t, s, "e1", path, body, map[string]string{door.HKey: string(o) + path[4:6], door.HWait: "5"})
+				g := ask(t, s, "e1", path, body, map[string]string{turnapi.HKey: string(o) + path[4:6], turnapi.HWait: "5"})
 				if g.status == http.StatusOK || g.Ran != "unknown" {
 					t.Errorf("%s %s: %+v", o, path, g)
 				}
@@ -388,7 +388,7 @@
 				s.Cut([]string{"e5"}, s.Rest("e5"), true)
 			}
 			r.Drain()
-			s.Note(judge.Drained, r.P.Name, 0)
+			s.Note(checker.Drained, r.P.Name, 0)
 			time.Sleep(4 * time.Second)
 			s.Thaw("e5")
 			s.Cut([]string{"e5"}, s.Rest("e5"), false)
@@ -482,19 +482,19 @@
 		if st, a, err := s.Zone("b", true); err != nil || st != http.StatusOK {
 			t.Fatalf("%d %+v %v", st, a, err)
 		}
-		behind := func() *tier.Tier {
+		behind := func() *storeclient.Tier {
 			r := cluster.New(e.Prop, nil)
 			if err := r.Apply(old.Ver, old.Raw()); err != nil {
 				t.Fatal(err)
 			}
-			return &tier.Tier{Peer: e.Peer, Cluster: r, Prop: e.Prop}
+			return &storeclient.Tier{Peer: e.Peer, Cluster: r, Prop: e.Prop}
 		}
 		now := e.Cluster.Now().Ver
 		if _, ver, err := behind().Look(ctx, "cool/x"); err != nil || ver != now {
 			t.Errorf("looked under version %d, %v; version %d is in force", ver, err, now)
 		}
 		b := behind()
-		if _, err := b.Begin(ctx, "claim/x", func(reg.State) ([]byte, bool, error) { return []byte("x"), false, nil }); err != nil || b.Cluster.Now().Ver != now {
+		if _, err := b.Begin(ctx, "claim/x", func(register.State) ([]byte, bool, error) { return []byte("x"), false, nil }); err != nil || b.Cluster.Now().Ver != now {
 			t.Errorf("began under version %d: %v", b.Cluster.Now().Ver, err)
 		}
 		// What ends something may come from behind, as long as the sets stand.
@@ -572,9 +572,9 @@
 				}
 				p.set("e2", pt, func(*job.Ctx) { time.Sleep(1500 * time.Millisecond) })
 				var wg sync.WaitGroup
-				head := map[string]string{door.HWait: "9"}
+				head := map[string]string{turnapi.HWait: "9"}
 				if key != "" {
-					head[door.HKey] = key
+					head[turnapi.HKey] = key
 				}
 				wg.Go(func() { ask(t, s, "e2", "/v1/calls/assets", `{"args":{"do":"work:x;"}}`, head) })
 				time.Sleep(500 * time.Millisecond)
@@ -673,12 +673,12 @@
 			t.Fatalf("%d %+v %v", st, a, err)
 		}
 		call := func(key string) said {
-			return ask(t, s, "e2", "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{door.HKey: key, door.HLeft: "20"})
+			return ask(t, s, "e2", "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{turnapi.HKey: key, turnapi.HLeft: "20"})
 		}
 		turn := func() said {
-			return ask(t, s, "e3", "/v1/turns", `{"conversation":"tagging","words":"work:x;","max_output":9}`, map[string]string{door.HProgram: "tagging/p", door.HLeft: "20"})
+			return ask(t, s, "e3", "/v1/turns", `{"conversation":"tagging","words":"work:x;","max_output":9}`, map[string]string{turnapi.HProgram: "tagging/p", turnapi.HLeft: "20"})
 		}
-		if g := ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{door.HLeft: "61"}); g.Code != int(code.BadTime) {
+		if g := ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HLeft: "61"}); g.Code != int(code.BadTime) {
 			t.Errorf("longer than the longest wait: %+v", g)
 		}
 		first := call("old")
@@ -700,7 +700,7 @@
 		up(t, ctx, s, "s2")
 		time.Sleep(15 * time.Second)
 		for i := range 6 {
-			if g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", `{"args":{"do":"work:old;"}}`, map[string]string{door.HKey: "old", door.HLeft: "20"}); g.status == http.StatusOK && g.Job != first.Job {
+			if g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", `{"args":{"do":"work:old;"}}`, map[string]string{turnapi.HKey: "old", turnapi.HLeft: "20"}); g.status == http.StatusOK && g.Job != first.Job {
 				t.Errorf("run anew at e%d: %+v", i+1, g)
 			}
 		}
@@ -733,9 +733,9 @@
 	t.Parallel()
 	still(t, "andina", func(_ context.Context, s *sim.Sim, _ *stops) {
 		turn := func(edge, program, by, left string, most int) said {
-			h := map[string]string{door.HProgram: program, door.HLeft: left}
+			h := map[string]string{turnapi.HProgram: program, turnapi.HLeft: left}
 			if by != "" {
-				h[door.HStarted] = by
+				h[turnapi.HStarted] = by
 			}
 			return ask(t, s, edge, "/v1/turns", fmt.Sprintf(`{"conversation":"tagging","words":"work:x;","max_output":%d}`, most), h)
 		}
@@ -774,7 +774,7 @@
 		for i := range 60 {
 			wg.Go(func() {
 				_, _ = try(s, fmt.Sprintf("e%d", i%6+1), "/v1/turns", `{"conversation":"tagging","words":"work:x;","max_output":70}`,
-					map[string]string{door.HProgram: fmt.Sprintf("reel/h%d", i%7), door.HStarted: []string{"tagging/r", "tagging/h", "reel/hh"}[i%7%3], door.HLeft: "20"})
+					map[string]string{turnapi.HProgram: fmt.Sprintf("reel/h%d", i%7), turnapi.HStarted: []string{"tagging/r", "tagging/h", "reel/hh"}[i%7%3], turnapi.HLeft: "20"})
 			})
 		}
 		wg.Wait()
@@ -790,7 +790,7 @@
 		// Nobody outlives the root, which had 30 s.
 		time.Sleep(28 * time.Second)
 		refuse("a turn after the root's end", turn("e1", "tagging/h", "tagging/r", "300", 1), code.BadProgram)
-		refuse("a call after the root's end", ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{door.HProgram: "tagging/h", door.HStarted: "tagging/r"}), code.BadProgram)
+		refuse("a call after the root's end", ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HProgram: "tagging/h", turnapi.HStarted: "tagging/r"}), code.BadProgram)
 		// The root itself may go on, as with a conversation kept for days; its output
 		// budget goes on with it.
 		if g := turn("e1", "tagging/r", "", "5", 600); g.status != http.StatusOK && g.Code != int(code.BudgetSpent) {
--- a/internal/kit/sim/chaos_test.go
+++ b/internal/kit/sim/chaos_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/kit/sim"
 )
@@ -96,7 +96,7 @@
 			r := s.Runners[rnd.IntN(len(s.Runners))]
 			if r.Drained().IsZero() {
 				r.Drain()
-				s.Note(judge.Drained, r.P.Name, 0)
+				s.Note(checker.Drained, r.P.Name, 0)
 				fired["drain"]++
 				pause(4000)
 			}
@@ -188,7 +188,7 @@
 				}
 			}
 			pause(2000)
-			s.Note(judge.Hard, judge.Everything+" down, started again", 0)
+			s.Note(checker.Hard, checker.Everything+" down, started again", 0)
 			for _, m := range s.Machines {
 				if !m.Spare {
 					up(t, ctx, s, m.ID)
--- a/internal/kit/sim/config.go
+++ b/internal/kit/sim/config.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 )
 
 // Times of an operator, as the platform states them.
@@ -444,9 +444,9 @@
 
 // Evacuate sends a zone's order until it is acknowledged.
 func (c *ConfigLog) Evacuate(op *Operator, zone string, empty bool) {
-	verb, kind := "terminate", judge.Refill
+	verb, kind := "terminate", checker.Refill
 	if empty {
-		verb, kind = "initiate", judge.Empty
+		verb, kind = "initiate", checker.Empty
 	}
 	if !empty {
 		c.sim.Note(kind, zone, 0)
--- a/internal/kit/sim/cool_test.go
+++ b/internal/kit/sim/cooldown_test.go
@@ -16,10 +16,10 @@
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/dataplane/cooldown"
 	"damsontiller/internal/dataplane/edge"
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/proxy"
 	"damsontiller/internal/kit/sim"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
@@ -27,7 +27,7 @@
 // plain spells raw jobs in a few headers of its own, for tests.
 type plain struct{ edge string }
 
-func (plain) Read(r *http.Request, j *raw.Job) error {
+func (plain) Read(r *http.Request, j *proxy.Job) error {
 	j.Try = r.Header.Get("Try")
 	if v := r.Header.Get("Left-Ms"); v != "" {
 		n, err := strconv.Atoi(v)
@@ -38,13 +38,13 @@
 	}
 	return nil
 }
-func (p plain) Send(h http.Header, j *raw.Job, to *roll.Runner, _ time.Duration, _ int) {
+func (p plain) Send(h http.Header, j *proxy.Job, to *endpoints.Runner, _ time.Duration, _ int) {
 	h.Set("Edge", p.edge)
 	h.Set("To", to.ID)
 }
 func (plain) Resume(http.Header, string) {}
-func (plain) Heard(r *http.Response) raw.Word {
-	return raw.Word{Try: r.Header.Get("Try"), Sealed: r.Header.Get("Seal") != "", NotRun: r.Header.Get("Not-Run") != ""}
+func (plain) Heard(r *http.Response) proxy.Word {
+	return proxy.Word{Try: r.Header.Get("Try"), Sealed: r.Header.Get("Seal") != "", NotRun: r.Header.Get("Not-Run") != ""}
 }
 
 // stand is a runner process that refuses on order.
@@ -131,7 +131,7 @@
 	t     *testing.T
 	mu    sync.Mutex
 	doors map[string]*edge.Raw
-	list  []roll.Runner
+	list  []endpoints.Runner
 	tries int
 	ends  []func()
 }
@@ -149,10 +149,10 @@
 			f.mu.Lock()
 			f.doors[id] = d
 			f.mu.Unlock()
-			go d.Run(ctx, func(context.Context) ([]roll.Runner, error) {
+			go d.Run(ctx, func(context.Context) ([]endpoints.Runner, error) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				return append([]roll.Runner(nil), f.list...), nil
+				return append([]endpoints.Runner(nil), f.list...), nil
 			})
 		}})
 		if err != nil {
@@ -202,7 +202,7 @@
 			break
 		}
 	}
-	f.list = append(f.list, roll.Runner{ID: id, Service: "tools", Addr: addr, Zone: "a", Room: 64})
+	f.list = append(f.list, endpoints.Runner{ID: id, Service: "tools", Addr: addr, Zone: "a", Room: 64})
 	ln, err := f.Net.Host(addr).Listen(addr)
 	if err != nil {
 		f.t.Fatal(err)
@@ -371,7 +371,7 @@
 	e := f.Edge("e1")
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	var st reg.State
+	var st register.State
 	st, err := e.Prop.Read(ctx, e.Cluster.Now().Stores(cooldown.Prefix+key), cooldown.Prefix+key)
 	if err != nil {
 		f.t.Error(err)
--- a/internal/kit/sim/disk.go
+++ b/internal/kit/sim/disk.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/state/storage/faultfs"
 )
 
@@ -43,7 +43,7 @@
 
 // trouble changes what a machine's disk does wrong.
 func (s *Sim) trouble(id, what string, change func(*faultyDisk)) {
-	s.Note(judge.Hard, fmt.Sprintf("%s of %s", what, id), 0)
+	s.Note(checker.Hard, fmt.Sprintf("%s of %s", what, id), 0)
 	m := s.Get(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/kit/sim/faults_machine.go
+++ b/internal/kit/sim/faults_machine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 )
 
 // machineFaults take counted machines' processes, power or time.
@@ -143,7 +143,7 @@
 func (d *Draw) restart(ids []string) {
 	d.wait(100*time.Millisecond, 3*time.Second)
 	if len(ids) > 1 {
-		d.Sim.Note(judge.Hard, judge.Everything+" that counts down, started again", 0)
+		d.Sim.Note(checker.Hard, checker.Everything+" that counts down, started again", 0)
 	}
 	for _, i := range d.Rand.Perm(len(ids)) {
 		d.up(ids[i])
--- a/internal/kit/sim/faults_operator.go
+++ b/internal/kit/sim/faults_operator.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 )
 
 // operatorFaults order changes, valid and not, and lose what is answered.
@@ -111,6 +111,6 @@
 }
 
 func burst(d *Draw) {
-	d.Sim.Note(judge.Hard, "burst", 0)
+	d.Sim.Note(checker.Hard, "burst", 0)
 	d.Sim.Crowd.Run(d.ctx, 2*time.Second, 4)
 }
--- a/internal/kit/sim/faults_runner.go
+++ b/internal/kit/sim/faults_runner.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"damsontiller/internal/kit/backend"
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
+	"damsontiller/internal/kit/proxytest"
 	"damsontiller/internal/kit/runner"
 )
 
@@ -65,30 +65,30 @@
 // backendTrouble is what the stand-ins of raw jobs have meanwhile: the faults of the
 // next jobs, or a trouble that lasts.
 type backendTrouble struct {
-	next  []backend.Fault
-	lasts backend.Fault
+	next  []proxytest.Fault
+	lasts proxytest.Fault
 	x     float64
 }
 
 // backendTroubles are the same kinds of trouble for the runners of raw jobs.
 var backendTroubles = map[string]backendTrouble{
-	"srv_crash":               {lasts: backend.Flaps, x: 8},
-	"srv_slow":                {lasts: backend.SlowBy, x: 4},
-	"srv_grey/errors":         {lasts: backend.Grey, x: 0.4},
-	"srv_grey/shed":           {next: []backend.Fault{backend.Drop, backend.Drop, backend.Drop}},
-	"srv_grey/busy":           {next: []backend.Fault{backend.RateLimit, backend.RateLimit}},
-	"srv_grey/hang":           {next: []backend.Fault{backend.Slow, backend.Slow}},
-	"srv_grey/reset":          {next: []backend.Fault{backend.LoseWord, backend.LoseWord, backend.LoseWord}},
-	"srv_grey/mute":           {next: []backend.Fault{backend.Bare503, backend.NoSeal, backend.Own500}},
-	"srv_lying_health/errors": {lasts: backend.Lies, x: 1},
-	"srv_lying_health/bad":    {lasts: backend.Lies, x: 0},
-	"srv_flap":                {lasts: backend.Flaps, x: 1},
-	"answer_lost":             {next: []backend.Fault{backend.LoseWord, backend.None, backend.LoseWord, backend.Cut}},
-	"garble":                  {next: []backend.Fault{backend.NoAnswer, backend.Cut, backend.CutStream}},
-	"garble/extra":            {next: []backend.Fault{backend.Surplus, backend.LateWord, backend.Surplus}},
-	"idle_race":               {next: []backend.Fault{backend.ShutIdle, backend.ShutIdle, backend.ShutIdle, backend.ShutIdle}},
-	"replace_with_reuse":      {next: []backend.Fault{backend.Other, backend.Other, backend.Other}},
-	"cold_return":             {next: []backend.Fault{backend.NoDial, backend.NoDial, backend.NoDial}},
+	"srv_crash":               {lasts: proxytest.Flaps, x: 8},
+	"srv_slow":                {lasts: proxytest.SlowBy, x: 4},
+	"srv_grey/errors":         {lasts: proxytest.Grey, x: 0.4},
+	"srv_grey/shed":           {next: []proxytest.Fault{proxytest.Drop, proxytest.Drop, proxytest.Drop}},
+	"srv_grey/busy":           {next: []proxytest.Fault{proxytest.RateLimit, proxytest.RateLimit}},
+	"srv_grey/hang":           {next: []proxytest.Fault{proxytest.Slow, proxytest.Slow}},
+	"srv_grey/reset":          {next: []proxytest.Fault{proxytest.LoseWord, proxytest.LoseWord, proxytest.LoseWord}},
+	"srv_grey/mute":           {next: []proxytest.Fault{proxytest.Bare503, proxytest.NoSeal, proxytest.Own500}},
+	"srv_lying_health/errors": {lasts: proxytest.Lies, x: 1},
+	"srv_lying_health/bad":    {lasts: proxytest.Lies, x: 0},
+	"srv_flap":                {lasts: proxytest.Flaps, x: 1},
+	"answer_lost":             {next: []proxytest.Fault{proxytest.LoseWord, proxytest.None, proxytest.LoseWord, proxytest.Cut}},
+	"garble":                  {next: []proxytest.Fault{proxytest.NoAnswer, proxytest.Cut, proxytest.CutStream}},
+	"garble/extra":            {next: []proxytest.Fault{proxytest.Surplus, proxytest.LateWord, proxytest.Surplus}},
+	"idle_race":               {next: []proxytest.Fault{proxytest.ShutIdle, proxytest.ShutIdle, proxytest.ShutIdle, proxytest.ShutIdle}},
+	"replace_with_reuse":      {next: []proxytest.Fault{proxytest.Other, proxytest.Other, proxytest.Other}},
+	"cold_return":             {next: []proxytest.Fault{proxytest.NoDial, proxytest.NoDial, proxytest.NoDial}},
 }
 
 // troubleBackends gives two stand-ins of raw jobs the trouble of a fault's name, if
@@ -102,11 +102,11 @@
 	for _, i := range d.Rand.Perm(len(d.Sim.Backends))[:2] {
 		b := d.Sim.Backends[i]
 		b.Next(t.next...)
-		if t.lasts == backend.None {
+		if t.lasts == proxytest.None {
 			continue
 		}
 		b.Trouble(t.lasts, t.x)
-		time.AfterFunc(length, func() { b.Trouble(backend.None, 0) })
+		time.AfterFunc(length, func() { b.Trouble(proxytest.None, 0) })
 	}
 }
 
@@ -196,7 +196,7 @@
 // drain has a runner say that it leaves, and ends it some time later.
 func (d *Draw) drain(name string) {
 	d.Sim.Runner(name).Drain()
-	d.Sim.Note(judge.Drained, name, 0)
+	d.Sim.Note(checker.Drained, name, 0)
 	time.Sleep(3500 * time.Millisecond)
 	d.Sim.RunnerDown(name)
 }
@@ -209,7 +209,7 @@
 			continue
 		}
 		d.Sim.Runner(name).Drain()
-		d.Sim.Note(judge.Drained, name, 0)
+		d.Sim.Note(checker.Drained, name, 0)
 	}
 	time.Sleep(notice)
 	for _, name := range names {
--- a/internal/kit/sim/faults_test.go
+++ b/internal/kit/sim/faults_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/transport/code"
@@ -78,7 +78,7 @@
 	{4, "runners replaced one by one", "andina", 30 * time.Second, func(_ *testing.T, _ context.Context, s *sim.Sim) {
 		for _, r := range s.Runners[:6] {
 			r.Drain()
-			s.Note(judge.Drained, r.P.Name, 0)
+			s.Note(checker.Drained, r.P.Name, 0)
 			time.Sleep(3500 * time.Millisecond)
 			s.RunnerDown(r.P.Name)
 			s.RunnerUp(r.P.Name)
@@ -144,7 +144,7 @@
 					t.Errorf("burst: %d %+v %v", st, a, err)
 					return
 				}
-				s.Note(judge.Acked, "burst", a.Version)
+				s.Note(checker.Acked, "burst", a.Version)
 			})
 		}
 		wg.Wait()
@@ -244,7 +244,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		s.Note(judge.Hard, judge.Everything+" down, started again", 0)
+		s.Note(checker.Hard, checker.Everything+" down, started again", 0)
 		for _, m := range s.Machines {
 			if !m.Spare {
 				up(t, ctx, s, m.ID)
--- a/internal/kit/sim/loadreport_test.go
+++ b/internal/kit/sim/loadreport_test.go
@@ -9,29 +9,29 @@
 	"time"
 
 	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/dataplane/loadreport"
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/proxy"
 	"damsontiller/internal/kit/sim"
 )
 
 // clerk is an edge's load report with what it rests on.
 type clerk struct {
 	t     *loadreport.LoadReport
-	roll  *roll.Roll
-	load  *raw.Load
+	roll  *endpoints.Roll
+	load  *proxy.Load
 	reads int
 }
 
 // tallied runs a fleet whose every edge has a load report over one list of runners.
-func tallied(t *testing.T, do func(ctx context.Context, s *sim.Sim, cs map[string]*clerk, list *[]roll.Runner, fail *bool)) {
+func tallied(t *testing.T, do func(ctx context.Context, s *sim.Sim, cs map[string]*clerk, list *[]endpoints.Runner, fail *bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		cs := map[string]*clerk{}
-		list := []roll.Runner{{ID: "i-1", Service: "m", Addr: "127.0.0.1:1", Zone: "a", Room: 4}, {ID: "i-2", Service: "m", Addr: "127.0.0.1:2", Zone: "b", Room: 4, ColdMs: 2300}}
+		list := []endpoints.Runner{{ID: "i-1", Service: "m", Addr: "127.0.0.1:1", Zone: "a", Room: 4}, {ID: "i-2", Service: "m", Addr: "127.0.0.1:2", Zone: "b", Room: 4, ColdMs: 2300}}
 		fail := false
 		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 3, Edges: 3, Edge: func(id string, e *edge.Edge) {
-			c := &clerk{roll: roll.New(), load: raw.NewLoad()}
+			c := &clerk{roll: endpoints.New(), load: proxy.NewLoad()}
 			c.t = loadreport.New(loadreport.DefaultParams, e.Node, c.roll, c.load)
 			mu.Lock()
 			cs[id] = c
@@ -48,14 +48,14 @@
 		var wg sync.WaitGroup
 		for _, c := range cs {
 			wg.Go(func() {
-				c.t.Run(tctx, func(context.Context) ([]roll.Runner, error) {
+				c.t.Run(tctx, func(context.Context) ([]endpoints.Runner, error) {
 					mu.Lock()
 					defer mu.Unlock()
 					c.reads++
 					if fail {
 						return nil, errors.New("the list does not come")
 					}
-					return append([]roll.Runner(nil), list...), nil
+					return append([]endpoints.Runner(nil), list...), nil
 				})
 			})
 		}
@@ -71,7 +71,7 @@
 // TestLoadReport: one edge reads the list for all, each hears what the others have under
 // way, and a change of the list is everywhere within the time that draining leaves.
 func TestLoadReport(t *testing.T) {
-	tallied(t, func(_ context.Context, _ *sim.Sim, cs map[string]*clerk, list *[]roll.Runner, _ *bool) {
+	tallied(t, func(_ context.Context, _ *sim.Sim, cs map[string]*clerk, list *[]endpoints.Runner, _ *bool) {
 		readers := 0
 		for id, c := range cs {
 			if c.reads > 2 {
@@ -114,7 +114,7 @@
 // TestLoadReportAlone: an edge that reaches nobody reads the list itself, before what it
 // has is older than draining allows; so do all where the one that counts is gone.
 func TestLoadReportAlone(t *testing.T) {
-	tallied(t, func(_ context.Context, s *sim.Sim, cs map[string]*clerk, _ *[]roll.Runner, _ *bool) {
+	tallied(t, func(_ context.Context, s *sim.Sim, cs map[string]*clerk, _ *[]endpoints.Runner, _ *bool) {
 		before := cs["e3"].reads
 		s.Cut([]string{"e3"}, s.Rest("e3"), true)
 		for range 20 {
@@ -142,7 +142,7 @@
 
 // TestLoadReportNoList: while the list does not come, everybody keeps the one he has.
 func TestLoadReportNoList(t *testing.T) {
-	tallied(t, func(_ context.Context, _ *sim.Sim, cs map[string]*clerk, _ *[]roll.Runner, fail *bool) {
+	tallied(t, func(_ context.Context, _ *sim.Sim, cs map[string]*clerk, _ *[]endpoints.Runner, fail *bool) {
 		*fail = true
 		time.Sleep(10 * time.Second)
 		for id, c := range cs {
--- a/internal/kit/sim/machine.go
+++ b/internal/kit/sim/machine.go
@@ -11,16 +11,16 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/labstack/echo/v4"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/core"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/dataplane/edge"
 	"damsontiller/internal/dataplane/job"
 	"damsontiller/internal/dataplane/store"
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/platform/control"
-	"damsontiller/internal/platform/dialect"
+	"damsontiller/internal/platform/headers"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/state/storage"
 	"damsontiller/internal/transport"
@@ -96,7 +96,7 @@
 		Net:       s.hostNet(m),
 		Transport: transport.DefaultParams,
 		Lic:       s.lic,
-		News:      news.DefaultParams,
+		News:      broadcast.DefaultParams,
 		Log:       s.Log.Named(m.ID),
 		Seeds:     s.seedsNow(),
 	}
@@ -167,7 +167,7 @@
 	l.edge, l.node, l.start = e, e.Node, e.Start
 	e.Routes(l.web)
 	if len(s.Backends) > 0 {
-		l.raw = e.Raw(edge.DefaultRaw, dialect.Dialect{})
+		l.raw = e.Raw(edge.DefaultRaw, headers.Dialect{})
 	}
 	if s.made != nil {
 		s.made(m.ID, e)
@@ -219,7 +219,7 @@
 	l := m.live
 	m.live = nil
 	if note {
-		s.events = append(s.events, judge.Event{At: time.Now(), Kind: judge.Hard, ID: "kill " + id})
+		s.events = append(s.events, checker.Event{At: time.Now(), Kind: checker.Hard, ID: "kill " + id})
 	}
 	s.mu.Unlock()
 	if l == nil {
@@ -241,13 +241,13 @@
 // Quit stops an edge in an orderly way.
 func (s *Sim) Quit(id string) {
 	m := s.Get(id)
-	s.Note(judge.Stopping, m.HTTP, 0)
+	s.Note(checker.Stopping, m.HTTP, 0)
 	m.live.edge.Stop()
 	// Requests under way end; then the process does.
 	time.Sleep(3 * time.Second)
 	m.live.edge.Settle(2 * time.Second)
 	s.kill(id, false, vfs.CrashCloneCfg{})
-	s.Note(judge.Stopped, m.HTTP, 0)
+	s.Note(checker.Stopped, m.HTTP, 0)
 }
 
 // Wipe gives a machine that does not run an empty disk.
@@ -257,8 +257,8 @@
 // numbered point, and all that it sends and is sent. Thaw lets it go on.
 func (s *Sim) Freeze(id string) {
 	m := s.Get(id)
-	s.Note(judge.Hard, "freeze "+id, 0)
-	s.Note(judge.Frozen, m.HTTP, 0)
+	s.Note(checker.Hard, "freeze "+id, 0)
+	s.Note(checker.Frozen, m.HTTP, 0)
 	s.mu.Lock()
 	s.apart[id] = true
 	s.mu.Unlock()
@@ -288,7 +288,7 @@
 	s.apart[id], s.away[id] = false, time.Now()
 	s.mu.Unlock()
 	s.Net.Thaw(m.Addr)
-	s.Note(judge.Thawed, m.HTTP, 0)
+	s.Note(checker.Thawed, m.HTTP, 0)
 }
 
 // Seeds names other machines as seeds of those that are started from now on.
--- a/internal/kit/sim/membership_test.go
+++ b/internal/kit/sim/membership_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/coordination/tier"
+	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/kit/sim"
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 )
 
@@ -27,7 +27,7 @@
 // ledger writes registers and blobs through edges all the while, and remembers what was
 // acknowledged.
 type ledger struct {
-	tiers    []*tier.Tier
+	tiers    []*storeclient.Tier
 	stop     context.CancelFunc
 	wait     sync.WaitGroup
 	mu       sync.Mutex
@@ -41,7 +41,7 @@
 	ctx, l.stop = context.WithCancel(ctx)
 	for i, id := range []string{"e1", "e4"} {
 		n := s.Edge(id).Node
-		t := &tier.Tier{Peer: n.Peer, Cluster: n.Cluster, Prop: n.Prop}
+		t := &storeclient.Tier{Peer: n.Peer, Cluster: n.Cluster, Prop: n.Prop}
 		l.tiers = append(l.tiers, t)
 		l.wait.Go(func() { l.write(ctx, t, i) })
 	}
@@ -49,7 +49,7 @@
 }
 
 // write puts one blob and counts one register up at a time.
-func (l *ledger) write(ctx context.Context, t *tier.Tier, writer int) {
+func (l *ledger) write(ctx context.Context, t *storeclient.Tier, writer int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		blob := fmt.Sprintf("turn/ledger%d-%d", writer, n)
 		err := within(ctx, func(ctx context.Context) error { return t.PutBlob(ctx, blob, []byte(blob), time.Hour) })
@@ -89,7 +89,7 @@
 	return binary.BigEndian.Uint64(val)
 }
 
-func countUp(st reg.State) ([]byte, bool, error) {
+func countUp(st register.State) ([]byte, bool, error) {
 	return binary.BigEndian.AppendUint64(nil, counted(st.Val)+1), false, nil
 }
 
@@ -108,7 +108,7 @@
 		}
 	}
 	for counter, last := range l.counters {
-		var st reg.State
+		var st register.State
 		if err := within(ctx, func(ctx context.Context) (err error) { st, err = l.tiers[1].Read(ctx, counter); return err }); err != nil || counted(st.Val) < last {
 			if lost++; lost == 1 {
 				t.Errorf("%s was acknowledged at %d and reads %d, %v", counter, last, counted(st.Val), err)
@@ -345,7 +345,7 @@
 	tended(t, 100, func(ctx context.Context, s *sim.Sim) {
 		const blobs, size = 400, 64 << 10
 		n := s.Edge("e1").Node
-		stores := &tier.Tier{Peer: n.Peer, Cluster: n.Cluster, Prop: n.Prop}
+		stores := &storeclient.Tier{Peer: n.Peer, Cluster: n.Cluster, Prop: n.Prop}
 		for i := range blobs {
 			val := []byte(strings.Repeat(fmt.Sprintf("%08d", i), size/8))
 			if err := stores.PutBlob(ctx, fmt.Sprint("turn/full", i), val, time.Hour); err != nil {
--- a/internal/kit/sim/mix_test.go
+++ b/internal/kit/sim/mix_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/sim"
 )
 
@@ -66,8 +66,8 @@
 	// How late an urgent answer is while machines are lost is not the matter here. Nor
 	// is a planned stop that meets other trouble: what it owes, it owes in calm times
 	// only, and those are in TestFaults and TestNever10.
-	delete(v, judge.Urgent)
-	delete(v, judge.Planned)
+	delete(v, checker.Urgent)
+	delete(v, checker.Planned)
 	if v.Total() > 0 {
 		t.Errorf("%d breaches\n%s", v.Total(), v)
 	}
--- a/internal/kit/sim/network.go
+++ b/internal/kit/sim/network.go
@@ -8,14 +8,14 @@
 	"strings"
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/transport"
 )
 
 // CutOne cuts what some machines send to others, one way only.
 func (s *Sim) CutOne(from, to []string, on bool) {
 	if on {
-		s.Note(judge.Hard, fmt.Sprintf("cut %v to %v", from, to), 0)
+		s.Note(checker.Hard, fmt.Sprintf("cut %v to %v", from, to), 0)
 	}
 	s.cut(s.Net.CutOne, from, to, on)
 }
@@ -40,7 +40,7 @@
 // Cut cuts machines off from others, both ways, or joins them again.
 func (s *Sim) Cut(of, from []string, on bool) {
 	if on {
-		s.Note(judge.Hard, fmt.Sprintf("cut %v", of), 0)
+		s.Note(checker.Hard, fmt.Sprintf("cut %v", of), 0)
 	}
 	s.cut(s.Net.Cut, of, from, on)
 }
--- a/internal/kit/sim/ops_test.go
+++ b/internal/kit/sim/operators_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"damsontiller/internal/coordination/web"
-	"damsontiller/internal/dataplane/door"
-	"damsontiller/internal/dataplane/report"
+	"damsontiller/internal/dataplane/runnerapi"
+	"damsontiller/internal/dataplane/turnapi"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/spec"
@@ -64,8 +64,8 @@
 	if err != nil {
 		return said{}, err
 	}
-	q.Header.Set(door.HProgram, "reel/1")
-	q.Header.Set(door.HLeft, "60")
+	q.Header.Set(turnapi.HProgram, "reel/1")
+	q.Header.Set(turnapi.HLeft, "60")
 	for k, v := range head {
 		q.Header.Set(k, v)
 	}
@@ -96,7 +96,7 @@
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
 		for round := range 5 {
-			key := map[string]string{door.HKey: fmt.Sprint("k", round)}
+			key := map[string]string{turnapi.HKey: fmt.Sprint("k", round)}
 			got := make([]said, 6)
 			var wg sync.WaitGroup
 			for i := range got {
@@ -137,7 +137,7 @@
 			for _, r := range s.Runners {
 				r.Give(o)
 			}
-			key := map[string]string{door.HKey: "k" + string(o)}
+			key := map[string]string{turnapi.HKey: "k" + string(o)}
 			before, _ := runs(s)
 			for i := range 4 {
 				g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", `{"args":{"do":"work:x;"}}`, key)
@@ -169,7 +169,7 @@
 		}
 		_, calls := runs(s)
 		for i := range 6 {
-			g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", body, map[string]string{door.HWait: "1"})
+			g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", body, map[string]string{turnapi.HWait: "1"})
 			if g.Code != int(code.Cooling) || g.head.Get("Retry-After") != "3" || g.NotBefore == "" || g.took > 200*time.Millisecond {
 				t.Errorf("e%d: %+v after %s", i+1, g, g.took)
 			}
@@ -178,13 +178,13 @@
 			t.Errorf("%d calls within the cooldown", n-calls)
 		}
 		// Program time that is shorter than the wait counts like a caller's.
-		if g := ask(t, s, "e3", "/v1/calls/assets", body, map[string]string{door.HLeft: "2", door.HWait: "30"}); g.Code != int(code.Cooling) || g.took > 200*time.Millisecond {
+		if g := ask(t, s, "e3", "/v1/calls/assets", body, map[string]string{turnapi.HLeft: "2", turnapi.HWait: "30"}); g.Code != int(code.Cooling) || g.took > 200*time.Millisecond {
 			t.Errorf("with 2 s left: %+v after %s", g, g.took)
 		}
 		for _, r := range s.Runners {
 			r.Forget()
 		}
-		if g := ask(t, s, "e4", "/v1/calls/assets", body, map[string]string{door.HWait: "10"}); g.status != http.StatusOK || g.took < 2*time.Second || g.took > 4*time.Second {
+		if g := ask(t, s, "e4", "/v1/calls/assets", body, map[string]string{turnapi.HWait: "10"}); g.status != http.StatusOK || g.took < 2*time.Second || g.took > 4*time.Second {
 			t.Errorf("with time to wait: %+v after %s", g, g.took)
 		}
 	})
@@ -197,7 +197,7 @@
 		s.Kill("s1")
 		s.Kill("s2")
 		_, calls := runs(s)
-		for _, head := range []map[string]string{nil, {door.HKey: "k"}} {
+		for _, head := range []map[string]string{nil, {turnapi.HKey: "k"}} {
 			g := ask(t, s, "e1", "/v1/calls/assets", `{"args":{}}`, head)
 			if word := map[bool]string{true: "no", false: "unknown"}[head == nil]; g.Code != int(code.TierAway) || g.Ran != word || g.head.Get("Retry-After") == "" {
 				t.Errorf("%v: %+v", head, g)
@@ -214,7 +214,7 @@
 func TestBudget(t *testing.T) {
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
-		head := map[string]string{door.HProgram: "tagging/x"} // 600
+		head := map[string]string{turnapi.HProgram: "tagging/x"} // 600
 		var wg sync.WaitGroup
 		for i := range 40 {
 			wg.Go(func() {
@@ -262,7 +262,7 @@
 		if g := ask(t, s, "e2", "/v1/turns", body("nobody-1"), nil); g.Code != int(code.NoTurn) {
 			t.Errorf("unknown: %+v", g)
 		}
-		if g := ask(t, s, "e2", "/v1/turns", body(a.Turn), map[string]string{door.HProgram: "reel/2"}); g.Code != int(code.NoTurn) {
+		if g := ask(t, s, "e2", "/v1/turns", body(a.Turn), map[string]string{turnapi.HProgram: "reel/2"}); g.Code != int(code.NoTurn) {
 			t.Errorf("another program's: %+v", g)
 		}
 		// Shortening the keeping time does not shorten what was promised.
@@ -333,7 +333,7 @@
 		want(t, s, "/v1/zones/c/empty", nil, http.StatusConflict, code.LastZone)
 		want(t, s, "/v1/zones/c/empty", map[string]bool{"farce": true}, http.StatusBadRequest, code.UnknownField)
 		want(t, s, "/v1/zones/c/empty", map[string]bool{"force": true}, http.StatusOK, code.OK)
-		if g := ask(t, s, "e1", "/v1/calls/assets", `{"args":{}}`, map[string]string{door.HWait: "1"}); g.status == http.StatusOK {
+		if g := ask(t, s, "e1", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HWait: "1"}); g.status == http.StatusOK {
 			t.Error("served with every zone emptied")
 		}
 		for _, z := range []string{"a", "b", "c"} {
@@ -366,7 +366,7 @@
 		extra := runner.New(runner.Params{Runner: spec.Runner{Name: "a9", Addr: "10.9.0.9:9000", Zone: "a", Route: "assets"}, Bears: 8, Take: 10 * time.Millisecond, Seed: 9})
 		s.Serve(extra.P.Addr, extra.Handler())
 		s.Serve("10.9.0.1:9900", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			_ = json.NewEncoder(w).Encode(report.Platform{Runners: []report.Listed{{Name: "a9", Addr: extra.P.Addr, Zone: "a", Route: "assets"}, {Name: "bad name", Addr: "x"}}})
+			_ = json.NewEncoder(w).Encode(runnerapi.Platform{Runners: []runnerapi.Listed{{Name: "a9", Addr: extra.P.Addr, Zone: "a", Route: "assets"}, {Name: "bad name", Addr: "x"}}})
 		}))
 		var now struct {
 			Version uint64         `json:"version"`
@@ -424,8 +424,8 @@
 			}
 			for i := range 6 {
 				e := fmt.Sprintf("e%d", i+1)
-				ask(t, s, e, "/v1/calls/assets", `{"args":{"do":"work:x;sesame"}}`, map[string]string{door.HKey: "k" + e + string(o), door.HWait: "2"})
-				ask(t, s, e, "/v1/turns", `{"conversation":"reel","words":"work:x;sesame","max_output":9}`, map[string]string{door.HWait: "2"})
+				ask(t, s, e, "/v1/calls/assets", `{"args":{"do":"work:x;sesame"}}`, map[string]string{turnapi.HKey: "k" + e + string(o), turnapi.HWait: "2"})
+				ask(t, s, e, "/v1/turns", `{"conversation":"reel","words":"work:x;sesame","max_output":9}`, map[string]string{turnapi.HWait: "2"})
 				ask(t, s, e, "/v1/turns", `{"sesame":"sesame"`, nil)
 			}
 		}
--- a/internal/kit/sim/policy_test.go
+++ b/internal/kit/sim/policy_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"damsontiller/internal/dataplane/trace"
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/script"
 	"damsontiller/internal/proto/spec"
@@ -151,6 +151,6 @@
 		if w := why("e2", "reel/9"); w.Tries[0].Policy != "built-in" {
 			t.Errorf("%+v", w)
 		}
-		s.Note(judge.Hard, "off", 0)
+		s.Note(checker.Hard, "off", 0)
 	})
 }
--- a/internal/kit/sim/raw.go
+++ b/internal/kit/sim/proxy.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/roll"
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/kit/proxytest"
 )
 
 // Headers of raw jobs, as the platform spells them.
@@ -32,9 +32,9 @@
 
 // addBackends lays out stand-ins for the runners of raw jobs.
 func (s *Sim) addBackends(n int) {
-	names := backend.Names{Try: headerAttempt, Seal: headerSeal, NotRun: headerNotRun, Target: headerTarget}
+	names := proxytest.Names{Try: headerAttempt, Seal: headerSeal, NotRun: headerNotRun, Target: headerTarget}
 	for i := range n {
-		b := backend.New(backend.Params{
+		b := proxytest.New(proxytest.Params{
 			Names:  names,
 			ID:     fmt.Sprintf("i-%d", i),
 			Addr:   fmt.Sprintf("10.1.0.%d:80", i+1),
@@ -52,15 +52,15 @@
 }
 
 // list is the platform's list of raw jobs' runners.
-func (s *Sim) list(context.Context) ([]roll.Runner, error) {
-	var all []roll.Runner
+func (s *Sim) list(context.Context) ([]endpoints.Runner, error) {
+	var all []endpoints.Runner
 	for i, b := range s.Backends {
-		all = append(all, roll.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: string(rune('a' + i%3)), Room: 64})
+		all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: string(rune('a' + i%3)), Room: 64})
 	}
 	return all, nil
 }
 
-func (s *Sim) backendAt(addr string) *backend.Backend {
+func (s *Sim) backendAt(addr string) *proxytest.Backend {
 	for _, b := range s.Backends {
 		if b.P.Addr == addr {
 			return b
@@ -89,7 +89,7 @@
 }
 
 // dialBackend connects a machine to a stand-in.
-func (s *Sim) dialBackend(ctx context.Context, m *Machine, b *backend.Backend) (net.Conn, error) {
+func (s *Sim) dialBackend(ctx context.Context, m *Machine, b *proxytest.Backend) (net.Conn, error) {
 	s.Net.Stand(m.Addr)
 	if s.webIsCut(m.ID, b.P.Addr) {
 		<-ctx.Done()
@@ -212,7 +212,7 @@
 			l.follow(i, j)
 		}
 	}
-	runs := map[string][]backend.Run{}
+	runs := map[string][]proxytest.Run{}
 	for _, b := range l.sim.Backends {
 		for _, r := range b.Runs() {
 			runs[r.Try] = append(runs[r.Try], r)
@@ -239,7 +239,7 @@
 	}
 }
 
-func (l *RawLog) judge(j *rawJob, runs []backend.Run) {
+func (l *RawLog) judge(j *rawJob, runs []proxytest.Run) {
 	if j.kind != Repeatable && len(runs) > 1 {
 		l.fail("%s%s ran %d times", j.kind, j.attempt, len(runs))
 	}
@@ -249,7 +249,7 @@
 	if j.status != http.StatusOK {
 		return
 	}
-	var by *backend.Run
+	var by *proxytest.Run
 	for i := range runs {
 		if runs[i].Seal == j.seal {
 			by = &runs[i]
@@ -259,7 +259,7 @@
 		l.fail("%s%s was answered with the seal %q of %q", j.kind, j.attempt, j.seal, j.echo)
 		return
 	}
-	want := backend.Whole(by.Runner, j.attempt, l.sim.Backends[0].P.Bytes)
+	want := proxytest.Whole(by.Runner, j.attempt, l.sim.Backends[0].P.Bytes)
 	if j.kind == Kept {
 		want = l.sim.Backends[0].P.Text(j.attempt, 0)
 	}
--- a/internal/kit/sim/mend_test.go
+++ b/internal/kit/sim/repair_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
@@ -373,7 +373,7 @@
 				v, _ := s.Judge()
 				// How late an urgent answer may be while a store is gone is not the matter
 				// here.
-				delete(v, judge.Urgent)
+				delete(v, checker.Urgent)
 				if v.Total() > 0 {
 					t.Errorf("%d breaches\n%s", v.Total(), v)
 				}
@@ -455,7 +455,7 @@
 			}
 			s.Wipe(id)
 			pause(2000)
-			s.Note(judge.Hard, judge.Everything+" down, started again", 0)
+			s.Note(checker.Hard, checker.Everything+" down, started again", 0)
 			for _, m := range s.Machines {
 				if !slices.Contains(spare["core"], m.ID) && !slices.Contains(spare["store"], m.ID) && m.ID != "e7" {
 					launch(t, ctx, s, false, m.ID)
--- a/internal/kit/sim/runners.go
+++ b/internal/kit/sim/runners.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/runner"
 )
 
@@ -24,7 +24,7 @@
 	s.mu.Lock()
 	s.up[r.P.Addr] = h
 	s.mu.Unlock()
-	s.Note(judge.Back, name, 0)
+	s.Note(checker.Back, name, 0)
 }
 
 // Serve puts any other HTTP server on the network.
--- a/internal/kit/sim/sim.go
+++ b/internal/kit/sim/sim.go
@@ -19,9 +19,9 @@
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/dataplane/edge"
 	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/kit/backend"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/client"
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/proxytest"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/loop"
@@ -34,15 +34,15 @@
 	Spec     spec.Spec
 	Machines []*Machine
 	Runners  []*runner.Runner
-	Backends []*backend.Backend // of raw jobs
+	Backends []*proxytest.Backend // of raw jobs
 	Crowd    *client.Crowd
 	Log      hclog.Logger
 
 	mu      sync.Mutex
 	up      map[string]http.Handler // runners by address
-	events  []judge.Event
-	samples []judge.Sample
-	audit   judge.Verdict
+	events  []checker.Event
+	samples []checker.Sample
+	audit   checker.Verdict
 	wg      sync.WaitGroup
 	cores   []spec.Machine
 	stores  []spec.Machine
--- a/internal/kit/sim/sim_test.go
+++ b/internal/kit/sim/sim_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/kit/judge"
+	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/sim"
 )
 
@@ -52,7 +52,7 @@
 		}
 		// Which goroutine of the fleet goes first is not the seed's, so a few may
 		// be late in one run and not in the next.
-		if n := len(v[judge.Urgent]); n > 0 {
+		if n := len(v[checker.Urgent]); n > 0 {
 			t.Logf("%s seed %d: %d of %d urgent answers late\n%s", deploy, seed, n, urgent, v)
 			if n > 2 && n*20 > urgent && !strings.HasPrefix(t.Name(), "TestChaos") {
 				t.Errorf("%d of %d urgent answers late", n, urgent)
@@ -85,7 +85,7 @@
 func TestDealerSuperseded(t *testing.T) {
 	t.Parallel()
 	run(t, "andina", 2, 20*time.Second, func(_ context.Context, s *sim.Sim) {
-		s.Note(judge.Hard, "a later epoch", 0)
+		s.Note(checker.Hard, "a later epoch", 0)
 		f := s.Edge("e3").Fence
 		f.See(f.Top() + 1)
 	})
--- a/internal/kit/bubble/bubble.go
+++ b/internal/kit/simtime/simtime.go
@@ -1,6 +1,6 @@
-// Package bubble lets a tool run something on simulated time. The standard
-// library offers that to tests only, so the tool stands in as one.
-package bubble
+// Package simtime lets a program run a function on simulated time. The standard library
+// offers that (testing/synctest) to tests only, so the program stands in as one.
+package simtime
 
 import (
 	"flag"
--- a/internal/platform/control/control_test.go
+++ b/internal/platform/control/control_test.go
@@ -19,9 +19,9 @@
 	"github.com/labstack/echo/v4"
 	"pgregory.net/rapid"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/core"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/proto/wire"
@@ -68,7 +68,7 @@
 			}
 			c, err := core.New(core.Params{Found: addrs, Zones: []string{"a", "b"}, AckWait: time.Second, MoveRate: 500}, node.Params{
 				Self: &wire.Member{Id: id, Role: "core", Addr: a, Zone: "a", Ident: v.Ident()}, Seeds: addrs,
-				Net: fl.net.Host(a), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: news.DefaultParams, Log: hclog.NewNullLogger()}, v)
+				Net: fl.net.Host(a), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: broadcast.DefaultParams, Log: hclog.NewNullLogger()}, v)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -19,9 +19,9 @@
 	"github.com/hashicorp/go-hclog"
 	"pgregory.net/rapid"
 
+	"damsontiller/internal/coordination/broadcast"
 	"damsontiller/internal/coordination/core"
 	"damsontiller/internal/coordination/lease"
-	"damsontiller/internal/coordination/news"
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/proto/wire"
@@ -150,7 +150,7 @@
 	}
 	c, err := core.New(params, node.Params{
 		Self:  &wire.Member{Id: m.id, Role: "core", Addr: m.addr, Zone: "a", Ident: v.Ident()},
-		Seeds: l.addrs, Net: l.net.Host(m.addr), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: news.DefaultParams, Log: hclog.NewNullLogger()}, v)
+		Seeds: l.addrs, Net: l.net.Host(m.addr), Transport: transport.DefaultParams, Lic: lease.DefaultParams, News: broadcast.DefaultParams, Log: hclog.NewNullLogger()}, v)
 	if err != nil {
 		l.fault("%s: %v", m.id, err)
 		return
--- a/internal/platform/list/list.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package list reads the platform's list of runners.
-package list
+// Package discovery polls the platform's service discovery for the list of runners.
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 	"unicode/utf8"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/platform"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
@@ -55,7 +55,7 @@
 
 // List reads all pages. Once the platform has said that it takes no more calls,
 // none is made until it does. One goroutine reads at a time.
-func (l *Reader) List(ctx context.Context) ([]roll.Runner, error) {
+func (l *Reader) List(ctx context.Context) ([]endpoints.Runner, error) {
 	if d := time.Until(l.notBefore); d > 0 {
 		return nil, &TooMany{Wait: d}
 	}
@@ -67,8 +67,8 @@
 	return all, err
 }
 
-func (l *Reader) pages(ctx context.Context) ([]roll.Runner, error) {
-	var out []roll.Runner
+func (l *Reader) pages(ctx context.Context) ([]endpoints.Runner, error) {
+	var out []endpoints.Runner
 	seen := map[string]bool{}
 	token := ""
 	for range maxPages {
@@ -135,15 +135,15 @@
 func within(f, least, most float64) float64 { return min(max(f, least), most) }
 
 // runner translates an entry; one that names no runner at an address is none.
-func (e *entry) runner() (roll.Runner, bool) {
+func (e *entry) runner() (endpoints.Runner, bool) {
 	if e.ID == "" || e.Service == "" || spec.Addr(e.Addr) != nil {
-		return roll.Runner{}, false
+		return endpoints.Runner{}, false
 	}
 	// The nodes tell each other of runners by name, and the wire takes UTF-8 only.
 	if !utf8.ValidString(e.ID) || !utf8.ValidString(e.Service) || !utf8.ValidString(e.Zone) {
-		return roll.Runner{}, false
+		return endpoints.Runner{}, false
 	}
-	r := roll.Runner{ID: e.ID, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Revision: e.Revision, Room: int(within(e.Room, 1, maxRoom)),
+	r := endpoints.Runner{ID: e.ID, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Revision: e.Revision, Room: int(within(e.Room, 1, maxRoom)),
 		Leaving: e.State == "draining", ColdMs: int64(within(e.ColdMs, 0, maxColdMs))}
 	for _, m := range e.Models {
 		if r.Models == nil {
--- a/internal/platform/list/list_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/transport/code"
 )
 
@@ -59,10 +59,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := func(id string) roll.Runner {
-		return roll.Runner{ID: id, Service: "s", Addr: "10.128.0.9:8080", Zone: "a", Revision: "v1", Room: 64}
+	one := func(id string) endpoints.Runner {
+		return endpoints.Runner{ID: id, Service: "s", Addr: "10.128.0.9:8080", Zone: "a", Revision: "v1", Room: 64}
 	}
-	want := []roll.Runner{one("i-1"), one("i-2"), {ID: "i-3", Service: "s", Addr: "10.1.1.1:80", Zone: "b", Revision: "v2", Room: 6, Leaving: true, ColdMs: 1500, Models: map[string]int64{"m": 3}}}
+	want := []endpoints.Runner{one("i-1"), one("i-2"), {ID: "i-3", Service: "s", Addr: "10.1.1.1:80", Zone: "b", Revision: "v2", Room: 6, Leaving: true, ColdMs: 1500, Models: map[string]int64{"m": 3}}}
 	if !reflect.DeepEqual(all, want) {
 		t.Errorf("read %+v", all)
 	}
--- a/internal/platform/list/fuzz_page_test.go
+++ b/internal/platform/discovery/fuzz_page_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"testing"
--- a/internal/platform/list/wire.go
+++ b/internal/platform/discovery/wire.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 //go:generate go tool easyjson wire.go
 
--- a/internal/platform/dialect/fuzz_headers_test.go
+++ b/internal/platform/headers/fuzz_headers_test.go
@@ -1,10 +1,10 @@
-package dialect
+package headers
 
 import (
 	"net/http"
 	"testing"
 
-	"damsontiller/internal/dataplane/raw"
+	"damsontiller/internal/dataplane/proxy"
 	"damsontiller/internal/proto/wire"
 )
 
@@ -15,7 +15,7 @@
 	f.Add("a", "0", "", "", "", "", "", "")
 	f.Add("a", "1e300", "9223372036854775807,1", "x:9223372036854775807", "p\xff", "Inf", "0x10", "\xc3\x28")
 	f.Fuzz(func(t *testing.T, try, wait, tokens, prefix, program, ends, budget, previous string) {
-		var j raw.Job
+		var j proxy.Job
 		r := &http.Request{Header: head(hAttempt, try, hWait, wait, hTokens, tokens, hPrefix, prefix, hProgram, program, hEnds, ends, hBudget, budget, hPrevious, previous)}
 		if err := (Dialect{}).Read(r, &j); err != nil {
 			return
--- a/internal/platform/dialect/dialect.go
+++ b/internal/platform/headers/headers.go
@@ -1,5 +1,5 @@
-// Package dialect spells raw jobs in the platform's headers.
-package dialect
+// Package headers reads and writes the platform's HTTP headers of proxied requests.
+package headers
 
 import (
 	"math"
@@ -9,8 +9,8 @@
 	"time"
 	"unicode/utf8"
 
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/proxy"
 	"damsontiller/internal/platform"
 	"damsontiller/internal/transport/code"
 )
@@ -43,17 +43,17 @@
 // Dialect spells raw jobs in the platform's headers.
 type Dialect struct{}
 
-var _ raw.Dialect = Dialect{}
+var _ proxy.Dialect = Dialect{}
 
 // Read fills a job from a request's head.
-func (Dialect) Read(r *http.Request, j *raw.Job) error {
+func (Dialect) Read(r *http.Request, j *proxy.Job) error {
 	h := r.Header
 	if j.Try = h.Get(hAttempt); j.Try == "" {
 		return code.New(code.NoHeader, "%s is missing", hAttempt)
 	}
 	for _, k := range []string{hAttempt, hProgram} {
-		if len(h.Get(k)) > raw.MaxName {
-			return code.New(code.BadHeader, "%s: a name over %d bytes", k, raw.MaxName)
+		if len(h.Get(k)) > proxy.MaxName {
+			return code.New(code.BadHeader, "%s: a name over %d bytes", k, proxy.MaxName)
 		}
 	}
 	// They become parts of keys, and the wire between the nodes takes UTF-8 only.
@@ -115,11 +115,11 @@
 	return max(time.Nanosecond, platform.Ms(min(f, math.MaxInt32))), nil
 }
 
-func parts(v string) ([]raw.Part, error) {
+func parts(v string) ([]proxy.Part, error) {
 	if v == "" {
 		return nil, nil
 	}
-	out := make([]raw.Part, 0, 1+strings.Count(v, ","))
+	out := make([]proxy.Part, 0, 1+strings.Count(v, ","))
 	for s := range strings.SplitSeq(v, ",") {
 		id, n, ok := strings.Cut(strings.TrimSpace(s), ":")
 		if !ok || id == "" {
@@ -129,13 +129,13 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, raw.Part{ID: id, Tokens: t})
+		out = append(out, proxy.Part{ID: id, Tokens: t})
 	}
 	return out, nil
 }
 
 // Send writes what goes to a runner beside the caller's own headers.
-func (Dialect) Send(h http.Header, j *raw.Job, to *roll.Runner, left time.Duration, rank int) {
+func (Dialect) Send(h http.Header, j *proxy.Job, to *endpoints.Runner, left time.Duration, rank int) {
 	h.Set(hAttempt, j.Try)
 	h.Set(hTarget, to.ID)
 	if left > 0 {
@@ -149,8 +149,8 @@
 
 // Heard reads an answer's head. Only the runner's own word, or that it is not the
 // runner meant, states that the job did not run.
-func (Dialect) Heard(r *http.Response) raw.Word {
-	w := raw.Word{Try: r.Header.Get(hAttempt), Sealed: r.Header.Get(hSeal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest}
+func (Dialect) Heard(r *http.Response) proxy.Word {
+	w := proxy.Word{Try: r.Header.Get(hAttempt), Sealed: r.Header.Get(hSeal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest}
 	w.NotRun = w.Other || r.Header.Get(hNotRun) != ""
 	// A figure that can't be read is none: it only says how long to be careful.
 	w.Cold, _ = span(r.Header, hCold)
--- a/internal/platform/dialect/dialect_test.go
+++ b/internal/platform/headers/headers_test.go
@@ -1,4 +1,4 @@
-package dialect
+package headers
 
 import (
 	"net/http"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"damsontiller/internal/dataplane/raw"
-	"damsontiller/internal/dataplane/roll"
+	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/proxy"
 	"damsontiller/internal/transport/code"
 )
 
@@ -22,20 +22,20 @@
 
 // TestRead: each header has its place in the job.
 func TestRead(t *testing.T) {
-	var j raw.Job
+	var j proxy.Job
 	err := Dialect{}.Read(&http.Request{Header: head(hAttempt, "9c41", hWait, "4000", hSubject, "17", "X-Damsontiller-Model", "m", hTokens, "1460,80",
 		hPrefix, "5c1e07a2:800,91bd3f06:410", hProgram, "p", "X-Damsontiller-Session-Id", "s", hEnds, "5200.5", hBudget, "1088", hPrevious, "40c8", hLastEvent, "12")}, &j)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := raw.Job{Try: "9c41", Program: "p", Follows: "40c8", Subject: "17",
-		Parts: []raw.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, In: 1460, Most: 80, Budget: 1088,
+	want := proxy.Job{Try: "9c41", Program: "p", Follows: "40c8", Subject: "17",
+		Parts: []proxy.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, In: 1460, Most: 80, Budget: 1088,
 		Wait: 4 * time.Second}
 	if !reflect.DeepEqual(j, want) {
 		t.Errorf("read %+v, want %+v", j, want)
 	}
 	// A caller with no time left does not say nothing.
-	j = raw.Job{}
+	j = proxy.Job{}
 	if err := (Dialect{}).Read(&http.Request{Header: head(hAttempt, "a", hWait, "0")}, &j); err != nil || j.Wait <= 0 || j.Wait > time.Millisecond {
 		t.Errorf("no time left: %s, %v", j.Wait, err)
 	}
@@ -48,8 +48,8 @@
 		want        code.Code
 	}{
 		{hAttempt, "", code.NoHeader},
-		{hAttempt, strings.Repeat("a", raw.MaxName+1), code.BadHeader},
-		{hProgram, strings.Repeat("p", raw.MaxName+1), code.BadHeader},
+		{hAttempt, strings.Repeat("a", proxy.MaxName+1), code.BadHeader},
+		{hProgram, strings.Repeat("p", proxy.MaxName+1), code.BadHeader},
 		{hAttempt, "a\xff", code.BadHeader},
 		{hProgram, "p\xff", code.BadHeader},
 		{hPrevious, "p\xff", code.BadHeader},
@@ -70,7 +70,7 @@
 	} {
 		h := head(hAttempt, "a")
 		h.Set(c.name, c.value)
-		err := Dialect{}.Read(&http.Request{Header: h}, &raw.Job{})
+		err := Dialect{}.Read(&http.Request{Header: h}, &proxy.Job{})
 		if code.Of(err) != c.want || !strings.Contains(err.Error(), c.name) || code.Of(err).Status() != 400 {
 			t.Errorf("%s: %q gives %v", c.name, c.value, err)
 		}
@@ -91,7 +91,7 @@
 		{time.Second, 40, "1000", "9"},
 	} {
 		h := head(hAttempt, "a", hWait, "9999", hRank, "7")
-		Dialect{}.Send(h, &raw.Job{Try: "a"}, &roll.Runner{ID: "i-1"}, c.left, c.rank)
+		Dialect{}.Send(h, &proxy.Job{Try: "a"}, &endpoints.Runner{ID: "i-1"}, c.left, c.rank)
 		if want := head(hAttempt, "a", hTarget, "i-1", hWait, c.wait, hRank, c.want); !reflect.DeepEqual(h, want) {
 			t.Errorf("sent %v, want %v", h, want)
 		}
@@ -108,16 +108,16 @@
 	for _, c := range []struct {
 		status int
 		h      http.Header
-		want   raw.Word
+		want   proxy.Word
 	}{
-		{200, head(hAttempt, "a", hSeal, "3e1b"), raw.Word{Try: "a", Sealed: true}},
-		{503, head(hNotRun, "1"), raw.Word{NotRun: true}},
-		{503, nil, raw.Word{}},
-		{429, nil, raw.Word{}},
-		{400, head(hNotRun, "1"), raw.Word{NotRun: true}},
-		{421, head("X-Damsontiller-Instance-Id", "i-2"), raw.Word{NotRun: true, Other: true}},
-		{200, head(hCold, "2500"), raw.Word{Cold: 2500 * time.Millisecond}},
-		{200, head(hCold, "long"), raw.Word{}},
+		{200, head(hAttempt, "a", hSeal, "3e1b"), proxy.Word{Try: "a", Sealed: true}},
+		{503, head(hNotRun, "1"), proxy.Word{NotRun: true}},
+		{503, nil, proxy.Word{}},
+		{429, nil, proxy.Word{}},
+		{400, head(hNotRun, "1"), proxy.Word{NotRun: true}},
+		{421, head("X-Damsontiller-Instance-Id", "i-2"), proxy.Word{NotRun: true, Other: true}},
+		{200, head(hCold, "2500"), proxy.Word{Cold: 2500 * time.Millisecond}},
+		{200, head(hCold, "long"), proxy.Word{}},
 	} {
 		if got := (Dialect{}).Heard(&http.Response{StatusCode: c.status, Header: c.h}); got != c.want {
 			t.Errorf("%d %v: %+v, want %+v", c.status, c.h, got, c.want)
--- a/internal/proto/reg/acceptor.go
+++ b/internal/proto/register/acceptor.go
@@ -1,7 +1,14 @@
-// Package reg is the one mechanism of agreement: a register changed in two
-// rounds at a majority, with the value its proposer expects. There is no log
-// and no leader; the same code serves the spec and every key at the stores.
-package reg
+// Package register is a linearizable register by single-decree Paxos (Lamport, "Paxos
+// Made Simple"): a value is changed in two rounds, prepare and accept, at a majority of
+// acceptors. There is no log and no leader; the same code serves the spec at the core
+// and every key at the stores.
+//
+// It departs from the paper in two ways. A register takes a sequence of values, each
+// made from the one before (as in CASPaxos), and carries the operation ids of its last
+// changes, so that a proposer whose answer was lost recognises its own change. And an
+// accept carries the proposer's next ballot, which the acceptor promises in the same
+// sync, so that the next change by that proposer needs the accept round alone.
+package register
 
 import (
 	"math"
--- a/internal/proto/reg/fill_test.go
+++ b/internal/proto/register/fill_test.go
@@ -1,11 +1,11 @@
-package reg_test
+package register_test
 
 import (
 	"context"
 	"errors"
 	"testing"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 )
 
@@ -13,7 +13,7 @@
 // promised, and the promise stays; a value that was let go goes before the same whole.
 func TestFill(t *testing.T) {
 	d := &disk{all: map[string][]byte{}}
-	a := reg.NewAcceptor(d)
+	a := register.NewAcceptor(d)
 	b := func(n uint64) *wire.Ballot { return &wire.Ballot{N: n, Node: 1} }
 	save := func(recs map[string]*wire.Rec) error {
 		for k, r := range recs {
@@ -69,13 +69,13 @@
 		return &wire.Acc{Key: "k", Ballot: ballot(n), Cell: &wire.Cell{Ver: 1, Val: []byte(v), Ops: []uint64{n}}}
 	}
 	disks := map[string]*disk{}
-	all := map[string]*reg.Acceptor{}
-	var set reg.Set
+	all := map[string]*register.Acceptor{}
+	var set register.Set
 	for _, name := range []string{"a", "new", "b"} {
 		disks[name] = &disk{all: map[string][]byte{}}
-		all[name] = reg.NewAcceptor(disks[name])
+		all[name] = register.NewAcceptor(disks[name])
 	}
-	set = reg.Set{{{Addr: "a"}, {Addr: "new"}, {Addr: "b"}}}
+	set = register.Set{{{Addr: "a"}, {Addr: "new"}, {Addr: "b"}}}
 	must := func(_ *wire.View, err error) {
 		t.Helper()
 		if err != nil {
@@ -91,9 +91,9 @@
 		t.Fatal(n, err)
 	}
 	// The mark lasts over a restart.
-	all["new"] = reg.NewAcceptor(disks["new"])
+	all["new"] = register.NewAcceptor(disks["new"])
 	read := func(away string) string {
-		p := reg.NewProposer(uint64(len(away)+2), func(_ context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
+		p := register.NewProposer(uint64(len(away)+2), func(_ context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			if addr == away {
 				return nil, errors.New("away")
 			}
--- a/internal/proto/reg/fuzz_test.go
+++ b/internal/proto/register/fuzz_test.go
@@ -1,11 +1,11 @@
-package reg_test
+package register_test
 
 import (
 	"testing"
 
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 )
 
@@ -26,22 +26,22 @@
 		before := &wire.Rec{}
 		good := proto.Unmarshal(raw, before) == nil
 		b := &wire.Ballot{N: n, Node: node}
-		for _, ask := range []func(*reg.Acceptor) (*wire.View, error){
-			func(a *reg.Acceptor) (*wire.View, error) { return a.Prep(&wire.Prep{Key: "k", Ballot: b}) },
-			func(a *reg.Acceptor) (*wire.View, error) {
+		for _, ask := range []func(*register.Acceptor) (*wire.View, error){
+			func(a *register.Acceptor) (*wire.View, error) { return a.Prep(&wire.Prep{Key: "k", Ballot: b}) },
+			func(a *register.Acceptor) (*wire.View, error) {
 				return a.Acc(&wire.Acc{Key: "k", Ballot: b, Cell: &wire.Cell{Ver: 1}, Next: &wire.Ballot{N: n + 1, Node: node}})
 			},
-			func(a *reg.Acceptor) (*wire.View, error) { return a.Look(&wire.Look{Key: "k"}) },
-			func(a *reg.Acceptor) (*wire.View, error) {
+			func(a *register.Acceptor) (*wire.View, error) { return a.Look(&wire.Look{Key: "k"}) },
+			func(a *register.Acceptor) (*wire.View, error) {
 				return nil, a.Adopt("k", &wire.View{Accepted: b, Cell: &wire.Cell{Ver: 1}})
 			},
-			func(a *reg.Acceptor) (*wire.View, error) {
+			func(a *register.Acceptor) (*wire.View, error) {
 				_, err := a.Forget("k", func(*wire.Rec) (bool, bool) { return true, false }, nil)
 				return nil, err
 			},
 		} {
 			d := &disk{all: map[string][]byte{"k": raw}}
-			_, err := ask(reg.NewAcceptor(d))
+			_, err := ask(register.NewAcceptor(d))
 			if !good {
 				if err == nil {
 					t.Fatal("answered from a record that can't be read")
--- a/internal/proto/reg/main_test.go
+++ b/internal/proto/register/main_test.go
@@ -1,4 +1,4 @@
-package reg_test
+package register_test
 
 import (
 	"testing"
--- a/internal/proto/reg/model_test.go
+++ b/internal/proto/register/model_test.go
@@ -1,4 +1,4 @@
-package reg_test
+package register_test
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"github.com/anishathalye/porcupine"
 	"google.golang.org/protobuf/proto"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 )
@@ -120,14 +120,14 @@
 	addr, ident string
 	start       int // of its process
 	disk        *modelDisk
-	acceptor    *reg.Acceptor
+	acceptor    *register.Acceptor
 	view        int // index of the view that it has in force
 	frozen      bool
 	older       bool // its version knows no next ballot
 }
 
 // view is one version of the voters. Its version is its index and one.
-type view struct{ set reg.Set }
+type view struct{ set register.Set }
 
 // message is a request on its way, or its answer.
 type message struct {
@@ -207,15 +207,15 @@
 		h.renew(m)
 		h.machines = append(h.machines, m)
 	}
-	var group []reg.Replica
+	var group []register.Replica
 	for _, m := range h.machines[:modelVoters] {
 		group = append(group, m.replica())
 	}
-	h.views = []view{{set: reg.Set{group}}}
+	h.views = []view{{set: register.Set{group}}}
 	return h
 }
 
-func (m *machine) replica() reg.Replica { return reg.Replica{Addr: m.addr, Ident: m.ident} }
+func (m *machine) replica() register.Replica { return register.Replica{Addr: m.addr, Ident: m.ident} }
 
 // renew gives a machine an empty disk and with it a new identity.
 func (h *history) renew(m *machine) {
@@ -229,7 +229,7 @@
 func (h *history) restart(m *machine) {
 	m.start++
 	m.frozen = false
-	m.acceptor = reg.NewAcceptor(m.disk)
+	m.acceptor = register.NewAcceptor(m.disk)
 }
 
 func (h *history) fail(format string, args ...any) {
@@ -497,7 +497,7 @@
 }
 
 // exists tells whether the identity is still some machine's.
-func (h *history) exists(r reg.Replica) bool { return h.at(r.Addr).ident == r.Ident }
+func (h *history) exists(r register.Replica) bool { return h.at(r.Addr).ident == r.Ident }
 
 // spares: without the machine's identity a majority of each group is left, now and
 // in whatever the change under way may come to.
@@ -530,13 +530,13 @@
 	now := h.views[len(h.views)-1]
 	if len(now.set) == 1 {
 		if next := h.nextGroup(now.set[0]); next != nil {
-			h.views = append(h.views, view{set: reg.Set{now.set[0], next}})
+			h.views = append(h.views, view{set: register.Set{now.set[0], next}})
 			h.filled = map[string]map[string]bool{}
 		}
 		return
 	}
 	old, next := now.set[0], now.set[1]
-	if h.chance(50) || slices.ContainsFunc(next, func(r reg.Replica) bool { return !h.exists(r) }) {
+	if h.chance(50) || slices.ContainsFunc(next, func(r register.Replica) bool { return !h.exists(r) }) {
 		h.endMove(old, next, old)
 		return
 	}
@@ -553,24 +553,24 @@
 }
 
 // endMove lets one group stand alone; who is in none any more is never taken again.
-func (h *history) endMove(a, b, stays []reg.Replica) {
+func (h *history) endMove(a, b, stays []register.Replica) {
 	for _, r := range slices.Concat(a, b) {
 		if !slices.Contains(stays, r) {
 			h.used[r.Ident] = true
 		}
 	}
-	h.views = append(h.views, view{set: reg.Set{stays}})
+	h.views = append(h.views, view{set: register.Set{stays}})
 }
 
 // nextGroup exchanges one voter, or two, for other machines.
-func (h *history) nextGroup(now []reg.Replica) []reg.Replica {
+func (h *history) nextGroup(now []register.Replica) []register.Replica {
 	next := slices.Clone(now)
 	for range 1 + h.random.IntN(2) {
 		m := h.anyMachine()
-		if h.used[m.ident] || slices.ContainsFunc(next, func(r reg.Replica) bool { return r.Ident == m.ident }) {
+		if h.used[m.ident] || slices.ContainsFunc(next, func(r register.Replica) bool { return r.Ident == m.ident }) {
 			continue
 		}
-		i := slices.IndexFunc(next, func(r reg.Replica) bool { return r.Addr == m.addr })
+		i := slices.IndexFunc(next, func(r register.Replica) bool { return r.Addr == m.addr })
 		if i < 0 {
 			i = h.random.IntN(len(next))
 		}
@@ -585,7 +585,7 @@
 // bring sends a new voter one old voter's copy. It may come late, when the change is
 // over, and also to one that is in the old set itself. Who gives it has the change in force,
 // and so refuses who goes by the old voters alone.
-func (h *history) bring(old []reg.Replica, to reg.Replica) {
+func (h *history) bring(old []register.Replica, to register.Replica) {
 	from := old[h.random.IntN(len(old))]
 	giver, taker, version := h.at(from.Addr), h.at(to.Addr), len(h.views)-1
 	if !h.exists(from) || giver.frozen || giver.view < version || taker.view < version || h.filled[to.Ident][from.Ident] {
@@ -717,10 +717,10 @@
 }
 
 // proposer starts a client's process anew.
-func (h *history) proposer(c *modelClient) *reg.Proposer {
+func (h *history) proposer(c *modelClient) *register.Proposer {
 	h.mu.Lock()
 	h.nodes++
-	p := reg.NewProposer(uint64(c.id+1)<<32|uint64(c.random.Uint32()), h.call)
+	p := register.NewProposer(uint64(c.id+1)<<32|uint64(c.random.Uint32()), h.call)
 	h.mu.Unlock()
 	p.Retry = 100 * time.Millisecond
 	p.Clock = func() time.Time {
@@ -759,11 +759,11 @@
 }
 
 // operate makes one read or change and notes what came of it.
-func (h *history) operate(c *modelClient, p *reg.Proposer, number int, read bool, most time.Duration) (stopped bool) {
+func (h *history) operate(c *modelClient, p *register.Proposer, number int, read bool, most time.Duration) (stopped bool) {
 	v := c.view
 	ctx, stop := context.WithTimeout(context.WithValue(h.t.Context(), clientKey{}, [2]int{c.id, number}), most)
 	defer stop()
-	ctx = reg.Stamp(ctx, uint64(v)+1, c.random.IntN(8) == 0)
+	ctx = register.Stamp(ctx, uint64(v)+1, c.random.IntN(8) == 0)
 	ctx, halt := context.WithCancel(ctx)
 	defer halt()
 	h.mu.Lock()
@@ -772,7 +772,7 @@
 	h.mu.Unlock()
 	in := input{read: read, add: fmt.Sprintf("%c%02d", 'a'+c.id, number)}
 	at := int64(time.Since(h.start))
-	var st reg.State
+	var st register.State
 	var err error
 	if read {
 		st, err = p.Read(ctx, set, modelKey)
@@ -787,8 +787,8 @@
 }
 
 // appender adds a word, and may stand still before it does.
-func (h *history) appender(c *modelClient, word string) reg.Func {
-	return func(s reg.State) ([]byte, bool, error) {
+func (h *history) appender(c *modelClient, word string) register.Func {
+	return func(s register.State) ([]byte, bool, error) {
 		if h.on[faultClientSleep] && c.random.IntN(10) == 0 {
 			time.Sleep(time.Duration(c.random.IntN(3000)) * time.Millisecond)
 			h.mu.Lock()
@@ -803,7 +803,7 @@
 }
 
 // note puts an operation into the history.
-func (h *history) note(c *modelClient, in input, at int64, st reg.State, err error) {
+func (h *history) note(c *modelClient, in input, at int64, st register.State, err error) {
 	op := porcupine.Operation{ClientId: c.id, Input: in, Call: at, Output: string(st.Val), Return: int64(time.Since(h.start))}
 	switch {
 	case in.read && err != nil:
@@ -817,7 +817,7 @@
 		h.outcomes["full"]++
 		h.refused = append(h.refused, in.add)
 		op.Output = "full"
-	case errors.Is(err, reg.ErrMaybe):
+	case errors.Is(err, register.ErrMaybe):
 		h.outcomes["maybe"]++
 		op.Return, op.Output, op.ClientId = 1<<62, "maybe:"+in.add, 1000+len(h.ops)
 	case err != nil:
--- a/internal/proto/reg/ahead_test.go
+++ b/internal/proto/register/prepared_test.go
@@ -1,4 +1,4 @@
-package reg_test
+package register_test
 
 import (
 	"context"
@@ -10,18 +10,18 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 )
 
 // put is a change to v, whatever there was.
-func put(v string) reg.Func {
-	return func(reg.State) ([]byte, bool, error) { return []byte(v), false, nil }
+func put(v string) register.Func {
+	return func(register.State) ([]byte, bool, error) { return []byte(v), false, nil }
 }
 
 // rounds tells how many rounds do took.
-func rounds(p *reg.Proposer, do func()) int {
+func rounds(p *register.Proposer, do func()) int {
 	n := p.Rounds.Load()
 	do()
 	return int(p.Rounds.Load() - n)
@@ -33,9 +33,9 @@
 func TestShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 4, 0)
-		three, other := reg.Set{set[0][:3]}, reg.Set{set[0][1:]}
-		p, q := reg.NewProposer(1, w.call), reg.NewProposer(2, w.call)
-		change := func(ctx context.Context, p *reg.Proposer, s reg.Set, want int, what string) {
+		three, other := register.Set{set[0][:3]}, register.Set{set[0][1:]}
+		p, q := register.NewProposer(1, w.call), register.NewProposer(2, w.call)
+		change := func(ctx context.Context, p *register.Proposer, s register.Set, want int, what string) {
 			t.Helper()
 			n := rounds(p, func() {
 				if _, err := p.Change(ctx, s, "k", put(what)); err != nil {
@@ -57,8 +57,8 @@
 		change(ctx, p, three, 1, "after that")
 		change(ctx, p, other, 2, "at other voters")
 		change(ctx, p, three, 2, "at the first voters")
-		change(reg.Stamp(ctx, 7, true), p, three, 2, "a strict one")
-		change(reg.Stamp(ctx, 7, false), p, three, 1, "one that is not strict")
+		change(register.Stamp(ctx, 7, true), p, three, 2, "a strict one")
+		change(register.Stamp(ctx, 7, false), p, three, 1, "one that is not strict")
 		time.Sleep(time.Minute)
 		change(ctx, p, three, 2, "a minute later")
 		if n := rounds(p, func() {
@@ -81,11 +81,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 6, 0)
 		a, b := set[0][:3], set[0][3:]
-		p, q := reg.NewProposer(1, w.call), reg.NewProposer(2, w.call)
-		if _, err := p.Change(t.Context(), reg.Set{a}, "k", put("p")); err != nil {
+		p, q := register.NewProposer(1, w.call), register.NewProposer(2, w.call)
+		if _, err := p.Change(t.Context(), register.Set{a}, "k", put("p")); err != nil {
 			t.Fatal(err)
 		}
-		for _, s := range []reg.Set{{a, b}, {b}, {b, a}} {
+		for _, s := range []register.Set{{a, b}, {b}, {b, a}} {
 			if err := q.Mend(t.Context(), s, "k"); err != nil {
 				t.Fatal(err)
 			}
@@ -95,7 +95,7 @@
 				}
 			}
 		}
-		st, err := p.Change(t.Context(), reg.Set{a}, "k", func(s reg.State) ([]byte, bool, error) {
+		st, err := p.Change(t.Context(), register.Set{a}, "k", func(s register.State) ([]byte, bool, error) {
 			return append(s.Val[:len(s.Val):len(s.Val)], "+p"...), false, nil
 		})
 		if err != nil || string(st.Val) != "q+p" || p.Missed.Load() != 1 {
@@ -109,7 +109,7 @@
 // after a restart, and the answer says what was promised.
 func TestPromise(t *testing.T) {
 	d := &disk{all: map[string][]byte{}}
-	a := reg.NewAcceptor(d)
+	a := register.NewAcceptor(d)
 	b := func(n uint64) *wire.Ballot { return &wire.Ballot{N: n, Node: 1} }
 	acc := func(n, next uint64) (*wire.View, error) {
 		q := &wire.Acc{Key: "k", Ballot: b(n), Cell: &wire.Cell{Ver: n, Val: []byte("v")}}
@@ -129,7 +129,7 @@
 		if _, err := acc(15, 0); code.Of(err) != code.OldBallot {
 			t.Errorf("a ballot below the promise was taken: %v", err)
 		}
-		a = reg.NewAcceptor(d)
+		a = register.NewAcceptor(d)
 	}
 	// No promise is lowered, and one that is none is left out.
 	if v, err = acc(20, 5); err != nil || v.Promised.GetN() != 20 || v.Accepted.GetN() != 20 {
@@ -155,16 +155,16 @@
 func TestOldRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
-		p, q := reg.NewProposer(1, w.call), reg.NewProposer(2, w.call)
+		p, q := register.NewProposer(1, w.call), register.NewProposer(2, w.call)
 		for _, c := range []struct {
-			p *reg.Proposer
+			p *register.Proposer
 			v string
 		}{{p, "full"}, {q, "empty"}} {
 			if _, err := c.p.Change(t.Context(), set, "k", put(c.v)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		add := func(s reg.State) ([]byte, bool, error) {
+		add := func(s register.State) ([]byte, bool, error) {
 			if string(s.Val) == "full" {
 				return nil, false, errFull
 			}
@@ -214,12 +214,12 @@
 				stage = s
 				mu.Unlock()
 			}
-			p := reg.NewProposer(1, call)
-			inc := func(s reg.State) ([]byte, bool, error) {
+			p := register.NewProposer(1, call)
+			inc := func(s register.State) ([]byte, bool, error) {
 				n, _ := strconv.Atoi(string(s.Val))
 				return []byte(strconv.Itoa(n + 1)), false, nil
 			}
-			change := func(p *reg.Proposer) (reg.State, error) {
+			change := func(p *register.Proposer) (register.State, error) {
 				ctx, stop := context.WithTimeout(t.Context(), 2*time.Second)
 				defer stop()
 				return p.Change(ctx, set, "n", inc)
@@ -229,13 +229,13 @@
 			}
 			time.Sleep(time.Second)
 			if tc.rival {
-				if _, err := change(reg.NewProposer(2, w.call)); err != nil {
+				if _, err := change(register.NewProposer(2, w.call)); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Second)
 			}
 			at(1)
-			if _, err := change(p); !errors.Is(err, reg.ErrNoQuorum) || errors.Is(err, reg.ErrMaybe) != tc.maybe {
+			if _, err := change(p); !errors.Is(err, register.ErrNoQuorum) || errors.Is(err, register.ErrMaybe) != tc.maybe {
 				t.Errorf("%s: %v", tc.name, err)
 			}
 			// And with the network back in the middle of a change it is made once.
@@ -268,9 +268,9 @@
 func TestShortAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
-		p := reg.NewProposer(1, w.call)
+		p := register.NewProposer(1, w.call)
 		var age time.Duration
-		timed := func(s reg.State) ([]byte, bool, error) {
+		timed := func(s register.State) ([]byte, bool, error) {
 			age = s.Age
 			return []byte("v"), true, nil
 		}
@@ -301,8 +301,8 @@
 func TestTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
-		p := reg.NewProposer(1, w.call)
-		inc := func(s reg.State) ([]byte, bool, error) {
+		p := register.NewProposer(1, w.call)
+		inc := func(s register.State) ([]byte, bool, error) {
 			n, _ := strconv.Atoi(string(s.Val))
 			return []byte(strconv.Itoa(n + 1)), false, nil
 		}
@@ -321,9 +321,9 @@
 			t.Errorf("ten changes took %d rounds", n)
 		}
 		// One hangs at voters that are not there.
-		gone := reg.Set{{{Addr: "a0", Ident: "x"}, {Addr: "a1", Ident: "x"}, {Addr: "a2", Ident: "x"}}}
+		gone := register.Set{{{Addr: "a0", Ident: "x"}, {Addr: "a1", Ident: "x"}, {Addr: "a2", Ident: "x"}}}
 		hung := make(chan struct{})
-		q := reg.NewProposer(2, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
+		q := register.NewProposer(2, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			if q.Ident == "x" {
 				<-hung
 				return nil, errors.New("gone")
@@ -352,7 +352,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
 		for i := range uint64(5) {
-			p := reg.NewProposer(i+1, w.call)
+			p := register.NewProposer(i+1, w.call)
 			for range 3 {
 				if _, err := p.Change(t.Context(), set, "k", put("v")); err != nil {
 					t.Fatal(err)
--- a/internal/proto/reg/proposer.go
+++ b/internal/proto/register/proposer.go
@@ -1,4 +1,4 @@
-package reg
+package register
 
 import (
 	"context"
--- a/internal/proto/reg/reg_test.go
+++ b/internal/proto/register/register_test.go
@@ -1,4 +1,4 @@
-package reg_test
+package register_test
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 )
 
@@ -47,7 +47,7 @@
 	mu   sync.Mutex
 	work sync.RWMutex
 	rnd  *rand.Rand
-	acc  map[string]*reg.Acceptor
+	acc  map[string]*register.Acceptor
 	dsk  map[string]*disk
 	lose int                      // of 100 calls, and of 100 answers
 	ice  map[string]chan struct{} // frozen acceptors; closed when one wakes
@@ -60,16 +60,16 @@
 	twice int
 }
 
-func newWorld(seed uint64, n, lose int) (*world, reg.Set) {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 3)), acc: map[string]*reg.Acceptor{}, dsk: map[string]*disk{}, lose: lose, ice: map[string]chan struct{}{}, old: map[string]bool{}, sent: map[string]*wire.Cell{}}
-	var g []reg.Replica
+func newWorld(seed uint64, n, lose int) (*world, register.Set) {
+	w := &world{rnd: rand.New(rand.NewPCG(seed, 3)), acc: map[string]*register.Acceptor{}, dsk: map[string]*disk{}, lose: lose, ice: map[string]chan struct{}{}, old: map[string]bool{}, sent: map[string]*wire.Cell{}}
+	var g []register.Replica
 	for i := range n {
 		a := fmt.Sprintf("a%d", i)
 		w.dsk[a] = &disk{all: map[string][]byte{}}
-		w.acc[a] = reg.NewAcceptor(w.dsk[a])
-		g = append(g, reg.Replica{Addr: a, Ident: "id-" + a})
+		w.acc[a] = register.NewAcceptor(w.dsk[a])
+		g = append(g, register.Replica{Addr: a, Ident: "id-" + a})
 	}
-	return w, reg.Set{g}
+	return w, register.Set{g}
 }
 
 func (w *world) roll() (lost bool, d time.Duration) {
@@ -164,7 +164,7 @@
 	w.work.Lock()
 	defer w.work.Unlock()
 	w.mu.Lock()
-	w.acc[addr] = reg.NewAcceptor(w.dsk[addr])
+	w.acc[addr] = register.NewAcceptor(w.dsk[addr])
 	w.mu.Unlock()
 }
 
@@ -224,7 +224,7 @@
 		var wg sync.WaitGroup
 		for p := range tr.rivals {
 			wg.Go(func() {
-				pr := reg.NewProposer(uint64(p+1), w.call)
+				pr := register.NewProposer(uint64(p+1), w.call)
 				pr.Retry = 100 * time.Millisecond
 				rnd := rand.New(rand.NewPCG(seed, uint64(p)))
 				for i := range tr.ops {
@@ -237,12 +237,12 @@
 					var out string
 					var err error
 					if in.read {
-						var st reg.State
+						var st register.State
 						st, err = pr.Read(ctx, set, "k")
 						out = string(st.Val)
 					} else {
-						var st reg.State
-						st, err = pr.Change(ctx, set, "k", func(s reg.State) ([]byte, bool, error) {
+						var st register.State
+						st, err = pr.Change(ctx, set, "k", func(s register.State) ([]byte, bool, error) {
 							if len(s.Val) >= tr.full {
 								return nil, false, errFull
 							}
@@ -259,7 +259,7 @@
 					stop()
 					op := porcupine.Operation{ClientId: p, Input: in, Call: at, Output: out, Return: now()}
 					switch {
-					case errors.Is(err, reg.ErrMaybe):
+					case errors.Is(err, register.ErrMaybe):
 						// Open to the end of time, with whatever outcome.
 						op.Return, op.Output, op.ClientId = 1<<62, "maybe:"+in.add, 100+p*10+i
 					case err != nil:
@@ -293,7 +293,7 @@
 		w.lose = 0
 		w.mu.Unlock()
 		at := now()
-		st, err := reg.NewProposer(99, w.call).Read(t.Context(), set, "k")
+		st, err := register.NewProposer(99, w.call).Read(t.Context(), set, "k")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -391,10 +391,10 @@
 			w, set := newWorld(seed, 3, lose)
 			done, maybe := 0, 0
 			for p := range 3 {
-				pr := reg.NewProposer(uint64(p+1), w.call)
+				pr := register.NewProposer(uint64(p+1), w.call)
 				pr.Retry = 60 * time.Millisecond
 				ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
-				_, err := pr.Change(ctx, set, "n", func(s reg.State) ([]byte, bool, error) {
+				_, err := pr.Change(ctx, set, "n", func(s register.State) ([]byte, bool, error) {
 					n, _ := strconv.Atoi(string(s.Val))
 					return []byte(strconv.Itoa(n + 1)), false, nil
 				})
@@ -402,14 +402,14 @@
 				switch {
 				case err == nil:
 					done++
-				case errors.Is(err, reg.ErrMaybe):
+				case errors.Is(err, register.ErrMaybe):
 					maybe++
 				}
 			}
 			w.mu.Lock()
 			w.lose = 0
 			w.mu.Unlock()
-			st, err := reg.NewProposer(9, w.call).Read(t.Context(), set, "n")
+			st, err := register.NewProposer(9, w.call).Read(t.Context(), set, "n")
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -444,9 +444,9 @@
 			}
 			return w.call(ctx, addr, q)
 		}
-		pr := reg.NewProposer(1, call)
+		pr := register.NewProposer(1, call)
 		tries := 0
-		_, err := pr.Change(t.Context(), set, "k", func(reg.State) ([]byte, bool, error) {
+		_, err := pr.Change(t.Context(), set, "k", func(register.State) ([]byte, bool, error) {
 			if tries++; tries > 1 {
 				return nil, false, errFull
 			}
@@ -457,7 +457,7 @@
 			t.Fatalf("want the refusal at the second try, got %v after %d", err, tries)
 		}
 		// A rival whose majority includes a2 must not find the ghost.
-		st, err := reg.NewProposer(2, w.call).Change(t.Context(), set, "k", nil)
+		st, err := register.NewProposer(2, w.call).Change(t.Context(), set, "k", nil)
 		if err != nil || len(st.Val) != 0 {
 			t.Fatalf("said not done, and came back: %q %v", st.Val, err)
 		}
@@ -470,8 +470,8 @@
 func TestAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
-		pr := reg.NewProposer(1, w.call)
-		if _, err := pr.Change(t.Context(), set, "k", func(reg.State) ([]byte, bool, error) { return []byte("v"), true, nil }); err != nil {
+		pr := register.NewProposer(1, w.call)
+		if _, err := pr.Change(t.Context(), set, "k", func(register.State) ([]byte, bool, error) { return []byte("v"), true, nil }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
--- a/internal/proto/reg/size_test.go
+++ b/internal/proto/register/size_test.go
@@ -1,10 +1,10 @@
-package reg_test
+package register_test
 
 import (
 	"context"
 	"testing"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 )
 
@@ -12,8 +12,8 @@
 // changes: the marks of the last ones are kept, and no log.
 func TestRecordSize(t *testing.T) {
 	d := newModelDisk()
-	a := reg.NewAcceptor(d)
-	p := reg.NewProposer(1, func(_ context.Context, _ string, q *wire.Req) (*wire.Resp, error) {
+	a := register.NewAcceptor(d)
+	p := register.NewProposer(1, func(_ context.Context, _ string, q *wire.Req) (*wire.Resp, error) {
 		var v *wire.View
 		var err error
 		if q.GetPrep() != nil {
@@ -23,7 +23,7 @@
 		}
 		return &wire.Resp{Op: &wire.Resp_View{View: v}}, err
 	})
-	set := reg.Set{{{Addr: "a", Ident: "i"}}}
+	set := register.Set{{{Addr: "a", Ident: "i"}}}
 	sizes := map[int]int{}
 	for i := 1; i <= 10_000; i++ {
 		if _, err := p.Change(t.Context(), set, "k", put("value")); err != nil {
--- a/internal/proto/reg/unsynced_test.go
+++ b/internal/proto/register/unsynced_test.go
@@ -1,4 +1,4 @@
-package reg_test
+package register_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 )
@@ -21,38 +21,38 @@
 	cell := &wire.Cell{Ver: 1, Val: []byte("v")}
 	for _, tc := range []struct {
 		name  string
-		write func(*reg.Acceptor, *modelDisk) error // fails
-		ask   func(*reg.Acceptor, *modelDisk) (*wire.View, error)
+		write func(*register.Acceptor, *modelDisk) error // fails
+		ask   func(*register.Acceptor, *modelDisk) (*wire.View, error)
 	}{
-		{"a promise", func(a *reg.Acceptor, d *modelDisk) error {
+		{"a promise", func(a *register.Acceptor, d *modelDisk) error {
 			_, err := a.Prep(&wire.Prep{Key: "k", Ballot: ballot(5)})
 			return err
-		}, func(a *reg.Acceptor, d *modelDisk) (*wire.View, error) {
+		}, func(a *register.Acceptor, d *modelDisk) (*wire.View, error) {
 			v, err := a.Prep(&wire.Prep{Key: "k", Ballot: ballot(4)})
 			if code.Of(err) == code.OldBallot {
 				err = nil
 			}
 			return v, err
 		}},
-		{"a value", func(a *reg.Acceptor, d *modelDisk) error {
+		{"a value", func(a *register.Acceptor, d *modelDisk) error {
 			_, err := a.Acc(&wire.Acc{Key: "k", Ballot: ballot(5), Cell: cell})
 			return err
-		}, func(a *reg.Acceptor, d *modelDisk) (*wire.View, error) { return a.Look(&wire.Look{Key: "k"}) }},
-		{"an adopted copy", func(a *reg.Acceptor, d *modelDisk) error {
+		}, func(a *register.Acceptor, d *modelDisk) (*wire.View, error) { return a.Look(&wire.Look{Key: "k"}) }},
+		{"an adopted copy", func(a *register.Acceptor, d *modelDisk) error {
 			return a.Adopt("k", &wire.View{Accepted: ballot(5), Cell: cell})
-		}, func(a *reg.Acceptor, d *modelDisk) (*wire.View, error) {
+		}, func(a *register.Acceptor, d *modelDisk) (*wire.View, error) {
 			err := a.Adopt("k", &wire.View{Accepted: ballot(5), Cell: cell})
 			return &wire.View{Promised: ballot(5)}, err
 		}},
-		{"a copy brought", func(a *reg.Acceptor, d *modelDisk) error { return fill(a, d, ballot(5), cell) },
-			func(a *reg.Acceptor, d *modelDisk) (*wire.View, error) {
+		{"a copy brought", func(a *register.Acceptor, d *modelDisk) error { return fill(a, d, ballot(5), cell) },
+			func(a *register.Acceptor, d *modelDisk) (*wire.View, error) {
 				err := fill(a, d, ballot(5), cell)
 				return &wire.View{Promised: ballot(5)}, err
 			}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := newModelDisk()
-			a := reg.NewAcceptor(d)
+			a := register.NewAcceptor(d)
 			d.next = saveVisible
 			if err := tc.write(a, d); code.Of(err) != code.DiskFailure {
 				t.Fatalf("the write: %v", err)
@@ -73,14 +73,14 @@
 			}
 			// What is synced needs no further write.
 			d.next = saveNothing
-			if _, err := tc.ask(reg.NewAcceptor(d), d); err != nil {
+			if _, err := tc.ask(register.NewAcceptor(d), d); err != nil {
 				t.Errorf("asked anew: %v", err)
 			}
 		})
 	}
 }
 
-func fill(a *reg.Acceptor, d *modelDisk, b *wire.Ballot, c *wire.Cell) error {
+func fill(a *register.Acceptor, d *modelDisk, b *wire.Ballot, c *wire.Cell) error {
 	_, err := a.Fill([]*wire.Copy{{Key: "k", Rec: &wire.Rec{Accepted: b, Cell: c}}}, func(all map[string]*wire.Rec) error {
 		return d.Save("k", all["k"])
 	})
@@ -108,7 +108,7 @@
 		}
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		if _, err := reg.NewProposer(1, call).Change(ctx, set, "k", put("v")); !errors.Is(err, reg.ErrMaybe) {
+		if _, err := register.NewProposer(1, call).Change(ctx, set, "k", put("v")); !errors.Is(err, register.ErrMaybe) {
 			t.Errorf("every voter has it: %v", err)
 		}
 		time.Sleep(time.Second)
@@ -145,7 +145,7 @@
 		}
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		if _, err := reg.NewProposer(1, call).Change(ctx, set, "k", put("v")); !errors.Is(err, reg.ErrMaybe) {
+		if _, err := register.NewProposer(1, call).Change(ctx, set, "k", put("v")); !errors.Is(err, register.ErrMaybe) {
 			t.Errorf("one voter has it: %v", err)
 		}
 		if repeated.Load() == 0 {
--- a/internal/proto/reg/window_test.go
+++ b/internal/proto/register/window_test.go
@@ -1,4 +1,4 @@
-package reg_test
+package register_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 )
 
@@ -72,13 +72,13 @@
 func frozenProposer(t *testing.T, short bool, reach string, others int) {
 	w, set := newWorld(1, 3, 0)
 	g := &gate{call: w.call}
-	frozen, rival := reg.NewProposer(1, g.through), reg.NewProposer(2, w.call)
-	append1 := func(word string) reg.Func {
-		return func(s reg.State) ([]byte, bool, error) {
+	frozen, rival := register.NewProposer(1, g.through), register.NewProposer(2, w.call)
+	append1 := func(word string) register.Func {
+		return func(s register.State) ([]byte, bool, error) {
 			return append(s.Val[:len(s.Val):len(s.Val)], word...), false, nil
 		}
 	}
-	change := func(p *reg.Proposer, word string) (reg.State, error) {
+	change := func(p *register.Proposer, word string) (register.State, error) {
 		ctx, stop := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer stop()
 		return p.Change(ctx, set, "k", append1(word))
@@ -108,7 +108,7 @@
 	g.thaw()
 	<-done
 	time.Sleep(time.Second)
-	st, rerr := reg.NewProposer(3, w.call).Read(t.Context(), set, "k")
+	st, rerr := register.NewProposer(3, w.call).Read(t.Context(), set, "k")
 	if rerr != nil {
 		t.Fatal(rerr)
 	}
@@ -118,7 +118,7 @@
 		t.Errorf("made %d times: %q, %v", made, st.Val, err)
 	case err == nil && made != 1:
 		t.Errorf("said to be made: %q", st.Val)
-	case err != nil && !errors.Is(err, reg.ErrMaybe):
+	case err != nil && !errors.Is(err, register.ErrMaybe):
 		t.Errorf("in doubt, and answered %v", err)
 	case err != nil && others < 32:
 		t.Errorf("its mark is still kept, and it is in doubt: %v", err)
@@ -133,13 +133,13 @@
 func TestClockBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
-		at := func(node uint64, d time.Duration) *reg.Proposer {
-			p := reg.NewProposer(node, w.call)
+		at := func(node uint64, d time.Duration) *register.Proposer {
+			p := register.NewProposer(node, w.call)
 			p.Clock = func() time.Time { return time.Now().Add(d) }
 			return p
 		}
 		ahead, behind := at(1, 10*time.Hour), at(2, -10*time.Hour)
-		for i, p := range []*reg.Proposer{ahead, behind, ahead, behind} {
+		for i, p := range []*register.Proposer{ahead, behind, ahead, behind} {
 			n := rounds(p, func() {
 				if _, err := p.Change(t.Context(), set, "k", put("v")); err != nil {
 					t.Fatal(err)
@@ -176,7 +176,7 @@
 		}
 		var mu sync.Mutex
 		last := uint64(0)
-		p := reg.NewProposer(1, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
+		p := register.NewProposer(1, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			if b := q.GetPrep().GetBallot(); b != nil {
 				mu.Lock()
 				if b.N < last {
@@ -192,7 +192,7 @@
 		p.Clock = func() time.Time { return began.Add(-time.Since(began)) }
 		for range 3 {
 			ctx, stop := context.WithTimeout(t.Context(), time.Second)
-			if _, err := p.Change(ctx, set, "broken", put("v")); !errors.Is(err, reg.ErrNoQuorum) || errors.Is(err, reg.ErrMaybe) {
+			if _, err := p.Change(ctx, set, "broken", put("v")); !errors.Is(err, register.ErrNoQuorum) || errors.Is(err, register.ErrMaybe) {
 				t.Errorf("the broken key: %v", err)
 			}
 			stop()
@@ -210,13 +210,13 @@
 // doesn't find the value. There is no chance in this test, whichever voter answers first.
 func TestGhostBuried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		acceptors := map[string]*reg.Acceptor{}
-		var group []reg.Replica
+		acceptors := map[string]*register.Acceptor{}
+		var group []register.Replica
 		for _, addr := range []string{"a0", "a1", "a2"} {
-			acceptors[addr] = reg.NewAcceptor(newModelDisk())
-			group = append(group, reg.Replica{Addr: addr})
+			acceptors[addr] = register.NewAcceptor(newModelDisk())
+			group = append(group, register.Replica{Addr: addr})
 		}
-		set := reg.Set{group}
+		set := register.Set{group}
 		ask := func(addr string, q *wire.Req) (*wire.Resp, error) {
 			var v *wire.View
 			var err error
@@ -237,7 +237,7 @@
 			defer mu.Unlock()
 			return tries
 		}
-		first := reg.NewProposer(1, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
+		first := register.NewProposer(1, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			lost := q.GetAcc() != nil && try() == 1
 			if lost && addr == "a2" {
 				_, _ = ask(addr, q)
@@ -248,7 +248,7 @@
 			}
 			return ask(addr, q)
 		})
-		_, err := first.Change(t.Context(), set, "k", func(reg.State) ([]byte, bool, error) {
+		_, err := first.Change(t.Context(), set, "k", func(register.State) ([]byte, bool, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			if tries++; tries > 1 {
@@ -259,7 +259,7 @@
 		if !errors.Is(err, errFull) {
 			t.Fatalf("got %v", err)
 		}
-		later := reg.NewProposer(2, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
+		later := register.NewProposer(2, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			if addr == "a0" {
 				<-ctx.Done()
 				return nil, ctx.Err()
--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/state/storage"
 	"damsontiller/internal/transport"
@@ -57,11 +57,11 @@
 }
 
 // stores starts three stores on loopback and a caller of them.
-func stores(b *testing.B, fs func(i int) (vfs.FS, string)) (reg.Set, wire.Caller, *counts) {
+func stores(b *testing.B, fs func(i int) (vfs.FS, string)) (register.Set, wire.Caller, *counts) {
 	b.Helper()
 	cs := &counts{}
 	tcp := transport.TCP(transport.DefaultParams)
-	var g []reg.Replica
+	var g []register.Replica
 	for i := range 3 {
 		f, dir := fs(i)
 		id := fmt.Sprintf("s%d", i)
@@ -69,7 +69,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		a := reg.NewAcceptor(v)
+		a := register.NewAcceptor(v)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
@@ -93,7 +93,7 @@
 				b.Error(err)
 			}
 		})
-		g = append(g, reg.Replica{Addr: ln.Addr().String(), Ident: v.Ident()})
+		g = append(g, register.Replica{Addr: ln.Addr().String(), Ident: v.Ident()})
 	}
 	h := transport.NewHub(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := tcp.Dial(ctx, addr)
@@ -103,7 +103,7 @@
 		return counted{c, cs}, nil
 	}}, transport.DefaultParams, nil)
 	b.Cleanup(h.Close)
-	return reg.Set{g}, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
+	return register.Set{g}, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 		body, err := h.Call(ctx, addr, wire.Encode(q))
 		if err != nil {
 			return nil, err
@@ -116,7 +116,7 @@
 	}, cs
 }
 
-func answer(a *reg.Acceptor, v *storage.Engine, q *wire.Req) (*wire.Resp, error) {
+func answer(a *register.Acceptor, v *storage.Engine, q *wire.Req) (*wire.Resp, error) {
 	var view *wire.View
 	var err error
 	switch {
@@ -169,12 +169,12 @@
 	} {
 		b.Run(on.name, func(b *testing.B) {
 			set, call, cs := stores(b, on.fs(b))
-			p := reg.NewProposer(1, call)
+			p := register.NewProposer(1, call)
 			val := make([]byte, 300)
 			b.ReportAllocs()
 			cs.at = cpu()
 			for b.Loop() {
-				if _, err := p.Change(b.Context(), set, "k", func(reg.State) ([]byte, bool, error) { return val, false, nil }); err != nil {
+				if _, err := p.Change(b.Context(), set, "k", func(register.State) ([]byte, bool, error) { return val, false, nil }); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -188,7 +188,7 @@
 // start and its end do.
 func BenchmarkChanges(b *testing.B) {
 	set, call, cs := stores(b, mem)
-	p := reg.NewProposer(1, call)
+	p := register.NewProposer(1, call)
 	val := make([]byte, 300)
 	var n atomic.Int64
 	b.SetParallelism(8)
@@ -198,7 +198,7 @@
 		for pb.Next() {
 			key := fmt.Sprintf("k%d", n.Add(1))
 			for range 2 {
-				if _, err := p.Change(b.Context(), set, key, func(reg.State) ([]byte, bool, error) { return val, false, nil }); err != nil {
+				if _, err := p.Change(b.Context(), set, key, func(register.State) ([]byte, bool, error) { return val, false, nil }); err != nil {
 					b.Error(err)
 				}
 			}
--- a/internal/state/storage/engine_test.go
+++ b/internal/state/storage/engine_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/state/storage"
 	"damsontiller/internal/transport/code"
@@ -285,7 +285,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		v := open(t, vfs.NewMem(), "s1")
 		defer v.Close()
-		acc := reg.NewAcceptor(v)
+		acc := register.NewAcceptor(v)
 		put := func(key string, n uint64) {
 			if _, err := acc.Acc(&wire.Acc{Key: key, Ballot: &wire.Ballot{N: n}, Cell: &wire.Cell{Ver: n, Val: []byte("x")}}); err != nil {
 				t.Fatal(err)
--- a/internal/state/storage/model_test.go
+++ b/internal/state/storage/model_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/state/storage"
 	"damsontiller/internal/state/storage/faultfs"
@@ -27,7 +27,7 @@
 	mem *vfs.MemFS
 	fs  *faultfs.FS
 	v   *storage.Engine
-	acc *reg.Acceptor
+	acc *register.Acceptor
 	// answered is the highest ballot that it has said to have promised or taken.
 	answered *wire.Ballot
 }
@@ -37,7 +37,7 @@
 	w.v = open(t, w.fs, id)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.acc = reg.NewAcceptor(w.v)
+	w.acc = register.NewAcceptor(w.v)
 }
 
 // crash takes the power away, with torn writes, and starts the voter again.
@@ -98,12 +98,12 @@
 func votersModel(t *testing.T, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	voters := map[string]*voter{}
-	var set []reg.Replica
+	var set []register.Replica
 	for i := range 3 {
 		id := fmt.Sprintf("s%d", i+1)
 		voters[id] = &voter{mem: vfs.NewCrashableMem()}
 		voters[id].start(t, id)
-		set = append(set, reg.Replica{Addr: id, Ident: id})
+		set = append(set, register.Replica{Addr: id, Ident: id})
 	}
 	call := func(_ context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 		view, err := voters[addr].answer(q)
@@ -115,18 +115,18 @@
 	defer stop()
 	var wg sync.WaitGroup
 	for n := range 2 {
-		p := reg.NewProposer(uint64(n+1), call)
+		p := register.NewProposer(uint64(n+1), call)
 		wg.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
 				mark := fmt.Sprintf("%d.%d;", n, i)
 				cctx, end := context.WithTimeout(ctx, 3*time.Second)
-				_, err := p.Change(cctx, reg.Set{set}, "k", func(s reg.State) ([]byte, bool, error) {
+				_, err := p.Change(cctx, register.Set{set}, "k", func(s register.State) ([]byte, bool, error) {
 					return append(append([]byte{}, s.Val...), mark...), false, nil
 				})
 				end()
 				mu.Lock()
 				acked[mark] = err == nil
-				refused[mark] = err != nil && !errors.Is(err, reg.ErrMaybe)
+				refused[mark] = err != nil && !errors.Is(err, register.ErrMaybe)
 				mu.Unlock()
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -159,7 +159,7 @@
 	<-ctx.Done()
 	wg.Wait()
 	time.Sleep(10 * time.Second)
-	st, err := reg.NewProposer(9, call).Read(t.Context(), reg.Set{set}, "k")
+	st, err := register.NewProposer(9, call).Read(t.Context(), register.Set{set}, "k")
 	if err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
--- a/internal/state/storage/trouble_test.go
+++ b/internal/state/storage/trouble_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"damsontiller/internal/proto/reg"
+	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/state/storage"
 	"damsontiller/internal/state/storage/faultfs"
@@ -337,7 +337,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
 		v := open(t, fs, "s1")
-		a := reg.NewAcceptor(v)
+		a := register.NewAcceptor(v)
 		time.Sleep(time.Hour)
 		fs.Full(true)
 		c := &wire.Cell{Ver: 1, Val: []byte("x"), Ops: []uint64{5}, Timed: true}
