--- a/cmd/damsontiller-control/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -101,7 +101,7 @@
 	if *rate < 1 {
 		return code.New(code.BadFlag, "-move-rate: %d is less than 1", *rate)
 	}
-	cp := core.Params{Bootstrap: *boot, AckWait: *ack, MoveRate: *rate}
+	cp := core.Params{Bootstrap: *boot, AckTimeout: *ack, MoveRate: *rate}
 	if *ack <= 0 {
 		return code.New(code.BadFlag, "-ack-wait: %s is not positive", *ack)
 	}
@@ -121,7 +121,7 @@
 	}
 	return runCore(p, cp, 2*time.Second, func(ctx context.Context, e *echo.Echo, c *core.Core, v *storage.Engine) {
 		if p.Faults {
-			web.Faults(e, c.Peer.Cuts)
+			web.Faults(e, c.Peer.Partitions)
 			startup.DiskFaults(e, v)
 		}
 	})
@@ -154,7 +154,7 @@
 		return err
 	}
 	serves()
-	log.Info("serving", "listen", p.Listen, "http", p.HTTP, "spec", c.Cluster.Now().Ver)
+	log.Info("serving", "listen", p.Listen, "http", p.HTTP, "spec", c.Cluster.Now().Version)
 	err = web.Serve(sig, p.HTTP, e, grace)
 	cancel()
 	c.Wait()
--- a/cmd/damsontiller-control/operator.go
+++ b/cmd/damsontiller-control/operator.go
@@ -207,5 +207,5 @@
 		fmt.Println(strings.TrimSpace(nice.String()))
 		return nil
 	}
-	return code.New(code.CoreAway, "no core machine answers: %w", last)
+	return code.New(code.CoreUnreachable, "no core machine answers: %w", last)
 }
--- a/cmd/damsontiller-control/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -26,9 +26,9 @@
 	if err != nil {
 		return err
 	}
-	cp := core.Params{Zones: s.ZoneList(), Copies: s.Copies(), AckWait: time.Second, MoveRate: 500}
+	cp := core.Params{Zones: s.ZoneList(), Copies: s.Copies(), AckTimeout: time.Second, MoveRate: 500}
 	if s.Founds() {
-		cp.Found = s.Peers()
+		cp.FounderAddrs = s.Peers()
 	}
 	return runCore(p, cp, min(3*time.Second, s.Grace()/2), func(ctx context.Context, e *echo.Echo, c *core.Core, _ *storage.Engine) {
 		(&control.Door{Core: c, Sets: c}).Routes(e)
--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -62,7 +62,7 @@
 	x := web.New(log)
 	e.Routes(x)
 	if p.Faults {
-		web.Faults(x, e.Peer.Cuts)
+		web.Faults(x, e.Peer.Partitions)
 	}
 	served := make(chan error, 1)
 	hctx, hstop := context.WithCancel(context.Background())
@@ -132,15 +132,15 @@
 	}
 	x := web.New(log)
 	x.GET("/v1/status", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, map[string]any{"id": p.ID, "ready": true, "spec": s.Cluster.Now().Ver, "ident": v.Ident(), "messages_sent": s.Peer.Sent(), "mended": s.Mended()})
+		return c.JSON(http.StatusOK, map[string]any{"id": p.ID, "ready": true, "spec": s.Cluster.Now().Version, "ident": v.Ident(), "messages_sent": s.Peer.Sent(), "mended": s.Mended()})
 	})
 	metrics.Routes(x, func() []metrics.Row {
-		return append(metrics.Node(s.Cluster.Now().Ver, s.Peer.Sent()),
+		return append(metrics.Node(s.Cluster.Now().Version, s.Peer.Sent()),
 			metrics.Row{Name: "keys_mended_total", Help: "Keys taken from other stores.", Value: float64(s.Mended()), Total: true},
-			metrics.Row{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.Full())})
+			metrics.Row{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.NearlyFull())})
 	})
 	if p.Faults {
-		web.Faults(x, s.Peer.Cuts)
+		web.Faults(x, s.Peer.Partitions)
 		startup.DiskFaults(x, v)
 	}
 	log.Info("serving", "listen", p.Listen, "http", p.HTTP, "ident", v.Ident())
--- a/cmd/internal/startup/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -25,6 +25,6 @@
 // Reseed follows the settings file until ctx ends: the seeds may change.
 func Reseed(ctx context.Context, s *platform.Params, n *node.Node) {
 	n.Go(ctx, func(ctx context.Context) {
-		s.Watch(ctx, func(q *platform.Params) { n.Reseed(q.Peers()) }, func(err error) { n.Log.Warn("settings not read", "err", err) })
+		s.Watch(ctx, func(q *platform.Params) { n.SetSeeds(q.Peers()) }, func(err error) { n.Log.Warn("settings not read", "err", err) })
 	})
 }
--- a/cmd/internal/startup/startup.go
+++ b/cmd/internal/startup/startup.go
@@ -60,9 +60,9 @@
 	fs.StringVar(&p.Seeds, "seeds", "", "up to three addresses of other processes, with commas between")
 	fs.StringVar(&p.Level, "log", "info", "least level logged: debug, info, warn, error")
 	fs.BoolVar(&p.Faults, "faults", false, "let the rehearsal kit cut this process off (never in service)")
-	fs.DurationVar(&p.Renew, "renew", d.Renew, "time between renewals of the lease")
-	fs.DurationVar(&p.Lasts, "lasts", d.Lasts, "time a lease lasts")
-	fs.DurationVar(&p.Hold, "hold", d.Hold, "time after which what a silent edge left running is no longer counted")
+	fs.DurationVar(&p.Renew, "renew", d.RenewInterval, "time between renewals of the lease")
+	fs.DurationVar(&p.Lasts, "lasts", d.Duration, "time a lease lasts")
+	fs.DurationVar(&p.Hold, "hold", d.OrphanTimeout, "time after which what a silent edge left running is no longer counted")
 	fs.Int64Var(&p.MinFree, "min-free", 64, "MiB of free disk below which a store or core takes no new key")
 	fs.StringVar(&p.file, "params", "", "settings file: a JSON object of flag names and values; flags go before it")
 	return p
@@ -178,7 +178,7 @@
 	return node.Params{
 		Self:  &wire.Member{Id: p.ID, Role: role, Addr: p.Listen, Http: p.HTTP, Zone: p.Zone, Ident: ident},
 		Seeds: p.SeedList(), Net: transport.TCP(transport.DefaultParams), Transport: transport.DefaultParams,
-		Lic: lease.Params{Renew: p.Renew, Lasts: p.Lasts, Hold: p.Hold}, News: broadcast.DefaultParams, Log: log,
+		Lease: lease.Params{RenewInterval: p.Renew, Duration: p.Lasts, OrphanTimeout: p.Hold}, Broadcast: broadcast.DefaultParams, Log: log,
 	}
 }
 
@@ -200,7 +200,7 @@
 		if err := c.Bind(&q); err != nil {
 			return web.Fail(c, code.New(code.BadJSON, "%w", err))
 		}
-		v.Pretend(q.Free, time.Duration(q.DelayMs)*time.Millisecond)
+		v.SimulateDisk(q.Free, time.Duration(q.DelayMs)*time.Millisecond)
 		return c.NoContent(http.StatusOK)
 	})
 }
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -20,7 +20,7 @@
 type town struct {
 	net    *memnet.Net
 	peers  []*peer.Peer
-	boards []*broadcast.Board
+	boards []*broadcast.Broadcaster
 	mu     sync.Mutex
 	heard  map[string]int // id/topic/key: times handled
 	list   []*wire.Member
@@ -33,11 +33,11 @@
 	for i := range n {
 		m := &wire.Member{Id: fmt.Sprintf("n%03d", i), Addr: fmt.Sprintf("h%d", i), Zone: string(rune('a' + i%3)), Live: true}
 		w.list = append(w.list, m)
-		p := peer.New(m, w.net.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
-		b := broadcast.New(broadcast.DefaultParams, p, func() []*wire.Member { return w.list })
+		params := peer.New(m, w.net.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
+		broadcaster := broadcast.New(broadcast.DefaultParams, params, func() []*wire.Member { return w.list })
 		if i >= deaf {
 			for _, topic := range []string{"x", "brief"} {
-				b.On(topic, func(it *wire.Item) error {
+				broadcaster.Handle(topic, func(it *wire.Item) error {
 					w.mu.Lock()
 					w.heard[m.Id+"/"+it.Topic+"/"+it.Key]++
 					w.mu.Unlock()
@@ -45,15 +45,15 @@
 				})
 			}
 		}
-		if err := p.Serve(ctx); err != nil {
+		if err := params.Serve(ctx); err != nil {
 			t.Fatal(err)
 		}
-		w.peers, w.boards = append(w.peers, p), append(w.boards, b)
+		w.peers, w.boards = append(w.peers, params), append(w.boards, broadcaster)
 	}
 	return w, func() {
 		stop()
-		for _, p := range w.peers {
-			p.Close()
+		for _, params := range w.peers {
+			params.Close()
 		}
 		time.Sleep(time.Minute)
 	}
@@ -78,9 +78,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			w, end := newTown(t, n, 0)
 			defer end()
-			took := w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
-			if got, most := w.count("x", "k"); got != n || most != 1 || len(took) != n {
-				t.Errorf("%d nodes: heard by %d, up to %d times, confirmed by %d", n, got, most, len(took))
+			accepted := w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
+			if got, most := w.count("x", "k"); got != n || most != 1 || len(accepted) != n {
+				t.Errorf("%d nodes: heard by %d, up to %d times, confirmed by %d", n, got, most, len(accepted))
 			}
 		})
 	}
@@ -139,8 +139,8 @@
 		w.list[5].Live = true
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		for _, b := range w.boards {
-			wg.Go(func() { b.Run(ctx) })
+		for _, broadcaster := range w.boards {
+			wg.Go(func() { broadcaster.Run(ctx) })
 		}
 		time.Sleep(20 * time.Second)
 		stop()
@@ -156,8 +156,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, end := newTown(t, 2, 0)
 		defer end()
-		w.boards[0].Take([]*wire.Item{{Topic: "x", Key: "k", Epoch: 2, Seq: 1}})
-		w.boards[0].Take([]*wire.Item{{Topic: "x", Key: "k", Epoch: 1, Seq: 9}})
+		w.boards[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 2, Seq: 1}})
+		w.boards[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 1, Seq: 9}})
 		if i := w.boards[0].Head("x", "k"); i.Epoch != 2 {
 			t.Errorf("epoch %d", i.Epoch)
 		}
@@ -176,22 +176,22 @@
 			defer end()
 			w.net.Delay(2 * time.Millisecond)
 			sent := func() (s uint64) {
-				for _, p := range w.peers {
-					s += p.Sent()
+				for _, params := range w.peers {
+					s += params.Sent()
 				}
 				return s
 			}
 			before, at := sent(), time.Now()
-			took := w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
+			accepted := w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
 			d := time.Since(at)
-			t.Logf("%3d nodes: %3d confirmed after %s, %d messages", n, len(took), d.Round(100*time.Microsecond), sent()-before)
-			if len(took) != n || d > 2*time.Second {
-				t.Errorf("%d of %d nodes after %s", len(took), n, d)
+			t.Logf("%3d nodes: %3d confirmed after %s, %d messages", n, len(accepted), d.Round(100*time.Microsecond), sent()-before)
+			if len(accepted) != n || d > 2*time.Second {
+				t.Errorf("%d of %d nodes after %s", len(accepted), n, d)
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
-			for _, b := range w.boards {
-				wg.Go(func() { b.Run(ctx) })
+			for _, broadcaster := range w.boards {
+				wg.Go(func() { broadcaster.Run(ctx) })
 			}
 			before = sent()
 			time.Sleep(10 * time.Second)
--- a/internal/coordination/broadcast/digest_test.go
+++ b/internal/coordination/broadcast/digest_test.go
@@ -21,7 +21,7 @@
 
 // pair is two boards whose traffic is counted.
 type pair struct {
-	boards [2]*broadcast.Board
+	boards [2]*broadcast.Broadcaster
 	peers  [2]*peer.Peer
 	bytes  atomic.Int64
 	calls  atomic.Int64
@@ -29,12 +29,12 @@
 
 type meter struct {
 	net.Conn
-	p *pair
+	params *pair
 }
 
 func (m meter) Write(b []byte) (int, error) {
-	m.p.bytes.Add(int64(len(b)))
-	m.p.calls.Add(1)
+	m.params.bytes.Add(int64(len(b)))
+	m.params.calls.Add(1)
 	return m.Conn.Write(b)
 }
 
@@ -65,8 +65,8 @@
 	}
 	return w, func() {
 		stop()
-		for _, p := range w.peers {
-			p.Close()
+		for _, params := range w.peers {
+			params.Close()
 		}
 		time.Sleep(time.Minute)
 	}
@@ -74,7 +74,7 @@
 
 type meters struct {
 	net.Listener
-	p *pair
+	params *pair
 }
 
 func (m meters) Accept() (net.Conn, error) {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return meter{c, m.p}, nil
+	return meter{c, m.params}, nil
 }
 
 // once has the first board compare with the second one time.
@@ -91,7 +91,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { w.boards[0].Run(ctx) })
-	time.Sleep(broadcast.DefaultParams.Digest / 2)
+	time.Sleep(broadcast.DefaultParams.DigestInterval / 2)
 	stop()
 	wg.Wait()
 	return w.bytes.Load()
@@ -109,24 +109,24 @@
 		synctest.Test(t, func(t *testing.T) {
 			w, end := newPair(t)
 			defer end()
-			for _, b := range w.boards {
+			for _, broadcaster := range w.boards {
 				for i := range n {
-					b.Take([]*wire.Item{item(i, 1)})
+					broadcaster.Apply([]*wire.Item{item(i, 1)})
 				}
 			}
 			if got := w.once(t); got > 200 {
 				t.Errorf("%d items alike: %d bytes", n, got)
 			}
 			// One is older there, one here, one is there only, one here only.
-			w.boards[0].Take([]*wire.Item{item(1, 2), item(n, 1)})
-			w.boards[1].Take([]*wire.Item{item(2, 7), item(n+1, 1)})
+			w.boards[0].Apply([]*wire.Item{item(1, 2), item(n, 1)})
+			w.boards[1].Apply([]*wire.Item{item(2, 7), item(n+1, 1)})
 			if got, most := w.once(t), int64(4*200+n*5/2+1500); got > most {
 				t.Errorf("%d items, four differ: %d bytes, wanted at most %d", n, got, most)
 			}
-			for i, b := range w.boards {
-				for _, want := range []*wire.Item{item(1, 2), item(2, 7), item(n, 1), item(n+1, 1)} {
-					if h := b.Head(want.Topic, want.Key); h.GetSeq() != want.Seq {
-						t.Errorf("%d items: board %d has %s at %d, not %d", n, i, want.Key, h.GetSeq(), want.Seq)
+			for i, broadcaster := range w.boards {
+				for _, missing := range []*wire.Item{item(1, 2), item(2, 7), item(n, 1), item(n+1, 1)} {
+					if h := broadcaster.Head(missing.Topic, missing.Key); h.GetSeq() != missing.Seq {
+						t.Errorf("%d items: board %d has %s at %d, not %d", n, i, missing.Key, h.GetSeq(), missing.Seq)
 					}
 				}
 			}
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, end := newPair(t)
 		defer end()
-		w.boards[1].Take([]*wire.Item{item(1, 2), item(2, 1), item(3, 1)})
+		w.boards[1].Apply([]*wire.Item{item(1, 2), item(2, 1), item(3, 1)})
 		r, err := w.peers[0].Call(t.Context(), "hy", &wire.Req{Op: &wire.Req_Digest{Digest: &wire.Digest{Heads: []*wire.Item{{Topic: "runner", Key: "r0001", Seq: 1}, {Topic: "runner", Key: "r0002", Seq: 5}}}}})
 		if err != nil {
 			t.Fatal(err)
@@ -164,50 +164,50 @@
 		var list []*wire.Member
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
-		asked := map[string]int{}
+		inBuckets := map[string]int{}
 		var peers []*peer.Peer
-		var first *broadcast.Board
+		var first *broadcast.Broadcaster
 		for i := range n {
 			list = append(list, &wire.Member{Id: fmt.Sprintf("n%02d", i), Addr: fmt.Sprintf("h%d", i), Live: true})
 		}
 		for i, m := range list {
-			p := peer.New(m, nw.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
-			b := broadcast.New(broadcast.DefaultParams, p, func() []*wire.Member { return list })
+			params := peer.New(m, nw.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
+			broadcaster := broadcast.New(broadcast.DefaultParams, params, func() []*wire.Member { return list })
 			if i == 0 {
-				first = b
+				first = broadcaster
 			} else {
-				p.On(&wire.Req_Digest{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
+				params.Handle(&wire.Req_Digest{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
 					mu.Lock()
 					defer mu.Unlock()
-					asked[m.Id]++
+					inBuckets[m.Id]++
 					return nil, nil
 				})
 			}
-			if err := p.Serve(ctx); err != nil {
+			if err := params.Serve(ctx); err != nil {
 				t.Fatal(err)
 			}
-			peers = append(peers, p)
+			peers = append(peers, params)
 		}
 		var wg sync.WaitGroup
 		wg.Go(func() { first.Run(ctx) })
-		p := broadcast.DefaultParams
-		minute := int(time.Minute / p.Digest)
+		params := broadcast.DefaultParams
+		minute := int(time.Minute / params.DigestInterval)
 		time.Sleep(time.Minute)
 		mu.Lock()
-		if got, most := len(asked), p.Partners+minute/p.Change+1; got > most || got < p.Partners {
-			t.Errorf("%d nodes asked in a minute, wanted %d to %d", got, p.Partners, most)
+		if got, most := len(inBuckets), params.Partners+minute/params.PartnerLifetime+1; got > most || got < params.Partners {
+			t.Errorf("%d nodes asked in a minute, wanted %d to %d", got, params.Partners, most)
 		}
 		mu.Unlock()
 		time.Sleep(time.Hour)
 		mu.Lock()
-		if len(asked) != n-1 {
-			t.Errorf("%d of %d nodes asked in an hour", len(asked), n-1)
+		if len(inBuckets) != n-1 {
+			t.Errorf("%d of %d nodes asked in an hour", len(inBuckets), n-1)
 		}
 		mu.Unlock()
 		stop()
 		wg.Wait()
-		for _, p := range peers {
-			p.Close()
+		for _, params := range peers {
+			params.Close()
 		}
 		time.Sleep(time.Minute)
 	})
--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -20,17 +20,17 @@
 // Key is the spec's register.
 const Key = "spec"
 
-// copies is how many stores hold each key where the cluster does not say.
-const copies = 3
+// defaultCopies is how many stores hold each key where the cluster does not say.
+const defaultCopies = 3
 
 // View is one version of the cluster. It is never changed once made.
 type View struct {
-	Ver uint64
-	// SetVer is the version since which the sets of stores are these. All processes
+	Version uint64
+	// StoresVersion is the version since which the sets of stores are these. All processes
 	// know the same, unless the value was written by a release that did not say.
-	SetVer uint64
-	// CoreVer is the same for the sets of cores.
-	CoreVer uint64
+	StoresVersion uint64
+	// CoresVersion is the same for the sets of cores.
+	CoresVersion uint64
 	spec.Cluster
 	raw []byte
 }
@@ -39,11 +39,11 @@
 func (v *View) Copies() int { return Copies(&v.Cluster) }
 
 // Copies is how many stores hold each key under r.
-func Copies(r *spec.Cluster) int {
-	if r.Copies > 0 {
-		return r.Copies
+func Copies(cluster *spec.Cluster) int {
+	if cluster.Copies > 0 {
+		return cluster.Copies
 	}
-	return copies
+	return defaultCopies
 }
 
 // Raw is the register's value.
@@ -51,71 +51,71 @@
 
 // Cluster holds the version in force in this process.
 type Cluster struct {
-	prop *register.Proposer
-	cur  atomic.Pointer[View]
-	mu   sync.Mutex // guards on, and is held for changes of cur
-	keep func(raw []byte, ver uint64) error
-	// keeping is full while a version is put in force, which may wait for the disk.
-	keeping chan struct{}
-	on      []loop.Kick
-	turn    chan struct{} // one change at a time from this process
-	// Ask looks elsewhere for a newer version, where the voters known here refuse
+	proposer *register.Proposer
+	current  atomic.Pointer[View]
+	mu       sync.Mutex // guards on, and is held for changes of cur
+	persist  func(raw []byte, version uint64) error
+	// applying is full while a version is put in force, which may wait for the disk.
+	applying chan struct{}
+	watchers []loop.Wakeup
+	changing chan struct{} // one change at a time from this process
+	// Discover looks elsewhere for a newer version, where the voters known here refuse
 	// to deal with one so old. It is set before use.
-	Ask func(ctx context.Context) bool
+	Discover func(ctx context.Context) bool
 }
 
 // New makes an empty cluster; keep, if set, puts each version on disk before it
 // comes into force.
-func New(prop *register.Proposer, keep func(raw []byte, ver uint64) error) *Cluster {
-	r := &Cluster{prop: prop, keep: keep, turn: make(chan struct{}, 1), keeping: make(chan struct{}, 1)}
-	r.cur.Store(&View{})
-	return r
+func New(proposer *register.Proposer, persist func(raw []byte, version uint64) error) *Cluster {
+	cluster := &Cluster{proposer: proposer, persist: persist, changing: make(chan struct{}, 1), applying: make(chan struct{}, 1)}
+	cluster.current.Store(&View{})
+	return cluster
 }
 
 // Now is the version in force.
-func (r *Cluster) Now() *View { return r.cur.Load() }
+func (cluster *Cluster) Now() *View { return cluster.current.Load() }
 
-// Boot sets the voters of a cluster that has no version yet.
-func (r *Cluster) Boot(cores []spec.Machine) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.Now().Ver == 0 {
-		r.cur.Store(&View{Cluster: spec.Cluster{Cores: cores}})
+// SetInitialVoters sets the voters of a cluster that has no version yet.
+func (cluster *Cluster) SetInitialVoters(cores []spec.Machine) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	if cluster.Now().Version == 0 {
+		cluster.current.Store(&View{Cluster: spec.Cluster{Cores: cores}})
 	}
 }
 
 // Watch gives a kick that fires at every new version.
-func (r *Cluster) Watch() loop.Kick {
-	k := loop.NewKick()
-	r.mu.Lock()
-	r.on = append(r.on, k)
-	r.mu.Unlock()
+func (cluster *Cluster) Watch() loop.Wakeup {
+	k := loop.NewWakeup()
+	cluster.mu.Lock()
+	cluster.watchers = append(cluster.watchers, k)
+	cluster.mu.Unlock()
 	return k
 }
 
 // Apply puts a version in force if it is higher than the one that is.
-func (r *Cluster) Apply(ver uint64, raw []byte) error {
-	r.keeping <- struct{}{}
-	defer func() { <-r.keeping }()
-	if ver <= r.Now().Ver {
+func (cluster *Cluster) Apply(version uint64, raw []byte) error {
+	cluster.applying <- struct{}{}
+	defer func() { <-cluster.applying }()
+	if version <= cluster.Now().Version {
 		return nil
 	}
-	v := &View{Ver: ver, raw: raw}
+	v := &View{Version: version, raw: raw}
 	if err := v.UnmarshalJSON(raw); err != nil {
-		return code.New(code.Garbled, "cluster %d: %w", ver, err)
+		return code.New(code.Garbled, "cluster %d: %w", version, err)
 	}
-	if r.keep != nil {
-		if err := r.keep(raw, ver); err != nil {
+	if cluster.persist != nil {
+		if err := cluster.persist(raw, version); err != nil {
 			return err
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	v.SetVer = storesSince(r.Now(), v)
-	v.CoreVer = coresSince(r.Now(), v)
-	r.cur.Store(v)
-	for _, k := range r.on {
-		k.Poke()
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	v.StoresVersion = storesSince(cluster.Now(), v)
+	v.CoresVersion = coresSince(cluster.Now(), v)
+	cluster.current.Store(v)
+	for _, k := range cluster.watchers {
+		k.Notify()
 	}
 	return nil
 }
@@ -153,25 +153,25 @@
 // Holders are the stores of a set that hold a key: rendezvous order over those
 // whose identity is known, spread over zones. Each round takes the first that is
 // left of each zone, so that no zone has two more than another that has any left.
-func Holders(set []spec.Machine, key string, copies int) []spec.Machine {
-	type cand struct {
+func Holders(set []spec.Machine, key string, defaultCopies int) []spec.Machine {
+	type candidate struct {
 		m    *spec.Machine
 		h    uint64
 		turn int // its place among those of its zone
 	}
-	all := make([]cand, 0, len(set))
+	all := make([]candidate, 0, len(set))
 	k := hash(fnvStart, key)
 	for i := range set {
 		if m := &set[i]; m.Ident != "" {
-			all = append(all, cand{m: m, h: mix(hash(hash(k, "/"), m.ID))})
+			all = append(all, candidate{m: m, h: mix(hash(hash(k, "/"), m.ID))})
 		}
 	}
 	// Fewer than all copies is no set to write to: a lone store would answer
 	// for a majority that does not exist yet.
-	if len(all) < min(copies, len(set)) || len(all) == 0 {
+	if len(all) < min(defaultCopies, len(set)) || len(all) == 0 {
 		return nil
 	}
-	slices.SortFunc(all, func(a, b cand) int { return cmp.Compare(b.h, a.h) })
+	slices.SortFunc(all, func(a, b candidate) int { return cmp.Compare(b.h, a.h) })
 	for i := range all {
 		for j := range i {
 			if all[j].m.Zone == all[i].m.Zone {
@@ -179,16 +179,16 @@
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b cand) int { return cmp.Compare(a.turn, b.turn) })
-	got := make([]spec.Machine, 0, min(copies, len(all)))
-	for _, c := range all[:min(copies, len(all))] {
+	slices.SortStableFunc(all, func(a, b candidate) int { return cmp.Compare(a.turn, b.turn) })
+	got := make([]spec.Machine, 0, min(defaultCopies, len(all)))
+	for _, c := range all[:min(defaultCopies, len(all))] {
 		got = append(got, *c.m)
 	}
 	return got
 }
 
-// Worst is the most of a key's holders that could be among some machines of a set.
-func Worst(set, some []spec.Machine, copies int) int {
+// MaxHolders is the most of a key's holders that could be among some machines of a set.
+func MaxHolders(set, some []spec.Machine, defaultCopies int) int {
 	zones, in := map[string]int{}, map[string]int{}
 	for _, m := range set {
 		zones[m.Zone]++
@@ -197,7 +197,7 @@
 		in[m.Zone]++
 	}
 	// A zone gives one holder in each round until it has no more.
-	most, left := map[string]int{}, min(copies, len(set))
+	most, left := map[string]int{}, min(defaultCopies, len(set))
 	for r := 1; left > 0; r++ {
 		n := 0
 		for z, have := range zones {
@@ -214,12 +214,12 @@
 	for z, n := range in {
 		worst += min(n, most[z])
 	}
-	return min(worst, copies, len(set))
+	return min(worst, defaultCopies, len(set))
 }
 
-// Sets is a digest of the sets of stores and of the version that made them so: a
+// StoresDigest is a digest of the sets of stores and of the version that made them so: a
 // change that was turned back and begun anew has another.
-func (v *View) Sets() uint64 {
+func (v *View) StoresDigest() uint64 {
 	h := uint64(fnvStart)
 	if v.StoresSince > 0 {
 		h = hash(h, strconv.FormatUint(v.StoresSince, 10))
@@ -253,91 +253,91 @@
 	return h
 }
 
-// tries is how often voters may refuse one dealing with them for its old version.
-const tries = 3
+// maxAttempts is how often voters may refuse one dealing with them for its old version.
+const maxAttempts = 3
 
-// with deals with the voters under the version in force. Voters that belong to
+// withVoters deals with the voters under the version in force. Voters that belong to
 // newer sets refuse, so that nobody acts on an old one alone; then whoever knows
 // better is asked, and it is done anew.
-func (r *Cluster) with(ctx context.Context, do func(context.Context, register.Set) error) error {
-	for try := 1; ; try++ {
-		v := r.Now()
-		err := do(register.Stamp(ctx, v.Ver, false), v.Cores())
-		if try == tries || code.Of(err) != code.StaleSpec || errors.Is(err, register.ErrMaybe) || r.Ask == nil || !r.Ask(ctx) || r.Now().Ver == v.Ver {
+func (cluster *Cluster) withVoters(ctx context.Context, do func(context.Context, register.Set) error) error {
+	for attempt := 1; ; attempt++ {
+		v := cluster.Now()
+		err := do(register.WithVersion(ctx, v.Version, false), v.Cores())
+		if attempt == maxAttempts || code.Of(err) != code.StaleSpec || errors.Is(err, register.ErrMaybe) || cluster.Discover == nil || !cluster.Discover(ctx) || cluster.Now().Version == v.Version {
 			return err
 		}
 	}
 }
 
 // Read fetches the cluster at a majority and puts it in force.
-func (r *Cluster) Read(ctx context.Context) error {
-	var st register.State
-	err := r.with(ctx, func(ctx context.Context, set register.Set) (err error) {
-		st, err = r.prop.Read(ctx, set, Key)
+func (cluster *Cluster) Read(ctx context.Context) error {
+	var state register.State
+	err := cluster.withVoters(ctx, func(ctx context.Context, set register.Set) (err error) {
+		state, err = cluster.proposer.Read(ctx, set, Key)
 		return err
 	})
 	if err != nil {
-		return code.New(code.CoreAway, "%w", err)
+		return code.New(code.CoreUnreachable, "%w", err)
 	}
-	if st.Ver == 0 {
+	if state.Version == 0 {
 		return nil
 	}
-	return r.Apply(st.Ver, st.Val)
+	return cluster.Apply(state.Version, state.Value)
 }
 
-// ErrSame tells that a change would change nothing.
-var ErrSame = errors.New("nothing to change")
+// ErrNoChange tells that a change would change nothing.
+var ErrNoChange = errors.New("nothing to change")
 
 // Change works a new cluster out of the one chosen last. It answers with the
 // version and value now chosen; expect 0 means whichever version there is.
-func (r *Cluster) Change(ctx context.Context, expect uint64, f func(*spec.Cluster) error) (uint64, []byte, error) {
+func (cluster *Cluster) Change(ctx context.Context, expect uint64, f func(*spec.Cluster) error) (uint64, []byte, error) {
 	// Changes of one process that race each other only beat down each other's
 	// ballots; they wait for their turn here.
 	select {
-	case r.turn <- struct{}{}:
-		defer func() { <-r.turn }()
+	case cluster.changing <- struct{}{}:
+		defer func() { <-cluster.changing }()
 	case <-ctx.Done():
-		return 0, nil, code.New(code.CoreAway, "nothing changed: %w", ctx.Err())
+		return 0, nil, code.New(code.CoreUnreachable, "nothing changed: %w", ctx.Err())
 	}
 	var seen uint64
-	var st register.State
+	var state register.State
 	work := func(s register.State) ([]byte, bool, error) {
-		seen = s.Ver
-		if expect != 0 && s.Ver != expect {
-			return nil, false, code.New(code.SpecConflict, "expected version %d, version %d is in force", expect, s.Ver)
+		seen = s.Version
+		if expect != 0 && s.Version != expect {
+			return nil, false, code.New(code.SpecConflict, "expected version %d, version %d is in force", expect, s.Version)
 		}
 		var re spec.Cluster
-		if err := re.UnmarshalJSON(s.Val); err != nil {
-			return nil, false, code.New(code.Garbled, "cluster %d: %w", s.Ver, err)
+		if err := re.UnmarshalJSON(s.Value); err != nil {
+			return nil, false, code.New(code.Garbled, "cluster %d: %w", s.Version, err)
 		}
-		if err := Edit(&re, s.Ver+1, f); err != nil {
+		if err := Edit(&re, s.Version+1, f); err != nil {
 			return nil, false, err
 		}
 		b, err := re.MarshalJSON()
 		return b, false, err
 	}
-	err := r.with(ctx, func(ctx context.Context, set register.Set) (err error) {
-		st, err = r.prop.Change(ctx, set, Key, work)
+	err := cluster.withVoters(ctx, func(ctx context.Context, set register.Set) (err error) {
+		state, err = cluster.proposer.Change(ctx, set, Key, work)
 		return err
 	})
 	switch {
 	case err == nil:
-		return st.Ver, st.Val, r.chosen(st)
+		return state.Version, state.Value, cluster.applyChosen(state)
 	case errors.Is(err, register.ErrMaybe):
 		return seen, nil, code.New(code.OutcomeUnknown, "the change may be in force, read the spec again: %w", err)
 	case errors.Is(err, register.ErrNoQuorum):
-		return seen, nil, code.New(code.CoreAway, "nothing changed: %w", err)
+		return seen, nil, code.New(code.CoreUnreachable, "nothing changed: %w", err)
 	}
 	return seen, nil, err
 }
 
-// chosen puts a version in force that was chosen just now. A disk that does not take it
+// applyChosen puts a version in force that was chosen just now. A disk that does not take it
 // takes nothing back from that: this process then stays on its older version until it
 // hears of a newer one again, and confirms none.
-func (r *Cluster) chosen(st register.State) error {
-	err := r.Apply(st.Ver, st.Val)
+func (cluster *Cluster) applyChosen(state register.State) error {
+	err := cluster.Apply(state.Version, state.Value)
 	switch code.Of(err) {
-	case code.DiskFull, code.DiskStalled, code.WriteUnsure, code.DiskFailure:
+	case code.DiskFull, code.DiskStalled, code.WriteUncertain, code.DiskFailure:
 		return nil
 	}
 	return err
--- a/internal/coordination/cluster/cluster_test.go
+++ b/internal/coordination/cluster/cluster_test.go
@@ -31,9 +31,9 @@
 // a machine more or less moves only what falls to it.
 func TestHolders(t *testing.T) {
 	for _, tc := range []struct {
-		zones  []int
-		copies int
-		loses  bool // a zone may take a majority with it
+		zones         []int
+		defaultCopies int
+		loses         bool // a zone may take a majority with it
 	}{
 		{[]int{1, 1, 1}, 3, false},
 		{[]int{2, 2, 1}, 3, false},
@@ -48,8 +48,8 @@
 		more := append(slices.Clone(set), spec.Machine{ID: "new", Addr: "new", Zone: "b", Ident: "inew"})
 		for k := range 3000 {
 			key := fmt.Sprint("turn/", k)
-			got := cluster.Holders(set, key, tc.copies)
-			if len(got) != tc.copies {
+			got := cluster.Holders(set, key, tc.defaultCopies)
+			if len(got) != tc.defaultCopies {
 				t.Fatalf("%v: %d holders", tc, len(got))
 			}
 			in := map[string]int{}
@@ -58,12 +58,12 @@
 				count[m.ID]++
 			}
 			for z, n := range in {
-				if !tc.loses && n*2 >= tc.copies {
-					t.Fatalf("%v: zone %s holds %d of %d", tc, z, n, tc.copies)
+				if !tc.loses && n*2 >= tc.defaultCopies {
+					t.Fatalf("%v: zone %s holds %d of %d", tc, z, n, tc.defaultCopies)
 				}
 			}
 			// Only the newcomer gains.
-			for _, m := range cluster.Holders(more, key, tc.copies) {
+			for _, m := range cluster.Holders(more, key, tc.defaultCopies) {
 				if m.ID != "new" && !slices.Contains(got, m) {
 					t.Fatalf("%v: %s gains %s though it is not new", tc, m.ID, key)
 				}
@@ -90,27 +90,27 @@
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		set := machines(rnd.IntN(4), rnd.IntN(4), 1+rnd.IntN(4))
-		copies := []int{3, 5}[rnd.IntN(2)]
+		defaultCopies := []int{3, 5}[rnd.IntN(2)]
 		var some []spec.Machine
 		for _, m := range set {
 			if rnd.IntN(3) == 0 {
 				some = append(some, m)
 			}
 		}
-		worst := cluster.Worst(set, some, copies)
+		worst := cluster.MaxHolders(set, some, defaultCopies)
 		for k := range 200 {
 			n := 0
-			for _, m := range cluster.Holders(set, fmt.Sprint(k), copies) {
+			for _, m := range cluster.Holders(set, fmt.Sprint(k), defaultCopies) {
 				if slices.Contains(some, m) {
 					n++
 				}
 			}
 			if n > worst {
-				t.Fatalf("%v without %v: %d of a key's %d, the worst is said to be %d", set, some, n, copies, worst)
+				t.Fatalf("%v without %v: %d of a key's %d, the worst is said to be %d", set, some, n, defaultCopies, worst)
 			}
 		}
 	}
-	if w := cluster.Worst(machines(2, 2, 1), machines(2), 3); w != 1 {
+	if w := cluster.MaxHolders(machines(2, 2, 1), machines(2), 3); w != 1 {
 		t.Errorf("a zone of three takes %d of three copies", w)
 	}
 }
@@ -119,7 +119,7 @@
 func TestSets(t *testing.T) {
 	view := func(now, next []spec.Machine) uint64 {
 		v := cluster.View{Cluster: spec.Cluster{Stores: now, NextStores: next}}
-		return v.Sets()
+		return v.StoresDigest()
 	}
 	a, b := machines(1, 1, 1), machines(1, 1, 1)
 	b[1].Ident = "other"
@@ -154,11 +154,11 @@
 		var v *wire.View
 		switch {
 		case q.GetPrep() != nil:
-			v, err = acceptor.Prep(q.GetPrep())
+			v, err = acceptor.Prepare(q.GetPrep())
 		case q.GetAcc() != nil:
-			v, err = acceptor.Acc(q.GetAcc())
+			v, err = acceptor.Accept(q.GetAcc())
 		default:
-			v, err = acceptor.Look(q.GetLook())
+			v, err = acceptor.Read(q.GetLook())
 		}
 		return &wire.Resp{Op: &wire.Resp_View{View: v}}, err
 	}
@@ -174,18 +174,18 @@
 	if _, err := proposer.Change(t.Context(), set, cluster.Key, found); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []code.Code{code.DiskFull, code.DiskStalled, code.WriteUnsure, code.DiskFailure} {
+	for _, c := range []code.Code{code.DiskFull, code.DiskStalled, code.WriteUncertain, code.DiskFailure} {
 		here := cluster.New(proposer, func([]byte, uint64) error { return code.New(c, "no sync") })
-		here.Boot(cores)
-		ver, got, err := here.Change(t.Context(), 0, func(r *spec.Cluster) error {
-			r.Copies++
+		here.SetInitialVoters(cores)
+		version, got, err := here.Change(t.Context(), 0, func(cluster *spec.Cluster) error {
+			cluster.Copies++
 			return nil
 		})
-		if err != nil || ver == 0 || got == nil {
-			t.Errorf("%v: a chosen change is answered %d, %v", c, ver, err)
+		if err != nil || version == 0 || got == nil {
+			t.Errorf("%v: a chosen change is answered %d, %v", c, version, err)
 		}
-		if here.Now().Ver != 0 {
-			t.Errorf("%v: version %d is in force without being kept", c, here.Now().Ver)
+		if here.Now().Version != 0 {
+			t.Errorf("%v: version %d is in force without being kept", c, here.Now().Version)
 		}
 	}
 }
--- a/internal/coordination/cluster/fuzz_test.go
+++ b/internal/coordination/cluster/fuzz_test.go
@@ -17,14 +17,14 @@
 	f.Fuzz(func(t *testing.T, raw []byte, key string) {
 		c := cluster.New(nil, nil)
 		if err := c.Apply(5, raw); err != nil {
-			if c.Now().Ver != 0 {
-				t.Fatalf("refused with %v, and version %d is in force", err, c.Now().Ver)
+			if c.Now().Version != 0 {
+				t.Fatalf("refused with %v, and version %d is in force", err, c.Now().Version)
 			}
 			return
 		}
 		v := c.Now()
-		if v.Ver != 5 || string(v.Raw()) != string(raw) {
-			t.Fatalf("version %d, value %s", v.Ver, v.Raw())
+		if v.Version != 5 || string(v.Raw()) != string(raw) {
+			t.Fatalf("version %d, value %s", v.Version, v.Raw())
 		}
 		v.Cores().All()
 		holders := cluster.Holders(v.Cluster.Stores, key, v.Copies())
@@ -32,7 +32,7 @@
 			t.Fatalf("%d holders of %d copies", len(holders), v.Copies())
 		}
 		v.Stores(key).All()
-		cluster.Worst(v.Cluster.Stores, v.Cluster.Stores, v.Copies())
-		v.Sets()
+		cluster.MaxHolders(v.Cluster.Stores, v.Cluster.Stores, v.Copies())
+		v.StoresDigest()
 	})
 }
--- a/internal/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -10,19 +10,19 @@
 // cluster which version last changed each of its sets. So every process knows the same
 // one, also a process that never saw the versions in between, and two changes between
 // the same sets can be told apart.
-func Edit(c *spec.Cluster, ver uint64, f func(*spec.Cluster) error) error {
+func Edit(c *spec.Cluster, version uint64, f func(*spec.Cluster) error) error {
 	cores, nextCores := slices.Clone(c.Cores), slices.Clone(c.NextCores)
 	stores, nextStores := slices.Clone(c.Stores), slices.Clone(c.NextStores)
 	if err := f(c); err != nil {
 		return err
 	}
-	boundUsed(c, ver)
-	boundBeside(c)
+	pruneUsed(c, version)
+	pruneSpares(c)
 	if !slices.Equal(cores, c.Cores) || !slices.Equal(nextCores, c.NextCores) {
-		c.CoresSince = ver
+		c.CoresSince = version
 	}
 	if !slices.Equal(stores, c.Stores) || !slices.Equal(nextStores, c.NextStores) {
-		c.StoresSince = ver
+		c.StoresSince = version
 	}
 	return nil
 }
@@ -30,19 +30,19 @@
 // MaxUsed is how many identities that were let go are listed at the most.
 const MaxUsed = 64
 
-// boundUsed cuts the list of identities that were let go. All that were ever in a set
+// pruneUsed cuts the list of identities that were let go. All that were ever in a set
 // were made under a lower version than the one of the cut, and are refused by that from
 // then on: see package membership.
-func boundUsed(c *spec.Cluster, ver uint64) {
+func pruneUsed(c *spec.Cluster, version uint64) {
 	if len(c.Used) > MaxUsed {
-		c.Used, c.IdentityFloor = nil, ver
+		c.Used, c.IdentityFloor = nil, version
 	}
 }
 
-// boundBeside keeps of those that were taken in beside the others only who is in a set.
-func boundBeside(c *spec.Cluster) {
+// pruneSpares keeps of those that were taken in beside the others only who is in a set.
+func pruneSpares(c *spec.Cluster) {
 	all := slices.Concat(c.Cores, c.NextCores, c.Stores, c.NextStores)
-	c.Beside = slices.DeleteFunc(c.Beside, func(ident string) bool {
+	c.Spares = slices.DeleteFunc(c.Spares, func(ident string) bool {
 		return !slices.ContainsFunc(all, func(m spec.Machine) bool { return m.Ident == ident })
 	})
 }
@@ -53,10 +53,10 @@
 	if v.StoresSince > 0 {
 		return v.StoresSince
 	}
-	if old.Ver > 0 && slices.Equal(old.Cluster.Stores, v.Cluster.Stores) && slices.Equal(old.NextStores, v.NextStores) {
-		return old.SetVer
+	if old.Version > 0 && slices.Equal(old.Cluster.Stores, v.Cluster.Stores) && slices.Equal(old.NextStores, v.NextStores) {
+		return old.StoresVersion
 	}
-	return v.Ver
+	return v.Version
 }
 
 // coresSince is the same for the sets of cores.
@@ -64,8 +64,8 @@
 	if v.CoresSince > 0 {
 		return v.CoresSince
 	}
-	if old.Ver > 0 && slices.Equal(old.Cluster.Cores, v.Cluster.Cores) && slices.Equal(old.NextCores, v.NextCores) {
-		return old.CoreVer
+	if old.Version > 0 && slices.Equal(old.Cluster.Cores, v.Cluster.Cores) && slices.Equal(old.NextCores, v.NextCores) {
+		return old.CoresVersion
 	}
-	return v.Ver
+	return v.Version
 }
--- a/internal/coordination/core/bootstrap.go
+++ b/internal/coordination/core/bootstrap.go
@@ -28,40 +28,40 @@
 // one of them.
 func (c *Core) founders() []founder {
 	var out []founder
-	if c.p.Bootstrap {
-		for _, m := range c.p.Cores {
+	if c.params.Bootstrap {
+		for _, m := range c.params.Cores {
 			out = append(out, founder{m.Addr, m.ID})
 		}
 		return out
 	}
-	if slices.Contains(c.p.Found, c.Peer.Self.Addr) {
-		for _, a := range c.p.Found {
+	if slices.Contains(c.params.FounderAddrs, c.Peer.Self.Addr) {
+		for _, a := range c.params.FounderAddrs {
 			out = append(out, founder{addr: a})
 		}
 	}
 	return out
 }
 
-// form makes the first set, or finds the one that stands. Each founder must be
+// bootstrap makes the first set, or finds the one that stands. Each founder must be
 // empty and forming as well, or already belong to a set.
-func (c *Core) form(ctx context.Context) error {
+func (c *Core) bootstrap(ctx context.Context) error {
 	fs := c.founders()
 	me := slices.IndexFunc(fs, func(f founder) bool { return f.addr == c.Peer.Self.Addr })
 	for try := 0; ; try++ {
-		set, err := c.meet(ctx, fs)
+		set, err := c.greetFounders(ctx, fs)
 		if err != nil {
 			return err
 		}
-		if c.Cluster.Now().Ver > 0 {
+		if c.Cluster.Now().Version > 0 {
 			c.founded = time.Now()
 			return nil
 		}
 		if set != nil {
-			c.Cluster.Boot(set)
+			c.Cluster.SetInitialVoters(set)
 			// One proposes at a time, in the list's order, or they beat down each
 			// other's ballots; the later ones only if the earlier ones don't.
 			if try%max(len(fs), 1) == me {
-				if err := c.first(ctx, set); err != nil {
+				if err := c.proposeFirst(ctx, set); err != nil {
 					c.Log.Info("first set not chosen yet", "err", err)
 				} else {
 					c.founded = time.Now()
@@ -73,39 +73,39 @@
 			c.Log.Info("forming, waiting for every founder", "founders", len(fs))
 		}
 		if !loop.Wait(ctx, 100*time.Millisecond) {
-			return code.New(code.CoreAway, "the set was not formed: %w", ctx.Err())
+			return code.New(code.CoreUnreachable, "the set was not formed: %w", ctx.Err())
 		}
 	}
 }
 
-// meet asks every founder who it is. It gives the set only where all are there
+// greetFounders asks every founder who it is. It gives the set only where all are there
 // and none belongs to a set yet; a set that stands is put in force here.
-func (c *Core) meet(ctx context.Context, fs []founder) ([]spec.Machine, error) {
-	type met struct {
+func (c *Core) greetFounders(ctx context.Context, fs []founder) ([]spec.Machine, error) {
+	type greeting struct {
 		i int
 		h *wire.HelloAck
 	}
-	ch := make(chan met, len(fs))
+	ch := make(chan greeting, len(fs))
 	for i, f := range fs {
 		go func() {
 			if f.addr == c.Peer.Self.Addr {
-				ch <- met{i, &wire.HelloAck{Self: c.Peer.Member(0)}}
+				ch <- greeting{i, &wire.HelloAck{Self: c.Peer.Member(0)}}
 				return
 			}
 			h, err := c.Hello(ctx, f.addr)
 			if err != nil {
 				h = nil
 			}
-			ch <- met{i, h}
+			ch <- greeting{i, h}
 		}()
 	}
 	set := make([]spec.Machine, len(fs))
-	whole := true
+	complete := true
 	for range fs {
 		m := <-ch
 		f := fs[m.i]
 		if m.h == nil {
-			whole = false
+			complete = false
 			continue
 		}
 		s := m.h.Self
@@ -116,37 +116,37 @@
 			if err := c.Cluster.Apply(m.h.ClusterVer, m.h.Cluster); err != nil {
 				return nil, err
 			}
-			whole = false
+			complete = false
 			continue
 		}
 		if s.GetRole() != "core" || s.GetIdent() == "" {
-			whole = false
+			complete = false
 			continue
 		}
 		set[m.i] = spec.Machine{ID: s.Id, Addr: f.addr, Zone: s.Zone, Ident: s.Ident}
 	}
-	if v := c.Cluster.Now(); v.Ver > 0 {
+	if v := c.Cluster.Now(); v.Version > 0 {
 		// An operator who lists the set by name means this machine to be in it;
 		// found by address alone it joins as a stranger and is taken in.
-		if c.p.Bootstrap && !slices.ContainsFunc(v.Cluster.Cores, func(m spec.Machine) bool { return m.Ident == c.Peer.Ident() }) {
+		if c.params.Bootstrap && !slices.ContainsFunc(v.Cluster.Cores, func(m spec.Machine) bool { return m.Ident == c.Peer.Ident() }) {
 			return nil, code.New(code.NotBootable, "a set stands already and does not know this identity: start without -bootstrap and have it admitted")
 		}
 		return nil, nil
 	}
-	if !whole {
+	if !complete {
 		return nil, nil
 	}
 	return set, nil
 }
 
-// first proposes version 1 to all founders; whichever machine is first, the others
+// proposeFirst proposes version 1 to all founders; whichever machine is first, the others
 // find it.
-func (c *Core) first(ctx context.Context, set []spec.Machine) error {
-	re := spec.Cluster{Cores: set, Stores: c.p.Stores, Copies: c.p.Copies, Tended: !c.p.Bootstrap, CoresSince: 1, StoresSince: 1}
-	if c.p.Spec != nil {
-		re.Spec = *c.p.Spec
+func (c *Core) proposeFirst(ctx context.Context, set []spec.Machine) error {
+	re := spec.Cluster{Cores: set, Stores: c.params.Stores, Copies: c.params.Copies, SelfManaged: !c.params.Bootstrap, CoresSince: 1, StoresSince: 1}
+	if c.params.Spec != nil {
+		re.Spec = *c.params.Spec
 	} else {
-		re.Spec = spec.Bare(c.p.Zones)
+		re.Spec = spec.Bare(c.params.Zones)
 	}
 	raw, err := re.MarshalJSON()
 	if err != nil {
@@ -159,14 +159,14 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
-	st, err := c.Prop.Change(ctx, all, cluster.Key, func(s register.State) ([]byte, bool, error) {
-		if s.Ver > 0 {
-			return nil, false, cluster.ErrSame
+	st, err := c.Proposer.Change(ctx, all, cluster.Key, func(s register.State) ([]byte, bool, error) {
+		if s.Version > 0 {
+			return nil, false, cluster.ErrNoChange
 		}
 		return raw, false, nil
 	})
-	if err != nil && !errors.Is(err, cluster.ErrSame) {
+	if err != nil && !errors.Is(err, cluster.ErrNoChange) {
 		return err
 	}
-	return c.Cluster.Apply(st.Ver, st.Val)
+	return c.Cluster.Apply(st.Version, st.Value)
 }
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -15,57 +15,57 @@
 // what it reads then was sent while it was in touch.
 
 const (
-	// touchPeriod is the time between two looks at whether this core is in touch.
-	touchPeriod = 500 * time.Millisecond
-	// touchLapse is the time without a look after which this process stood still.
-	touchLapse = 2 * touchPeriod
-	// touchSettle is how long this core must have been in touch again. Senders wait
+	// contactCheckInterval is the time between two looks at whether this core is in touch.
+	contactCheckInterval = 500 * time.Millisecond
+	// contactGap is the time without a look after which this process stood still.
+	contactGap = 2 * contactCheckInterval
+	// contactSettleTime is how long this core must have been in touch again. Senders wait
 	// for an answer for a second.
-	touchSettle = time.Second
+	contactSettleTime = time.Second
 )
 
-// touch notes when a process was last out of touch with a majority, or stood still.
-type touch struct {
-	start time.Time    // what the times below are counted from
-	felt  atomic.Int64 // the last look
-	lost  atomic.Int64 // when it was last found out of touch; 0: never
+// contactTracker notes when a process was last out of touch with a majority, or stood still.
+type contactTracker struct {
+	start     time.Time    // what the times below are counted from
+	lastCheck atomic.Int64 // the last look
+	lastLost  atomic.Int64 // when it was last found out of touch; 0: never
 }
 
-// feel looks at the clock; valid tells whether this core's lease runs.
-func (t *touch) feel(now time.Time, valid bool) {
+// check looks at the clock; valid tells whether this core's lease runs.
+func (t *contactTracker) check(now time.Time, valid bool) {
 	at := int64(now.Sub(t.start))
-	last := t.felt.Swap(at)
-	if !valid || last > 0 && at-last > int64(touchLapse) {
-		t.lost.Store(max(at, 1))
+	last := t.lastCheck.Swap(at)
+	if !valid || last > 0 && at-last > int64(contactGap) {
+		t.lastLost.Store(max(at, 1))
 	}
 }
 
-// steady tells whether the process has been in touch for long enough.
-func (t *touch) steady(now time.Time, valid bool) bool {
+// established tells whether the process has been in touch for long enough.
+func (t *contactTracker) established(now time.Time, valid bool) bool {
 	at := int64(now.Sub(t.start))
-	last, lost := t.felt.Load(), t.lost.Load()
+	last, lost := t.lastCheck.Load(), t.lastLost.Load()
 	switch {
 	case !valid:
 		return false
-	case last > 0 && at-last > int64(touchLapse):
+	case last > 0 && at-last > int64(contactGap):
 		return false
 	}
-	return lost == 0 || at-lost > int64(touchSettle)
+	return lost == 0 || at-lost > int64(contactSettleTime)
 }
 
-// feelTouch is the duty that keeps touch up to date.
-func (c *Core) feelTouch(context.Context) { c.touch.feel(time.Now(), c.Lic.Valid()) }
+// checkContact is the duty that keeps touch up to date.
+func (c *Core) checkContact(context.Context) { c.contact.check(time.Now(), c.Lease.Valid()) }
 
-// InTouch refuses, for the moment, to work on an order that may be an old one: this
+// InContact refuses, for the moment, to work on an order that may be an old one: this
 // core is or was just out of touch, or the order's time is over.
-func (c *Core) InTouch(ctx context.Context) error {
+func (c *Core) InContact(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	now := time.Now()
 	if bounded && now.After(deadline) {
-		return code.New(code.OutOfTouch, "the order's time is over")
+		return code.New(code.OutOfContact, "the order's time is over")
 	}
-	if !c.touch.steady(now, c.Lic.Valid()) {
-		return code.New(code.OutOfTouch, "%s was out of touch a moment ago", c.Peer.Self.Id)
+	if !c.contact.established(now, c.Lease.Valid()) {
+		return code.New(code.OutOfContact, "%s was out of touch a moment ago", c.Peer.Self.Id)
 	}
 	return nil
 }
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -26,15 +26,15 @@
 // Disk is what a core machine keeps.
 type Disk interface {
 	register.Disk
-	Note(key string, b []byte) error
-	Noted(key string) ([]byte, error)
-	Notes(prefix string) (map[string][]byte, error)
+	SaveMetadata(key string, b []byte) error
+	LoadMetadata(key string) ([]byte, error)
+	ListMetadata(prefix string) (map[string][]byte, error)
 	// Ident is the identity that the disk stands for. Renew puts all of it aside for
 	// a new one.
 	Ident() string
-	Renew(why string) error
-	// Look measures the disk; Status says what is wrong with it.
-	Look()
+	ReplaceIdentity(why string) error
+	// MeasureDisk measures the disk; Status says what is wrong with it.
+	MeasureDisk()
 	Status() string
 	Lister
 }
@@ -67,53 +67,53 @@
 	Cores     []spec.Machine
 	Stores    []spec.Machine
 	Spec      *spec.Spec
-	// Found are the addresses of the cores that form the first set, where no names
+	// FounderAddrs are the addresses of the cores that form the first set, where no names
 	// are known. It stands without stores, over Zones where there is no Spec; they
 	// are taken in as they come.
-	Found []string
-	Zones []string
+	FounderAddrs []string
+	Zones        []string
 	// Copies is how many stores hold each key; 0 means 3.
 	Copies int
 	// MoveRate bounds the keys moved a second while a set changes.
 	MoveRate int
-	// AckWait is how long an operator's request waits to be acknowledged.
-	AckWait time.Duration
+	// AckTimeout is how long an operator's request waits to be acknowledged.
+	AckTimeout time.Duration
 }
 
 // Core is one control-plane process.
 type Core struct {
-	p     Params
-	disk  Disk
-	acc   *register.Acceptor
-	table *lease.Table
-	moved atomic.Int64 // keys moved in the change of a set under way
+	params    Params
+	disk      Disk
+	acceptor  *register.Acceptor
+	table     *lease.Table
+	keysMoved atomic.Int64 // keys moved in the change of a set under way
 	// What a set's duty is to look at again at once, and when a store that is in no
 	// set was last heard of for the first time.
-	kicks map[membership.Set]loop.Kick
-	came  atomic.Int64
-	met   sync.Map // identities heard of
-	began time.Time
+	wakeups         map[membership.Set]loop.Wakeup
+	lastNewcomer    atomic.Int64
+	knownIdentities sync.Map // identities heard of
+	startedAt       time.Time
 	// founded is when this very process formed the set, if it did. It and tried, when
 	// keys could last not be moved, are touched by one goroutine at a time.
-	founded, tried time.Time
-	drained        atomic.Uint64 // the change of the cores after which Gate was last waited for
-	touch          touch         // since when this core has been in touch with a majority
+	founded, lastTransferFailure time.Time
+	drainedVersion               atomic.Uint64  // the change of the cores after which Gate was last waited for
+	contact                      contactTracker // since when this core has been in touch with a majority
 	*node.Node
 }
 
-const clusterNote = "realm"
+const clusterKey = "realm"
 
-// Keep notes each spec on disk before it comes into force.
-func Keep(note func(string, []byte) error) func([]byte, uint64) error {
+// PersistCluster notes each spec on disk before it comes into force.
+func PersistCluster(note func(string, []byte) error) func([]byte, uint64) error {
 	return func(raw []byte, ver uint64) error {
-		return note(clusterNote, append(binary.BigEndian.AppendUint64(nil, ver), raw...))
+		return note(clusterKey, append(binary.BigEndian.AppendUint64(nil, ver), raw...))
 	}
 }
 
-// Recall puts the spec kept on disk in force: a node never slips back to an
+// RestoreCluster puts the spec kept on disk in force: a node never slips back to an
 // older one than it has had.
-func Recall(noted func(string) ([]byte, error), r *cluster.Cluster) error {
-	b, err := noted(clusterNote)
+func RestoreCluster(saved func(string) ([]byte, error), r *cluster.Cluster) error {
+	b, err := saved(clusterKey)
 	if err != nil || len(b) < 8 {
 		return err
 	}
@@ -122,48 +122,48 @@
 
 // New makes a core over its disk.
 func New(p Params, np node.Params, d Disk) (*Core, error) {
-	np.Keep = Keep(d.Note)
-	c := &Core{p: p, disk: d, acc: register.NewAcceptor(d), Node: node.New(np), began: time.Now()}
-	c.touch.start = c.began
-	c.kicks = map[membership.Set]loop.Kick{membership.Cores: c.Cluster.Watch(), membership.Stores: c.Cluster.Watch()}
-	c.came.Store(time.Now().UnixNano())
-	c.Lic.Status = func() string {
+	np.Persist = PersistCluster(d.SaveMetadata)
+	c := &Core{params: p, disk: d, acceptor: register.NewAcceptor(d), Node: node.New(np), startedAt: time.Now()}
+	c.contact.start = c.startedAt
+	c.wakeups = map[membership.Set]loop.Wakeup{membership.Cores: c.Cluster.Watch(), membership.Stores: c.Cluster.Watch()}
+	c.lastNewcomer.Store(time.Now().UnixNano())
+	c.Lease.Status = func() string {
 		c.drain()
 		return d.Status()
 	}
-	noted, err := d.Notes(lease.NotePrefix)
+	saved, err := d.ListMetadata(lease.MemberKeyPrefix)
 	if err != nil {
 		return nil, err
 	}
-	if c.table, err = lease.NewTable(np.Lic, noted, d.Note); err != nil {
+	if c.table, err = lease.NewTable(np.Lease, saved, d.SaveMetadata); err != nil {
 		return nil, err
 	}
-	if err := Recall(d.Noted, c.Cluster); err != nil {
+	if err := RestoreCluster(d.LoadMetadata, c.Cluster); err != nil {
 		return nil, err
 	}
-	if err := RecallIdentity(c.Node, d); err != nil {
+	if err := RestoreIdentityVersion(c.Node, d); err != nil {
 		return nil, err
 	}
-	Vote(c.Node, c.acc, c.fresh, func() []spec.Machine {
+	ServeRegister(c.Node, c.acceptor, c.checkCoresVersion, func() []spec.Machine {
 		v := c.Cluster.Now()
-		if v.Ver == 0 {
+		if v.Version == 0 {
 			// Before there is a set, whoever names this identity has it from us and
 			// is forming the first.
 			return []spec.Machine{{Ident: c.Peer.Ident()}}
 		}
 		return slices.Concat(v.Cluster.Cores, v.NextCores)
 	})
-	c.Peer.On(&wire.Req_Renew{}, c.renew)
-	c.Peer.On(&wire.Req_List{}, func(_ context.Context, q *wire.Req) (*wire.Resp, error) { return List(d, q.GetList(), nil) })
-	c.Peer.On(&wire.Req_Members{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
-		return &wire.Resp{Op: &wire.Resp_Members{Members: &wire.MembersAck{Members: c.table.List(), UpMs: time.Since(c.began).Milliseconds()}}}, nil
+	c.Peer.Handle(&wire.Req_Renew{}, c.renew)
+	c.Peer.Handle(&wire.Req_List{}, func(_ context.Context, q *wire.Req) (*wire.Resp, error) { return List(d, q.GetList(), nil) })
+	c.Peer.Handle(&wire.Req_Members{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
+		return &wire.Resp{Op: &wire.Resp_Members{Members: &wire.MembersAck{Members: c.table.List(), UpMs: time.Since(c.startedAt).Milliseconds()}}}, nil
 	})
 	return c, nil
 }
 
-// Vote answers the register's rounds, as long as this identity is in the set.
+// ServeRegister answers the register's rounds, as long as this identity is in the set.
 // A machine that lost its disk has another identity and stays out.
-func Vote(n *node.Node, a *register.Acceptor, fresh func(*wire.Req) error, set func() []spec.Machine) {
+func ServeRegister(n *node.Node, a *register.Acceptor, checkVersion func(*wire.Req) error, set func() []spec.Machine) {
 	ok := func() error {
 		if id := n.Peer.Ident(); id == "" || !slices.ContainsFunc(set(), func(m spec.Machine) bool { return m.Ident == id }) {
 			return code.New(code.NotVoting, "%s is not admitted to the set", n.Peer.Self.Id)
@@ -171,33 +171,33 @@
 		return nil
 	}
 	on := func(op any, f func(*wire.Req) (*wire.View, error)) {
-		n.Peer.On(op, func(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+		n.Peer.Handle(op, func(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 			// What a newer set's version shuts out is either refused or on the disk
 			// by the time that somebody asks for all that is there.
-			defer n.Gate.Enter()()
+			defer n.Gate.Begin()()
 			if err := ok(); err != nil {
 				return nil, err
 			}
-			if err := fresh(q); err != nil {
+			if err := checkVersion(q); err != nil {
 				return nil, err
 			}
 			v, err := f(q)
 			return &wire.Resp{Op: &wire.Resp_View{View: v}}, err
 		})
 	}
-	on(&wire.Req_Prep{}, func(q *wire.Req) (*wire.View, error) { return a.Prep(q.GetPrep()) })
-	on(&wire.Req_Acc{}, func(q *wire.Req) (*wire.View, error) { return a.Acc(q.GetAcc()) })
-	on(&wire.Req_Look{}, func(q *wire.Req) (*wire.View, error) { return a.Look(q.GetLook()) })
+	on(&wire.Req_Prep{}, func(q *wire.Req) (*wire.View, error) { return a.Prepare(q.GetPrep()) })
+	on(&wire.Req_Acc{}, func(q *wire.Req) (*wire.View, error) { return a.Accept(q.GetAcc()) })
+	on(&wire.Req_Look{}, func(q *wire.Req) (*wire.View, error) { return a.Read(q.GetLook()) })
 }
 
-// Fresh refuses a sender that acts on an older spec than the highest that this
+// CheckVersion refuses a sender that acts on an older spec than the highest that this
 // machine has synced: a strict one whatever has changed, any where the sets have.
 // What was begun under a promise may be ended.
-func Fresh(n *node.Node, q *wire.Req) error {
+func CheckVersion(n *node.Node, q *wire.Req) error {
 	v := n.Cluster.Now()
 	_, ends := q.Op.(*wire.Req_Acc)
-	if membership.Stale(v, q.Spec) || q.Strict && !ends && q.Spec > 0 && q.Spec < v.Ver {
-		return code.New(code.StaleSpec, "version %d, %s has %d", q.Spec, n.Peer.Self.Id, v.Ver)
+	if membership.Stale(v, q.Spec) || q.Strict && !ends && q.Spec > 0 && q.Spec < v.Version {
+		return code.New(code.StaleSpec, "version %d, %s has %d", q.Spec, n.Peer.Self.Id, v.Version)
 	}
 	return nil
 }
@@ -205,19 +205,19 @@
 // drain waits, once after each change of the cores, until what was let in before is
 // on the disk: only then may this core say that it has confirmed it.
 func (c *Core) drain() {
-	v := c.Cluster.Now().CoreVer
-	if c.drained.Load() == v {
+	v := c.Cluster.Now().CoresVersion
+	if c.drainedVersion.Load() == v {
 		return
 	}
 	c.Gate.Drain()
-	c.drained.Store(v)
+	c.drainedVersion.Store(v)
 }
 
-// fresh refuses whoever deals with the cores under sets that are no more: his
+// checkCoresVersion refuses whoever deals with the cores under sets that are no more: his
 // majority could be one of the old set alone.
-func (c *Core) fresh(q *wire.Req) error {
+func (c *Core) checkCoresVersion(q *wire.Req) error {
 	if v := c.Cluster.Now(); membership.StaleCores(v, q.Spec) {
-		return code.New(code.StaleSpec, "version %d, the cores have changed with %d", q.Spec, v.CoreVer)
+		return code.New(code.StaleSpec, "version %d, the cores have changed with %d", q.Spec, v.CoresVersion)
 	}
 	return nil
 }
@@ -225,7 +225,7 @@
 func (c *Core) renew(ctx context.Context, q *wire.Req) (*wire.Resp, error) {
 	// Whoever goes by cores that are no more may be known to none of the others that
 	// wait for all who could act on an older spec.
-	if err := c.fresh(&wire.Req{Spec: q.GetRenew().GetSelf().GetSpecVer()}); err != nil {
+	if err := c.checkCoresVersion(&wire.Req{Spec: q.GetRenew().GetSelf().GetSpecVer()}); err != nil {
 		return nil, err
 	}
 	r, err := c.table.Grant(ctx, q)
@@ -233,8 +233,8 @@
 		return r, err
 	}
 	v := c.Cluster.Now()
-	r.GetRenew().SpecVer = v.Ver
-	c.heard(v, q.GetRenew().GetSelf())
+	r.GetRenew().SpecVer = v.Version
+	c.onRenewal(v, q.GetRenew().GetSelf())
 	return r, nil
 }
 
@@ -243,8 +243,8 @@
 	if err := c.Peer.Serve(ctx); err != nil {
 		return err
 	}
-	if c.Cluster.Now().Ver == 0 {
-		if err := c.enter(ctx); err != nil {
+	if c.Cluster.Now().Version == 0 {
+		if err := c.joinCluster(ctx); err != nil {
 			return err
 		}
 	}
@@ -252,47 +252,49 @@
 		return err
 	}
 	c.Run(ctx)
-	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, time.Second, nil, func(context.Context) { c.disk.Look() }) })
-	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, 500*time.Millisecond, nil, c.bind) })
-	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, touchPeriod, nil, c.feelTouch) })
-	for set, kick := range c.kicks {
+	c.Go(ctx, func(ctx context.Context) {
+		loop.Every(ctx, time.Second, nil, func(context.Context) { c.disk.MeasureDisk() })
+	})
+	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, 500*time.Millisecond, nil, c.bindStores) })
+	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, contactCheckInterval, nil, c.checkContact) })
+	for set, wakeup := range c.wakeups {
 		c.Go(ctx, func(ctx context.Context) {
-			loop.Every(ctx, 500*time.Millisecond, kick, func(ctx context.Context) { c.tend(ctx, set) })
+			loop.Every(ctx, 500*time.Millisecond, wakeup, func(ctx context.Context) { c.reconcile(ctx, set) })
 		})
 	}
-	c.Go(ctx, func(ctx context.Context) { LetGo(ctx, c.Node, c.disk, c.acc.Forgotten) })
+	c.Go(ctx, func(ctx context.Context) { WatchRemoval(ctx, c.Node, c.disk, c.acceptor.Reset) })
 	return nil
 }
 
-// enter forms the first set or finds the one that stands, for a machine that knows of
+// joinCluster forms the first set or finds the one that stands, for a machine that knows of
 // none yet. An identity that may be in the first set counts as made under version 0.
-func (c *Core) enter(ctx context.Context) error {
+func (c *Core) joinCluster(ctx context.Context) error {
 	voted, err := c.disk.Load(cluster.Key)
 	if err != nil {
 		return err
 	}
 	if len(c.founders()) > 0 {
-		if err := MarkIdentity(c.Node, c.disk, 0); err != nil {
+		if err := SaveIdentityVersion(c.Node, c.disk, 0); err != nil {
 			return err
 		}
-		return c.form(ctx)
+		return c.bootstrap(ctx)
 	}
-	if err := c.Find(ctx); err != nil {
+	if err := c.Discover(ctx); err != nil {
 		return err
 	}
 	if voted.Promised != nil {
-		return MarkIdentity(c.Node, c.disk, 0)
+		return SaveIdentityVersion(c.Node, c.disk, 0)
 	}
-	return MarkIdentity(c.Node, c.disk, c.Cluster.Now().Ver)
+	return SaveIdentityVersion(c.Node, c.disk, c.Cluster.Now().Version)
 }
 
-// bind gives each store of the set that has none yet the identity it came
+// bindStores gives each store of the set that has none yet the identity it came
 // with. Once bound it is never changed here: a store that lost its disk comes
 // with another and has to be admitted.
-func (c *Core) bind(ctx context.Context) {
+func (c *Core) bindStores(ctx context.Context) {
 	idents := map[string]string{}
 	used := c.Cluster.Now().Used
-	for _, m := range c.Lic.Members() {
+	for _, m := range c.Lease.Members() {
 		if m.Role == "store" && m.Live && !slices.Contains(used, m.Ident) {
 			idents[m.Id] = m.Ident
 		}
@@ -309,32 +311,32 @@
 			}
 		}
 		if !some {
-			return cluster.ErrSame
+			return cluster.ErrNoChange
 		}
 		return nil
 	})
 	if err != nil {
-		if !errors.Is(err, cluster.ErrSame) {
+		if !errors.Is(err, cluster.ErrNoChange) {
 			c.Log.Warn("stores not bound", "err", err)
 		}
 		return
 	}
 	c.Log.Info("stores bound", "version", ver)
-	c.spread(ctx, ver, raw)
+	c.broadcastSpec(ctx, ver, raw)
 }
 
-// spread sends a version down the tree and gives the ids that took it.
-func (c *Core) spread(ctx context.Context, ver uint64, raw []byte) map[string]bool {
-	took := map[string]bool{}
-	for _, id := range c.Board.Publish(ctx, &wire.Item{Topic: "spec", Seq: ver, Body: raw}) {
-		took[id] = true
+// broadcastSpec sends a version down the tree and gives the ids that took it.
+func (c *Core) broadcastSpec(ctx context.Context, ver uint64, raw []byte) map[string]bool {
+	confirmed := map[string]bool{}
+	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: "spec", Seq: ver, Body: raw}) {
+		confirmed[id] = true
 	}
-	return took
+	return confirmed
 }
 
-// known merges the members that a majority of core machines know: the newest
+// knownMembers merges the members that a majority of core machines know: the newest
 // start of each, its highest confirmation, its shortest silence.
-func (c *Core) known(ctx context.Context) (map[string]*wire.Member, error) {
+func (c *Core) knownMembers(ctx context.Context) (map[string]*wire.Member, error) {
 	set := c.Cluster.Now().Cores()
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
@@ -352,12 +354,12 @@
 		}()
 	}
 	all := map[string]*wire.Member{}
-	have := map[register.Replica]bool{}
+	answered := map[register.Replica]bool{}
 	take := func(a answer) {
 		if a.err != nil {
 			return
 		}
-		have[a.r] = true
+		answered[a.r] = true
 		for _, m := range a.ms {
 			k := m.Id + "@" + m.Addr
 			o := all[k]
@@ -380,51 +382,51 @@
 		case <-most:
 			return all, nil
 		}
-		if most == nil && set.Quorum(have) {
-			t := time.NewTimer(moment)
+		if most == nil && set.Quorum(answered) {
+			t := time.NewTimer(stragglerWait)
 			defer t.Stop()
 			most = t.C
 		}
 	}
-	if !set.Quorum(have) {
-		return nil, code.New(code.CoreAway, "%d of %d core machines answered", len(have), len(cores))
+	if !set.Quorum(answered) {
+		return nil, code.New(code.CoreUnreachable, "%d of %d core machines answered", len(answered), len(cores))
 	}
 	return all, nil
 }
 
-// moment is how long a core machine that is slower than a majority is waited for.
-const moment = 50 * time.Millisecond
+// stragglerWait is how long a core machine that is slower than a majority is waited for.
+const stragglerWait = 50 * time.Millisecond
 
-// waiting lists the nodes that could still act on a version older than ver. It
+// unconfirmed lists the nodes that could still act on a version older than ver. It
 // is none where the stores are the fence: so many have confirmed that no key
 // finds a majority below it, and what was looked at before is too old by now.
-func (c *Core) waiting(ctx context.Context, ver uint64, took map[string]bool) ([]string, error) {
-	all, err := c.known(ctx)
+func (c *Core) unconfirmed(ctx context.Context, ver uint64, confirmed map[string]bool) ([]string, error) {
+	all, err := c.knownMembers(ctx)
 	if err != nil {
 		return nil, err
 	}
 	// The fence's time runs while the silent are asked for.
 	var over <-chan time.Time
-	if c.fenced(all, ver, took) {
-		t := time.NewTimer(storeclient.Window)
+	if c.fencedByStores(all, ver, confirmed) {
+		t := time.NewTimer(storeclient.ReadWindow)
 		defer t.Stop()
 		over = t.C
 	}
-	type gone struct {
+	type probed struct {
 		id  string
 		yes bool
 	}
-	ch := make(chan gone, len(all))
+	ch := make(chan probed, len(all))
 	n := 0
 	for _, m := range all {
-		if m.SpecVer >= ver || took[m.Id] {
+		if m.SpecVer >= ver || confirmed[m.Id] {
 			continue
 		}
 		n++
 		go func() {
 			// A refused port: the process is gone, and a new one reads the
 			// spec at a majority before it serves.
-			ch <- gone{m.Id, c.refused(ctx, m.Addr)}
+			ch <- probed{m.Id, c.portRefused(ctx, m.Addr)}
 		}()
 	}
 	out := []string{}
@@ -449,13 +451,13 @@
 	return out, nil
 }
 
-// fenced tells whether in neither set of stores could those that have not confirmed ver
+// fencedByStores tells whether in neither set of stores could those that have not confirmed ver
 // make a majority of some key's copies.
-func (c *Core) fenced(known map[string]*wire.Member, ver uint64, took map[string]bool) bool {
+func (c *Core) fencedByStores(known map[string]*wire.Member, ver uint64, confirmed map[string]bool) bool {
 	v := c.Cluster.Now()
 	return membership.Fenced(&v.Cluster, func(m spec.Machine) bool {
 		member := known[m.ID+"@"+m.Addr]
-		return member.GetIdent() == m.Ident && (member.GetSpecVer() >= ver || took[m.ID])
+		return member.GetIdent() == m.Ident && (member.GetSpecVer() >= ver || confirmed[m.ID])
 	})
 }
 
--- a/internal/coordination/core/explain.go
+++ b/internal/coordination/core/explain.go
@@ -25,7 +25,7 @@
 		return fail(x, err)
 	}
 	v := c.Cluster.Now()
-	return x.JSON(http.StatusOK, map[string]any{"version": v.Ver, "intents": Explain(v)})
+	return x.JSON(http.StatusOK, map[string]any{"version": v.Version, "intents": Explain(v)})
 }
 
 // Explain works out the placements of each intent of a version.
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -27,8 +27,8 @@
 	Waiting []string `json:"waiting"`
 }
 
-func (c *Core) refused(ctx context.Context, addr string) bool {
-	return singleton.Gone(ctx, c.Peer, addr)
+func (c *Core) portRefused(ctx context.Context, addr string) bool {
+	return singleton.PortRefused(ctx, c.Peer, addr)
 }
 
 // Routes puts the operators' interface on e.
@@ -37,21 +37,21 @@
 	e.PUT("/v1/spec", c.putSpec)
 	e.PATCH("/v1/spec", c.patchSpec)
 	e.GET("/v1/spec/versions/:ver", c.getVersion)
-	e.POST("/v1/zones/:zone/empty", func(x echo.Context) error { return c.zone(x, true) })
-	e.POST("/v1/zones/:zone/refill", func(x echo.Context) error { return c.zone(x, false) })
+	e.POST("/v1/zones/:zone/empty", func(x echo.Context) error { return c.changeZone(x, true) })
+	e.POST("/v1/zones/:zone/refill", func(x echo.Context) error { return c.changeZone(x, false) })
 	e.GET("/v1/explain", c.explain)
 	e.GET("/v1/members", c.getMembers)
 	e.GET("/v1/health", c.getHealth)
 	metrics.Routes(e, func() []metrics.Row {
 		live := 0
-		for _, m := range c.Lic.Members() {
+		for _, m := range c.Lease.Members() {
 			if m.Live {
 				live++
 			}
 		}
-		return append(metrics.Node(c.Cluster.Now().Ver, c.Peer.Sent()),
+		return append(metrics.Node(c.Cluster.Now().Version, c.Peer.Sent()),
 			metrics.Row{Name: "members_live", Help: "Nodes whose lease runs.", Value: float64(live)},
-			metrics.Row{Name: "keys_moved", Help: "Keys moved in the last change of a set.", Value: float64(c.moved.Load())})
+			metrics.Row{Name: "keys_moved", Help: "Keys moved in the last change of a set.", Value: float64(c.keysMoved.Load())})
 	})
 	c.setRoutes(e)
 	c.policyRoutes(e)
@@ -63,7 +63,7 @@
 		return fail(x, err)
 	}
 	v := c.Cluster.Now()
-	b, err := spec.State{Version: v.Ver, Spec: v.Spec}.MarshalJSON()
+	b, err := spec.State{Version: v.Version, Spec: v.Spec}.MarshalJSON()
 	if err != nil {
 		return fail(x, err)
 	}
@@ -107,7 +107,7 @@
 	return x.JSON(status, f)
 }
 
-func (c *Core) zone(x echo.Context, empty bool) error {
+func (c *Core) changeZone(x echo.Context, empty bool) error {
 	z := x.Param("zone")
 	var o struct {
 		Force bool `json:"force"`
@@ -124,7 +124,7 @@
 		if !slices.Contains(s.Zones, z) {
 			return code.New(code.NoZone, "%q is not one of zones", z)
 		}
-		if err := c.InTouch(x.Request().Context()); err != nil {
+		if err := c.InContact(x.Request().Context()); err != nil {
 			return err
 		}
 		s.EmptyZones = slices.DeleteFunc(slices.Clone(s.EmptyZones), func(e string) bool { return e == z })
@@ -165,10 +165,10 @@
 		return Ack{Version: ver}, err
 	}
 	c.Log.Info("spec chosen", "version", ver)
-	took := c.spread(ctx, ver, raw)
+	confirmed := c.broadcastSpec(ctx, ver, raw)
 	a := Ack{Version: ver, Waiting: []string{"unknown"}}
 	for {
-		if w, err := c.waiting(ctx, ver, took); err == nil {
+		if w, err := c.unconfirmed(ctx, ver, confirmed); err == nil {
 			if a.Waiting = w; len(w) == 0 {
 				a.InForce = true
 				return a, nil
@@ -183,7 +183,7 @@
 
 // change makes f's change and answers as the rule of acknowledgement says.
 func (c *Core) change(x echo.Context, expect uint64, f func(*spec.Cluster) error) error {
-	ctx, stop := context.WithTimeout(x.Request().Context(), c.p.AckWait)
+	ctx, stop := context.WithTimeout(x.Request().Context(), c.params.AckTimeout)
 	defer stop()
 	a, err := c.Change(ctx, expect, f)
 	switch {
@@ -208,10 +208,10 @@
 	if err := c.Cluster.Read(ctx); err != nil {
 		return fail(x, err)
 	}
-	if now := c.Cluster.Now().Ver; ver > now {
+	if now := c.Cluster.Now().Version; ver > now {
 		return fail(x, code.New(code.NoVersion, "version %d, the latest is %d", ver, now))
 	}
-	w, err := c.waiting(ctx, ver, nil)
+	w, err := c.unconfirmed(ctx, ver, nil)
 	if err != nil {
 		return fail(x, err)
 	}
@@ -241,7 +241,7 @@
 	if err := c.Cluster.Read(x.Request().Context()); err != nil {
 		return fail(x, err)
 	}
-	all, err := c.known(x.Request().Context())
+	all, err := c.knownMembers(x.Request().Context())
 	if err != nil {
 		return fail(x, err)
 	}
@@ -272,7 +272,7 @@
 	if err := c.Cluster.Read(x.Request().Context()); err != nil {
 		return fail(x, err)
 	}
-	all, err := c.known(x.Request().Context())
+	all, err := c.knownMembers(x.Request().Context())
 	if err != nil {
 		return fail(x, err)
 	}
@@ -301,5 +301,5 @@
 		}
 	}
 	slices.Sort(wrong)
-	return x.JSON(http.StatusOK, map[string]any{"ok": len(wrong) == 0, "spec": v.Ver, "members": len(all), "wrong": wrong})
+	return x.JSON(http.StatusOK, map[string]any{"ok": len(wrong) == 0, "spec": v.Version, "members": len(all), "wrong": wrong})
 }
--- a/internal/coordination/core/policies.go
+++ b/internal/coordination/core/policies.go
@@ -49,7 +49,7 @@
 		}
 		out = append(out, r)
 	}
-	return x.JSON(http.StatusOK, map[string]any{"version": v.Ver, "policies": out})
+	return x.JSON(http.StatusOK, map[string]any{"version": v.Version, "policies": out})
 }
 
 func dropApprovals(s *spec.Spec, name string) {
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -18,79 +18,79 @@
 // register is changed.
 
 const (
-	// again is when a set's duty looks again at what it waits for.
-	again = 100 * time.Millisecond
-	// reviewTime bounds the time from the first observation to the change that rests on
+	// retryInterval is when a set's duty looks again at what it waits for.
+	retryInterval = 100 * time.Millisecond
+	// reviewTimeout bounds the time from the first observation to the change that rests on
 	// it: a core that was frozen in between begins nothing.
-	reviewTime = 4 * time.Second
+	reviewTimeout = 4 * time.Second
 	// presenceTimeout is how long a machine has to answer whether it is there.
 	presenceTimeout = 300 * time.Millisecond
-	// formingTime is for how long after it has formed the set a core takes newcomers for
+	// bootstrapPeriod is for how long after it has formed the set a core takes newcomers for
 	// machines of the first hour, which take nobody's place later.
-	formingTime = 6 * time.Second
+	bootstrapPeriod = 6 * time.Second
 )
 
-// heard lets the duty look at once where a renewal shows something new.
-func (c *Core) heard(v *cluster.View, m *wire.Member) {
-	for set, kick := range c.kicks {
+// onRenewal lets the duty look at once where a renewal shows something new.
+func (c *Core) onRenewal(v *cluster.View, m *wire.Member) {
+	for set, wakeup := range c.wakeups {
 		change := membership.Of(&v.Cluster, set)
 		known := membership.Has(change.Now, m.GetIdent()) || membership.Has(change.Next, m.GetIdent())
 		newcomer := m.GetRole() == set.Role() && !known
-		if newcomer && set == membership.Stores && c.unmet(m.Ident) {
-			c.came.Store(time.Now().UnixNano())
+		if newcomer && set == membership.Stores && c.firstSeen(m.Ident) {
+			c.lastNewcomer.Store(time.Now().UnixNano())
 		}
 		// A confirmation may be the last that a change waits for.
 		if newcomer || change.Running() {
-			kick.Poke()
+			wakeup.Notify()
 		}
 	}
 }
 
-// unmet tells whether an identity is heard of for the first time.
-func (c *Core) unmet(ident string) bool {
-	_, old := c.met.LoadOrStore(ident, true)
+// firstSeen tells whether an identity is heard of for the first time.
+func (c *Core) firstSeen(ident string) bool {
+	_, old := c.knownIdentities.LoadOrStore(ident, true)
 	return !old
 }
 
-// tend brings a set further.
-func (c *Core) tend(ctx context.Context, set membership.Set) {
+// reconcile brings a set further.
+func (c *Core) reconcile(ctx context.Context, set membership.Set) {
 	v := c.Cluster.Now()
 	change := membership.Of(&v.Cluster, set)
-	if !v.Tended && !change.Running() || !c.leads(v) {
+	if !v.SelfManaged && !change.Running() || !c.isReconciler(v) {
 		return
 	}
-	if v.Tended && c.review(ctx, v, set, change) {
+	if v.SelfManaged && c.review(ctx, v, set, change) {
 		return
 	}
 	if change.Running() {
-		c.move(ctx, v, set, change)
-		time.AfterFunc(again, c.kicks[set].Poke)
+		c.advanceChange(ctx, v, set, change)
+		time.AfterFunc(retryInterval, c.wakeups[set].Notify)
 	}
 }
 
 // review compares a set with what it should be. It tells whether it has begun a change
 // of it, or aimed one that can't end elsewhere.
 func (c *Core) review(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
-	ctx, stop := context.WithTimeout(ctx, reviewTime)
+	ctx, stop := context.WithTimeout(ctx, reviewTimeout)
 	defer stop()
 	o := c.observe(v, set)
 	decision := membership.Decide(o)
 	if len(decision.Ask) > 0 {
-		o.Presence = c.ask(ctx, o, decision.Ask)
+		o.Presence = c.probe(ctx, o, decision.Ask)
 		decision = membership.Decide(o)
 	}
 	if decision.Wait {
-		time.AfterFunc(again, c.kicks[set].Poke)
+		time.AfterFunc(retryInterval, c.wakeups[set].Notify)
 		return false
 	}
 	if change.Running() {
-		if slices.Equal(decision.Machines, change.Next) || !c.stuck(ctx, v, set, change) {
+		if slices.Equal(decision.Machines, change.Next) || !c.stalled(ctx, v, set, change) {
 			return false
 		}
 	} else if slices.Equal(decision.Machines, change.Now) {
 		return false
 	}
-	c.turn(ctx, set, change, decision.Goal)
+	c.beginChange(ctx, set, change, decision.Target)
 	return true
 }
 
@@ -100,8 +100,8 @@
 		Set:         set,
 		Cluster:     &v.Cluster,
 		Members:     c.members(set.Role()),
-		Forming:     time.Since(c.founded) <= formingTime,
-		NewcomerAge: time.Since(time.Unix(0, c.came.Load())),
+		Forming:     time.Since(c.founded) <= bootstrapPeriod,
+		NewcomerAge: time.Since(time.Unix(0, c.lastNewcomer.Load())),
 	}
 }
 
@@ -114,7 +114,7 @@
 			out = append(out, observed(m))
 		}
 	}
-	self := observed(c.Peer.Member(c.Cluster.Now().Ver))
+	self := observed(c.Peer.Member(c.Cluster.Now().Version))
 	if c.Peer.Self.Role == role {
 		out = membership.WithSelf(out, self)
 	}
@@ -128,13 +128,13 @@
 		IdentityVersion: m.IdentityVersion,
 		Confirmed:       m.SpecVer,
 		Live:            m.Live,
-		Silent:          time.Duration(m.SilentMs) * time.Millisecond,
+		UnresponsiveFor: time.Duration(m.SilentMs) * time.Millisecond,
 	}
 }
 
-// ask asks some machines whether they are there. What a renewal told long ago is asked
+// probe asks some machines whether they are there. What a renewal told long ago is asked
 // for again, so that a core that was itself out of reach takes nobody for absent.
-func (c *Core) ask(ctx context.Context, o membership.Observation, machines []spec.Machine) map[string]membership.Presence {
+func (c *Core) probe(ctx context.Context, o membership.Observation, machines []spec.Machine) map[string]membership.Presence {
 	type answer struct {
 		ident    string
 		answered bool
@@ -154,47 +154,47 @@
 	out := map[string]membership.Presence{}
 	for range asked {
 		a := <-answers
-		out[a.ident] = membership.PresenceOf(a.answered, c.silence(o, a.ident))
+		out[a.ident] = membership.PresenceOf(a.answered, c.unresponsiveFor(o, a.ident))
 	}
 	return out
 }
 
-// silence is for how long a machine has not been heard of. One never heard of by this
+// unresponsiveFor is for how long a machine has not been heard of. One never heard of by this
 // core counts as silent for as long as the core has run.
-func (c *Core) silence(o membership.Observation, ident string) time.Duration {
-	least := time.Since(c.began)
+func (c *Core) unresponsiveFor(o membership.Observation, ident string) time.Duration {
+	least := time.Since(c.startedAt)
 	for _, m := range o.Members {
 		if m.Machine.Ident == ident {
-			least = min(least, m.Silent)
+			least = min(least, m.UnresponsiveFor)
 		}
 	}
 	return least
 }
 
-// stuck tells whether a change waits for a machine that will not bring it to an end.
-func (c *Core) stuck(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
+// stalled tells whether a change waits for a machine that will not bring it to an end.
+func (c *Core) stalled(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
 	o := c.observe(v, set)
-	stuck, ask := change.Stuck(o)
+	stalled, ask := change.Stalled(o)
 	if len(ask) > 0 {
-		o.Presence = c.ask(ctx, o, ask)
-		stuck, _ = change.Stuck(o)
+		o.Presence = c.probe(ctx, o, ask)
+		stalled, _ = change.Stalled(o)
 	}
-	return stuck
+	return stalled
 }
 
-// turn begins a change of a set, or aims one that can't end elsewhere.
-func (c *Core) turn(ctx context.Context, set membership.Set, was membership.Change, goal membership.Goal) {
+// beginChange begins a change of a set, or aims one that can't end elsewhere.
+func (c *Core) beginChange(ctx context.Context, set membership.Set, was membership.Change, target membership.Target) {
 	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		return membership.Turn(r, set, was, goal)
+		return membership.BeginChange(r, set, was, target)
 	})
 	if err != nil {
-		if !errors.Is(err, cluster.ErrSame) {
+		if !errors.Is(err, cluster.ErrNoChange) {
 			c.Log.Warn("set not changed", "set", set, "err", err)
 		}
 		return
 	}
-	c.Log.Info("set changes", "set", set, "version", ver, "from", names(was.Now), "to", names(goal.Machines))
-	c.tell(ctx, ver, raw)
+	c.Log.Info("set changes", "set", set, "version", ver, "from", names(was.Now), "to", names(target.Machines))
+	c.broadcastAsync(ctx, ver, raw)
 }
 
 func names(machines []spec.Machine) []string {
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -10,35 +10,35 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// LetGo watches for the word that this machine's identity was let go: another took
+// WatchRemoval watches for the word that this machine's identity was let go: another took
 // its place while it was away. Where the sets look after themselves it then goes on
 // as the stranger that it is, empty and under a new identity, and is taken in again.
 // A machine that operators sent away keeps its data as it is.
-func LetGo(ctx context.Context, n *node.Node, d Disk, forget func()) {
+func WatchRemoval(ctx context.Context, n *node.Node, d Disk, forget func()) {
 	loop.Every(ctx, 5*time.Second, n.Cluster.Watch(), func(context.Context) {
 		v, was := n.Cluster.Now(), n.Peer.Ident()
-		if !v.Tended || !membership.LetGo(&v.Cluster, was, n.Peer.IdentityVersion()) || slices.Contains(v.Retired, n.Peer.Self.Id) {
+		if !v.SelfManaged || !membership.Removed(&v.Cluster, was, n.Peer.IdentityVersion()) || slices.Contains(v.Retired, n.Peer.Self.Id) {
 			return
 		}
 		// From here on nobody reaches the old identity; what is under way ends first.
 		n.Peer.SetIdent("", 0)
 		n.Gate.Drain()
-		if err := d.Renew("the identity was let go"); err != nil {
+		if err := d.ReplaceIdentity("the identity was let go"); err != nil {
 			n.Log.Error("no new identity", "err", err)
 			return
 		}
 		if forget != nil {
 			forget()
 		}
-		if err := MarkIdentity(n, d, v.Ver); err != nil {
+		if err := SaveIdentityVersion(n, d, v.Version); err != nil {
 			n.Log.Error("no new identity", "err", err)
 			return
 		}
-		if err := Keep(d.Note)(v.Raw(), v.Ver); err != nil {
+		if err := PersistCluster(d.SaveMetadata)(v.Raw(), v.Version); err != nil {
 			n.Log.Error("spec not kept", "err", err)
 		}
-		n.Peer.SetIdent(d.Ident(), v.Ver)
+		n.Peer.SetIdent(d.Ident(), v.Version)
 		n.Log.Warn("let go, back as a stranger", "was", was, "ident", d.Ident())
-		n.Lic.Poke()
+		n.Lease.RenewNow()
 	})
 }
--- a/internal/coordination/core/replicasets.go
+++ b/internal/coordination/core/replicasets.go
@@ -26,9 +26,9 @@
 // setRoutes puts the commands for sets on e.
 func (c *Core) setRoutes(e *echo.Echo) {
 	e.GET("/v1/sets", c.getSets)
-	e.POST("/v1/sets/:set/admit", func(x echo.Context) error { return c.order(x, c.admit) })
-	e.POST("/v1/sets/:set/retire", func(x echo.Context) error { return c.order(x, c.retire) })
-	e.POST("/v1/sets/:set/abandon", func(x echo.Context) error { return c.order(x, c.abandon) })
+	e.POST("/v1/sets/:set/admit", func(x echo.Context) error { return c.changeSet(x, c.admit) })
+	e.POST("/v1/sets/:set/retire", func(x echo.Context) error { return c.changeSet(x, c.retire) })
+	e.POST("/v1/sets/:set/abandon", func(x echo.Context) error { return c.changeSet(x, c.abandon) })
 }
 
 // setOrder is an operator's order about a set.
@@ -42,11 +42,11 @@
 		return fail(x, err)
 	}
 	v := c.Cluster.Now()
-	return x.JSON(http.StatusOK, map[string]any{"version": v.Ver, "cores": v.Cluster.Cores, "next_cores": v.NextCores, "stores": v.Cluster.Stores, "next_stores": v.NextStores, "moved": c.moved.Load()})
+	return x.JSON(http.StatusOK, map[string]any{"version": v.Version, "cores": v.Cluster.Cores, "next_cores": v.NextCores, "stores": v.Cluster.Stores, "next_stores": v.NextStores, "moved": c.keysMoved.Load()})
 }
 
-func (c *Core) order(x echo.Context, do func(*spec.Cluster, membership.Set, setOrder, []*wire.Member) error) error {
-	set, err := membership.Parse(x.Param("set"))
+func (c *Core) changeSet(x echo.Context, do func(*spec.Cluster, membership.Set, setOrder, []*wire.Member) error) error {
+	set, err := membership.ParseSet(x.Param("set"))
 	if err != nil {
 		return web.Fail(x, err)
 	}
@@ -58,7 +58,7 @@
 	if err := web.Strict(b, &o); err != nil {
 		return fail(x, err)
 	}
-	all, err := c.known(x.Request().Context())
+	all, err := c.knownMembers(x.Request().Context())
 	if err != nil {
 		return fail(x, err)
 	}
@@ -67,7 +67,7 @@
 		ms = append(ms, m)
 	}
 	return c.change(x, 0, func(r *spec.Cluster) error {
-		if err := c.InTouch(x.Request().Context()); err != nil {
+		if err := c.InContact(x.Request().Context()); err != nil {
 			return err
 		}
 		return do(r, set, o, ms)
@@ -98,7 +98,7 @@
 		case !m.Live:
 			// It may be live again at any moment.
 			if code.Of(err) == code.NoMember {
-				err = code.New(code.NotHeard, "no live %s %q has a lease at this moment", role, o.ID)
+				err = code.New(code.NotSeen, "no live %s %q has a lease at this moment", role, o.ID)
 			}
 			continue
 		case m.Ident == "":
@@ -106,7 +106,7 @@
 		case membership.Has(now.Now, m.Ident):
 			err = code.New(code.InSet, "%s is in the set already", o.ID)
 			continue
-		case membership.Refused(r, m.Ident, m.IdentityVersion):
+		case membership.IdentityRefused(r, m.Ident, m.IdentityVersion):
 			err = code.New(code.UsedIdentity, "%s comes with an identity that was let go", o.ID)
 			continue
 		case slices.ContainsFunc(now.Now, func(s spec.Machine) bool { return s.ID == o.ID && o.For != o.ID }):
@@ -120,7 +120,7 @@
 		} else {
 			next = append(next, n)
 		}
-		membership.Aim(r, set, next)
+		membership.SetNext(r, set, next)
 		// Whoever is named by an operator is wanted again.
 		r.Retired = slices.DeleteFunc(r.Retired, func(id string) bool { return id == o.ID })
 		return nil
@@ -140,10 +140,10 @@
 	if n := cluster.Copies(r); len(now.Now) <= n {
 		return code.New(code.BelowCopies, "%d machines would be left for %d copies; admit another in its place", len(now.Now)-1, n)
 	}
-	if set == membership.Stores && r.Tended {
+	if set == membership.Stores && r.SelfManaged {
 		r.Retired = append(r.Retired, o.ID)
 	}
-	membership.Aim(r, set, slices.Delete(slices.Clone(now.Now), i, i+1))
+	membership.SetNext(r, set, slices.Delete(slices.Clone(now.Now), i, i+1))
 	return nil
 }
 
@@ -152,79 +152,79 @@
 	if !membership.Of(r, set).Running() {
 		return code.New(code.BadField, "no change of the %s is under way", set)
 	}
-	membership.Aim(r, set, nil)
+	membership.SetNext(r, set, nil)
 	return nil
 }
 
-// leads tells whether this core does the sets' duty.
-func (c *Core) leads(v *cluster.View) bool {
+// isReconciler tells whether this core does the sets' duty.
+func (c *Core) isReconciler(v *cluster.View) bool {
 	self := observed(c.Peer.Member(0))
-	return membership.Leads(&v.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lic.Valid()
+	return membership.IsReconciler(&v.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
 }
 
-// move brings a change of a set further: the keys are brought to the new set, then it
+// advanceChange brings a change of a set further: the keys are brought to the new set, then it
 // stands alone. Nobody needs to be waited for. Of the old set's machines a majority
 // refuses whoever acts on that set alone before the change goes on: of the cores
 // because they have confirmed, of the stores, for each key that moves, because it was
 // they who gave what they had of it.
-func (c *Core) move(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) {
+func (c *Core) advanceChange(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) {
 	var ready bool
 	if set == membership.Cores {
 		ready = c.confirmed(v)
 	} else {
-		ready = c.filled(ctx, v, change)
+		ready = c.keysTransferred(ctx, v, change)
 	}
 	if ready {
-		c.settle(ctx, set, change)
+		c.finishChange(ctx, set, change)
 	}
 }
 
 // confirmed tells whether a majority of the old cores has the change in force. The
 // spec's is their only register, and settling writes it to both sets.
 func (c *Core) confirmed(v *cluster.View) bool {
-	versions := map[string]uint64{c.Peer.Ident(): c.Cluster.Now().Ver}
+	versions := map[string]uint64{c.Peer.Ident(): c.Cluster.Now().Version}
 	for _, m := range c.members(membership.Cores.Role()) {
 		ident := m.Machine.Ident
 		versions[ident] = max(versions[ident], m.Confirmed)
 	}
-	return membership.Confirmed(v.Cluster.Cores, versions, v.CoreVer)
+	return membership.Confirmed(v.Cluster.Cores, versions, v.CoresVersion)
 }
 
-// filled has the keys brought to the next stores, and tells whether they are. Each
+// keysTransferred has the keys brought to the next stores, and tells whether they are. Each
 // renewal comes by here; a try that failed is not made again at once.
-func (c *Core) filled(ctx context.Context, v *cluster.View, change membership.Change) bool {
-	if time.Since(c.tried) < again {
+func (c *Core) keysTransferred(ctx context.Context, v *cluster.View, change membership.Change) bool {
+	if time.Since(c.lastTransferFailure) < retryInterval {
 		return false
 	}
-	if err := c.fill(ctx, v, change); err != nil {
-		c.Log.Info("set not moved yet", "set", membership.Stores, "moved", c.moved.Load(), "err", err)
-		c.tried = time.Now()
+	if err := c.transferKeys(ctx, v, change); err != nil {
+		c.Log.Info("set not moved yet", "set", membership.Stores, "moved", c.keysMoved.Load(), "err", err)
+		c.lastTransferFailure = time.Now()
 		return false
 	}
 	return true
 }
 
-// fillWait is how long one call waits for a store to have its keys; it goes on
+// transferTimeout is how long one call waits for a store to have its keys; it goes on
 // meanwhile.
-const fillWait = 2 * time.Second
+const transferTimeout = 2 * time.Second
 
-// fill has each store of the next set bring what falls to it.
-func (c *Core) fill(ctx context.Context, v *cluster.View, change membership.Change) error {
+// transferKeys has each store of the next set bring what falls to it.
+func (c *Core) transferKeys(ctx context.Context, v *cluster.View, change membership.Change) error {
 	type answer struct {
 		a   *wire.FillAck
 		err error
 	}
-	rate := c.p.MoveRate
-	if v.Tended {
+	rate := c.params.MoveRate
+	if v.SelfManaged {
 		// A set that lacks a machine is in more danger than the traffic is in haste.
 		rate = 0
 	}
-	gainers := change.Gainers(v.Copies())
+	gainers := change.Receivers(v.Copies())
 	ch := make(chan answer, len(gainers))
 	for _, m := range gainers {
 		go func() {
-			order := &wire.Fill{Spec: v.SetVer, Sets: v.Sets(), Rate: int32(rate)}
-			r, err := c.Peer.CallFor(ctx, fillWait+time.Second, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: order}})
+			order := &wire.Fill{Spec: v.StoresVersion, Sets: v.StoresDigest(), Rate: int32(rate)}
+			r, err := c.Peer.CallFor(ctx, transferTimeout+time.Second, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: order}})
 			if err != nil {
 				err = fmt.Errorf("%s: %w", m.ID, err)
 			}
@@ -243,29 +243,29 @@
 			last = code.New(code.SetChanging, "keys are on their way")
 		}
 	}
-	c.moved.Store(keys)
+	c.keysMoved.Store(keys)
 	return last
 }
 
-// settle lets the new set stand alone.
-func (c *Core) settle(ctx context.Context, set membership.Set, change membership.Change) {
+// finishChange lets the new set stand alone.
+func (c *Core) finishChange(ctx context.Context, set membership.Set, change membership.Change) {
 	ctx, stop := context.WithTimeout(ctx, 3*time.Second)
 	defer stop()
 	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		return membership.Settle(r, set, change)
+		return membership.FinishChange(r, set, change)
 	})
 	if err != nil {
-		if !errors.Is(err, cluster.ErrSame) {
+		if !errors.Is(err, cluster.ErrNoChange) {
 			c.Log.Warn("set not settled", "set", set, "err", err)
 		}
 		return
 	}
-	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", c.moved.Load())
-	c.tell(ctx, ver, raw)
+	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", c.keysMoved.Load())
+	c.broadcastAsync(ctx, ver, raw)
 }
 
-// tell sends a version down the tree while the duty goes on.
-func (c *Core) tell(ctx context.Context, ver uint64, raw []byte) {
+// broadcastAsync sends a version down the tree while the duty goes on.
+func (c *Core) broadcastAsync(ctx context.Context, ver uint64, raw []byte) {
 	ctx = context.WithoutCancel(ctx)
-	c.Go(ctx, func(ctx context.Context) { c.spread(ctx, ver, raw) })
+	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, ver, raw) })
 }
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -19,41 +19,41 @@
 	// name was forgotten and that still runs finds its identity let go, and comes back
 	// as the empty stranger that it then is.
 	maxRetired = 256
-	// heardWithin is the time after which a core that runs has heard of every node that
+	// membershipSettleTime is the time after which a core that runs has heard of every node that
 	// is in touch: the length of a lease, in which a node renews several times.
-	heardWithin = 2500 * time.Millisecond
-	// awaited is the silence up to which a store that is in no set may still be taken
+	membershipSettleTime = 2500 * time.Millisecond
+	// admissionWindow is the silence up to which a store that is in no set may still be taken
 	// in.
-	awaited = 30 * time.Second
+	admissionWindow = 30 * time.Second
 )
 
 // Retire has a store emptied and let go. A repeated order for one that is let go, or
 // is about to be, changes nothing. What it refuses for good rests on the register;
 // what rests on who is live at this moment is code.FewLive or code.NotHeard.
 func (c *Core) Retire(ctx context.Context, id string) error {
-	all, err := c.known(ctx)
+	all, err := c.knownMembers(ctx)
 	if err != nil {
 		return err
 	}
 	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
 		if slices.Contains(r.Retired, id) {
-			return cluster.ErrSame
+			return cluster.ErrNoChange
 		}
-		if err := c.InTouch(ctx); err != nil {
+		if err := c.InContact(ctx); err != nil {
 			return err
 		}
 		return retireStore(r, id, all)
 	})
 	switch {
-	case errors.Is(err, cluster.ErrSame):
+	case errors.Is(err, cluster.ErrNoChange):
 		return nil
-	case code.Of(err) == code.NotHeard && c.unheard(ctx, id):
+	case code.Of(err) == code.NotSeen && c.confirmedUnknown(ctx, id):
 		return code.New(code.NoMember, "no store %q", id)
 	case err != nil:
 		return err
 	}
 	c.Log.Info("store is to go", "id", id, "version", ver)
-	c.tell(ctx, ver, raw)
+	c.broadcastAsync(ctx, ver, raw)
 	return nil
 }
 
@@ -67,7 +67,7 @@
 		there = there || m.Id == id && isStore(m)
 	}
 	if !in && !there {
-		return code.New(code.NotHeard, "no store %q has been heard of", id)
+		return code.New(code.NotSeen, "no store %q has been heard of", id)
 	}
 	if err := enoughLeft(r, id, known); in && err != nil {
 		return err
@@ -94,14 +94,14 @@
 			if m.Live {
 				live++
 			}
-		case !membership.Refused(r, m.Ident, m.IdentityVersion) && m.SilentMs < awaited.Milliseconds():
+		case !membership.IdentityRefused(r, m.Ident, m.IdentityVersion) && m.SilentMs < admissionWindow.Milliseconds():
 			// It may be taken in yet.
 			possible[m.Id] = true
 		}
 	}
 	delete(possible, id)
-	for _, gone := range r.Retired {
-		delete(possible, gone)
+	for _, probed := range r.Retired {
+		delete(possible, probed)
 	}
 	switch {
 	case len(possible) < copies:
@@ -132,16 +132,16 @@
 	return kept
 }
 
-// unheard tells whether a majority of the cores, each of which has run for long enough
+// confirmedUnknown tells whether a majority of the cores, each of which has run for long enough
 // to have heard of every node in touch, knows no store of a name.
-func (c *Core) unheard(ctx context.Context, id string) bool {
+func (c *Core) confirmedUnknown(ctx context.Context, id string) bool {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
 	set := c.Cluster.Now().Cores()
 	type answer struct {
-		core register.Replica
-		told *wire.MembersAck
-		err  error
+		core    register.Replica
+		members *wire.MembersAck
+		err     error
 	}
 	cores := set.All()
 	answers := make(chan answer, len(cores))
@@ -154,10 +154,10 @@
 	witnesses := map[register.Replica]bool{}
 	for range cores {
 		a := <-answers
-		if a.err != nil || a.told.GetUpMs() < heardWithin.Milliseconds() {
+		if a.err != nil || a.members.GetUpMs() < membershipSettleTime.Milliseconds() {
 			continue
 		}
-		if slices.ContainsFunc(a.told.GetMembers(), func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() }) {
+		if slices.ContainsFunc(a.members.GetMembers(), func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() }) {
 			return false
 		}
 		witnesses[a.core] = true
--- a/internal/coordination/core/retire_test.go
+++ b/internal/coordination/core/retire_test.go
@@ -48,7 +48,7 @@
 		{"another being taken in", spec.Cluster{Stores: storeSet("s1", "s2", "s3"), NextStores: storeSet("s1", "s2", "s3", "s4")}, membersOf("", "s1", "s2", "s3", "s4"), code.FewLive},
 		{"another heard of, and not taken in yet", spec.Cluster{Stores: storeSet("s1", "s2", "s3")}, membersOf("", "s1", "s2", "s3", "s4"), code.FewLive},
 		{"another whose identity was let go", spec.Cluster{Stores: storeSet("s1", "s2", "s3"), Used: []string{"is4"}}, membersOf("", "s1", "s2", "s3", "s4"), code.BelowCopies},
-		{"a stranger", spec.Cluster{Stores: storeSet("s5", "s2", "s3", "s4")}, membersOf("", "s5", "s2", "s3", "s4"), code.NotHeard},
+		{"a stranger", spec.Cluster{Stores: storeSet("s5", "s2", "s3", "s4")}, membersOf("", "s5", "s2", "s3", "s4"), code.NotSeen},
 		{"in no set, and heard of", spec.Cluster{Stores: storeSet("s5", "s2", "s3")}, membersOf("", "s1", "s5", "s2", "s3"), code.OK},
 		{"five copies", spec.Cluster{Copies: 5, Stores: storeSet("s1", "s2", "s3", "s4", "s5")}, membersOf("", "s1", "s2", "s3", "s4", "s5"), code.BelowCopies},
 	} {
@@ -85,31 +85,31 @@
 func TestTouch(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	check := func(tc *touch, ms int, valid, want bool) {
+	check := func(tc *contactTracker, ms int, valid, want bool) {
 		t.Helper()
-		if got := tc.steady(at(ms), valid); got != want {
+		if got := tc.established(at(ms), valid); got != want {
 			t.Errorf("at %d ms, lease %t: steady %t", ms, valid, got)
 		}
 	}
-	look := &touch{start: start}
+	look := &contactTracker{start: start}
 	for ms := 500; ms <= 2000; ms += 500 {
-		look.feel(at(ms), true)
+		look.check(at(ms), true)
 	}
 	check(look, 2400, true, true)
 	check(look, 2400, false, false)
 	// It stood still: seen before the next look, and after it.
 	check(look, 22000, true, false)
-	look.feel(at(22000), true)
+	look.check(at(22000), true)
 	check(look, 22001, true, false)
 	for ms := 22500; ms <= 24000; ms += 500 {
-		look.feel(at(ms), true)
+		look.check(at(ms), true)
 		check(look, ms+1, true, ms+1 > 23000)
 	}
 	// It was out of touch.
-	look.feel(at(24500), false)
-	look.feel(at(25000), true)
+	look.check(at(24500), false)
+	look.check(at(25000), true)
 	check(look, 25400, true, false)
-	look.feel(at(25500), true)
+	look.check(at(25500), true)
 	check(look, 25501, true, true)
 }
 
@@ -127,7 +127,7 @@
 		want     code.Code
 	}{
 		{"s4", "", code.OK},
-		{"s4", "s4", code.NotHeard},
+		{"s4", "s4", code.NotSeen},
 		{"s6", "", code.NoMember},
 		{"s1", "", code.InSet},
 		{"s5", "", code.UsedIdentity},
--- a/internal/coordination/lease/fuzz_renewal_test.go
+++ b/internal/coordination/lease/fuzz_renewal_test.go
@@ -12,9 +12,9 @@
 // sender is listed, its note starts the next table, and an earlier start of it gets
 // no lease any more.
 func FuzzRenewal(f *testing.F) {
-	f.Add(wire.Encode(&wire.Renew{Self: node(1)}))
-	f.Add(wire.Encode(&wire.Renew{Self: node(2), Table: 7, Seen: 1 << 60}))
-	f.Add(wire.Encode(&wire.Renew{}))
+	f.Add(wire.MustEncode(&wire.Renew{Self: node(1)}))
+	f.Add(wire.MustEncode(&wire.Renew{Self: node(2), Table: 7, Seen: 1 << 60}))
+	f.Add(wire.MustEncode(&wire.Renew{}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		renewal := &wire.Renew{}
 		if wire.Decode(b, renewal) != nil {
@@ -40,7 +40,7 @@
 			}
 			return
 		}
-		if _, err := wire.TryEncode(answer); err != nil {
+		if _, err := wire.Encode(answer); err != nil {
 			t.Error(err)
 		}
 		if again, err := NewTable(DefaultParams, notes, nil); err != nil || len(again.List()) != len(leases.List()) {
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -20,43 +20,43 @@
 
 // Params are the lease's times.
 type Params struct {
-	Renew time.Duration // between renewals
-	Lasts time.Duration // of a lease
-	Hold  time.Duration // after which what a silent node left running is no longer counted
+	RenewInterval time.Duration // between renewals
+	Duration      time.Duration // of a lease
+	OrphanTimeout time.Duration // after which what a silent node left running is no longer counted
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Renew: time.Second, Lasts: 3 * time.Second, Hold: 30 * time.Second}
+var DefaultParams = Params{RenewInterval: time.Second, Duration: 3 * time.Second, OrphanTimeout: 30 * time.Second}
 
 // Holder renews this node's lease and keeps the list of members.
 type Holder struct {
-	p       Params
+	params  Params
 	peer    *peer.Peer
 	cluster *cluster.Cluster
-	kick    loop.Kick
+	wakeup  loop.Wakeup
 
-	mu      sync.Mutex
-	asked   time.Time // before the last renewal that a majority granted
-	members []*wire.Member
-	from    *roster // whose list members is
-	rosters map[register.Replica]*roster
+	mu        sync.Mutex
+	renewedAt time.Time // before the last renewal that a majority granted
+	members   []*wire.Member
+	source    *roster // whose list members is
+	rosters   map[register.Replica]*roster
 	// Status goes with each renewal, for operators to see.
 	Status func() string
 }
 
 // NewHolder makes a holder; Run renews.
-func NewHolder(p Params, pr *peer.Peer, r *cluster.Cluster) *Holder {
-	return &Holder{p: p, peer: pr, cluster: r, kick: r.Watch(), rosters: map[register.Replica]*roster{}}
+func NewHolder(params Params, pr *peer.Peer, r *cluster.Cluster) *Holder {
+	return &Holder{params: params, peer: pr, cluster: r, wakeup: r.Watch(), rosters: map[register.Replica]*roster{}}
 }
 
 // Run renews until ctx ends. A new spec in force renews at once, which
 // confirms it.
 func (h *Holder) Run(ctx context.Context) {
-	loop.Every(ctx, h.p.Renew, h.kick, func(ctx context.Context) { h.Renew(ctx) })
+	loop.Every(ctx, h.params.RenewInterval, h.wakeup, func(ctx context.Context) { h.Renew(ctx) })
 }
 
-// Poke renews at once: something about this node has changed.
-func (h *Holder) Poke() { h.kick.Poke() }
+// RenewNow renews at once: something about this node has changed.
+func (h *Holder) RenewNow() { h.wakeup.Notify() }
 
 // Renew asks every core machine once; it tells whether a majority granted.
 func (h *Holder) Renew(ctx context.Context) bool {
@@ -68,11 +68,11 @@
 	}
 	// The holder counts from before it asked, the core from after it granted.
 	asked := time.Now()
-	self := h.peer.Member(v.Ver)
+	self := h.peer.Member(v.Version)
 	if h.Status != nil {
 		self.Status = h.Status()
 	}
-	cctx, stop := context.WithTimeout(ctx, h.p.Lasts/2)
+	cctx, stop := context.WithTimeout(ctx, h.params.Duration/2)
 	type answer struct {
 		r   register.Replica
 		a   *wire.RenewAck
@@ -82,7 +82,7 @@
 	var wg sync.WaitGroup
 	for _, c := range cores {
 		wg.Go(func() {
-			r, err := h.peer.Call(cctx, c.Addr, &wire.Req{Ident: c.Ident, Op: &wire.Req_Renew{Renew: h.ask(c, self)}})
+			r, err := h.peer.Call(cctx, c.Addr, &wire.Req{Ident: c.Ident, Op: &wire.Req_Renew{Renew: h.newRequest(c, self)}})
 			if err != nil {
 				h.overtake(err, r)
 				ch <- answer{c, nil, err}
@@ -90,7 +90,7 @@
 			}
 			// The slowest core's list is kept up as well, or all of it would come
 			// again each time.
-			h.hear(c, r.GetRenew())
+			h.updateRoster(c, r.GetRenew())
 			ch <- answer{c, r.GetRenew(), nil}
 		})
 	}
@@ -98,7 +98,7 @@
 		wg.Wait()
 		stop()
 	}()
-	have, behind := map[register.Replica]bool{}, false
+	granted, behind := map[register.Replica]bool{}, false
 	for range cores {
 		a := <-ch
 		if a.a == nil {
@@ -106,29 +106,29 @@
 			behind = behind || code.Of(a.err) == code.StaleSpec
 			continue
 		}
-		have[a.r] = true
-		behind = behind || a.a.SpecVer > v.Ver
-		if set.Quorum(have) {
+		granted[a.r] = true
+		behind = behind || a.a.SpecVer > v.Version
+		if set.Quorum(granted) {
 			break
 		}
 	}
-	granted := set.Quorum(have)
-	if granted {
+	quorum := set.Quorum(granted)
+	if quorum {
 		h.mu.Lock()
-		h.asked = asked
-		h.take(cores, have)
+		h.renewedAt = asked
+		h.chooseRoster(cores, granted)
 		h.mu.Unlock()
 	}
 	if behind {
 		// News should have come down the tree; a core that knows better sends
 		// us to the register itself.
-		rctx, rstop := context.WithTimeout(ctx, h.p.Lasts/2)
+		rctx, rstop := context.WithTimeout(ctx, h.params.Duration/2)
 		defer rstop()
 		if err := h.cluster.Read(rctx); err != nil {
 			h.peer.Log.Warn("newer spec can't be read", "err", err)
 		}
 	}
-	return granted
+	return quorum
 }
 
 // overtake raises the number of this start above one that a core machine knows of. Of
@@ -139,7 +139,7 @@
 	}
 	for _, m := range r.GetRenew().GetMembers() {
 		if m.Id == h.peer.Self.Id {
-			h.peer.Overtake(m.Inc)
+			h.peer.RaiseIncarnation(m.Inc)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	live        int
 }
 
-func order(a, b *wire.Member) int {
+func compareMembers(a, b *wire.Member) int {
 	return cmp.Or(strings.Compare(a.Id, b.Id), strings.Compare(a.Addr, b.Addr))
 }
 
@@ -170,22 +170,22 @@
 		}
 	}
 	for _, m := range ms {
-		o.sum += mark(m)
+		o.sum += memberDigest(m)
 		count(m, 1)
-		i, ok := slices.BinarySearchFunc(list, m, order)
+		i, ok := slices.BinarySearchFunc(list, m, compareMembers)
 		if !ok {
 			list = slices.Insert(list, i, m)
 			continue
 		}
-		o.sum -= mark(list[i])
+		o.sum -= memberDigest(list[i])
 		count(list[i], -1)
 		list[i] = m
 	}
 	o.list = list
 }
 
-// ask makes the renewal for one core machine.
-func (h *Holder) ask(c register.Replica, self *wire.Member) *wire.Renew {
+// newRequest makes the renewal for one core machine.
+func (h *Holder) newRequest(c register.Replica, self *wire.Member) *wire.Renew {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	q := &wire.Renew{Self: self}
@@ -195,8 +195,8 @@
 	return q
 }
 
-// hear takes a core machine's list, or what changed in it.
-func (h *Holder) hear(c register.Replica, a *wire.RenewAck) {
+// updateRoster takes a core machine's list, or what changed in it.
+func (h *Holder) updateRoster(c register.Replica, a *wire.RenewAck) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	o := h.rosters[c]
@@ -206,7 +206,7 @@
 		return
 	case !a.Part:
 		// In order, so that each is put at the end.
-		slices.SortFunc(a.Members, order)
+		slices.SortFunc(a.Members, compareMembers)
 		o = &roster{}
 		h.rosters[c] = o
 	case o == nil || o.table != a.Table:
@@ -222,18 +222,18 @@
 	}
 }
 
-// take keeps the list of the core that hears most of those that granted: one that
+// chooseRoster keeps the list of the core that hears most of those that granted: one that
 // has just come back knows few members yet.
-func (h *Holder) take(cores []register.Replica, have map[register.Replica]bool) {
+func (h *Holder) chooseRoster(cores []register.Replica, granted map[register.Replica]bool) {
 	var best *roster
 	for _, c := range cores {
 		o := h.rosters[c]
-		if have[c] && o != nil && (best == nil || o.live > best.live || o.live == best.live && o == h.from) {
+		if granted[c] && o != nil && (best == nil || o.live > best.live || o.live == best.live && o == h.source) {
 			best = o
 		}
 	}
 	if best != nil {
-		h.members, h.from = best.list, best
+		h.members, h.source = best.list, best
 	}
 	for c := range h.rosters {
 		if !slices.Contains(cores, c) {
@@ -251,15 +251,15 @@
 	return h.members
 }
 
-// Since is how long ago a majority last granted.
-func (h *Holder) Since() time.Duration {
+// SinceRenewal is how long ago a majority last granted.
+func (h *Holder) SinceRenewal() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.asked.IsZero() {
+	if h.renewedAt.IsZero() {
 		return 1 << 62
 	}
-	return time.Since(h.asked)
+	return time.Since(h.renewedAt)
 }
 
 // Valid tells whether the lease runs.
-func (h *Holder) Valid() bool { return h.Since() < h.p.Lasts }
+func (h *Holder) Valid() bool { return h.SinceRenewal() < h.params.Duration }
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -24,8 +24,8 @@
 	return &wire.Member{Id: fmt.Sprintf("n%04d", i), Role: "edge", Addr: fmt.Sprintf("10.0.%d.%d:7100", i/200, i%200), Http: fmt.Sprintf("10.0.%d.%d:7200", i/200, i%200), Zone: "a", Inc: 1, SpecVer: 1}
 }
 
-func table(t interface{ Fatal(...any) }, noted map[string][]byte) *Table {
-	out, err := NewTable(DefaultParams, noted, func(string, []byte) error { return nil })
+func table(t interface{ Fatal(...any) }, saved map[string][]byte) *Table {
+	out, err := NewTable(DefaultParams, saved, func(string, []byte) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 			again := node(3)
 			again.Inc = 2
 			renew(t, tb, &wire.Renew{Self: again})
-			time.Sleep(DefaultParams.Lasts - 500*time.Millisecond)
+			time.Sleep(DefaultParams.Duration - 500*time.Millisecond)
 			for i := range n {
 				if m := node(i); i != 5 {
 					if i == 3 {
@@ -101,15 +101,15 @@
 			core := register.Replica{Addr: "c", Ident: "i"}
 			h := NewHolder(DefaultParams, peer.New(&wire.Member{Id: "me", Addr: "m"}, memnet.New(1).Host("m"), transport.DefaultParams, hclog.NewNullLogger()), cluster.New(nil, nil))
 			tb, notes := table(rt, nil), map[string][]byte{}
-			tb.note = func(k string, b []byte) error { notes[k] = b; return nil }
+			tb.save = func(k string, b []byte) error { notes[k] = b; return nil }
 			me := node(9999)
 			incs := map[int]uint64{}
 			var late []*wire.RenewAck
 			follow := func() {
-				h.hear(core, renew(rt, tb, h.ask(core, me)))
+				h.updateRoster(core, renew(rt, tb, h.newRequest(core, me)))
 				h.mu.Lock()
 				defer h.mu.Unlock()
-				h.take([]register.Replica{core}, map[register.Replica]bool{core: true})
+				h.chooseRoster([]register.Replica{core}, map[register.Replica]bool{core: true})
 				want := tb.List()
 				if len(want) != len(h.members) {
 					rt.Fatalf("%d listed, %d in the table", len(h.members), len(want))
@@ -137,17 +137,17 @@
 				case "wait":
 					time.Sleep(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 				case "late":
-					late = append(late, renew(rt, tb, h.ask(core, me)))
+					late = append(late, renew(rt, tb, h.newRequest(core, me)))
 				case "hear late":
 					if len(late) > 0 {
 						n := rapid.IntRange(0, len(late)-1).Draw(rt, "which")
-						h.hear(core, late[n])
+						h.updateRoster(core, late[n])
 						late = append(late[:n], late[n+1:]...)
 					}
 				case "restart":
-					note := tb.note
+					save := tb.save
 					tb = table(rt, notes)
-					tb.note = note
+					tb.save = save
 				case "follow":
 					follow()
 				}
@@ -179,7 +179,7 @@
 			m.Live = true
 			a.Members = append(a.Members, m)
 		}
-		h.hear(core, a)
+		h.updateRoster(core, a)
 		if o := h.rosters[core]; len(o.list) != 3-n || o.live != 3-n {
 			t.Errorf("of an older core machine's %d members %d are kept", 3-n, len(o.list))
 		}
@@ -193,7 +193,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		notes := map[string][]byte{}
 		tb := table(t, nil)
-		tb.note = func(k string, b []byte) error { notes[k] = b; return nil }
+		tb.save = func(k string, b []byte) error { notes[k] = b; return nil }
 		before, after := node(1), node(1)
 		before.Inc, before.SpecVer, after.Inc, after.SpecVer = 1000, 7, 10, 8
 		renew(t, tb, &wire.Renew{Self: before})
@@ -201,7 +201,7 @@
 			_, err := tb.Grant(t.Context(), &wire.Req{Op: &wire.Req_Renew{Renew: &wire.Renew{Self: after}}})
 			return err
 		}
-		time.Sleep(DefaultParams.Lasts - time.Millisecond)
+		time.Sleep(DefaultParams.Duration - time.Millisecond)
 		if err := ask(tb); code.Of(err) != code.OldEpoch {
 			t.Errorf("while the later start's lease runs: %v", err)
 		}
@@ -214,12 +214,12 @@
 		}
 		// A late renewal of the start before is taken, and goes when the living one renews.
 		renew(t, tb, &wire.Renew{Self: before})
-		time.Sleep(DefaultParams.Lasts)
+		time.Sleep(DefaultParams.Duration)
 		again := table(t, notes)
 		if err := ask(again); code.Of(err) != code.OldEpoch {
 			t.Errorf("right after the core's own start: %v", err)
 		}
-		time.Sleep(DefaultParams.Lasts)
+		time.Sleep(DefaultParams.Duration)
 		if err := ask(again); err != nil {
 			t.Errorf("a lease's time after the core's own start: %v", err)
 		}
--- a/internal/coordination/lease/table.go
+++ b/internal/coordination/lease/table.go
@@ -22,62 +22,62 @@
 // which number its sender has heard, and is answered with what changed since: what
 // it costs does not grow with the number of nodes.
 type Table struct {
-	p    Params
-	note func(key string, b []byte) error
-	id   uint64 // of this start of the table
-
-	mu      sync.Mutex
-	all     map[string]*entry
-	sum     uint64     // over what is shown of all
-	last    uint64     // number of the last change
-	changed *list.List // entries, the last changed last
-	renewed *list.List // entries shown as live, the last renewed last
+	params Params
+	save   func(key string, b []byte) error
+	id     uint64 // of this start of the table
+
+	mu         sync.Mutex
+	entries    map[string]*entry
+	sum        uint64     // over what is shown of all
+	lastChange uint64     // number of the last change
+	changed    *list.List // entries, the last changed last
+	renewed    *list.List // entries shown as live, the last renewed last
 }
 
 type entry struct {
-	m  *wire.Member
-	at time.Time
-	// heard tells a renewal in this run from a note of an earlier one.
-	heard bool
+	member    *wire.Member
+	renewedAt time.Time
+	// renewedThisRun tells a renewal in this run from a note of an earlier one.
+	renewedThisRun bool
 
 	shown            *wire.Member // never changed once made
-	num              uint64       // of its last change
+	changeNumber     uint64       // of its last change
 	changed, renewed *list.Element
 }
 
 // NewTable makes a table from what was noted on disk before. Every node known
 // counts as heard of now: how long it had been silent is not known.
-func NewTable(p Params, noted map[string][]byte, note func(string, []byte) error) (*Table, error) {
-	t := &Table{p: p, note: note, id: rand.Uint64() | 1, all: map[string]*entry{}, changed: list.New(), renewed: list.New()}
-	for _, b := range noted {
+func NewTable(params Params, saved map[string][]byte, save func(string, []byte) error) (*Table, error) {
+	t := &Table{params: params, save: save, id: rand.Uint64() | 1, entries: map[string]*entry{}, changed: list.New(), renewed: list.New()}
+	for _, b := range saved {
 		m := &wire.Member{}
 		if err := wire.Decode(b, m); err != nil {
 			return nil, err
 		}
-		e := &entry{m: m, at: time.Now()}
-		t.all[key(m)] = e
+		e := &entry{member: m, renewedAt: time.Now()}
+		t.entries[key(m)] = e
 		t.show(e, false)
 	}
 	return t, nil
 }
 
-// NotePrefix is where members are noted.
-const NotePrefix = "member/"
+// MemberKeyPrefix is where members are noted.
+const MemberKeyPrefix = "member/"
 
 func key(m *wire.Member) string { return m.Id + "@" + m.Addr }
 
 // show puts in force what the nodes' lists say of an entry, if it is anything new.
 func (t *Table) show(e *entry, live bool) {
-	m := &wire.Member{Id: e.m.Id, Role: e.m.Role, Addr: e.m.Addr, Http: e.m.Http, Zone: e.m.Zone, Ident: e.m.Ident, Inc: e.m.Inc, Status: e.m.Status, Live: live}
+	m := &wire.Member{Id: e.member.Id, Role: e.member.Role, Addr: e.member.Addr, Http: e.member.Http, Zone: e.member.Zone, Ident: e.member.Ident, Inc: e.member.Inc, Status: e.member.Status, Live: live}
 	if e.shown != nil {
-		if mark(e.shown) == mark(m) {
+		if memberDigest(e.shown) == memberDigest(m) {
 			return
 		}
-		t.sum -= mark(e.shown)
+		t.sum -= memberDigest(e.shown)
 	}
-	t.sum += mark(m)
-	t.last++
-	e.shown, e.num = m, t.last
+	t.sum += memberDigest(m)
+	t.lastChange++
+	e.shown, e.changeNumber = m, t.lastChange
 	if e.changed == nil {
 		e.changed = t.changed.PushBack(e)
 	} else {
@@ -85,9 +85,9 @@
 	}
 }
 
-// hear counts a renewal.
-func (t *Table) hear(e *entry) {
-	e.at, e.heard = time.Now(), true
+// recordRenewal counts a renewal.
+func (t *Table) recordRenewal(e *entry) {
+	e.renewedAt, e.renewedThisRun = time.Now(), true
 	if e.renewed == nil {
 		e.renewed = t.renewed.PushBack(e)
 	} else {
@@ -101,7 +101,7 @@
 	now := time.Now()
 	for f := t.renewed.Front(); f != nil; f = t.renewed.Front() {
 		e := f.Value.(*entry)
-		if now.Sub(e.at) < t.p.Lasts {
+		if now.Sub(e.renewedAt) < t.params.Duration {
 			return
 		}
 		t.renewed.Remove(f)
@@ -110,8 +110,8 @@
 	}
 }
 
-// mark is a number for what is shown of a member.
-func mark(m *wire.Member) uint64 {
+// memberDigest is a number for what is shown of a member.
+func memberDigest(m *wire.Member) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{m.Id, m.Role, m.Addr, m.Http, m.Zone, m.Ident, m.Status} {
 		_, _ = io.WriteString(h, s)
@@ -133,16 +133,16 @@
 // them: so once the later number has been silent for a lease's time, the earlier one
 // is taken for the start that lives. If it isn't, it only makes changes wait for it.
 func (t *Table) overtaken(e *entry, m *wire.Member) bool {
-	return e != nil && m.Inc < e.m.Inc && time.Since(e.at) < t.p.Lasts
+	return e != nil && m.Inc < e.member.Inc && time.Since(e.renewedAt) < t.params.Duration
 }
 
-// take puts a renewal's sender in the place of what was known of it.
-func (t *Table) take(e *entry, m *wire.Member) {
+// updateEntry puts a renewal's sender in the place of what was known of it.
+func (t *Table) updateEntry(e *entry, m *wire.Member) {
 	// Renewals can overtake each other; a confirmation is not taken back.
-	if m.Inc != e.m.Inc || m.SpecVer >= e.m.SpecVer {
-		e.m = m
+	if m.Inc != e.member.Inc || m.SpecVer >= e.member.SpecVer {
+		e.member = m
 	}
-	t.hear(e)
+	t.recordRenewal(e)
 }
 
 // Grant answers a renewal.
@@ -153,36 +153,36 @@
 		return nil, code.New(code.Garbled, "a renewal without id or address")
 	}
 	t.mu.Lock()
-	e := t.all[key(m)]
+	e := t.entries[key(m)]
 	if t.overtaken(e, m) {
-		later := &wire.Member{Id: e.m.Id, Inc: e.m.Inc}
+		later := &wire.Member{Id: e.member.Id, Inc: e.member.Inc}
 		t.mu.Unlock()
 		return &wire.Resp{Op: &wire.Resp_Renew{Renew: &wire.RenewAck{Members: []*wire.Member{later}}}}, code.New(code.OldEpoch, "a later start of %s holds the lease", m.Id)
 	}
-	known := e != nil && e.m.Inc == m.Inc
+	known := e != nil && e.member.Inc == m.Inc
 	t.mu.Unlock()
 	if !known {
-		if err := t.note(NotePrefix+key(m), wire.Encode(m)); err != nil {
+		if err := t.save(MemberKeyPrefix+key(m), wire.MustEncode(m)); err != nil {
 			return nil, err
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e = t.all[key(m)]
+	e = t.entries[key(m)]
 	if e == nil {
-		e = &entry{m: m}
-		t.all[key(m)] = e
+		e = &entry{member: m}
+		t.entries[key(m)] = e
 	}
 	// While it was noted, a later start may have been heard.
 	if !t.overtaken(e, m) {
-		t.take(e, m)
+		t.updateEntry(e, m)
 	}
 	t.expire()
-	a := &wire.RenewAck{LastsMs: t.p.Lasts.Milliseconds(), MembersSum: t.sum, Table: t.id, Seen: t.last}
-	a.Part = r.Table == t.id && r.Seen <= t.last
+	a := &wire.RenewAck{LastsMs: t.params.Duration.Milliseconds(), MembersSum: t.sum, Table: t.id, Seen: t.lastChange}
+	a.Part = r.Table == t.id && r.Seen <= t.lastChange
 	for c := t.changed.Back(); c != nil; c = c.Prev() {
 		e := c.Value.(*entry)
-		if a.Part && e.num <= r.Seen {
+		if a.Part && e.changeNumber <= r.Seen {
 			break
 		}
 		a.Members = append(a.Members, e.shown)
@@ -195,12 +195,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	out := make([]*wire.Member, 0, len(t.all))
-	for _, e := range t.all {
-		m := e.m
-		silent := now.Sub(e.at)
+	out := make([]*wire.Member, 0, len(t.entries))
+	for _, e := range t.entries {
+		m := e.member
+		unresponsive := now.Sub(e.renewedAt)
 		out = append(out, &wire.Member{Id: m.Id, Role: m.Role, Addr: m.Addr, Http: m.Http, Zone: m.Zone, Ident: m.Ident, IdentityVersion: m.IdentityVersion, Inc: m.Inc,
-			SpecVer: m.SpecVer, Status: m.Status, SilentMs: silent.Milliseconds(), Live: e.heard && silent < t.p.Lasts})
+			SpecVer: m.SpecVer, Status: m.Status, SilentMs: unresponsive.Milliseconds(), Live: e.renewedThisRun && unresponsive < t.params.Duration})
 	}
 	sort.Slice(out, func(i, j int) bool { return key(out[i]) < key(out[j]) })
 	return out
--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -26,8 +26,8 @@
 	Stores Set = "stores"
 )
 
-// Parse reads a set's name.
-func Parse(name string) (Set, error) {
+// ParseSet reads a set's name.
+func ParseSet(name string) (Set, error) {
 	set := Set(name)
 	if set != Cores && set != Stores {
 		return "", code.New(code.NoPath, "%q is neither stores nor cores", name)
@@ -73,8 +73,8 @@
 	return slices.ContainsFunc(set, func(m spec.Machine) bool { return m.Ident == ident })
 }
 
-// put writes both sets of a change into a cluster.
-func put(c *spec.Cluster, set Set, now, next []spec.Machine) {
+// setMachines writes both sets of a change into a cluster.
+func setMachines(c *spec.Cluster, set Set, now, next []spec.Machine) {
 	if set == Cores {
 		c.Cores, c.NextCores = now, next
 	} else {
@@ -82,62 +82,62 @@
 	}
 }
 
-// Found makes the first machines of a set that has had none: nothing has ever been kept
+// FoundSet makes the first machines of a set that has had none: nothing has ever been kept
 // there, so there is nothing to move.
-func Found(c *spec.Cluster, set Set, machines []spec.Machine) {
-	put(c, set, machines, nil)
+func FoundSet(c *spec.Cluster, set Set, machines []spec.Machine) {
+	setMachines(c, set, machines, nil)
 }
 
-// Aim lets a set change to another than it was changing to, or to none where next is
+// SetNext lets a set change to another than it was changing to, or to none where next is
 // empty. The present set has been whole all the while, so that costs nothing that
 // anybody has done. A machine that was to come and is not any more has voted: should it
 // ever come back, it must be a stranger.
-func Aim(c *spec.Cluster, set Set, next []spec.Machine) {
+func SetNext(c *spec.Cluster, set Set, next []spec.Machine) {
 	was := Of(c, set)
 	for _, m := range was.Next {
 		if !Has(was.Now, m.Ident) && !Has(next, m.Ident) {
-			letGo(c, m.Ident)
+			markUsed(c, m.Ident)
 		}
 	}
-	put(c, set, was.Now, next)
+	setMachines(c, set, was.Now, next)
 }
 
-// Turn begins a change of a set towards a goal, or aims one under way there. It does
+// BeginChange begins a change of a set towards a goal, or aims one under way there. It does
 // nothing, and answers cluster.ErrSame, where the cluster is not in the very change that
 // the goal was worked out for, or where a newcomer may not come any more.
-func Turn(c *spec.Cluster, set Set, was Change, goal Goal) error {
-	if !Of(c, set).Is(was) || !admissible(c, set, goal) {
-		return cluster.ErrSame
+func BeginChange(c *spec.Cluster, set Set, was Change, target Target) error {
+	if !Of(c, set).Is(was) || !admissible(c, set, target) {
+		return cluster.ErrNoChange
 	}
 	switch {
 	case len(was.Now) == 0:
-		Found(c, set, goal.Machines)
-	case slices.Equal(goal.Machines, was.Now):
-		Aim(c, set, nil)
+		FoundSet(c, set, target.Machines)
+	case slices.Equal(target.Machines, was.Now):
+		SetNext(c, set, nil)
 	default:
-		Aim(c, set, goal.Machines)
+		SetNext(c, set, target.Machines)
 	}
-	for _, ident := range goal.Beside {
-		if !slices.Contains(c.Beside, ident) {
-			c.Beside = append(c.Beside, ident)
+	for _, ident := range target.Spares {
+		if !slices.Contains(c.Spares, ident) {
+			c.Spares = append(c.Spares, ident)
 		}
 	}
-	c.Beside = slices.DeleteFunc(c.Beside, func(ident string) bool { return slices.Contains(goal.Spent, ident) })
+	c.Spares = slices.DeleteFunc(c.Spares, func(ident string) bool { return slices.Contains(target.Promoted, ident) })
 	return nil
 }
 
-// Settle lets the next set of a change stand alone. It does nothing, and answers
+// FinishChange lets the next set of a change stand alone. It does nothing, and answers
 // cluster.ErrSame, where the cluster is not in that very change any more: what was
 // moved was for another.
-func Settle(c *spec.Cluster, set Set, change Change) error {
+func FinishChange(c *spec.Cluster, set Set, change Change) error {
 	if !change.Running() || !Of(c, set).Is(change) {
-		return cluster.ErrSame
+		return cluster.ErrNoChange
 	}
 	for _, m := range change.Now {
 		if !Has(change.Next, m.Ident) {
-			letGo(c, m.Ident)
+			markUsed(c, m.Ident)
 		}
 	}
-	put(c, set, change.Next, nil)
+	setMachines(c, set, change.Next, nil)
 	return nil
 }
--- a/internal/coordination/membership/cores_history_test.go
+++ b/internal/coordination/membership/cores_history_test.go
@@ -54,7 +54,7 @@
 }
 
 func back(c *spec.Cluster) error {
-	membership.Aim(c, membership.Cores, nil)
+	membership.SetNext(c, membership.Cores, nil)
 	return nil
 }
 
@@ -70,7 +70,7 @@
 	w.change(p, "edit", func(*spec.Cluster) error { return nil }, "c0", "c1", "c2", "c3", "c4")
 	w.tell(w.proposers...)
 	return w, func(c *spec.Cluster) error {
-		membership.Aim(c, membership.Cores, five[:3])
+		membership.SetNext(c, membership.Cores, five[:3])
 		return nil
 	}
 }
@@ -99,12 +99,12 @@
 	w.tell(old)
 	w.change(other, "begin", begin, all...)
 	w.apply(mover.view, w.newest)
-	settled := w.change(mover, "settle", func(c *spec.Cluster) error { return membership.Settle(c, membership.Cores, seen) }, "c0", "c1", "c2")
+	finished := w.change(mover, "settle", func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) }, "c0", "c1", "c2")
 	acknowledged := w.change(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4")
-	if settled && acknowledged {
+	if finished && acknowledged {
 		t.Error("a change was acknowledged by the old cores after the new ones stand alone")
 	}
-	if settled {
+	if finished {
 		t.Error("settled on confirmations of another change")
 	}
 }
@@ -122,7 +122,7 @@
 	w.change(mover, "begin", begin, all...)
 	w.tell()
 	seen := membership.Of(&mover.view.Now().Cluster, membership.Cores)
-	if !w.change(mover, "settle", func(c *spec.Cluster) error { return membership.Settle(c, membership.Cores, seen) }, "c0", "c1", "c2") {
+	if !w.change(mover, "settle", func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) }, "c0", "c1", "c2") {
 		t.Fatal("not settled")
 	}
 	if w.change(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4") {
--- a/internal/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -75,13 +75,13 @@
 	idents    int
 	clock     uint64
 	edits     int
-	settled   int
+	finished  int
 	log       []string
 }
 
 func newCoresWorld(t *testing.T, seed uint64) *coresWorld {
 	w := &coresWorld{t: t, rnd: rand.New(rand.NewPCG(seed, 11)), nodes: map[string]*coreNode{}, chosen: map[uint64][]byte{}, view: cluster.New(nil, nil), begun: map[string]uint64{}}
-	c := &spec.Cluster{CoresSince: 1, StoresSince: 1, Tended: true}
+	c := &spec.Cluster{CoresSince: 1, StoresSince: 1, SelfManaged: true}
 	for i := range 6 {
 		n := w.newNode(fmt.Sprintf("c%d", i), string(rune('a'+i%3)))
 		if i < 3+int(seed%2) {
@@ -95,7 +95,7 @@
 	w.choose(1, raw)
 	first := &wire.Ballot{N: 1}
 	for _, m := range c.Cores {
-		if _, err := w.nodes[m.Addr].voter.Acc(&wire.Acc{Key: cluster.Key, Ballot: first, Cell: &wire.Cell{Ver: 1, Val: raw}}); err != nil {
+		if _, err := w.nodes[m.Addr].voter.Accept(&wire.Acc{Key: cluster.Key, Ballot: first, Cell: &wire.Cell{Ver: 1, Val: raw}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -158,7 +158,7 @@
 func (w *coresWorld) learn(c *cluster.Cluster) {
 	var later []uint64
 	for _, ver := range slices.Sorted(maps.Keys(w.chosen)) {
-		if ver > c.Now().Ver {
+		if ver > c.Now().Version {
 			later = append(later, ver)
 		}
 	}
@@ -173,7 +173,7 @@
 
 // check: the newest acknowledged version is seen at every quorum of its sets.
 func (w *coresWorld) check() {
-	if w.view.Now().Ver < w.newest {
+	if w.view.Now().Version < w.newest {
 		w.apply(w.view, w.newest)
 	}
 	for _, group := range w.view.Now().Cores() {
@@ -195,7 +195,7 @@
 	v := p.view.Now()
 	w.clock++
 	w.edits++
-	p.op = &proposal{name: fmt.Sprintf("%s%d", name, w.edits), version: v.Ver, set: v.Cores(), edit: edit, ballot: &wire.Ballot{N: w.clock},
+	p.op = &proposal{name: fmt.Sprintf("%s%d", name, w.edits), version: v.Version, set: v.Cores(), edit: edit, ballot: &wire.Ballot{N: w.clock},
 		promised: map[register.Replica]*wire.View{}, accepted: map[register.Replica]bool{}}
 	w.send(p.op)
 }
@@ -220,10 +220,10 @@
 			return
 		}
 		if m.cell != nil {
-			if _, err := n.voter.Acc(&wire.Acc{Key: cluster.Key, Ballot: m.op.ballot, Cell: m.cell}); err == nil {
+			if _, err := n.voter.Accept(&wire.Acc{Key: cluster.Key, Ballot: m.op.ballot, Cell: m.cell}); err == nil {
 				m.op.accepted[m.to] = true
 			}
-		} else if v, err := n.voter.Prep(&wire.Prep{Key: cluster.Key, Ballot: m.op.ballot}); err == nil {
+		} else if v, err := n.voter.Prepare(&wire.Prep{Key: cluster.Key, Ballot: m.op.ballot}); err == nil {
 			m.op.promised[m.to] = v
 		}
 	})
@@ -263,7 +263,7 @@
 	op := p.op
 	var top *wire.View
 	for _, v := range op.promised {
-		if top == nil || wire.Cmp(v.Accepted, top.Accepted) > 0 {
+		if top == nil || wire.CompareBallots(v.Accepted, top.Accepted) > 0 {
 			top = v
 		}
 	}
@@ -276,7 +276,7 @@
 		return op.edit(c)
 	})
 	if err != nil {
-		if !errors.Is(err, cluster.ErrSame) {
+		if !errors.Is(err, cluster.ErrNoChange) {
 			w.t.Fatal(err)
 		}
 		p.op = nil
@@ -301,7 +301,7 @@
 	}
 	w.apply(p.view, op.cell.Ver)
 	if strings.HasPrefix(op.name, "settle") {
-		w.settled++
+		w.finished++
 	}
 }
 
@@ -314,7 +314,7 @@
 	case p.slow || w.rnd.IntN(12) == 0:
 		w.propose(p, "edit", func(*spec.Cluster) error { return nil })
 	case w.rnd.IntN(60) == 0:
-		w.propose(p, "back", func(c *spec.Cluster) error { membership.Aim(c, membership.Cores, nil); return nil })
+		w.propose(p, "back", func(c *spec.Cluster) error { membership.SetNext(c, membership.Cores, nil); return nil })
 	default:
 		w.tend(p)
 	}
@@ -332,12 +332,12 @@
 		next := w.candidate(change.Now)
 		p.seen = nil
 		w.propose(p, "begin", func(c *spec.Cluster) error {
-			goal := membership.Goal{Machines: next, IdentityVersions: map[string]uint64{}}
-			return membership.Turn(c, membership.Cores, change, goal)
+			target := membership.Target{Machines: next, IdentityVersions: map[string]uint64{}}
+			return membership.BeginChange(c, membership.Cores, change, target)
 		})
 		return
 	}
-	if !membership.Confirmed(change.Now, p.confirmed, v.CoreVer) {
+	if !membership.Confirmed(change.Now, p.confirmed, v.CoresVersion) {
 		w.renew(p)
 		if w.rnd.IntN(60) == 0 {
 			p.seen = nil
@@ -350,7 +350,7 @@
 		return
 	}
 	p.seen, p.thaw = nil, 0
-	w.propose(p, "settle", func(c *spec.Cluster) error { return membership.Settle(c, membership.Cores, change) })
+	w.propose(p, "settle", func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, change) })
 }
 
 // renew has a core tell a mover which version it has in force. What it let in before is
@@ -363,7 +363,7 @@
 	}
 	n.admitted = nil
 	ident := n.machine.Ident
-	p.confirmed[ident] = max(p.confirmed[ident], n.view.Now().Ver)
+	p.confirmed[ident] = max(p.confirmed[ident], n.view.Now().Version)
 }
 
 func (w *coresWorld) candidate(now []spec.Machine) []spec.Machine {
@@ -388,14 +388,14 @@
 // pick chooses a core, mostly one that has let something in.
 func (w *coresWorld) pick() *coreNode {
 	ids := slices.Sorted(maps.Keys(w.nodes))
-	var busy []string
+	var changing []string
 	for _, id := range ids {
 		if len(w.nodes[id].admitted) > 0 {
-			busy = append(busy, id)
+			changing = append(changing, id)
 		}
 	}
-	if len(busy) > 0 && w.rnd.IntN(3) > 0 {
-		ids = busy
+	if len(changing) > 0 && w.rnd.IntN(3) > 0 {
+		ids = changing
 	}
 	return w.nodes[ids[w.rnd.IntN(len(ids))]]
 }
@@ -440,13 +440,13 @@
 			w.t.Fatal(err)
 		}
 		for _, set := range [][]spec.Machine{c.Cores, c.NextCores} {
-			gone := 0
+			departed := 0
 			for _, m := range set {
 				if w.nodes[m.Addr].machine.Ident != m.Ident || m.Ident == n.machine.Ident {
-					gone++
+					departed++
 				}
 			}
-			if gone*2 >= len(set) && len(set) > 0 {
+			if departed*2 >= len(set) && len(set) > 0 {
 				return
 			}
 		}
@@ -476,14 +476,14 @@
 	at := time.Now()
 	n, first := histories("MODEL_HISTORIES", 600), histories("MODEL_FIRST", 1)
 	const steps = 500
-	versions, settled := uint64(0), 0
+	versions, finished := uint64(0), 0
 	for seed := range n {
 		w := newCoresWorld(t, uint64(first+seed))
 		for range steps {
 			w.step()
 		}
 		versions += w.newest
-		settled += w.settled
+		finished += w.finished
 	}
-	t.Logf("%d histories of %d steps, %d versions, %d changes settled, %s", n, steps, versions, settled, time.Since(at).Round(time.Millisecond))
+	t.Logf("%d histories of %d steps, %d versions, %d changes settled, %s", n, steps, versions, finished, time.Since(at).Round(time.Millisecond))
 }
--- a/internal/coordination/membership/fill.go
+++ b/internal/coordination/membership/fill.go
@@ -7,36 +7,36 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Gains tells whether keys fall to a machine of the next set that it did not hold.
-func (c Change) Gains(m spec.Machine, copies int) bool {
+// Receives tells whether keys fall to a machine of the next set that it did not hold.
+func (c Change) Receives(m spec.Machine, copies int) bool {
 	if !Has(c.Now, m.Ident) {
 		return true
 	}
 	// Where all hold all, nobody else gains; nor where nobody leaves.
-	return len(c.Now) > copies && slices.ContainsFunc(c.Now, c.leaves)
+	return len(c.Now) > copies && slices.ContainsFunc(c.Now, c.departs)
 }
 
-// leaves tells whether a machine of the present set has no successor of its name and
+// departs tells whether a machine of the present set has no successor of its name and
 // zone in the next one, so that its keys fall to others.
-func (c Change) leaves(old spec.Machine) bool {
+func (c Change) departs(old spec.Machine) bool {
 	return !slices.ContainsFunc(c.Next, func(m spec.Machine) bool { return m.ID == old.ID && m.Zone == old.Zone })
 }
 
-// Gainers are the machines of the next set to which keys fall.
-func (c Change) Gainers(copies int) []spec.Machine {
+// Receivers are the machines of the next set to which keys fall.
+func (c Change) Receivers(copies int) []spec.Machine {
 	var out []spec.Machine
 	for _, m := range c.Next {
-		if c.Gains(m, copies) {
+		if c.Receives(m, copies) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// Minor tells whether some machines of a set are less than a majority of any key's
+// IsMinority tells whether some machines of a set are less than a majority of any key's
 // holders, and the others a majority of them.
-func Minor(set, some []spec.Machine, copies int) bool {
-	return len(some) == 0 || cluster.Worst(set, some, copies)*2 < min(copies, len(set))
+func IsMinority(set, some []spec.Machine, copies int) bool {
+	return len(some) == 0 || cluster.MaxHolders(set, some, copies)*2 < min(copies, len(set))
 }
 
 // Readable tells whether a majority of each key's holders is left of a set without the
@@ -48,20 +48,20 @@
 			without = append(without, m)
 		}
 	}
-	return Minor(set, without, copies)
+	return IsMinority(set, without, copies)
 }
 
 // Stale tells whether a request that rests on the sets of stores of an older version
 // must be refused under a view: its majority could be one of a set that is no more.
-func Stale(v *cluster.View, version uint64) bool { return version > 0 && version < v.SetVer }
+func Stale(v *cluster.View, version uint64) bool { return version > 0 && version < v.StoresVersion }
 
 // StaleCores is the same for the sets of cores.
-func StaleCores(v *cluster.View, version uint64) bool { return version > 0 && version < v.CoreVer }
+func StaleCores(v *cluster.View, version uint64) bool { return version > 0 && version < v.CoresVersion }
 
 // SameStores tells whether a view is at the very change of the stores that an order was
 // given for.
 func SameStores(v *cluster.View, version, sets uint64) bool {
-	return v.Ver >= version && v.Sets() == sets
+	return v.Version >= version && v.StoresDigest() == sets
 }
 
 // Sender is a store of the present set that sends another what falls to it.
@@ -75,7 +75,7 @@
 // Sends tells whether a key falls to the other store and is held here, and whether it
 // is sent whole or by name and ballot only: the first of its holders that can be asked
 // sends it whole.
-func (s Sender) Sends(key string) (wanted, whole bool) {
+func (s Sender) Sends(key string) (wanted, withValue bool) {
 	now := cluster.Holders(s.View.Cluster.Stores, key, s.View.Copies())
 	next := cluster.Holders(s.View.NextStores, key, s.View.Copies())
 	if Has(now, s.To) || !Has(now, s.Self) || !Has(next, s.To) {
--- a/internal/coordination/membership/identity.go
+++ b/internal/coordination/membership/identity.go
@@ -20,19 +20,19 @@
 // the floor that was in no set is refused as well; it takes a new identity, which costs
 // it nothing, as it holds nothing yet.
 
-// Refused tells whether an identity may not be admitted to a set.
-func Refused(c *spec.Cluster, ident string, madeUnder uint64) bool {
+// IdentityRefused tells whether an identity may not be admitted to a set.
+func IdentityRefused(c *spec.Cluster, ident string, madeUnder uint64) bool {
 	return slices.Contains(c.Used, ident) || madeUnder < c.IdentityFloor
 }
 
-// LetGo tells whether a machine must put away its identity: it is in no set, and will
+// Removed tells whether a machine must put away its identity: it is in no set, and will
 // not be admitted to one.
-func LetGo(c *spec.Cluster, ident string, madeUnder uint64) bool {
-	return !Has(all(c), ident) && Refused(c, ident, madeUnder)
+func Removed(c *spec.Cluster, ident string, madeUnder uint64) bool {
+	return !Has(allMachines(c), ident) && IdentityRefused(c, ident, madeUnder)
 }
 
-// letGo notes that an identity is in no set any more.
-func letGo(c *spec.Cluster, ident string) {
+// markUsed notes that an identity is in no set any more.
+func markUsed(c *spec.Cluster, ident string) {
 	if ident != "" && !slices.Contains(c.Used, ident) {
 		c.Used = append(c.Used, ident)
 	}
@@ -41,18 +41,18 @@
 // admissible tells whether all machines of a next set are in a set already or may come
 // into one. A store that was retired between the look and the change may not: its
 // operator may have been told that it holds nothing and can be taken away.
-func admissible(c *spec.Cluster, set Set, goal Goal) bool {
-	inSet := all(c)
-	return !slices.ContainsFunc(goal.Machines, func(m spec.Machine) bool {
+func admissible(c *spec.Cluster, set Set, target Target) bool {
+	inSet := allMachines(c)
+	return !slices.ContainsFunc(target.Machines, func(m spec.Machine) bool {
 		if Has(inSet, m.Ident) {
 			return false
 		}
 		retired := set == Stores && slices.Contains(c.Retired, m.ID)
-		return retired || Refused(c, m.Ident, goal.IdentityVersions[m.Ident])
+		return retired || IdentityRefused(c, m.Ident, target.IdentityVersions[m.Ident])
 	})
 }
 
-// all are the machines of all sets.
-func all(c *spec.Cluster) []spec.Machine {
+// allMachines are the machines of all sets.
+func allMachines(c *spec.Cluster) []spec.Machine {
 	return slices.Concat(c.Cores, c.NextCores, c.Stores, c.NextStores)
 }
--- a/internal/coordination/membership/identity_test.go
+++ b/internal/coordination/membership/identity_test.go
@@ -30,13 +30,13 @@
 // replace has a set take a newcomer in another's place, in two steps.
 func (r *clusterRegister) replace(set membership.Set, i int, m spec.Machine, madeUnder uint64) error {
 	was := membership.Of(&r.c, set)
-	goal := membership.Goal{Machines: slices.Clone(was.Now), IdentityVersions: map[string]uint64{m.Ident: madeUnder}}
-	goal.Machines[i] = m
-	if err := r.edit(func(c *spec.Cluster) error { return membership.Turn(c, set, was, goal) }); err != nil {
+	target := membership.Target{Machines: slices.Clone(was.Now), IdentityVersions: map[string]uint64{m.Ident: madeUnder}}
+	target.Machines[i] = m
+	if err := r.edit(func(c *spec.Cluster) error { return membership.BeginChange(c, set, was, target) }); err != nil {
 		return err
 	}
 	change := membership.Of(&r.c, set)
-	return r.edit(func(c *spec.Cluster) error { return membership.Settle(c, set, change) })
+	return r.edit(func(c *spec.Cluster) error { return membership.FinishChange(c, set, change) })
 }
 
 // TestThousandReplaced: the register stays as large as it was however many machines are
@@ -44,7 +44,7 @@
 // earlier release has made and which were frozen all the while.
 func TestThousandReplaced(t *testing.T) {
 	r := &clusterRegister{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), Cores: machinesOf("c1/a/k1 c2/b/k2 c3/c/k3"), StoresSince: 1, CoresSince: 1}}
-	gone := map[string]uint64{} // identities let go, and what each was made under
+	departed := map[string]uint64{} // identities let go, and what each was made under
 	madeUnder := map[string]uint64{"i1": 0, "i2": 0, "i3": 0, "k1": 0, "k2": 0, "k3": 0}
 	largest := 0
 	for i := range 1000 {
@@ -55,33 +55,33 @@
 		if err := r.replace(set, i/2%3, m, r.ver); err != nil {
 			t.Fatalf("replacement %d: %v", i, err)
 		}
-		gone[old.Ident] = madeUnder[old.Ident]
+		departed[old.Ident] = madeUnder[old.Ident]
 		raw, err := r.c.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
 		largest = max(largest, len(raw))
 		if i%20 == 0 {
-			checkRefused(t, r, gone)
+			checkRefused(t, r, departed)
 		}
 	}
-	checkRefused(t, r, gone)
-	for ident, made := range gone {
+	checkRefused(t, r, departed)
+	for ident, made := range departed {
 		m := spec.Machine{ID: "s1", Addr: "s1", Zone: "a", Ident: ident}
-		if err := r.replace(membership.Stores, 0, m, made); !errors.Is(err, cluster.ErrSame) {
+		if err := r.replace(membership.Stores, 0, m, made); !errors.Is(err, cluster.ErrNoChange) {
 			t.Fatalf("%s was taken in again: %v", ident, err)
 		}
 	}
 	if most := 5000; largest > most || len(r.c.Used) > cluster.MaxUsed {
 		t.Errorf("the register has had %d bytes, %d identities are listed", largest, len(r.c.Used))
 	}
-	t.Logf("%d replaced, at most %d bytes, %d listed, floor %d of version %d", len(gone), largest, len(r.c.Used), r.c.IdentityFloor, r.ver)
+	t.Logf("%d replaced, at most %d bytes, %d listed, floor %d of version %d", len(departed), largest, len(r.c.Used), r.c.IdentityFloor, r.ver)
 }
 
-func checkRefused(t *testing.T, r *clusterRegister, gone map[string]uint64) {
+func checkRefused(t *testing.T, r *clusterRegister, departed map[string]uint64) {
 	t.Helper()
-	for ident, made := range gone {
-		if !membership.Refused(&r.c, ident, made) || !membership.LetGo(&r.c, ident, made) {
+	for ident, made := range departed {
+		if !membership.IdentityRefused(&r.c, ident, made) || !membership.Removed(&r.c, ident, made) {
 			t.Fatalf("at version %d %s, made under %d, may come back", r.ver, ident, made)
 		}
 	}
@@ -103,12 +103,12 @@
 				}
 			}
 			for ident := range left {
-				if membership.Has(slices.Concat(r.c.Stores, r.c.NextStores), ident) || !membership.Refused(&r.c, ident, made[ident]) {
+				if membership.Has(slices.Concat(r.c.Stores, r.c.NextStores), ident) || !membership.IdentityRefused(&r.c, ident, made[ident]) {
 					t.Fatalf("%s, made under %d, is not refused at version %d", ident, made[ident], r.ver)
 				}
 			}
-			if len(r.c.Used) > cluster.MaxUsed || len(r.c.Beside) > len(r.c.Stores)+len(r.c.NextStores) {
-				t.Fatalf("%d used, %d beside", len(r.c.Used), len(r.c.Beside))
+			if len(r.c.Used) > cluster.MaxUsed || len(r.c.Spares) > len(r.c.Stores)+len(r.c.NextStores) {
+				t.Fatalf("%d used, %d beside", len(r.c.Used), len(r.c.Spares))
 			}
 		}
 	})
@@ -124,18 +124,18 @@
 	if _, ok := made[ident]; !ok {
 		made[ident] = r.ver - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
 	}
-	goal := membership.Goal{Machines: slices.Clone(was.Now), IdentityVersions: made, Beside: []string{ident}}
+	target := membership.Target{Machines: slices.Clone(was.Now), IdentityVersions: made, Spares: []string{ident}}
 	i := rapid.IntRange(0, 2).Draw(t, "place")
-	goal.Machines[i].Ident = ident
+	target.Machines[i].Ident = ident
 	_ = r.edit(func(c *spec.Cluster) error {
 		switch rapid.IntRange(0, 3).Draw(t, "what") {
 		case 0:
-			membership.Aim(c, membership.Stores, nil)
+			membership.SetNext(c, membership.Stores, nil)
 			return nil
 		case 1:
-			return membership.Settle(c, membership.Stores, was)
+			return membership.FinishChange(c, membership.Stores, was)
 		}
-		return membership.Turn(c, membership.Stores, was, goal)
+		return membership.BeginChange(c, membership.Stores, was, target)
 	})
 }
 
@@ -143,7 +143,7 @@
 // before it changes the set, is not taken in any more.
 func TestRetiredBetween(t *testing.T) {
 	const newcomer = "s4/a/i4"
-	goal := membership.Goal{Machines: machinesOf(threeStores + " " + newcomer), IdentityVersions: map[string]uint64{"i4": 1}}
+	target := membership.Target{Machines: machinesOf(threeStores + " " + newcomer), IdentityVersions: map[string]uint64{"i4": 1}}
 	for _, tc := range []struct {
 		retired []string
 		taken   bool
@@ -156,7 +156,7 @@
 		r := &clusterRegister{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), StoresSince: 1, CoresSince: 1}}
 		was := membership.Of(&r.c, membership.Stores)
 		r.c.Retired = tc.retired
-		_ = r.edit(func(c *spec.Cluster) error { return membership.Turn(c, membership.Stores, was, goal) })
+		_ = r.edit(func(c *spec.Cluster) error { return membership.BeginChange(c, membership.Stores, was, target) })
 		if got := membership.Has(r.c.NextStores, "i4"); got != tc.taken {
 			t.Errorf("retired %v: taken in %t, want %t", tc.retired, got, tc.taken)
 		}
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -12,9 +12,9 @@
 const (
 	// AbsentAfter is the silence after which a newcomer may take a machine's place.
 	AbsentAfter = 2 * time.Second
-	// DropAfter is the silence after which a machine's place goes to one that was taken
+	// ReplaceAfter is the silence after which a machine's place goes to one that was taken
 	// in beside it before. It is longer than most restarts take.
-	DropAfter = 3 * time.Second
+	ReplaceAfter = 3 * time.Second
 	// MinCores is how many cores are left at least.
 	MinCores = 3
 )
@@ -22,9 +22,9 @@
 // For how long no new store must have come when the first set of them is made of those
 // that are there.
 const (
-	firstEnough = 150 * time.Millisecond // there are as many as the copies, in enough zones
-	firstMost   = time.Second            // there is a majority of the copies
-	firstFew    = 5 * time.Second        // so few that the loss of one would lose what it keeps
+	fullSetWait  = 150 * time.Millisecond // there are as many as the copies, in enough zones
+	majorityWait = time.Second            // there is a majority of the copies
+	minorityWait = 5 * time.Second        // so few that the loss of one would lose what it keeps
 )
 
 // Member is what a core knows of a machine by its renewals.
@@ -35,7 +35,7 @@
 	IdentityVersion uint64
 	Confirmed       uint64 // the version that it has in force
 	Live            bool   // its lease runs
-	Silent          time.Duration
+	UnresponsiveFor time.Duration
 }
 
 // WithSelf puts a core's own entry, as it is now, in the place of whatever renewals told
@@ -47,7 +47,7 @@
 		return m.Machine.ID == self.Machine.ID && m.Machine.Addr == self.Machine.Addr
 	})
 	self.Live = true
-	self.Silent = 0
+	self.UnresponsiveFor = 0
 	return append(out, self)
 }
 
@@ -62,11 +62,11 @@
 )
 
 // PresenceOf judges a machine by whether it answered and how long it had been silent.
-func PresenceOf(answered bool, silent time.Duration) Presence {
+func PresenceOf(answered bool, unresponsive time.Duration) Presence {
 	switch {
 	case answered:
 		return Present
-	case silent >= AbsentAfter:
+	case unresponsive >= AbsentAfter:
 		return Absent
 	}
 	return Doubtful
@@ -86,19 +86,19 @@
 	NewcomerAge time.Duration
 }
 
-// Goal is what a set should be.
-type Goal struct {
+// Target is what a set should be.
+type Target struct {
 	Machines []spec.Machine
-	// Beside are newcomers taken in beside the others, who may take the place of one of
+	// Spares are newcomers taken in beside the others, who may take the place of one of
 	// them later; Spent are those who do so now.
-	Beside, Spent []string
+	Spares, Promoted []string
 	// IdentityVersions are those of the newcomers, by identity.
 	IdentityVersions map[string]uint64
 }
 
 // Decision is a goal, or why there is none yet.
 type Decision struct {
-	Goal
+	Target
 	// Ask are the machines that must be asked whether they are there first.
 	Ask []spec.Machine
 	// Wait tells that the goal can't be said yet, or not all of it.
@@ -116,15 +116,15 @@
 	}
 	p := newPlan(o)
 	p.dropRetired()
-	p.replaceReborn()
+	p.replaceWiped()
 	if len(p.newcomers) == 0 && !p.mayDrop() {
 		return p.decision()
 	}
 	if o.Presence == nil {
-		return Decision{Ask: p.kept()}
+		return Decision{Ask: p.remaining()}
 	}
 	for _, m := range p.newcomers {
-		if !p.place(m) {
+		if !p.placeNewcomer(m) {
 			return Decision{Wait: true}
 		}
 	}
@@ -137,23 +137,23 @@
 	Observation
 	now, want []spec.Machine
 	newcomers []Member // that no place has been found for yet
-	beside    []string // of those in want, who may take another's place
-	goal      Goal
+	spares    []string // of those in want, who may take another's place
+	target    Target
 	wait      bool
 }
 
 func newPlan(o Observation) *plan {
 	now := Of(o.Cluster, o.Set).Now
-	return &plan{Observation: o, now: now, want: slices.Clone(now), goal: Goal{IdentityVersions: map[string]uint64{}}}
+	return &plan{Observation: o, now: now, want: slices.Clone(now), target: Target{IdentityVersions: map[string]uint64{}}}
 }
 
 func (p *plan) decision() Decision {
-	p.goal.Machines = p.want
-	return Decision{Goal: p.goal, Wait: p.wait}
+	p.target.Machines = p.want
+	return Decision{Target: p.target, Wait: p.wait}
 }
 
-// least is how many machines the set keeps.
-func (p *plan) least() int {
+// minSize is how many machines the set keeps.
+func (p *plan) minSize() int {
 	if p.Set == Cores {
 		return MinCores
 	}
@@ -167,7 +167,7 @@
 	var out []Member
 	for _, m := range o.Members {
 		retired := o.Set == Stores && slices.Contains(o.Cluster.Retired, m.Machine.ID)
-		if m.Machine.Ident == "" || !m.Live || retired || Has(now, m.Machine.Ident) || Refused(o.Cluster, m.Machine.Ident, m.IdentityVersion) {
+		if m.Machine.Ident == "" || !m.Live || retired || Has(now, m.Machine.Ident) || IdentityRefused(o.Cluster, m.Machine.Ident, m.IdentityVersion) {
 			continue
 		}
 		out = append(out, m)
@@ -185,15 +185,15 @@
 	}
 	for _, id := range p.Cluster.Retired {
 		i := slices.IndexFunc(p.want, func(m spec.Machine) bool { return m.ID == id })
-		if i >= 0 && len(p.want) > p.least() {
+		if i >= 0 && len(p.want) > p.minSize() {
 			p.want = slices.Delete(p.want, i, i+1)
 		}
 	}
 }
 
-// replaceReborn puts a newer identity at the address of one of the set in its place: it
+// replaceWiped puts a newer identity at the address of one of the set in its place: it
 // has lost its disk. The other candidates are left as newcomers.
-func (p *plan) replaceReborn() {
+func (p *plan) replaceWiped() {
 	for _, m := range candidates(p.Observation) {
 		i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return s.Addr == m.Machine.Addr })
 		switch {
@@ -202,37 +202,37 @@
 		case !Has(p.now, p.want[i].Ident):
 			// Of two at one place the later start is meant, which came first.
 		default:
-			if slices.Contains(p.Cluster.Beside, p.want[i].Ident) {
-				p.goal.Beside = append(p.goal.Beside, m.Machine.Ident)
+			if slices.Contains(p.Cluster.Spares, p.want[i].Ident) {
+				p.target.Spares = append(p.target.Spares, m.Machine.Ident)
 			}
-			p.take(i, m)
+			p.replaceAt(i, m)
 		}
 	}
 	for _, m := range p.want {
-		if slices.Contains(p.Cluster.Beside, m.Ident) {
-			p.beside = append(p.beside, m.Ident)
+		if slices.Contains(p.Cluster.Spares, m.Ident) {
+			p.spares = append(p.spares, m.Ident)
 		}
 	}
 }
 
-// take puts a newcomer in the place of a machine.
-func (p *plan) take(i int, m Member) {
+// replaceAt puts a newcomer in the place of a machine.
+func (p *plan) replaceAt(i int, m Member) {
 	p.want[i] = m.Machine
-	p.goal.IdentityVersions[m.Machine.Ident] = m.IdentityVersion
+	p.target.IdentityVersions[m.Machine.Ident] = m.IdentityVersion
 }
 
 // mayDrop tells whether one taken in beside the others could take a place now.
 func (p *plan) mayDrop() bool {
-	return len(p.beside) > 0 && slices.ContainsFunc(p.want, func(m spec.Machine) bool { return p.longSilent(m.Ident) })
+	return len(p.spares) > 0 && slices.ContainsFunc(p.want, func(m spec.Machine) bool { return p.longUnresponsive(m.Ident) })
 }
 
-func (p *plan) longSilent(ident string) bool {
+func (p *plan) longUnresponsive(ident string) bool {
 	i := slices.IndexFunc(p.Members, func(m Member) bool { return m.Machine.Ident == ident })
-	return i >= 0 && p.Members[i].Silent >= DropAfter
+	return i >= 0 && p.Members[i].UnresponsiveFor >= ReplaceAfter
 }
 
-// kept are the machines of the present set that are to stay.
-func (p *plan) kept() []spec.Machine {
+// remaining are the machines of the present set that are to stay.
+func (p *plan) remaining() []spec.Machine {
 	var out []spec.Machine
 	for _, m := range p.now {
 		if Has(p.want, m.Ident) {
@@ -244,12 +244,12 @@
 
 func (p *plan) absent(m spec.Machine) bool { return p.Presence[m.Ident] == Absent }
 
-// place finds a newcomer its place: that of its own name at an earlier address, that of
+// placeNewcomer finds a newcomer its place: that of its own name at an earlier address, that of
 // an absent machine, of its own zone if there is one, or one beside the others. It is
 // false where somebody is in doubt, whose place it could be.
-func (p *plan) place(m Member) bool {
+func (p *plan) placeNewcomer(m Member) bool {
 	if i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return s.ID == m.Machine.ID }); i >= 0 {
-		p.placeMoved(i, m)
+		p.placeRelocated(i, m)
 		return true
 	}
 	for _, presence := range p.Presence {
@@ -258,22 +258,22 @@
 		}
 	}
 	if i := p.vacant(m.Machine.Zone); i >= 0 {
-		p.take(i, m)
+		p.replaceAt(i, m)
 		return true
 	}
 	p.want = append(p.want, spec.Machine{})
-	p.take(len(p.want)-1, m)
+	p.replaceAt(len(p.want)-1, m)
 	if !p.Forming {
-		p.goal.Beside = append(p.goal.Beside, m.Machine.Ident)
+		p.target.Spares = append(p.target.Spares, m.Machine.Ident)
 	}
 	return true
 }
 
-// placeMoved is for one whose name is in the set, at another address.
-func (p *plan) placeMoved(i int, m Member) {
+// placeRelocated is for one whose name is in the set, at another address.
+func (p *plan) placeRelocated(i int, m Member) {
 	switch p.Presence[p.want[i].Ident] {
 	case Absent:
-		p.take(i, m)
+		p.replaceAt(i, m)
 	case Doubtful:
 		p.wait = true
 	}
@@ -290,15 +290,15 @@
 
 // dropAbsent gives the places of absent machines to those taken in beside them.
 func (p *plan) dropAbsent() {
-	for _, ident := range p.beside {
+	for _, ident := range p.spares {
 		i := slices.IndexFunc(p.want, func(s spec.Machine) bool {
-			return p.absent(s) && p.longSilent(s.Ident) && s.Ident != ident
+			return p.absent(s) && p.longUnresponsive(s.Ident) && s.Ident != ident
 		})
-		if i < 0 || len(p.want) <= p.least() {
+		if i < 0 || len(p.want) <= p.minSize() {
 			return
 		}
 		p.want = slices.Delete(p.want, i, i+1)
-		p.goal.Spent = append(p.goal.Spent, ident)
+		p.target.Promoted = append(p.target.Promoted, ident)
 	}
 }
 
@@ -314,35 +314,35 @@
 			continue
 		}
 		p.want = append(p.want, spec.Machine{})
-		p.take(len(p.want)-1, m)
+		p.replaceAt(len(p.want)-1, m)
 		zones[m.Machine.Zone] = true
 	}
 	copies := cluster.Copies(o.Cluster)
-	quiet := firstFew
+	quiet := minorityWait
 	switch {
 	case len(p.want) >= copies && len(zones) >= min(copies, len(o.Cluster.Spec.Zones)):
-		quiet = firstEnough
+		quiet = fullSetWait
 	case len(p.want)*2 > copies:
-		quiet = firstMost
+		quiet = majorityWait
 	}
 	p.wait = len(p.want) > 0 && o.NewcomerAge < quiet
 	return p.decision()
 }
 
-// Stuck tells whether a change waits for a machine that will not bring it to an end,
+// Stalled tells whether a change waits for a machine that will not bring it to an end,
 // because it is gone or has come back as another. Where that can't be said before some
 // have been asked, it gives these.
-func (c Change) Stuck(o Observation) (stuck bool, ask []spec.Machine) {
-	need := c.Gainers(cluster.Copies(o.Cluster))
-	silent := false
+func (c Change) Stalled(o Observation) (stalled bool, ask []spec.Machine) {
+	need := c.Receivers(cluster.Copies(o.Cluster))
+	unresponsive := false
 	for _, m := range o.Members {
-		reborn := func(s spec.Machine) bool { return s.Addr == m.Machine.Addr && s.Ident != m.Machine.Ident }
-		if m.Live && slices.ContainsFunc(need, reborn) {
+		wiped := func(s spec.Machine) bool { return s.Addr == m.Machine.Addr && s.Ident != m.Machine.Ident }
+		if m.Live && slices.ContainsFunc(need, wiped) {
 			return true, nil
 		}
-		silent = silent || Has(need, m.Machine.Ident) && m.Silent >= AbsentAfter
+		unresponsive = unresponsive || Has(need, m.Machine.Ident) && m.UnresponsiveFor >= AbsentAfter
 	}
-	if !silent {
+	if !unresponsive {
 		return false, nil
 	}
 	if o.Presence == nil {
@@ -351,21 +351,21 @@
 	return slices.ContainsFunc(need, func(m spec.Machine) bool { return o.Presence[m.Ident] == Absent }), nil
 }
 
-// Leads tells whether a core does the sets' duty: the first by name of those that vote
+// IsReconciler tells whether a core does the sets' duty: the first by name of those that vote
 // and are heard of. Two at it at once would only do the same work twice, so one that has
 // missed a renewal is passed over.
-func Leads(c *spec.Cluster, self spec.Machine, members []Member) bool {
+func IsReconciler(c *spec.Cluster, self spec.Machine, members []Member) bool {
 	voters := slices.Concat(c.Cores, c.NextCores)
 	for _, m := range members {
-		if m.Live && m.Silent < leaderSilence && m.Machine.ID < self.ID && m.Machine.Ident != "" && Has(voters, m.Machine.Ident) {
+		if m.Live && m.UnresponsiveFor < leaderTimeout && m.Machine.ID < self.ID && m.Machine.Ident != "" && Has(voters, m.Machine.Ident) {
 			return false
 		}
 	}
 	return self.Ident != "" && Has(voters, self.Ident)
 }
 
-// leaderSilence is that of a machine which has missed a renewal.
-const leaderSilence = 1500 * time.Millisecond
+// leaderTimeout is that of a machine which has missed a renewal.
+const leaderTimeout = 1500 * time.Millisecond
 
 // Confirmed tells whether a majority of a set has a version in force, by what each
 // identity has confirmed. These refuse whoever deals with them under an older set.
@@ -389,7 +389,7 @@
 				behind = append(behind, m)
 			}
 		}
-		if !Minor(set, behind, cluster.Copies(c)) {
+		if !IsMinority(set, behind, cluster.Copies(c)) {
 			return false
 		}
 	}
--- a/internal/coordination/membership/plan_test.go
+++ b/internal/coordination/membership/plan_test.go
@@ -17,10 +17,10 @@
 // machine is one named by id, zone and identity, as in "s1/a/i1"; its address is its
 // name unless a fourth part tells another.
 func machine(text string) spec.Machine {
-	part := strings.Split(text, "/")
-	m := spec.Machine{ID: part[0], Zone: part[1], Ident: part[2], Addr: part[0]}
-	if len(part) > 3 {
-		m.Addr = part[3]
+	share := strings.Split(text, "/")
+	m := spec.Machine{ID: share[0], Zone: share[1], Ident: share[2], Addr: share[0]}
+	if len(share) > 3 {
+		m.Addr = share[3]
 	}
 	return m
 }
@@ -33,9 +33,9 @@
 	return out
 }
 
-// heardOf is a live member that has been silent for so long.
-func heardOf(text string, silent time.Duration) membership.Member {
-	return membership.Member{Machine: machine(text), Live: silent < 3*time.Second, Silent: silent, IdentityVersion: 5}
+// memberSeen is a live member that has been silent for so long.
+func memberSeen(text string, unresponsive time.Duration) membership.Member {
+	return membership.Member{Machine: machine(text), Live: unresponsive < 3*time.Second, UnresponsiveFor: unresponsive, IdentityVersion: 5}
 }
 
 func identities(set []spec.Machine) string {
@@ -65,11 +65,11 @@
 	{name: "all are there", want: "i1 i2 i3"},
 	{
 		name: "silent, and nobody to take the place", want: "i1 i2 i3",
-		members: []membership.Member{heardOf("s2/b/i2", time.Hour)},
+		members: []membership.Member{memberSeen("s2/b/i2", time.Hour)},
 	},
 	{
 		name: "reborn at the same address", want: "i1 i9 i3",
-		members: []membership.Member{heardOf("s2/b/i9", 0)},
+		members: []membership.Member{memberSeen("s2/b/i9", 0)},
 	},
 	{
 		name: "reborn twice, the later start counts", want: "i1 i8 i3",
@@ -81,100 +81,100 @@
 	{
 		name: "reborn with an identity that was let go", want: "i1 i2 i3",
 		cluster: spec.Cluster{Used: []string{"i9"}},
-		members: []membership.Member{heardOf("s2/b/i9", 0)},
+		members: []membership.Member{memberSeen("s2/b/i9", 0)},
 	},
 	{
 		name: "reborn with an identity below the floor", want: "i1 i2 i3",
 		cluster: spec.Cluster{IdentityFloor: 6},
-		members: []membership.Member{heardOf("s2/b/i9", 0)},
+		members: []membership.Member{memberSeen("s2/b/i9", 0)},
 	},
 	{
 		name: "a dead newcomer", want: "i1 i2 i3",
-		members: []membership.Member{heardOf("s4/a/i4", time.Minute)},
+		members: []membership.Member{memberSeen("s4/a/i4", time.Minute)},
 	},
 	{
 		name: "a newcomer has the others asked first", ask: "i1 i2 i3",
-		members: []membership.Member{heardOf("s4/a/i4", 0)},
+		members: []membership.Member{memberSeen("s4/a/i4", 0)},
 	},
 	{
 		name: "a newcomer beside the others", want: "i1 i2 i3 i4", beside: "i4",
-		members:  []membership.Member{heardOf("s4/a/i4", 0)},
+		members:  []membership.Member{memberSeen("s4/a/i4", 0)},
 		presence: map[string]membership.Presence{},
 	},
 	{
 		name: "a newcomer of the first hour", want: "i1 i2 i3 i4", forming: true,
-		members:  []membership.Member{heardOf("s4/a/i4", 0)},
+		members:  []membership.Member{memberSeen("s4/a/i4", 0)},
 		presence: map[string]membership.Presence{},
 	},
 	{
 		name: "a newcomer waits while one is in doubt", wait: true,
-		members:  []membership.Member{heardOf("s4/a/i4", 0)},
+		members:  []membership.Member{memberSeen("s4/a/i4", 0)},
 		presence: map[string]membership.Presence{"i3": membership.Doubtful},
 	},
 	{
 		name: "a newcomer for an absent one", want: "i1 i2 i4",
-		members:  []membership.Member{heardOf("s4/a/i4", 0)},
+		members:  []membership.Member{memberSeen("s4/a/i4", 0)},
 		presence: map[string]membership.Presence{"i3": membership.Absent},
 	},
 	{
 		name: "a newcomer for the absent one of its zone", want: "i1 i2 i4",
-		members:  []membership.Member{heardOf("s4/c/i4", 0)},
+		members:  []membership.Member{memberSeen("s4/c/i4", 0)},
 		presence: map[string]membership.Presence{"i1": membership.Absent, "i3": membership.Absent},
 	},
 	{
 		name: "moved to another address while away", want: "i1 i9 i3",
-		members:  []membership.Member{heardOf("s2/b/i9/elsewhere", 0)},
+		members:  []membership.Member{memberSeen("s2/b/i9/elsewhere", 0)},
 		presence: map[string]membership.Presence{"i2": membership.Absent},
 	},
 	{
 		name: "moved, but perhaps the old one lives", want: "i1 i2 i3", wait: true,
-		members:  []membership.Member{heardOf("s2/b/i9/elsewhere", 0)},
+		members:  []membership.Member{memberSeen("s2/b/i9/elsewhere", 0)},
 		presence: map[string]membership.Presence{"i2": membership.Doubtful},
 	},
 	{
 		name: "moved, and the old one lives", want: "i1 i2 i3",
-		members:  []membership.Member{heardOf("s2/b/i9/elsewhere", 0)},
+		members:  []membership.Member{memberSeen("s2/b/i9/elsewhere", 0)},
 		presence: map[string]membership.Presence{},
 	},
 	{
 		name: "one beside takes the place of the long silent", want: "i1 i3 i4", spent: "i4",
-		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Beside: []string{"i4"}},
-		members:  []membership.Member{heardOf("s2/b/i2", 3*time.Second)},
+		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Spares: []string{"i4"}},
+		members:  []membership.Member{memberSeen("s2/b/i2", 3*time.Second)},
 		presence: map[string]membership.Presence{"i2": membership.Absent},
 	},
 	{
 		name: "silent for less", want: "i1 i2 i3 i4",
-		cluster: spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Beside: []string{"i4"}},
-		members: []membership.Member{heardOf("s2/b/i2", 2900*time.Millisecond)},
+		cluster: spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Spares: []string{"i4"}},
+		members: []membership.Member{memberSeen("s2/b/i2", 2900*time.Millisecond)},
 	},
 	{
 		name: "long silent here, but it answers", want: "i1 i2 i3 i4",
-		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Beside: []string{"i4"}},
-		members:  []membership.Member{heardOf("s2/b/i2", time.Minute)},
+		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Spares: []string{"i4"}},
+		members:  []membership.Member{memberSeen("s2/b/i2", time.Minute)},
 		presence: map[string]membership.Presence{},
 	},
 	{
 		name: "long silent, and nobody beside", want: "i1 i2 i3 i4",
 		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4")},
-		members:  []membership.Member{heardOf("s2/b/i2", time.Minute)},
+		members:  []membership.Member{memberSeen("s2/b/i2", time.Minute)},
 		presence: map[string]membership.Presence{"i2": membership.Absent},
 	},
 	{
 		name: "two long silent, one newcomer", want: "i1 i5 i3 i4",
 		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4")},
-		members:  []membership.Member{heardOf("s2/b/i2", time.Minute), heardOf("s3/c/i3", time.Minute), heardOf("s5/b/i5", 0)},
+		members:  []membership.Member{memberSeen("s2/b/i2", time.Minute), memberSeen("s3/c/i3", time.Minute), memberSeen("s5/b/i5", 0)},
 		presence: map[string]membership.Presence{"i2": membership.Absent, "i3": membership.Absent},
 	},
 	{
 		name: "one beside is itself the silent one", want: "i1 i2 i3 i4",
-		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Beside: []string{"i4"}},
-		members:  []membership.Member{heardOf("s4/a/i4", time.Minute)},
+		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4"), Spares: []string{"i4"}},
+		members:  []membership.Member{memberSeen("s4/a/i4", time.Minute)},
 		presence: map[string]membership.Presence{"i4": membership.Absent},
 	},
 	{
 		name: "never below the copies", want: "i1 i2 i3",
-		cluster:  spec.Cluster{Stores: machinesOf(threeStores), Beside: []string{"i1"}},
-		members:  []membership.Member{heardOf("s2/b/i2", time.Minute)},
+		cluster:  spec.Cluster{Stores: machinesOf(threeStores), Spares: []string{"i1"}},
+		members:  []membership.Member{memberSeen("s2/b/i2", time.Minute)},
 		presence: map[string]membership.Presence{"i2": membership.Absent},
 	},
 	{
@@ -188,33 +188,33 @@
 	{
 		name: "retired, and back without its disk", want: "i1 i2 i3",
 		cluster: spec.Cluster{Retired: []string{"s4"}},
-		members: []membership.Member{heardOf("s4/a/i4", 0)},
+		members: []membership.Member{memberSeen("s4/a/i4", 0)},
 	},
 	{
 		name: "cores are never fewer than three", set: membership.Cores, want: "i1 i2 i3",
-		cluster:  spec.Cluster{Cores: machinesOf(threeStores), Beside: []string{"i1"}},
-		members:  []membership.Member{heardOf("s2/b/i2", time.Minute)},
+		cluster:  spec.Cluster{Cores: machinesOf(threeStores), Spares: []string{"i1"}},
+		members:  []membership.Member{memberSeen("s2/b/i2", time.Minute)},
 		presence: map[string]membership.Presence{"i2": membership.Absent},
 	},
 	{
 		name: "the first stores, more may come", want: "i1 i2", wait: true, quiet: 900 * time.Millisecond,
 		cluster: spec.Cluster{Stores: []spec.Machine{}},
-		members: []membership.Member{heardOf("s1/a/i1", 0), heardOf("s2/b/i2", 0)},
+		members: []membership.Member{memberSeen("s1/a/i1", 0), memberSeen("s2/b/i2", 0)},
 	},
 	{
 		name: "the first stores, a majority of the copies", want: "i1 i2", quiet: time.Second,
 		cluster: spec.Cluster{Stores: []spec.Machine{}},
-		members: []membership.Member{heardOf("s1/a/i1", 0), heardOf("s2/b/i2", 0)},
+		members: []membership.Member{memberSeen("s1/a/i1", 0), memberSeen("s2/b/i2", 0)},
 	},
 	{
 		name: "the first store, alone", want: "i1", wait: true, quiet: 4 * time.Second,
 		cluster: spec.Cluster{Stores: []spec.Machine{}},
-		members: []membership.Member{heardOf("s1/a/i1", 0)},
+		members: []membership.Member{memberSeen("s1/a/i1", 0)},
 	},
 	{
 		name: "the first stores, enough of them", want: "i1 i2 i3", quiet: 150 * time.Millisecond,
 		cluster: spec.Cluster{Stores: []spec.Machine{}},
-		members: []membership.Member{heardOf("s1/a/i1", 0), heardOf("s2/b/i2", 0), heardOf("s3/c/i3", 0)},
+		members: []membership.Member{memberSeen("s1/a/i1", 0), memberSeen("s2/b/i2", 0), memberSeen("s3/c/i3", 0)},
 	},
 	{
 		name: "no store has come", want: "", quiet: time.Hour,
@@ -241,7 +241,7 @@
 			if got := identities(d.Machines); got != tc.want || d.Wait != tc.wait {
 				t.Errorf("got %q, wait %t; want %q, wait %t", got, d.Wait, tc.want, tc.wait)
 			}
-			if beside, spent := strings.Join(d.Beside, " "), strings.Join(d.Spent, " "); beside != tc.beside || spent != tc.spent {
+			if beside, spent := strings.Join(d.Spares, " "), strings.Join(d.Promoted, " "); beside != tc.beside || spent != tc.spent {
 				t.Errorf("beside %q, spent %q; want %q and %q", beside, spent, tc.beside, tc.spent)
 			}
 		})
@@ -250,7 +250,7 @@
 
 // TestDecideProperties: whatever is observed, a set gets no smaller than it was but for
 // one beside the others, a retired store, and never below its least; nobody present and
-// nobody silent for less than DropAfter loses a place but to its own next identity or by
+// nobody silent for less than ReplaceAfter loses a place but to its own next identity or by
 // an operator's word; each name and address stands once; and nobody refused comes in.
 func TestDecideProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -268,22 +268,22 @@
 			if membership.Has(d.Machines, m.Ident) || slices.Contains(o.Cluster.Retired, m.ID) {
 				continue
 			}
-			reborn := slices.ContainsFunc(d.Machines, func(n spec.Machine) bool { return n.Addr == m.Addr })
-			if !reborn && o.Presence[m.Ident] != membership.Absent {
+			wiped := slices.ContainsFunc(d.Machines, func(n spec.Machine) bool { return n.Addr == m.Addr })
+			if !wiped && o.Presence[m.Ident] != membership.Absent {
 				t.Fatalf("%s lost its place and is not absent: %v", m.ID, d.Machines)
 			}
 		}
-		if least := min(len(now), 3); len(d.Machines) < least || len(d.Machines) < len(now)-len(d.Spent)-retired {
-			t.Fatalf("%d machines of %d, %d spent, %d retired", len(d.Machines), len(now), len(d.Spent), retired)
+		if least := min(len(now), 3); len(d.Machines) < least || len(d.Machines) < len(now)-len(d.Promoted)-retired {
+			t.Fatalf("%d machines of %d, %d spent, %d retired", len(d.Machines), len(now), len(d.Promoted), retired)
 		}
 		checkOnce(t, o, d.Machines)
 	})
 }
 
-func checkOnce(t *rapid.T, o membership.Observation, goal []spec.Machine) {
+func checkOnce(t *rapid.T, o membership.Observation, target []spec.Machine) {
 	now := membership.Of(o.Cluster, o.Set).Now
-	for i, m := range goal {
-		for _, other := range goal[:i] {
+	for i, m := range target {
+		for _, other := range target[:i] {
 			if other.ID == m.ID || other.Addr == m.Addr || other.Ident == m.Ident {
 				t.Fatalf("%v and %v in one set", other, m)
 			}
@@ -299,18 +299,18 @@
 	for i := 4; i <= rapid.IntRange(3, 5).Draw(t, "stores"); i++ {
 		c.Stores = append(c.Stores, machine(fmt.Sprintf("s%d/%c/i%d", i, 'a'+i%3, i)))
 	}
-	c.Beside = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"i1", "i4", "i5"}), 0, 2, rapid.ID).Draw(t, "beside")
+	c.Spares = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"i1", "i4", "i5"}), 0, 2, rapid.ID).Draw(t, "beside")
 	c.Used = rapid.SliceOfN(rapid.SampledFrom([]string{"j1", "j2", "j6"}), 0, 2).Draw(t, "used")
 	c.Retired = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"s1", "s4", "s6"}), 0, 1, rapid.ID).Draw(t, "retired")
 	o := membership.Observation{Set: membership.Stores, Cluster: c, Presence: map[string]membership.Presence{}}
 	silences := []time.Duration{0, time.Second, 2500 * time.Millisecond, 4 * time.Second}
 	for _, m := range c.Stores {
-		silent := rapid.SampledFrom(silences).Draw(t, "silent")
-		o.Members = append(o.Members, membership.Member{Machine: m, Live: silent < 3*time.Second, Silent: silent})
-		o.Presence[m.Ident] = membership.PresenceOf(silent == 0 || rapid.Bool().Draw(t, "answers"), silent)
+		unresponsive := rapid.SampledFrom(silences).Draw(t, "silent")
+		o.Members = append(o.Members, membership.Member{Machine: m, Live: unresponsive < 3*time.Second, UnresponsiveFor: unresponsive})
+		o.Presence[m.Ident] = membership.PresenceOf(unresponsive == 0 || rapid.Bool().Draw(t, "answers"), unresponsive)
 	}
 	for _, text := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"s1/b/j1", "s2/b/j2", "s2/b/j9/elsewhere", "s6/a/j6", "s7/c/j7", "s8/c/j8/s1"}), 0, 3, rapid.ID).Draw(t, "newcomers") {
-		o.Members = append(o.Members, heardOf(text, 0))
+		o.Members = append(o.Members, memberSeen(text, 0))
 	}
 	return o
 }
@@ -324,26 +324,26 @@
 		name     string
 		members  []membership.Member
 		presence map[string]membership.Presence
-		stuck    bool
+		stalled  bool
 		ask      string
 	}{
 		{name: "nothing heard"},
-		{name: "the gainer is reborn", members: []membership.Member{heardOf("s4/c/i5", 0)}, stuck: true},
-		{name: "another is reborn", members: []membership.Member{heardOf("s3/c/i5", 0)}},
-		{name: "the gainer is silent", members: []membership.Member{heardOf("s4/c/i4", 2*time.Second)}, ask: "i4"},
-		{name: "another is silent", members: []membership.Member{heardOf("s3/c/i3", time.Minute)}},
+		{name: "the gainer is reborn", members: []membership.Member{memberSeen("s4/c/i5", 0)}, stalled: true},
+		{name: "another is reborn", members: []membership.Member{memberSeen("s3/c/i5", 0)}},
+		{name: "the gainer is silent", members: []membership.Member{memberSeen("s4/c/i4", 2*time.Second)}, ask: "i4"},
+		{name: "another is silent", members: []membership.Member{memberSeen("s3/c/i3", time.Minute)}},
 		{
-			name: "the gainer is gone", members: []membership.Member{heardOf("s4/c/i4", 2*time.Second)},
-			presence: map[string]membership.Presence{"i4": membership.Absent}, stuck: true,
+			name: "the gainer is gone", members: []membership.Member{memberSeen("s4/c/i4", 2*time.Second)},
+			presence: map[string]membership.Presence{"i4": membership.Absent}, stalled: true,
 		},
 		{
-			name: "the gainer answers", members: []membership.Member{heardOf("s4/c/i4", 2*time.Second)},
+			name: "the gainer answers", members: []membership.Member{memberSeen("s4/c/i4", 2*time.Second)},
 			presence: map[string]membership.Presence{"i4": membership.Present},
 		},
 	} {
-		stuck, ask := change.Stuck(membership.Observation{Set: membership.Stores, Cluster: c, Members: tc.members, Presence: tc.presence})
-		if stuck != tc.stuck || identities(ask) != tc.ask {
-			t.Errorf("%s: %t, ask %q; want %t, %q", tc.name, stuck, identities(ask), tc.stuck, tc.ask)
+		stalled, ask := change.Stalled(membership.Observation{Set: membership.Stores, Cluster: c, Members: tc.members, Presence: tc.presence})
+		if stalled != tc.stalled || identities(ask) != tc.ask {
+			t.Errorf("%s: %t, ask %q; want %t, %q", tc.name, stalled, identities(ask), tc.stalled, tc.ask)
 		}
 	}
 }
@@ -358,12 +358,12 @@
 		leads   bool
 	}{
 		{"the first", "c1/a/i1", nil, true},
-		{"the second", "c2/b/i2", []membership.Member{heardOf("c1/a/i1", time.Second)}, false},
-		{"the first is silent", "c2/b/i2", []membership.Member{heardOf("c1/a/i1", 1500*time.Millisecond)}, true},
-		{"the first has lost its disk", "c2/b/i2", []membership.Member{heardOf("c1/a/i9", 0)}, true},
+		{"the second", "c2/b/i2", []membership.Member{memberSeen("c1/a/i1", time.Second)}, false},
+		{"the first is silent", "c2/b/i2", []membership.Member{memberSeen("c1/a/i1", 1500*time.Millisecond)}, true},
+		{"the first has lost its disk", "c2/b/i2", []membership.Member{memberSeen("c1/a/i9", 0)}, true},
 		{"no voter itself", "c1/a/i9", nil, false},
 	} {
-		if got := membership.Leads(c, machine(tc.self), tc.members); got != tc.leads {
+		if got := membership.IsReconciler(c, machine(tc.self), tc.members); got != tc.leads {
 			t.Errorf("%s: %t", tc.name, got)
 		}
 	}
@@ -428,19 +428,19 @@
 // turn back the change that takes it in.
 func TestWithSelf(t *testing.T) {
 	const next = "c4/c/k4 c2/b/k2 c3/c/k3 c1/a/new"
-	c := spec.Cluster{Cores: machinesOf("c4/c/k4 c2/b/k2 c3/c/k3"), NextCores: machinesOf(next), Tended: true}
+	c := spec.Cluster{Cores: machinesOf("c4/c/k4 c2/b/k2 c3/c/k3"), NextCores: machinesOf(next), SelfManaged: true}
 	change := membership.Of(&c, membership.Cores)
 	var heard []membership.Member
 	for _, m := range machinesOf("c4/c/k4 c2/b/k2 c3/c/k3 c1/a/old") {
 		heard = append(heard, membership.Member{Machine: m, Live: true})
 	}
 	self := membership.Member{Machine: machinesOf(next)[3]}
-	if stuck, _ := change.Stuck(membership.Observation{Set: membership.Cores, Cluster: &c, Members: heard}); !stuck {
+	if stalled, _ := change.Stalled(membership.Observation{Set: membership.Cores, Cluster: &c, Members: heard}); !stalled {
 		t.Fatal("the old identity does not show")
 	}
 	o := membership.Observation{Set: membership.Cores, Cluster: &c, Members: membership.WithSelf(heard, self)}
-	if stuck, ask := change.Stuck(o); stuck || len(ask) > 0 {
-		t.Errorf("stuck %t, ask %v", stuck, ask)
+	if stalled, ask := change.Stalled(o); stalled || len(ask) > 0 {
+		t.Errorf("stuck %t, ask %v", stalled, ask)
 	}
 	if len(o.Members) != len(heard) {
 		t.Errorf("%d members, want %d", len(o.Members), len(heard))
--- a/internal/coordination/membership/stores_history_test.go
+++ b/internal/coordination/membership/stores_history_test.go
@@ -39,14 +39,14 @@
 
 func (r *removal) begin() {
 	r.change("begun", func(c *spec.Cluster) error {
-		membership.Aim(c, membership.Stores, r.next)
+		membership.SetNext(c, membership.Stores, r.next)
 		return nil
 	})
 }
 
 func (r *removal) turnBack() {
 	r.change("turned back", func(c *spec.Cluster) error {
-		membership.Aim(c, membership.Stores, nil)
+		membership.SetNext(c, membership.Stores, nil)
 		return nil
 	})
 }
@@ -62,8 +62,8 @@
 func (r *removal) fillAll() *cluster.View {
 	v := r.current()
 	change := membership.Of(&v.Cluster, membership.Stores)
-	for _, g := range change.Gainers(copies) {
-		for tries := 0; !r.order(r.nodes[g.Addr], v.SetVer, v.Sets()); tries++ {
+	for _, g := range change.Receivers(copies) {
+		for tries := 0; !r.order(r.nodes[g.Addr], v.StoresVersion, v.StoresDigest()); tries++ {
 			if tries > 1000 {
 				r.t.Fatalf("%s is never whole", g.ID)
 			}
@@ -115,11 +115,11 @@
 }
 
 func (r *removal) settle(v *cluster.View) bool {
-	settled := r.change("settled", func(c *spec.Cluster) error {
-		return membership.Settle(c, membership.Stores, membership.Of(&v.Cluster, membership.Stores))
+	finished := r.change("settled", func(c *spec.Cluster) error {
+		return membership.FinishChange(c, membership.Stores, membership.Of(&v.Cluster, membership.Stores))
 	})
 	r.check()
-	return settled
+	return finished
 }
 
 // TestFrozenMover: a mover is frozen once all keys have been brought. Meanwhile the
@@ -176,11 +176,11 @@
 	r.begin()
 	r.tell()
 	gainer := r.nodes[r.newcome.Addr]
-	if r.order(gainer, first.SetVer, first.Sets()) {
+	if r.order(gainer, first.StoresVersion, first.StoresDigest()) {
 		t.Error("an order of the first change is answered under the second")
 	}
 	now := r.current()
-	if r.order(gainer, now.SetVer, now.Sets()) {
+	if r.order(gainer, now.StoresVersion, now.StoresDigest()) {
 		t.Error("whole for a change that no key was brought for")
 	}
 }
@@ -200,7 +200,7 @@
 		r.tell()
 		v := r.current()
 		gainer := r.nodes[r.newcome.Addr]
-		r.order(gainer, v.SetVer, v.Sets())
+		r.order(gainer, v.StoresVersion, v.StoresDigest())
 		f := gainer.fill
 		// Of the holders the first ones don't answer, who alone have the write.
 		for _, m := range r.old[:tc.absent] {
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -20,7 +20,7 @@
 
 // The stores' model: an adversary plays machines, writers, movers and operators one
 // step at a time and in any order; whoever gets no step is frozen. What decides is the
-// product's: the register's edits (cluster.Edit, membership.Aim, Settle), each process's
+// product's: the register's edits (cluster.Edit, membership.SetNext, Settle), each process's
 // own view (cluster.Apply, Stores, Holders), what a store refuses (Stale, SameStores),
 // what it sends (Sender.Sends), what is enough (Readable, Gainers), and its votes
 // (reg.Acceptor). The spec's own register is taken to be one of which every change goes
@@ -141,7 +141,7 @@
 
 func newStoresWorld(t *testing.T, seed uint64) *storesWorld {
 	w := &storesWorld{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*storeNode{}, acked: map[string][]string{}, left: map[string]bool{}}
-	c := &spec.Cluster{Copies: copies, StoresSince: 1, CoresSince: 1, Tended: true}
+	c := &spec.Cluster{Copies: copies, StoresSince: 1, CoresSince: 1, SelfManaged: true}
 	for i := range 6 {
 		n := w.newNode(fmt.Sprintf("s%d", i), string(rune('a'+i%3)))
 		if i < 3+int(seed%2) {
@@ -195,7 +195,7 @@
 
 // learn has a process hear of some version later than its own, skipping others.
 func (w *storesWorld) learn(c *cluster.Cluster) {
-	last, now := uint64(len(w.versions)), c.Now().Ver
+	last, now := uint64(len(w.versions)), c.Now().Version
 	switch {
 	case now == last:
 	case w.rnd.IntN(2) == 0:
@@ -207,7 +207,7 @@
 
 // current is the newest version's view.
 func (w *storesWorld) current() *cluster.View {
-	if last := uint64(len(w.versions)); w.newest.Now().Ver < last {
+	if last := uint64(len(w.versions)); w.newest.Now().Version < last {
 		w.apply(w.newest, last)
 	}
 	return w.newest.Now()
@@ -281,7 +281,7 @@
 	for key, writes := range w.acked {
 		for _, name := range writes {
 			if !w.seen(groups, key, name) {
-				w.fail("write %s of %s can be missed at version %d", name, key, v.Ver)
+				w.fail("write %s of %s can be missed at version %d", name, key, v.Version)
 			}
 		}
 	}
@@ -311,17 +311,17 @@
 	for key, writes := range w.acked {
 		holders := cluster.Holders(v.Cluster.Stores, key, copies)
 		for _, name := range writes {
-			have, gone := 0, 0
+			have, departed := 0, 0
 			for _, m := range holders {
 				switch {
 				case !w.present(m):
-					gone++
+					departed++
 				case w.holds(m, key, name):
 					have++
 				}
 			}
-			if have == 0 || (have+gone)*2 <= len(holders) {
-				w.fail("write %s of %s is at %d of %d holders at version %d, %d are gone", name, key, have, len(holders), v.Ver, gone)
+			if have == 0 || (have+departed)*2 <= len(holders) {
+				w.fail("write %s of %s is at %d of %d holders at version %d, %d are gone", name, key, have, len(holders), v.Version, departed)
 			}
 		}
 	}
@@ -348,13 +348,13 @@
 	}
 	op := m.op
 	if m.acc {
-		if _, err := n.voter.Acc(&wire.Acc{Key: op.key, Ballot: op.ballot, Cell: m.cell}); err == nil {
+		if _, err := n.voter.Accept(&wire.Acc{Key: op.key, Ballot: op.ballot, Cell: m.cell}); err == nil {
 			op.accepted[m.to] = true
-			w.say("%s takes %s of %s by v%d, has v%d", m.to.Addr, op.name, op.key, op.version, n.view.Now().Ver)
+			w.say("%s takes %s of %s by v%d, has v%d", m.to.Addr, op.name, op.key, op.version, n.view.Now().Version)
 		}
 		return
 	}
-	if v, err := n.voter.Prep(&wire.Prep{Key: op.key, Ballot: op.ballot}); err == nil {
+	if v, err := n.voter.Prepare(&wire.Prep{Key: op.key, Ballot: op.ballot}); err == nil {
 		op.promised[m.to] = v
 	}
 }
@@ -415,7 +415,7 @@
 	}
 	w.clock++
 	w.writes++
-	u.op = &write{key: key, name: fmt.Sprintf("w%d", w.writes), version: v.Ver, set: set, ballot: &wire.Ballot{N: w.clock, Node: 1},
+	u.op = &write{key: key, name: fmt.Sprintf("w%d", w.writes), version: v.Version, set: set, ballot: &wire.Ballot{N: w.clock, Node: 1},
 		promised: map[register.Replica]*wire.View{}, accepted: map[register.Replica]bool{}}
 	w.send(u.op, false)
 }
@@ -424,7 +424,7 @@
 func next(op *write) *wire.Cell {
 	var top *wire.View
 	for _, v := range op.promised {
-		if top == nil || wire.Cmp(v.Accepted, top.Accepted) > 0 {
+		if top == nil || wire.CompareBallots(v.Accepted, top.Accepted) > 0 {
 			top = v
 		}
 	}
@@ -476,18 +476,18 @@
 }
 
 func (w *storesWorld) takePage(n *storeNode, f *filling) {
-	var whole []*wire.Copy
+	var withValue []*wire.Copy
 	for _, c := range f.pages[0] {
 		if c.Rec != nil {
-			whole = append(whole, c)
+			withValue = append(withValue, c)
 		}
 	}
 	f.pages = f.pages[1:]
-	w.take(n, whole)
+	w.take(n, withValue)
 }
 
 func (w *storesWorld) take(n *storeNode, copies []*wire.Copy) {
-	if _, err := n.voter.Fill(copies, n.disk.saveAll); err != nil {
+	if _, err := n.voter.Import(copies, n.disk.saveAll); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -519,13 +519,13 @@
 	sender := membership.Sender{View: other.view.Now(), Self: m.Ident, To: n.machine.Ident}
 	var page []*wire.Copy
 	for key, r := range other.disk.recs {
-		wanted, whole := sender.Sends(key)
+		wanted, withValue := sender.Sends(key)
 		switch {
 		case !wanted || r.Accepted == nil:
-		case whole:
+		case withValue:
 			page = append(page, &wire.Copy{Key: key, Ballot: r.Accepted, Rec: &wire.Rec{Accepted: r.Accepted, Cell: r.Cell}})
 		default:
-			if old := f.names[key]; wire.Cmp(r.Accepted, old.ballot) > 0 {
+			if old := f.names[key]; wire.CompareBallots(r.Accepted, old.ballot) > 0 {
 				f.names[key] = namedCopy{r.Accepted, m}
 			}
 		}
@@ -536,7 +536,7 @@
 // takeNamed asks for what only its name has come of.
 func (w *storesWorld) takeNamed(n *storeNode, f *filling) bool {
 	for key, named := range f.names {
-		if r := n.disk.recs[key]; r != nil && wire.Cmp(r.Accepted, named.ballot) >= 0 {
+		if r := n.disk.recs[key]; r != nil && wire.CompareBallots(r.Accepted, named.ballot) >= 0 {
 			continue
 		}
 		other := w.sends(n, f, named.from)
@@ -551,7 +551,7 @@
 
 // order tells a store to bring its keys, as store.fill does; it tells whether it has.
 func (w *storesWorld) order(n *storeNode, version, sets uint64) bool {
-	for n.view.Now().Ver < version {
+	for n.view.Now().Version < version {
 		w.learn(n.view)
 	}
 	v := n.view.Now()
@@ -562,7 +562,7 @@
 	if f != nil && f.version == version && f.sets == sets && (!f.over || f.whole) {
 		return f.whole
 	}
-	n.fill = &filling{version: version, sets: v.Sets(), view: v, names: map[string]namedCopy{}}
+	n.fill = &filling{version: version, sets: v.StoresDigest(), view: v, names: map[string]namedCopy{}}
 	for _, m := range v.Cluster.Stores {
 		if m.Ident != n.machine.Ident {
 			n.fill.asked = append(n.fill.asked, m)
@@ -589,13 +589,13 @@
 		m.seen = nil
 		return
 	}
-	for _, g := range change.Gainers(copies) {
+	for _, g := range change.Receivers(copies) {
 		if m.whole[g.Ident] {
 			continue
 		}
-		if w.present(g) && w.order(w.nodes[g.Addr], m.seen.SetVer, m.seen.Sets()) {
+		if w.present(g) && w.order(w.nodes[g.Addr], m.seen.StoresVersion, m.seen.StoresDigest()) {
 			m.whole[g.Ident] = true
-			w.say("%s is whole for v%d", g.ID, m.seen.SetVer)
+			w.say("%s is whole for v%d", g.ID, m.seen.StoresVersion)
 		} else if w.rnd.IntN(100) == 0 {
 			m.seen = nil
 		}
@@ -609,9 +609,9 @@
 		}
 		return
 	}
-	settled := w.change("settled", func(c *spec.Cluster) error { return membership.Settle(c, membership.Stores, change) })
+	finished := w.change("settled", func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Stores, change) })
 	m.seen, m.settles = nil, false
-	if settled {
+	if finished {
 		w.checkMajority()
 	}
 }
@@ -624,9 +624,9 @@
 	}
 	if w.change("begun", func(c *spec.Cluster) error {
 		if !membership.Of(c, membership.Stores).Is(was) || w.banned(c, next) {
-			return cluster.ErrSame
+			return cluster.ErrNoChange
 		}
-		membership.Aim(c, membership.Stores, next)
+		membership.SetNext(c, membership.Stores, next)
 		return nil
 	}) {
 		w.recent = append(w.recent, next)
@@ -680,9 +680,9 @@
 	}
 	w.change("aimed", func(c *spec.Cluster) error {
 		if w.banned(c, next) || len(next) > 0 && len(next) < copies {
-			return cluster.ErrSame
+			return cluster.ErrNoChange
 		}
-		membership.Aim(c, membership.Stores, next)
+		membership.SetNext(c, membership.Stores, next)
 		return nil
 	})
 }
@@ -694,13 +694,13 @@
 	n := w.nodes[ids[w.rnd.IntN(len(ids))]]
 	v := w.current()
 	for _, set := range [][]spec.Machine{v.Cluster.Stores, v.NextStores} {
-		var gone []string
+		var departed []string
 		for _, m := range set {
 			if !w.present(m) || m.Ident == n.machine.Ident {
-				gone = append(gone, m.Ident)
+				departed = append(departed, m.Ident)
 			}
 		}
-		if len(set) > 0 && !membership.Readable(set, gone, copies) {
+		if len(set) > 0 && !membership.Readable(set, departed, copies) {
 			return
 		}
 	}
@@ -712,14 +712,14 @@
 // pick chooses a store, mostly one that has something to do.
 func (w *storesWorld) pick() *storeNode {
 	ids := slices.Sorted(maps.Keys(w.nodes))
-	var busy []string
+	var changing []string
 	for _, id := range ids {
 		if n := w.nodes[id]; len(n.admitted) > 0 || n.fill != nil && !n.fill.over {
-			busy = append(busy, id)
+			changing = append(changing, id)
 		}
 	}
-	if len(busy) > 0 && w.rnd.IntN(5) > 0 {
-		ids = busy
+	if len(changing) > 0 && w.rnd.IntN(5) > 0 {
+		ids = changing
 	}
 	return w.nodes[ids[w.rnd.IntN(len(ids))]]
 }
@@ -764,7 +764,7 @@
 	t.Parallel()
 	at := time.Now()
 	n, first := histories("MODEL_HISTORIES", 300), histories("MODEL_FIRST", 1)
-	steps, acked, settled := 0, 0, 0
+	steps, acked, finished := 0, 0, 0
 	for seed := range n {
 		w := newStoresWorld(t, uint64(first+seed))
 		for range 400 {
@@ -776,9 +776,9 @@
 		}
 		for _, l := range w.log {
 			if strings.Contains(l, "settled") {
-				settled++
+				finished++
 			}
 		}
 	}
-	t.Logf("%d histories, %d steps, %d acknowledged writes, %d changes settled, %s", n, steps, acked, settled, time.Since(at).Round(time.Millisecond))
+	t.Logf("%d histories, %d steps, %d acknowledged writes, %d changes settled, %s", n, steps, acked, finished, time.Since(at).Round(time.Millisecond))
 }
--- a/internal/coordination/node/gate.go
+++ b/internal/coordination/node/gate.go
@@ -5,56 +5,56 @@
 // Gate lets requests in and can wait for those that are in to leave. Waiting keeps
 // nobody out: one request that the disk holds up would else hold up all others.
 type Gate struct {
-	mu  sync.Mutex
-	in  map[*visitors]bool // those that somebody waits for
-	now *visitors
+	mu      sync.Mutex
+	awaited map[*generation]bool // those that somebody waits for
+	current *generation
 }
 
-// visitors are the requests that came in between two waits.
-type visitors struct {
-	n    int
-	gone chan struct{} // closed once all have left, where they are waited for
+// generation are the requests that came in between two waits.
+type generation struct {
+	pending  int
+	departed chan struct{} // closed once all have left, where they are waited for
 }
 
-// Enter lets a request in until it calls leave.
-func (g *Gate) Enter() (leave func()) {
+// Begin lets a request in until it calls leave.
+func (g *Gate) Begin() (end func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.now == nil {
-		g.now = &visitors{gone: make(chan struct{})}
+	if g.current == nil {
+		g.current = &generation{departed: make(chan struct{})}
 	}
-	v := g.now
-	v.n++
+	v := g.current
+	v.pending++
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if v.n--; v.n == 0 && g.in[v] {
-			delete(g.in, v)
-			close(v.gone)
+		if v.pending--; v.pending == 0 && g.awaited[v] {
+			delete(g.awaited, v)
+			close(v.departed)
 		}
 	}
 }
 
 // Drain returns once all who were in when it was called have left.
 func (g *Gate) Drain() {
-	for _, gone := range g.leaving() {
-		<-gone
+	for _, departed := range g.departures() {
+		<-departed
 	}
 }
 
-// leaving gives what is closed as those who are in now leave.
-func (g *Gate) leaving() (all []chan struct{}) {
+// departures gives what is closed as those who are in now leave.
+func (g *Gate) departures() (all []chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.now != nil && g.now.n > 0 {
-		if g.in == nil {
-			g.in = map[*visitors]bool{}
+	if g.current != nil && g.current.pending > 0 {
+		if g.awaited == nil {
+			g.awaited = map[*generation]bool{}
 		}
-		g.in[g.now] = true
-		g.now = nil
+		g.awaited[g.current] = true
+		g.current = nil
 	}
-	for v := range g.in {
-		all = append(all, v.gone)
+	for v := range g.awaited {
+		all = append(all, v.departed)
 	}
 	return all
 }
--- a/internal/coordination/node/gate_test.go
+++ b/internal/coordination/node/gate_test.go
@@ -13,14 +13,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		var g node.Gate
 		g.Drain()
-		first := g.Enter()
+		first := g.Begin()
 		drained := make(chan int, 2)
 		go func() { g.Drain(); drained <- 1 }()
 		synctest.Wait()
-		second := g.Enter()
+		second := g.Begin()
 		go func() { g.Drain(); drained <- 2 }()
 		synctest.Wait()
-		third := g.Enter()
+		third := g.Begin()
 		second()
 		synctest.Wait()
 		if len(drained) != 0 {
