--- a/internal/proto/wire/wire.go
+++ b/internal/proto/wire/wire.go
@@ -15,20 +15,20 @@
 
 // Version is the messages' number; Oldest is the oldest neighbour understood.
 const (
-	Version = 1
-	Oldest  = 1
+	Version       = 1
+	OldestVersion = 1
 )
 
 // Caller sends one request to a peer.
 type Caller func(ctx context.Context, addr string, q *Req) (*Resp, error)
 
-// Fail makes the answer that carries a failure.
-func Fail(err error) *Resp {
+// ErrorResponse makes the answer that carries a failure.
+func ErrorResponse(err error) *Resp {
 	return &Resp{Ver: Version, Code: uint32(code.Of(err)), Text: strings.ToValidUTF8(code.Text(err), "?")}
 }
 
-// Done is the bare good answer.
-func Done() *Resp { return &Resp{Ver: Version} }
+// OKResponse is the bare good answer.
+func OKResponse() *Resp { return &Resp{Ver: Version} }
 
 // Err turns an answer's code back into a failure.
 func (r *Resp) Err() error {
@@ -38,9 +38,9 @@
 	return code.New(code.Code(r.Code), "%s", r.Text)
 }
 
-// Encode gives the bytes of a message that this process made of its own strings.
-func Encode(m proto.Message) []byte {
-	b, err := TryEncode(m)
+// MustEncode gives the bytes of a message that this process made of its own strings.
+func MustEncode(m proto.Message) []byte {
+	b, err := Encode(m)
 	if err != nil {
 		// Only a message that breaks its own types fails here.
 		panic(err)
@@ -48,9 +48,9 @@
 	return b
 }
 
-// TryEncode gives the bytes of a message that may hold strings from outside, which
+// Encode gives the bytes of a message that may hold strings from outside, which
 // need not be UTF-8 as the wire demands.
-func TryEncode(m proto.Message) ([]byte, error) {
+func Encode(m proto.Message) ([]byte, error) {
 	b, err := proto.Marshal(m)
 	if err != nil {
 		return nil, code.New(code.Garbled, "message can't be written: %w", err)
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Cmp orders ballots; a missing one is the lowest.
-func Cmp(a, b *Ballot) int {
+// CompareBallots orders ballots; a missing one is the lowest.
+func CompareBallots(a, b *Ballot) int {
 	switch {
 	case a.GetN() != b.GetN():
 		if a.GetN() < b.GetN() {
--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -65,11 +65,11 @@
 	for i := range 3 {
 		f, dir := fs(i)
 		id := fmt.Sprintf("s%d", i)
-		v, err := storage.Open(storage.Params{Dir: dir, ID: id, Role: "store", FS: f})
+		engine, err := storage.Open(storage.Params{Dir: dir, ID: id, Role: "store", FS: f})
 		if err != nil {
 			b.Fatal(err)
 		}
-		a := register.NewAcceptor(v)
+		a := register.NewAcceptor(engine)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
@@ -77,23 +77,23 @@
 		s := transport.Serve(b.Context(), countedListener{ln, cs}, transport.DefaultParams, func(_ context.Context, body []byte) []byte {
 			q := &wire.Req{}
 			if err := wire.Decode(body, q); err != nil {
-				return wire.Encode(wire.Fail(err))
+				return wire.MustEncode(wire.ErrorResponse(err))
 			}
-			r, err := answer(a, v, q)
+			r, err := answer(a, engine, q)
 			if err != nil {
-				f := wire.Fail(err)
+				f := wire.ErrorResponse(err)
 				f.Op = r.GetOp()
 				r = f
 			}
-			return wire.Encode(r)
+			return wire.MustEncode(r)
 		}, func(error) {})
 		b.Cleanup(func() {
 			s.Close()
-			if err := v.Close(); err != nil {
+			if err := engine.Close(); err != nil {
 				b.Error(err)
 			}
 		})
-		g = append(g, register.Replica{Addr: ln.Addr().String(), Ident: v.Ident()})
+		g = append(g, register.Replica{Addr: ln.Addr().String(), Ident: engine.Ident()})
 	}
 	h := transport.NewHub(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := tcp.Dial(ctx, addr)
@@ -104,7 +104,7 @@
 	}}, transport.DefaultParams, nil)
 	b.Cleanup(h.Close)
 	return register.Set{g}, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
-		body, err := h.Call(ctx, addr, wire.Encode(q))
+		body, err := h.Call(ctx, addr, wire.MustEncode(q))
 		if err != nil {
 			return nil, err
 		}
@@ -116,21 +116,21 @@
 	}, cs
 }
 
-func answer(a *register.Acceptor, v *storage.Engine, q *wire.Req) (*wire.Resp, error) {
+func answer(a *register.Acceptor, engine *storage.Engine, q *wire.Req) (*wire.Resp, error) {
 	var view *wire.View
 	var err error
 	switch {
 	case q.GetPrep() != nil:
-		view, err = a.Prep(q.GetPrep())
+		view, err = a.Prepare(q.GetPrep())
 	case q.GetAcc() != nil:
-		view, err = a.Acc(q.GetAcc())
+		view, err = a.Accept(q.GetAcc())
 	case q.GetLook() != nil:
-		view, err = a.Look(q.GetLook())
+		view, err = a.Read(q.GetLook())
 	case q.GetPut() != nil:
 		p := q.GetPut()
-		return wire.Done(), v.PutBlob(p.Key, p.Val, time.Duration(p.KeepMs)*time.Millisecond)
+		return wire.OKResponse(), engine.PutBlob(p.Key, p.Val, time.Duration(p.KeepMs)*time.Millisecond)
 	case q.GetGet() != nil:
-		g, err := v.GetBlob(q.GetGet().Key)
+		g, err := engine.GetBlob(q.GetGet().Key)
 		return &wire.Resp{Op: &wire.Resp_Got{Got: g}}, err
 	default:
 		return nil, errors.New("unknown request")
@@ -231,7 +231,7 @@
 }
 
 // fill keeps turns, 4500 of which are 20 MB, and a register with each.
-func fill(b *testing.B, v *storage.Engine, rnd *rand.Rand, turns int) {
+func fill(b *testing.B, engine *storage.Engine, rnd *rand.Rand, turns int) {
 	b.Helper()
 	val := make([]byte, 4<<10)
 	for i := range turns {
@@ -239,10 +239,10 @@
 			val[j] = byte(rnd.Uint32())
 		}
 		// A turn here and there in the order of keys, as hashed names are.
-		if err := v.PutBlob(fmt.Sprintf("%08x", rnd.Uint32()), val, time.Hour); err != nil {
+		if err := engine.PutBlob(fmt.Sprintf("%08x", rnd.Uint32()), val, time.Hour); err != nil {
 			b.Fatal(err)
 		}
-		if err := v.Save(fmt.Sprintf("purse/%d", i%500), &wire.Rec{Cell: &wire.Cell{Ver: uint64(i), Val: val[:300]}}); err != nil {
+		if err := engine.Save(fmt.Sprintf("purse/%d", i%500), &wire.Rec{Cell: &wire.Cell{Ver: uint64(i), Val: val[:300]}}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -273,17 +273,17 @@
 		b.Run(map[bool]string{false: "mem", true: "disk"}[disk], func(b *testing.B) {
 			m := vfs.NewCrashableMem()
 			p := storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: m}
-			v, err := storage.Open(p)
+			engine, err := storage.Open(p)
 			if err != nil {
 				b.Fatal(err)
 			}
 			rnd := rand.New(rand.NewPCG(1, 1))
-			fill(b, v, rnd, 4500)
+			fill(b, engine, rnd, 4500)
 			var most int64
 			var did time.Duration
 			for b.Loop() {
 				b.StopTimer()
-				fill(b, v, rnd, 100)
+				fill(b, engine, rnd, 100)
 				p.FS = m.CrashClone(vfs.CrashCloneCfg{})
 				if disk {
 					dir := b.TempDir()
@@ -311,7 +311,7 @@
 			if disk {
 				b.ReportMetric(float64(most)/1e6, "MB-on-disk")
 			}
-			if err := v.Close(); err != nil {
+			if err := engine.Close(); err != nil {
 				b.Fatal(err)
 			}
 		})
--- a/internal/state/storage/bulk.go
+++ b/internal/state/storage/bulk.go
@@ -11,30 +11,30 @@
 
 // Many keys at once, for a store that brings copies to another.
 
-// Want tells of a key whether its copy is wanted, and whether whole or only by name.
-type Want func(key string) (wanted, whole bool)
+// SelectFunc tells of a key whether its copy is wanted, and whether whole or only by name.
+type SelectFunc func(key string) (wanted, withValue bool)
 
 // Copies gives copies of a kind after a key, in order, until about so many bytes are
 // gathered. The last key looked at is told where there are more.
-func (v *Engine) Copies(kind wire.List_Kind, after string, bytes int, want Want) (out []*wire.Copy, last string, err error) {
-	pre := regPre
+func (engine *Engine) Copies(kind wire.List_Kind, after string, bytes int, want SelectFunc) (out []*wire.Copy, last string, err error) {
+	pre := registerPrefix
 	if kind == wire.List_BLOBS {
-		pre = blobPre
+		pre = blobPrefix
 	}
-	now := v.Lived().Milliseconds()
+	now := engine.Uptime().Milliseconds()
 	size := 0
-	err = v.from(pre, after, func(k string, raw []byte) (bool, error) {
+	err = engine.scan(pre, after, func(k string, raw []byte) (bool, error) {
 		k = k[len(pre):]
-		wanted, whole := want(k)
+		wanted, withValue := want(k)
 		if !wanted {
 			return true, nil
 		}
-		c, err := copyOf(kind, k, raw, now, whole)
+		c, err := makeCopy(kind, k, raw, now, withValue)
 		if err != nil || c == nil {
 			return true, err
 		}
 		out = append(out, c)
-		if size += len(k) + 16; whole {
+		if size += len(k) + 16; withValue {
 			size += len(raw)
 		}
 		if size >= bytes {
@@ -46,19 +46,19 @@
 }
 
 // Copy gives one key's copy; nil where there is none.
-func (v *Engine) Copy(kind wire.List_Kind, key string) (*wire.Copy, error) {
-	pre := regPre
+func (engine *Engine) Copy(kind wire.List_Kind, key string) (*wire.Copy, error) {
+	pre := registerPrefix
 	if kind == wire.List_BLOBS {
-		pre = blobPre
+		pre = blobPrefix
 	}
-	raw, err := v.get(pre + key)
+	raw, err := engine.get(pre + key)
 	if err != nil || raw == nil {
 		return nil, err
 	}
-	return copyOf(kind, key, raw, v.Lived().Milliseconds(), true)
+	return makeCopy(kind, key, raw, engine.Uptime().Milliseconds(), true)
 }
 
-func copyOf(kind wire.List_Kind, key string, raw []byte, now int64, whole bool) (*wire.Copy, error) {
+func makeCopy(kind wire.List_Kind, key string, raw []byte, now int64, withValue bool) (*wire.Copy, error) {
 	c := &wire.Copy{Key: key}
 	if kind == wire.List_BLOBS {
 		g := &wire.Got{}
@@ -69,7 +69,7 @@
 		if g.AgeMs = now - g.AgeMs; g.State == wire.Got_HERE && g.AgeMs > g.KeepMs {
 			g.State, g.Val = wire.Got_PAST, nil
 		}
-		if whole {
+		if withValue {
 			c.Got = g
 		}
 		return c, nil
@@ -82,40 +82,40 @@
 		return nil, nil
 	}
 	c.Ballot = r.Accepted
-	if whole {
+	if withValue {
 		c.Rec = r
 	}
 	return c, nil
 }
 
 // SaveAll keeps many records with one sync.
-func (v *Engine) SaveAll(recs map[string]*wire.Rec) error {
-	if v.Full() {
-		return code.New(code.DiskFull, "%d bytes are left", v.room.free.Load())
+func (engine *Engine) SaveAll(recs map[string]*wire.Rec) error {
+	if engine.NearlyFull() {
+		return code.New(code.DiskFull, "%d bytes are left", engine.space.free.Load())
 	}
-	at := v.Lived().Milliseconds()
+	at := engine.Uptime().Milliseconds()
 	edits := make([]edit, 0, len(recs))
 	for k, r := range recs {
 		r.AtMs = at
-		edits = append(edits, edit{key: regPre + k, val: wire.Encode(r)})
+		edits = append(edits, edit{key: registerPrefix + k, value: wire.MustEncode(r)})
 	}
-	return v.record(bulkWait, edits...)
+	return engine.writeRecords(bulkTimeout, edits...)
 }
 
 // PutBlobs keeps many blobs, as another engine has them, with one sync. One that is
 // here already stays, if for no less time. It tells how many it took.
-func (v *Engine) PutBlobs(all []*wire.Copy) (n int, err error) {
-	if v.Full() {
-		return 0, code.New(code.DiskFull, "%d bytes are left", v.room.free.Load())
+func (engine *Engine) PutBlobs(all []*wire.Copy) (n int, err error) {
+	if engine.NearlyFull() {
+		return 0, code.New(code.DiskFull, "%d bytes are left", engine.space.free.Load())
 	}
-	now := v.Lived().Milliseconds()
+	now := engine.Uptime().Milliseconds()
 	take := map[string]*wire.Got{}
 	for _, c := range all {
 		g := c.Got
 		if g == nil {
 			continue
 		}
-		old, err := v.blob(c.Key)
+		old, err := engine.blob(c.Key)
 		if err != nil {
 			return 0, err
 		}
@@ -132,15 +132,15 @@
 	}
 	edits := make([]edit, 0, len(take))
 	for k, g := range take {
-		edits = append(edits, edit{key: blobPre + k, val: wire.Encode(g)})
+		edits = append(edits, edit{key: blobPrefix + k, value: wire.MustEncode(g)})
 	}
-	_, err = v.write(bulkWait, edits...)
+	_, err = engine.write(bulkTimeout, edits...)
 	return len(take), err
 }
 
-// Held tells how long a blob still has here; none, if it is not here.
-func (v *Engine) Held(key string) (bool, time.Duration, error) {
-	g, err := v.GetBlob(key)
+// BlobTimeLeft tells how long a blob still has here; none, if it is not here.
+func (engine *Engine) BlobTimeLeft(key string) (bool, time.Duration, error) {
+	g, err := engine.GetBlob(key)
 	if err != nil || g.State == wire.Got_NONE {
 		return false, 0, err
 	}
--- a/internal/state/storage/bulk_test.go
+++ b/internal/state/storage/bulk_test.go
@@ -51,8 +51,8 @@
 			}
 			recs := map[string]*wire.Rec{}
 			for _, c := range all {
-				if whole := c.Rec != nil || c.Got != nil; whole != (c.Key != "k60") {
-					t.Errorf("%s: %s whole: %t", kind, c.Key, whole)
+				if withValue := c.Rec != nil || c.Got != nil; withValue != (c.Key != "k60") {
+					t.Errorf("%s: %s whole: %t", kind, c.Key, withValue)
 				}
 				if c.Rec != nil {
 					recs[c.Key] = c.Rec
@@ -79,11 +79,11 @@
 		// Twenty minutes were promised, ten have gone by, in all.
 		time.Sleep(9 * time.Minute)
 		for k, want := range map[string]wire.Got_State{"k05": wire.Got_PAST, "k18": wire.Got_PAST, "k19": wire.Got_HERE, "k50": wire.Got_NONE} {
-			for name, v := range map[string]*storage.Engine{"a": a, "b": b} {
+			for name, engine := range map[string]*storage.Engine{"a": a, "b": b} {
 				if name == "a" && k == "k50" {
 					continue
 				}
-				if g, err := v.GetBlob(k); err != nil || g.State != want {
+				if g, err := engine.GetBlob(k); err != nil || g.State != want {
 					t.Errorf("%s at %s: %v %v", k, name, g, err)
 				}
 			}
@@ -95,38 +95,38 @@
 // put aside before goes.
 func TestRenew(t *testing.T) {
 	fs := vfs.NewCrashableMem()
-	v := open(t, fs, "s1")
-	was := map[string]bool{v.Ident(): true}
+	engine := open(t, fs, "s1")
+	was := map[string]bool{engine.Ident(): true}
 	for range 3 {
-		if err := v.PutBlob("k", []byte("x"), time.Hour); err != nil {
+		if err := engine.PutBlob("k", []byte("x"), time.Hour); err != nil {
 			t.Fatal(err)
 		}
-		if err := v.Renew("test"); err != nil {
+		if err := engine.ReplaceIdentity("test"); err != nil {
 			t.Fatal(err)
 		}
-		if was[v.Ident()] {
+		if was[engine.Ident()] {
 			t.Error("an identity comes twice")
 		}
-		was[v.Ident()] = true
-		if g, err := v.GetBlob("k"); err != nil || g.State != wire.Got_NONE {
+		was[engine.Ident()] = true
+		if g, err := engine.GetBlob("k"); err != nil || g.State != wire.Got_NONE {
 			t.Errorf("after a renewal: %v %v", g, err)
 		}
 	}
 	names, err := fs.List("/data")
-	aside := 0
+	setAsidePrefix := 0
 	for _, n := range names {
 		if len(n) > 9 && n[:9] == "db.aside-" {
-			aside++
+			setAsidePrefix++
 		}
 	}
-	if err != nil || aside != 1 {
-		t.Errorf("%d put aside: %v %v", aside, names, err)
+	if err != nil || setAsidePrefix != 1 {
+		t.Errorf("%d put aside: %v %v", setAsidePrefix, names, err)
 	}
 	w := open(t, fs.CrashClone(vfs.CrashCloneCfg{}), "s1")
-	if w.Ident() != v.Ident() {
+	if w.Ident() != engine.Ident() {
 		t.Error("the new identity is lost with the power")
 	}
-	for _, o := range []*storage.Engine{v, w} {
+	for _, o := range []*storage.Engine{engine, w} {
 		if err := o.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/state/storage/compat_test.go
+++ b/internal/state/storage/compat_test.go
@@ -49,7 +49,7 @@
 			}
 			checkRegisters(t, engine, want.Registers)
 			checkBlobs(t, engine, want.Blobs)
-			notes, err := engine.Notes("")
+			notes, err := engine.ListMetadata("")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,7 +61,7 @@
 func checkRegisters(t *testing.T, engine *Engine, want map[string][]byte) {
 	t.Helper()
 	got := map[string]*wire.Rec{}
-	if err := engine.Registers("", func(key string, r *wire.Rec) { got[key] = r }); err != nil {
+	if err := engine.EachRegister("", func(key string, r *wire.Rec) { got[key] = r }); err != nil {
 		t.Fatal(err)
 	}
 	if len(got) != len(want) || len(got) == 0 {
--- a/internal/state/storage/device.go
+++ b/internal/state/storage/device.go
@@ -16,10 +16,10 @@
 
 // Times and bounds of a device.
 const (
-	// roomRetry is the pause before a write that found no room is tried again.
-	roomRetry = 50 * time.Millisecond
-	// readWait is how long a read waits for a disk that does not answer.
-	readWait = 500 * time.Millisecond
+	// spaceRetryPause is the pause before a write that found no room is tried again.
+	spaceRetryPause = 50 * time.Millisecond
+	// readTimeout is how long a read waits for a disk that does not answer.
+	readTimeout = 500 * time.Millisecond
 	// maxReads bounds the reads that wait for the disk at the same time.
 	maxReads = 64
 	// refusalPause slows down background work that is tried again as soon as it fails.
@@ -27,8 +27,8 @@
 )
 
 var (
-	errFenced    = errors.New("the device is fenced after a failure")
-	errReadStall = errors.New("the disk does not answer")
+	errFenced      = errors.New("the device is fenced after a failure")
+	errReadStalled = errors.New("the disk does not answer")
 )
 
 // device is the file system that one instance of the database writes through. The
@@ -42,46 +42,46 @@
 // committed anything asks the device for its failure before believing it.
 type device struct {
 	vfs.FS
-	plain  bool // there is no database behind it that needs to be told what is not so
-	fenced chan struct{}
+	withoutDatabase bool // there is no database behind it that needs to be told what is not so
+	fenced          chan struct{}
 
-	waiting atomic.Int32 // changes that wait for room
-	stuck   atomic.Int32 // reads that the disk has not answered in time
-	doomed  atomic.Bool  // everything is said to go well, so that the database can be closed
-	reads   chan struct{}
+	spaceWaiters atomic.Int32 // changes that wait for room
+	stalledReads atomic.Int32 // reads that the disk has not answered in time
+	discarding   atomic.Bool  // everything is said to go well, so that the database can be closed
+	readSlots    chan struct{}
 
-	mu      sync.Mutex
-	onFence func(error) // called once, by whoever fences
-	cause   error       // of the fence
-	readErr error       // of the last read that failed
-	under   int         // changes handed to the disk and not answered
-	idle    chan struct{}
-	files   map[*deviceFile]struct{}
-	locks   map[*deviceLock]struct{}
+	mu       sync.Mutex
+	onFence  func(error) // called once, by whoever fences
+	cause    error       // of the fence
+	readErr  error       // of the last read that failed
+	inFlight int         // changes handed to the disk and not answered
+	idle     chan struct{}
+	files    map[*deviceFile]struct{}
+	locks    map[*deviceLock]struct{}
 }
 
 func newDevice(inner vfs.FS) *device {
 	d := &device{
-		FS:     inner,
-		fenced: make(chan struct{}),
-		reads:  make(chan struct{}, maxReads),
-		files:  map[*deviceFile]struct{}{},
-		locks:  map[*deviceLock]struct{}{},
+		FS:        inner,
+		fenced:    make(chan struct{}),
+		readSlots: make(chan struct{}, maxReads),
+		files:     map[*deviceFile]struct{}{},
+		locks:     map[*deviceLock]struct{}{},
 	}
 	// Opening a database would wait for ever for background work that goes on failing.
-	d.doomed.Store(true)
+	d.discarding.Store(true)
 	return d
 }
 
 // newFolderDevice makes a device for the files beside the database.
 func newFolderDevice(inner vfs.FS) *device {
 	d := newDevice(inner)
-	d.plain = true
+	d.withoutDatabase = true
 	return d
 }
 
 // opened ends the opening: from now on what was synced before a failure is to be read after it.
-func (d *device) opened() { d.doomed.Store(false) }
+func (d *device) opened() { d.discarding.Store(false) }
 
 // onFailure has f called once the device is fenced, or now if it is.
 func (d *device) onFailure(f func(cause error)) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// noRoom tells whether a change waits for room.
-func (d *device) noRoom() bool { return d.waiting.Load() > 0 }
+// waitsForSpace tells whether a change waits for room.
+func (d *device) waitsForSpace() bool { return d.spaceWaiters.Load() > 0 }
 
 // failure is what the device was fenced for, or nil.
 func (d *device) failure() error {
@@ -125,22 +125,22 @@
 	}
 }
 
-// enter counts a change that is handed to the disk; false once fenced.
-func (d *device) enter() bool {
+// begin counts a change that is handed to the disk; false once fenced.
+func (d *device) begin() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cause != nil {
 		return false
 	}
-	d.under++
+	d.inFlight++
 	return true
 }
 
-func (d *device) leave() {
+func (d *device) end() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.under--
-	if d.under == 0 && d.idle != nil {
+	d.inFlight--
+	if d.inFlight == 0 && d.idle != nil {
 		close(d.idle)
 		d.idle = nil
 	}
@@ -151,7 +151,7 @@
 func (d *device) drained() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.under == 0 {
+	if d.inFlight == 0 {
 		done := make(chan struct{})
 		close(done)
 		return done
@@ -165,84 +165,84 @@
 // release gives back the locks and files that a fenced instance still holds.
 func (d *device) release(withFiles bool) {
 	d.mu.Lock()
-	var held []io.Closer
+	var toClose []io.Closer
 	for l := range d.locks {
-		held = append(held, l)
+		toClose = append(toClose, l)
 	}
 	if withFiles {
 		for f := range d.files {
-			held = append(held, f)
+			toClose = append(toClose, f)
 		}
 	}
 	d.mu.Unlock()
-	for _, c := range held {
+	for _, c := range toClose {
 		_ = c.Close()
 	}
 }
 
-// doom lets a fenced device say that all goes well, though it does nothing. Its database
+// startDiscarding lets a fenced device say that all goes well, though it does nothing. Its database
 // then gets to the end of whatever it is at, and can be closed.
-func (d *device) doom() { d.doomed.Store(true) }
+func (d *device) startDiscarding() { d.discarding.Store(true) }
 
-// pretends tells whether a change that was not made is said to have gone well.
-func (d *device) pretends(log bool) bool {
-	return !d.plain && (log || d.doomed.Load()) && d.failure() != nil
+// suppressesErrors tells whether a change that was not made is said to have gone well.
+func (d *device) suppressesErrors(log bool) bool {
+	return !d.withoutDatabase && (log || d.discarding.Load()) && d.failure() != nil
 }
 
-// refused is the answer of a fenced device.
-func (d *device) refused() error {
-	if !d.doomed.Load() {
-		refusalWait()
+// fencedError is the answer of a fenced device.
+func (d *device) fencedError() error {
+	if !d.discarding.Load() {
+		throttleFenced()
 	}
 	return errors.Join(errFenced, d.failure())
 }
 
-// slow keeps background work that fails on a fenced device from trying again at once.
-func (d *device) slow(err error) {
+// throttle keeps background work that fails on a fenced device from trying again at once.
+func (d *device) throttle(err error) {
 	if err != nil && d.failure() != nil {
-		refusalWait()
+		throttleFenced()
 	}
 }
 
-func refusalWait() {
-	pause(refusalPause)
+func throttleFenced() {
+	sleep(refusalPause)
 }
 
 // change hands a change to the disk, as often as it takes to find room.
 func (d *device) change(do func() error) error {
-	waits := false
+	waiting := false
 	defer func() {
-		if waits {
-			d.waiting.Add(-1)
+		if waiting {
+			d.spaceWaiters.Add(-1)
 		}
 	}()
 	for {
-		if !d.enter() {
-			return d.refused()
+		if !d.begin() {
+			return d.fencedError()
 		}
 		err := do()
-		d.leave()
+		d.end()
 		switch {
-		case err == nil || harmless(err):
+		case err == nil || isBenign(err):
 			return err
-		case !outOfRoom(err), d.doomed.Load() && !d.plain:
+		case !isNoSpace(err), d.discarding.Load() && !d.withoutDatabase:
 			// Opening without room fails as a whole, and is tried again as a whole.
 			d.fence(err)
 			return err
 		}
-		if !waits {
-			waits = true
-			d.waiting.Add(1)
+		if !waiting {
+			waiting = true
+			d.spaceWaiters.Add(1)
 		}
-		if !d.pause() {
-			return d.refused()
+		if !d.sleep() {
+			return d.fencedError()
 		}
 	}
 }
 
-// pause waits until a change may be tried again; false once fenced.
-func (d *device) pause() bool {
-	t := time.NewTimer(roomRetry)
+// sleep waits until a change may be tried again; false once fenced.
+func (d *device) sleep() bool {
+	t := time.NewTimer(spaceRetryPause)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -255,55 +255,55 @@
 // sync hands a sync to the disk. It is never tried again: a disk that failed one may
 // have dropped what it was to keep and take the next for done.
 func (d *device) sync(do func() error) error {
-	if !d.enter() {
-		return d.refused()
+	if !d.begin() {
+		return d.fencedError()
 	}
 	err := do()
-	d.leave()
+	d.end()
 	if err != nil {
 		d.fence(err)
 	}
 	return err
 }
 
-// outOfRoom: the disk took less than it was given, and may take the rest later.
-func outOfRoom(err error) bool {
+// isNoSpace: the disk took less than it was given, and may take the rest later.
+func isNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// harmless: an answer about names, which says nothing of the disk's health.
-func harmless(err error) bool {
+// isBenign: an answer about names, which says nothing of the disk's health.
+func isBenign(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrInvalid) || errors.Is(err, fs.ErrClosed)
 }
 
-// bounded runs a read that the disk may not answer. One that is answered too late is
+// readWithTimeout runs a read that the disk may not answer. One that is answered too late is
 // handed to late.
-func bounded[T any](d *device, do func() (T, error), late func(T)) (T, error) {
+func readWithTimeout[T any](d *device, do func() (T, error), late func(T)) (T, error) {
 	var none T
-	if d.stuck.Load() > 0 {
-		refusalWait()
-		return none, d.heard(errReadStall)
+	if d.stalledReads.Load() > 0 {
+		throttleFenced()
+		return none, d.recordReadError(errReadStalled)
 	}
-	t := time.NewTimer(readWait)
+	t := time.NewTimer(readTimeout)
 	defer t.Stop()
 	select {
-	case d.reads <- struct{}{}:
+	case d.readSlots <- struct{}{}:
 	case <-t.C:
-		return none, d.heard(errReadStall)
+		return none, d.recordReadError(errReadStalled)
 	}
 	type answer struct {
 		v   T
 		err error
 	}
 	answers := make(chan answer)
-	gone := make(chan struct{})
+	abandoned := make(chan struct{})
 	go func() {
 		v, err := do()
-		<-d.reads
+		<-d.readSlots
 		select {
 		case answers <- answer{v, err}:
-		case <-gone:
-			d.stuck.Add(-1)
+		case <-abandoned:
+			d.stalledReads.Add(-1)
 			if err == nil && late != nil {
 				late(v)
 			}
@@ -311,17 +311,17 @@
 	}()
 	select {
 	case a := <-answers:
-		return a.v, d.heard(a.err)
+		return a.v, d.recordReadError(a.err)
 	case <-t.C:
-		d.stuck.Add(1)
-		close(gone)
-		return none, d.heard(errReadStall)
+		d.stalledReads.Add(1)
+		close(abandoned)
+		return none, d.recordReadError(errReadStalled)
 	}
 }
 
-// heard notes a read that failed, and hands its failure back.
-func (d *device) heard(err error) error {
-	if err == nil || errors.Is(err, io.EOF) || harmless(err) {
+// recordReadError notes a read that failed, and hands its failure back.
+func (d *device) recordReadError(err error) error {
+	if err == nil || errors.Is(err, io.EOF) || isBenign(err) {
 		return err
 	}
 	d.mu.Lock()
@@ -334,7 +334,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &deviceFile{File: f, d: d, log: isLog(name)}
+	w := &deviceFile{File: f, device: d, log: isLog(name)}
 	d.mu.Lock()
 	d.files[w] = struct{}{}
 	d.mu.Unlock()
@@ -348,8 +348,8 @@
 		f, err = open()
 		return err
 	})
-	if err != nil && d.pretends(isLog(name)) {
-		f, err = &noFile{}, nil
+	if err != nil && d.suppressesErrors(isLog(name)) {
+		f, err = &nullFile{}, nil
 	}
 	return d.wrap(name, f, err)
 }
@@ -376,15 +376,15 @@
 
 // Open opens a file for reading.
 func (d *device) Open(name string, opts ...vfs.OpenOption) (vfs.File, error) {
-	f, err := bounded(d, func() (vfs.File, error) { return d.FS.Open(name, opts...) }, func(f vfs.File) { _ = f.Close() })
-	d.slow(err)
+	f, err := readWithTimeout(d, func() (vfs.File, error) { return d.FS.Open(name, opts...) }, func(f vfs.File) { _ = f.Close() })
+	d.throttle(err)
 	return d.wrap(name, f, err)
 }
 
 // OpenDir opens a folder, to sync it.
 func (d *device) OpenDir(name string) (vfs.File, error) {
 	f, err := d.FS.OpenDir(name)
-	w, err := d.wrap(name, f, d.heard(err))
+	w, err := d.wrap(name, f, d.recordReadError(err))
 	if err != nil {
 		return nil, err
 	}
@@ -396,34 +396,34 @@
 // List lists a folder.
 func (d *device) List(dir string) ([]string, error) {
 	names, err := d.FS.List(dir)
-	return names, d.heard(err)
+	return names, d.recordReadError(err)
 }
 
 // Stat looks at a file.
 func (d *device) Stat(name string) (vfs.FileInfo, error) {
 	info, err := d.FS.Stat(name)
-	return info, d.heard(err)
+	return info, d.recordReadError(err)
 }
 
 // Link makes a second name of a file.
 func (d *device) Link(from, to string) error {
-	return d.named(func() error { return d.FS.Link(from, to) })
+	return d.changeNames(func() error { return d.FS.Link(from, to) })
 }
 
 // Rename renames a file.
 func (d *device) Rename(from, to string) error {
-	return d.named(func() error { return d.FS.Rename(from, to) })
+	return d.changeNames(func() error { return d.FS.Rename(from, to) })
 }
 
 // MkdirAll makes a folder and those that lead to it.
 func (d *device) MkdirAll(dir string, perm os.FileMode) error {
-	return d.named(func() error { return d.FS.MkdirAll(dir, perm) })
+	return d.changeNames(func() error { return d.FS.MkdirAll(dir, perm) })
 }
 
-// named hands a change of names to the disk.
-func (d *device) named(do func() error) error {
+// changeNames hands a change of names to the disk.
+func (d *device) changeNames(do func() error) error {
 	err := d.change(do)
-	if err != nil && d.pretends(false) {
+	if err != nil && d.suppressesErrors(false) {
 		return nil
 	}
 	return err
@@ -440,10 +440,10 @@
 }
 
 func (d *device) remove(do func() error) error {
-	if !d.enter() {
-		return d.refused()
+	if !d.begin() {
+		return d.fencedError()
 	}
-	defer d.leave()
+	defer d.end()
 	return do()
 }
 
@@ -452,7 +452,7 @@
 	var c io.Closer
 	err := d.change(func() (err error) {
 		c, err = d.FS.Lock(name)
-		if err != nil && heldByOther(err) {
+		if err != nil && lockedByOther(err) {
 			err = &lockedError{err}
 		}
 		return err
@@ -460,15 +460,15 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &deviceLock{Closer: c, d: d}
+	l := &deviceLock{Closer: c, device: d}
 	d.mu.Lock()
 	d.locks[l] = struct{}{}
 	d.mu.Unlock()
 	return l, nil
 }
 
-// heldByOther tells a lock that somebody else has from a failure of the disk.
-func heldByOther(err error) bool {
+// lockedByOther tells a lock that somebody else has from a failure of the disk.
+func lockedByOther(err error) bool {
 	var number syscall.Errno
 	return !errors.As(err, &number) || number == syscall.EAGAIN || number == syscall.EACCES
 }
@@ -486,16 +486,16 @@
 // deviceLock is a lock that is given back once.
 type deviceLock struct {
 	io.Closer
-	d    *device
-	once sync.Once
+	device *device
+	once   sync.Once
 }
 
 // Close gives the lock back.
 func (l *deviceLock) Close() (err error) {
 	l.once.Do(func() {
-		l.d.mu.Lock()
-		delete(l.d.locks, l)
-		l.d.mu.Unlock()
+		l.device.mu.Lock()
+		delete(l.device.locks, l)
+		l.device.mu.Unlock()
 		err = l.Closer.Close()
 	})
 	return err
@@ -504,14 +504,14 @@
 // deviceFile is a file on a device.
 type deviceFile struct {
 	vfs.File
-	d    *device
-	log  bool // the database does not survive a failure of it
-	once sync.Once
+	device *device
+	log    bool // the database does not survive a failure of it
+	once   sync.Once
 }
 
 // outcome is what the database is told of a write or sync.
 func (f *deviceFile) outcome(err error) error {
-	if err != nil && f.d.pretends(f.log) {
+	if err != nil && f.device.suppressesErrors(f.log) {
 		return nil
 	}
 	return err
@@ -520,7 +520,7 @@
 // Write writes all of p, however often the disk runs out of room meanwhile.
 func (f *deviceFile) Write(p []byte) (int, error) {
 	done := 0
-	err := f.d.change(func() error {
+	err := f.device.change(func() error {
 		n, err := f.File.Write(p[done:])
 		done += max(n, 0)
 		return err
@@ -534,7 +534,7 @@
 // WriteAt does the same at an offset.
 func (f *deviceFile) WriteAt(p []byte, off int64) (int, error) {
 	done := 0
-	err := f.d.change(func() error {
+	err := f.device.change(func() error {
 		n, err := f.File.WriteAt(p[done:], off+int64(done))
 		done += max(n, 0)
 		return err
@@ -544,9 +544,9 @@
 
 // Preallocate asks for room in advance. Whether it is given shows at the write.
 func (f *deviceFile) Preallocate(off, length int64) error {
-	if f.d.enter() {
+	if f.device.begin() {
 		_ = f.File.Preallocate(off, length)
-		f.d.leave()
+		f.device.end()
 	}
 	return nil
 }
@@ -555,21 +555,21 @@
 func (f *deviceFile) Stat() (vfs.FileInfo, error) {
 	info, err := f.File.Stat()
 	if err == nil || !f.log {
-		return info, f.d.heard(err)
+		return info, f.device.recordReadError(err)
 	}
-	f.d.fence(err)
-	return noInfo{}, f.outcome(err)
+	f.device.fence(err)
+	return nullFileInfo{}, f.outcome(err)
 }
 
 // Sync syncs the file.
-func (f *deviceFile) Sync() error { return f.outcome(f.d.sync(f.File.Sync)) }
+func (f *deviceFile) Sync() error { return f.outcome(f.device.sync(f.File.Sync)) }
 
 // SyncData syncs what is in the file.
-func (f *deviceFile) SyncData() error { return f.outcome(f.d.sync(f.File.SyncData)) }
+func (f *deviceFile) SyncData() error { return f.outcome(f.device.sync(f.File.SyncData)) }
 
 // SyncTo begins to sync the first bytes of a file.
 func (f *deviceFile) SyncTo(length int64) (full bool, err error) {
-	err = f.d.sync(func() (err error) {
+	err = f.device.sync(func() (err error) {
 		full, err = f.File.SyncTo(length)
 		return err
 	})
@@ -579,7 +579,7 @@
 // Read reads on.
 func (f *deviceFile) Read(p []byte) (int, error) {
 	n, err := f.File.Read(p)
-	return n, f.d.heard(err)
+	return n, f.device.recordReadError(err)
 }
 
 // ReadAt reads at an offset. Its buffer is its own, since a read that the disk does
@@ -589,7 +589,7 @@
 		b   []byte
 		err error
 	}
-	got, err := bounded(f.d, func() (part, error) {
+	got, err := readWithTimeout(f.device, func() (part, error) {
 		b := make([]byte, len(p))
 		n, err := f.File.ReadAt(b, off)
 		if errors.Is(err, io.EOF) {
@@ -598,7 +598,7 @@
 		return part{b[:n], nil}, err
 	}, nil)
 	if err != nil || got.err != nil {
-		f.d.slow(errors.Join(err, got.err))
+		f.device.throttle(errors.Join(err, got.err))
 	}
 	if err != nil {
 		return 0, err
@@ -609,40 +609,40 @@
 // Close closes the file.
 func (f *deviceFile) Close() (err error) {
 	f.once.Do(func() {
-		f.d.mu.Lock()
-		delete(f.d.files, f)
-		f.d.mu.Unlock()
+		f.device.mu.Lock()
+		delete(f.device.files, f)
+		f.device.mu.Unlock()
 		if err = f.File.Close(); err != nil && f.log {
-			f.d.fence(err)
+			f.device.fence(err)
 		}
 		err = f.outcome(err)
 	})
 	return err
 }
 
-// noFile stands for a file that could not be opened.
-type noFile struct{ vfs.File }
-
-func (*noFile) Write(p []byte) (int, error)            { return len(p), nil }
-func (*noFile) WriteAt(p []byte, _ int64) (int, error) { return len(p), nil }
-func (*noFile) Read([]byte) (int, error)               { return 0, errFenced }
-func (*noFile) ReadAt([]byte, int64) (int, error)      { return 0, errFenced }
-func (*noFile) Stat() (vfs.FileInfo, error)            { return noInfo{}, nil }
-func (*noFile) Prefetch(int64, int64) error            { return nil }
-func (*noFile) Preallocate(int64, int64) error         { return nil }
-func (*noFile) Sync() error                            { return nil }
-func (*noFile) SyncData() error                        { return nil }
-func (*noFile) SyncTo(int64) (bool, error)             { return true, nil }
-func (*noFile) Fd() uintptr                            { return vfs.InvalidFd }
-func (*noFile) Close() error                           { return nil }
-
-// noInfo describes a file that holds nothing.
-type noInfo struct{}
-
-func (noInfo) Name() string           { return "" }
-func (noInfo) Size() int64            { return 0 }
-func (noInfo) Mode() fs.FileMode      { return 0 }
-func (noInfo) ModTime() time.Time     { return time.Time{} }
-func (noInfo) IsDir() bool            { return false }
-func (noInfo) Sys() any               { return nil }
-func (noInfo) DeviceID() vfs.DeviceID { return vfs.DeviceID{} }
+// nullFile stands for a file that could not be opened.
+type nullFile struct{ vfs.File }
+
+func (*nullFile) Write(p []byte) (int, error)            { return len(p), nil }
+func (*nullFile) WriteAt(p []byte, _ int64) (int, error) { return len(p), nil }
+func (*nullFile) Read([]byte) (int, error)               { return 0, errFenced }
+func (*nullFile) ReadAt([]byte, int64) (int, error)      { return 0, errFenced }
+func (*nullFile) Stat() (vfs.FileInfo, error)            { return nullFileInfo{}, nil }
+func (*nullFile) Prefetch(int64, int64) error            { return nil }
+func (*nullFile) Preallocate(int64, int64) error         { return nil }
+func (*nullFile) Sync() error                            { return nil }
+func (*nullFile) SyncData() error                        { return nil }
+func (*nullFile) SyncTo(int64) (bool, error)             { return true, nil }
+func (*nullFile) Fd() uintptr                            { return vfs.InvalidFd }
+func (*nullFile) Close() error                           { return nil }
+
+// nullFileInfo describes a file that holds nothing.
+type nullFileInfo struct{}
+
+func (nullFileInfo) Name() string           { return "" }
+func (nullFileInfo) Size() int64            { return 0 }
+func (nullFileInfo) Mode() fs.FileMode      { return 0 }
+func (nullFileInfo) ModTime() time.Time     { return time.Time{} }
+func (nullFileInfo) IsDir() bool            { return false }
+func (nullFileInfo) Sys() any               { return nil }
+func (nullFileInfo) DeviceID() vfs.DeviceID { return vfs.DeviceID{} }
--- a/internal/state/storage/diskspace.go
+++ b/internal/state/storage/diskspace.go
@@ -10,96 +10,96 @@
 )
 
 // Room watches how much room the disk has and how long it takes to sync.
-type room struct {
-	least atomic.Int64 // free bytes below which no new key is taken
-	free  atomic.Int64 // at the last look; -1 where it can't be told
-	slow  atomic.Int64 // longest sync since the last look, nanoseconds
-	was   atomic.Int64 // the same, of the look before
+type diskSpace struct {
+	minFree             atomic.Int64 // free bytes below which no new key is taken
+	free                atomic.Int64 // at the last look; -1 where it can't be told
+	slowestSync         atomic.Int64 // longest sync since the last look, nanoseconds
+	previousSlowestSync atomic.Int64 // the same, of the look before
 	// Faults of the rehearsal kit: pretended free bytes (-1: none pretended),
 	// and a delay of each sync.
-	fakeFree  atomic.Int64
-	fakeDelay atomic.Int64
+	simulatedFree  atomic.Int64
+	simulatedDelay atomic.Int64
 }
 
-// leastPart of a disk is the most that is ever kept free of new keys: what suits a
+// reserveDivisor of a disk is the most that is ever kept free of new keys: what suits a
 // disk of gigabytes would be all there is of a small one.
-const leastPart = 8
+const reserveDivisor = 8
 
 // SlowSync is the time for one sync above which a disk is called slow.
 const SlowSync = 500 * time.Millisecond
 
-// Pretend makes the disk seem to have free bytes (-1: what it has) and every
+// SimulateDisk makes the disk seem to have free bytes (-1: what it has) and every
 // sync take longer. Only the rehearsal kit uses it.
-func (v *Engine) Pretend(free int64, delay time.Duration) {
-	v.room.fakeFree.Store(free)
-	v.room.fakeDelay.Store(int64(delay))
-	v.Look()
+func (engine *Engine) SimulateDisk(free int64, delay time.Duration) {
+	engine.space.simulatedFree.Store(free)
+	engine.space.simulatedDelay.Store(int64(delay))
+	engine.MeasureDisk()
 }
 
-// Look measures the room again; a duty calls it each second.
-func (v *Engine) Look() {
-	free, least := int64(-1), v.p.MinFree
-	if u, err := v.inner.GetDiskUsage(v.p.Dir); err == nil {
+// MeasureDisk measures the room again; a duty calls it each second.
+func (engine *Engine) MeasureDisk() {
+	free, minFree := int64(-1), engine.params.MinFree
+	if u, err := engine.base.GetDiskUsage(engine.params.Dir); err == nil {
 		free = int64(min(u.AvailBytes, 1<<62))
 		if u.TotalBytes > 0 {
-			least = min(least, int64(min(u.TotalBytes, 1<<62)/leastPart))
+			minFree = min(minFree, int64(min(u.TotalBytes, 1<<62)/reserveDivisor))
 		}
 	}
-	v.room.least.Store(least)
-	if f := v.room.fakeFree.Load(); f >= 0 {
+	engine.space.minFree.Store(minFree)
+	if f := engine.space.simulatedFree.Load(); f >= 0 {
 		free = f
 	}
-	v.room.free.Store(free)
-	v.room.was.Store(v.room.slow.Swap(0))
+	engine.space.free.Store(free)
+	engine.space.previousSlowestSync.Store(engine.space.slowestSync.Swap(0))
 }
 
-// Full tells whether room is kept for what is here already.
-func (v *Engine) Full() bool {
-	f := v.room.free.Load()
-	return f >= 0 && f < v.room.least.Load()
+// NearlyFull tells whether room is kept for what is here already.
+func (engine *Engine) NearlyFull() bool {
+	f := engine.space.free.Load()
+	return f >= 0 && f < engine.space.minFree.Load()
 }
 
-// trouble tells why no writes are taken at all; empty: they are.
-func (v *Engine) trouble() string {
-	i := v.instance()
+// unavailable tells why no writes are taken at all; empty: they are.
+func (engine *Engine) unavailable() string {
+	i := engine.instance()
 	switch {
-	case i == nil, i.dev.failure() != nil:
+	case i == nil, i.device.failure() != nil:
 		return "disk failed, no writes taken until the folder is open again"
-	case i.dev.noRoom():
+	case i.device.waitsForSpace():
 		return "disk full, no writes taken"
-	case i.syncing() >= voteWait, i.dev.stuck.Load() > 0:
+	case i.syncing() >= voteTimeout, i.device.stalledReads.Load() > 0:
 		return "disk does not answer, no writes taken"
 	}
 	return ""
 }
 
 // Status tells operators what is wrong with the disk; empty: nothing.
-func (v *Engine) Status() string {
+func (engine *Engine) Status() string {
 	var out []string
-	if s := v.trouble(); s != "" {
+	if s := engine.unavailable(); s != "" {
 		out = append(out, s)
 	}
-	if v.Full() {
-		out = append(out, fmt.Sprintf("disk nearly full, %d MiB left, no new keys taken", v.room.free.Load()>>20))
+	if engine.NearlyFull() {
+		out = append(out, fmt.Sprintf("disk nearly full, %d MiB left, no new keys taken", engine.space.free.Load()>>20))
 	}
-	if d := time.Duration(max(v.room.was.Load(), v.room.slow.Load())); d > SlowSync {
+	if d := time.Duration(max(engine.space.previousSlowestSync.Load(), engine.space.slowestSync.Load())); d > SlowSync {
 		out = append(out, fmt.Sprintf("disk slow, a sync took %s", d.Round(10*time.Millisecond)))
 	}
 	return strings.Join(out, "; ")
 }
 
-// fakeDelay waits as long as the rehearsal kit says that a sync takes.
-func (v *Engine) fakeDelay() {
-	if d := v.room.fakeDelay.Load(); d > 0 {
-		pause(time.Duration(d))
+// simulatedDelay waits as long as the rehearsal kit says that a sync takes.
+func (engine *Engine) delaySync() {
+	if d := engine.space.simulatedDelay.Load(); d > 0 {
+		sleep(time.Duration(d))
 	}
 }
 
-// noteSync notes how long a sync took.
-func (v *Engine) noteSync(took time.Duration) {
+// recordSync notes how long a sync took.
+func (engine *Engine) recordSync(took time.Duration) {
 	for d := int64(took); ; {
-		old := v.room.slow.Load()
-		if d <= old || v.room.slow.CompareAndSwap(old, d) {
+		old := engine.space.slowestSync.Load()
+		if d <= old || engine.space.slowestSync.CompareAndSwap(old, d) {
 			return
 		}
 	}
@@ -107,13 +107,13 @@
 
 // Admit refuses a key that is new here while the disk is nearly full, so that
 // what is held already can still be synced.
-func (v *Engine) admit(key string) error {
-	if !v.Full() {
+func (engine *Engine) admitNewKey(key string) error {
+	if !engine.NearlyFull() {
 		return nil
 	}
-	b, err := v.get(key)
+	b, err := engine.get(key)
 	if err == nil && b == nil {
-		err = code.New(code.DiskFull, "%d bytes are left", v.room.free.Load())
+		err = code.New(code.DiskFull, "%d bytes are left", engine.space.free.Load())
 	}
 	return err
 }
--- a/internal/state/storage/engine_test.go
+++ b/internal/state/storage/engine_test.go
@@ -16,32 +16,32 @@
 
 func open(t *testing.T, fs vfs.FS, id string) *storage.Engine {
 	t.Helper()
-	v, err := storage.Open(storage.Params{Dir: "/data", ID: id, Role: "store", FS: fs, Grave: time.Hour})
+	engine, err := storage.Open(storage.Params{Dir: "/data", ID: id, Role: "store", FS: fs, TombstoneRetention: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v
+	return engine
 }
 
 // TestPowerLoss: whatever was said to be kept is there after the power goes at
 // any moment, and the identity with it.
 func TestPowerLoss(t *testing.T) {
 	fs := vfs.NewCrashableMem()
-	v := open(t, fs, "s1")
-	if !v.Fresh {
+	engine := open(t, fs, "s1")
+	if !engine.Fresh {
 		t.Error("an empty folder is not fresh")
 	}
 	for i := range 50 {
 		k := fmt.Sprintf("k%d", i)
-		if err := v.Save(k, &wire.Rec{Promised: &wire.Ballot{N: uint64(i)}}); err != nil {
+		if err := engine.Save(k, &wire.Rec{Promised: &wire.Ballot{N: uint64(i)}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := v.PutBlob(k, []byte(k), time.Hour); err != nil {
+		if err := engine.PutBlob(k, []byte(k), time.Hour); err != nil {
 			t.Fatal(err)
 		}
 		// The power goes: nothing that was not synced survives.
 		w := open(t, fs.CrashClone(vfs.CrashCloneCfg{}), "s1")
-		if w.Fresh || w.Ident() != v.Ident() {
+		if w.Fresh || w.Ident() != engine.Ident() {
 			t.Fatalf("after %d writes the identity is lost", i)
 		}
 		for j := 0; j <= i; j += 7 {
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := v.Close(); err != nil {
+	if err := engine.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -103,12 +103,12 @@
 func TestUnreadable(t *testing.T) {
 	for _, what := range []string{"/data/IDENT", "db", "all of db"} {
 		fs := vfs.NewMem()
-		v := open(t, fs, "s1")
-		old := v.Ident()
-		if err := v.Save("k", &wire.Rec{Promised: &wire.Ballot{N: 9}}); err != nil {
+		engine := open(t, fs, "s1")
+		old := engine.Ident()
+		if err := engine.Save("k", &wire.Rec{Promised: &wire.Ballot{N: 9}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := v.Close(); err != nil {
+		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 		switch what {
@@ -127,14 +127,14 @@
 		default:
 			write(t, fs, what, "garbage")
 		}
-		v = open(t, fs, "s1")
-		if !v.Fresh || v.Ident() == old {
+		engine = open(t, fs, "s1")
+		if !engine.Fresh || engine.Ident() == old {
 			t.Errorf("%s garbled: the old identity lives on", what)
 		}
-		if r, err := v.Load("k"); err != nil || r.Promised != nil {
+		if r, err := engine.Load("k"); err != nil || r.Promised != nil {
 			t.Errorf("%s garbled: %v %v", what, r, err)
 		}
-		if err := v.Close(); err != nil {
+		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -145,44 +145,44 @@
 func TestKeeping(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := vfs.NewMem()
-		v := open(t, fs, "s1")
-		if err := v.PutBlob("k", []byte("v"), time.Hour); err != nil {
+		engine := open(t, fs, "s1")
+		if err := engine.PutBlob("k", []byte("v"), time.Hour); err != nil {
 			t.Fatal(err)
 		}
 		// Put again with less: a promise is never shortened.
-		if err := v.PutBlob("k", []byte("v"), time.Minute); err != nil {
+		if err := engine.PutBlob("k", []byte("v"), time.Minute); err != nil {
 			t.Fatal(err)
 		}
 		state := func(want wire.Got_State) {
 			t.Helper()
-			if g, err := v.GetBlob("k"); err != nil || g.State != want {
+			if g, err := engine.GetBlob("k"); err != nil || g.State != want {
 				t.Errorf("state %v, want %v, %v", g.GetState(), want, err)
 			}
 		}
 		time.Sleep(50 * time.Minute)
 		state(wire.Got_HERE)
-		if err := v.Close(); err != nil {
+		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(12 * time.Hour)
-		v = open(t, fs, "s1")
+		engine = open(t, fs, "s1")
 		time.Sleep(9 * time.Minute)
 		state(wire.Got_HERE)
-		if e, _, err := v.Sweep(); e != 0 || err != nil {
+		if e, _, err := engine.ExpireBlobs(); e != 0 || err != nil {
 			t.Errorf("swept %d within the keeping time, %v", e, err)
 		}
 		time.Sleep(2 * time.Minute)
 		state(wire.Got_PAST)
-		if e, f, err := v.Sweep(); e != 1 || f != 0 || err != nil {
+		if e, f, err := engine.ExpireBlobs(); e != 1 || f != 0 || err != nil {
 			t.Errorf("swept %d, forgot %d, %v", e, f, err)
 		}
 		state(wire.Got_PAST)
 		time.Sleep(2 * time.Hour)
-		if _, f, err := v.Sweep(); f != 1 || err != nil {
+		if _, f, err := engine.ExpireBlobs(); f != 1 || err != nil {
 			t.Errorf("forgot %d, %v", f, err)
 		}
 		state(wire.Got_NONE)
-		if err := v.Close(); err != nil {
+		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -192,42 +192,42 @@
 // are told; with room again all is as before.
 func TestNearlyFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: vfs.NewMem(), MinFree: 1 << 20})
+		engine, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: vfs.NewMem(), MinFree: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
-		save := func(k string) error { return v.Save(k, &wire.Rec{Promised: &wire.Ballot{N: 1}}) }
+		save := func(k string) error { return engine.Save(k, &wire.Rec{Promised: &wire.Ballot{N: 1}}) }
 		if err := save("old"); err != nil {
 			t.Fatal(err)
 		}
-		v.Pretend(1<<19, 0)
+		engine.SimulateDisk(1<<19, 0)
 		if err := save("new"); code.Of(err) != code.DiskFull {
 			t.Errorf("a new record: %v", err)
 		}
-		if err := v.PutBlob("new", nil, time.Hour); code.Of(err) != code.DiskFull {
+		if err := engine.PutBlob("new", nil, time.Hour); code.Of(err) != code.DiskFull {
 			t.Errorf("a new blob: %v", err)
 		}
 		if err := save("old"); err != nil {
 			t.Errorf("an old record: %v", err)
 		}
-		if v.Status() == "" {
+		if engine.Status() == "" {
 			t.Error("operators are not told")
 		}
-		v.Pretend(-1, 0)
-		if err := save("new"); err != nil || v.Status() != "" {
-			t.Errorf("with room again: %v, %q", err, v.Status())
+		engine.SimulateDisk(-1, 0)
+		if err := save("new"); err != nil || engine.Status() != "" {
+			t.Errorf("with room again: %v, %q", err, engine.Status())
 		}
-		v.Pretend(-1, time.Second)
-		if err := save("new"); err != nil || v.Status() == "" {
-			t.Errorf("a slow disk: %v, %q", err, v.Status())
+		engine.SimulateDisk(-1, time.Second)
+		if err := save("new"); err != nil || engine.Status() == "" {
+			t.Errorf("a slow disk: %v, %q", err, engine.Status())
 		}
-		v.Pretend(-1, 0)
-		v.Look()
-		v.Look()
-		if s := v.Status(); s != "" {
+		engine.SimulateDisk(-1, 0)
+		engine.MeasureDisk()
+		engine.MeasureDisk()
+		if s := engine.Status(); s != "" {
 			t.Errorf("a disk that is quick again: %q", s)
 		}
-		if err := v.Close(); err != nil {
+		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -259,21 +259,21 @@
 		{0, 63 << 20, true},
 	} {
 		fs := &sized{vfs.NewMem(), tc.total, tc.free}
-		v, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs, MinFree: 64 << 20})
+		engine, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs, MinFree: 64 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v.Full() != tc.full {
-			t.Errorf("%d MiB free of %d: full %v", tc.free>>20, tc.total>>20, v.Full())
+		if engine.NearlyFull() != tc.full {
+			t.Errorf("%d MiB free of %d: full %v", tc.free>>20, tc.total>>20, engine.NearlyFull())
 		}
-		if err := v.Save("k", &wire.Rec{}); (code.Of(err) == code.DiskFull) != tc.full {
+		if err := engine.Save("k", &wire.Rec{}); (code.Of(err) == code.DiskFull) != tc.full {
 			t.Errorf("%d MiB free of %d: %v", tc.free>>20, tc.total>>20, err)
 		}
 		fs.free = fs.total
-		if v.Look(); fs.total > 0 && v.Full() {
+		if engine.MeasureDisk(); fs.total > 0 && engine.NearlyFull() {
 			t.Errorf("an empty disk of %d MiB is full", tc.total>>20)
 		}
-		if err := v.Close(); err != nil {
+		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -283,25 +283,25 @@
 // it is past; after the grave it is gone; what is newer stays.
 func TestLetGo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := open(t, vfs.NewMem(), "s1")
-		defer v.Close()
-		acc := register.NewAcceptor(v)
+		engine := open(t, vfs.NewMem(), "s1")
+		defer engine.Close()
+		acc := register.NewAcceptor(engine)
 		put := func(key string, n uint64) {
-			if _, err := acc.Acc(&wire.Acc{Key: key, Ballot: &wire.Ballot{N: n}, Cell: &wire.Cell{Ver: n, Val: []byte("x")}}); err != nil {
+			if _, err := acc.Accept(&wire.Acc{Key: key, Ballot: &wire.Ballot{N: n}, Cell: &wire.Cell{Ver: n, Val: []byte("x")}}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		sweep := func(keep time.Duration) int {
-			keys, err := v.Aged(100, func(string) time.Duration { return keep })
+			keys, err := engine.OlderThan(100, func(string) time.Duration { return keep })
 			if err != nil {
 				t.Fatal(err)
 			}
 			n := 0
 			for _, k := range keys {
-				did, err := acc.Forget(k, func(r *wire.Rec) (bool, bool) {
-					d := v.Since(r)
-					return d > keep, d > v.Grave() && r.Cell.GetPast()
-				}, v.Drop)
+				did, err := acc.Expire(k, func(r *wire.Rec) (bool, bool) {
+					d := engine.Age(r)
+					return d > keep, d > engine.TombstoneRetention() && r.Cell.GetPast()
+				}, engine.DeleteRegister)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -317,13 +317,13 @@
 		if n := sweep(5 * time.Minute); n != 1 {
 			t.Fatalf("%d let go", n)
 		}
-		if g, err := acc.Look(&wire.Look{Key: "old"}); err != nil || !g.Cell.GetPast() || g.Cell.Val != nil || g.Accepted.GetN() != 3 {
+		if g, err := acc.Read(&wire.Look{Key: "old"}); err != nil || !g.Cell.GetPast() || g.Cell.Val != nil || g.Accepted.GetN() != 3 {
 			t.Errorf("%+v %v", g, err)
 		}
-		if _, err := acc.Acc(&wire.Acc{Key: "old", Ballot: &wire.Ballot{N: 2}, Cell: &wire.Cell{Ver: 2}}); err == nil {
+		if _, err := acc.Accept(&wire.Acc{Key: "old", Ballot: &wire.Ballot{N: 2}, Cell: &wire.Cell{Ver: 2}}); err == nil {
 			t.Error("an accept from before was taken")
 		}
-		if rows, err := v.Keys(wire.List_REGISTERS, "", 10, nil); err != nil || len(rows) != 1 || rows[0].Key != "new" {
+		if rows, err := engine.Keys(wire.List_REGISTERS, "", 10, nil); err != nil || len(rows) != 1 || rows[0].Key != "new" {
 			t.Errorf("compared: %v %v", rows, err)
 		}
 		time.Sleep(2 * time.Hour)
@@ -333,7 +333,7 @@
 		if n := sweep(time.Minute); n != 2 {
 			t.Errorf("%d let go", n)
 		}
-		if r, err := v.Load("old"); err != nil || r.Accepted != nil {
+		if r, err := engine.Load("old"); err != nil || r.Accepted != nil {
 			t.Errorf("still remembered: %+v %v", r, err)
 		}
 	})
--- a/internal/state/storage/identity_test.go
+++ b/internal/state/storage/identity_test.go
@@ -42,28 +42,28 @@
 		synctest.Test(t, func(t *testing.T) {
 			fs := newFailingIdentity(op, 3)
 			opened := func() *storage.Engine {
-				v, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs})
+				engine, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs})
 				if err != nil {
 					t.Fatalf("operation %v fails: %v", op, err)
 				}
-				return v
+				return engine
 			}
-			v := opened()
+			engine := opened()
 			if fs.left > 0 {
 				t.Errorf("operation %v fails: opened before it went well", op)
 			}
 			if fs.present {
 				t.Errorf("operation %v fails: an identity was left", op)
 			}
-			made := v.Ident()
-			if err := v.Close(); err != nil {
+			made := engine.Ident()
+			if err := engine.Close(); err != nil {
 				t.Fatal(err)
 			}
-			v = opened()
-			if v.Fresh || v.Ident() != made {
-				t.Errorf("operation %v fails: %s came back as %s", op, made, v.Ident())
+			engine = opened()
+			if engine.Fresh || engine.Ident() != made {
+				t.Errorf("operation %v fails: %s came back as %s", op, made, engine.Ident())
 			}
-			if err := v.Close(); err != nil {
+			if err := engine.Close(); err != nil {
 				t.Fatal(err)
 			}
 		})
--- a/internal/state/storage/instance.go
+++ b/internal/state/storage/instance.go
@@ -25,7 +25,7 @@
 // edit sets one entry, or deletes it.
 type edit struct {
 	key     string
-	val     []byte
+	value   []byte
 	deleted bool
 }
 
@@ -41,14 +41,14 @@
 	edits []edit
 	state atomic.Int32
 	done  chan error // holds one answer
-	// settled is closed once the outcome can be read: from then on views either have
+	// resolved is closed once the outcome can be read: from then on views either have
 	// the edits or never will.
-	settled chan struct{}
+	resolved chan struct{}
 }
 
 func (w *write) size() (n int) {
 	for _, e := range w.edits {
-		n += len(e.key) + len(e.val)
+		n += len(e.key) + len(e.value)
 	}
 	return n
 }
@@ -69,20 +69,20 @@
 // instance is a database that is open, with its one writer. A failed instance writes
 // nothing any more; what it had synced can still be read until another takes its place.
 type instance struct {
-	db     *pebble.DB
-	dev    *device
-	delay  func() // of each sync; for the rehearsal kit
-	timed  func(time.Duration)
-	writes chan *write
-	quit   chan struct{}
-	ended  chan struct{}
-	busy   atomic.Int64 // one more than when, since began, the sync under way began; 0: none is
-	began  time.Time
-	users  sync.WaitGroup // calls under way
+	db          *pebble.DB
+	device      *device
+	beforeSync  func() // of each sync; for the rehearsal kit
+	onSync      func(time.Duration)
+	writes      chan *write
+	quit        chan struct{}
+	ended       chan struct{}
+	syncStarted atomic.Int64 // one more than when, since began, the sync under way began; 0: none is
+	openedAt    time.Time
+	users       sync.WaitGroup // calls under way
 
-	mu     sync.Mutex
-	newest *view
-	unsure []*write // of a failed instance: what nobody knows the outcome of
+	mu        sync.Mutex
+	newest    *view
+	uncertain []*write // of a failed instance: what nobody knows the outcome of
 }
 
 // openInstance opens the database in dir through dev.
@@ -99,17 +99,17 @@
 	}
 	dev.opened()
 	if cause := dev.failure(); cause != nil {
-		dev.doom()
+		dev.startDiscarding()
 		_ = db.Close()
 		return nil, cause
 	}
 	i = &instance{
-		db:     db,
-		dev:    dev,
-		writes: make(chan *write, maxQueued),
-		quit:   make(chan struct{}),
-		ended:  make(chan struct{}),
-		began:  time.Now(),
+		db:       db,
+		device:   dev,
+		writes:   make(chan *write, maxQueued),
+		quit:     make(chan struct{}),
+		ended:    make(chan struct{}),
+		openedAt: time.Now(),
 	}
 	i.newest = &view{Snapshot: db.NewSnapshot()}
 	i.newest.users.Store(1)
@@ -139,11 +139,11 @@
 
 // syncing is how long the sync under way has taken; 0 where none is.
 func (i *instance) syncing() time.Duration {
-	at := i.busy.Load()
+	at := i.syncStarted.Load()
 	if at == 0 {
 		return 0
 	}
-	return time.Since(i.began) - time.Duration(at-1)
+	return time.Since(i.openedAt) - time.Duration(at-1)
 }
 
 // run commits writes, as many as wait in one sync, until the instance is closed or has
@@ -154,16 +154,16 @@
 		select {
 		case <-i.quit:
 			return
-		case <-i.dev.fenced:
+		case <-i.device.fenced:
 			return
 		case w := <-i.writes:
-			i.group(w)
+			i.commitGroup(w)
 		}
 	}
 }
 
-// group commits a write together with those that wait behind it.
-func (i *instance) group(w *write) {
+// commitGroup commits a write together with those that wait behind it.
+func (i *instance) commitGroup(w *write) {
 	var ws []*write
 	size := 0
 	for more := true; more; {
@@ -184,18 +184,18 @@
 		return
 	}
 	at := time.Now()
-	i.busy.Store(int64(at.Sub(i.began)) + 1)
+	i.syncStarted.Store(int64(at.Sub(i.openedAt)) + 1)
 	err := i.commit(ws)
-	i.busy.Store(0)
-	i.timed(time.Since(at))
+	i.syncStarted.Store(0)
+	i.onSync(time.Since(at))
 	if err != nil {
 		i.mu.Lock()
-		i.unsure = append(i.unsure, ws...)
+		i.uncertain = append(i.uncertain, ws...)
 		i.mu.Unlock()
 	}
 	for _, w := range ws {
 		if err == nil {
-			close(w.settled)
+			close(w.resolved)
 		}
 		w.done <- err
 	}
@@ -208,28 +208,28 @@
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("commit: %v", r)
-			i.dev.fence(err)
+			i.device.fence(err)
 		}
 	}()
-	i.delay()
+	i.beforeSync()
 	b := i.db.NewBatch()
 	for _, w := range ws {
 		for _, e := range w.edits {
 			if e.deleted {
 				err = b.Delete([]byte(e.key), nil)
 			} else {
-				err = b.Set([]byte(e.key), e.val, nil)
+				err = b.Set([]byte(e.key), e.value, nil)
 			}
 			if err != nil {
-				i.dev.fence(err)
+				i.device.fence(err)
 				return err
 			}
 		}
 	}
 	if err := b.Commit(pebble.Sync); err != nil {
-		i.dev.fence(err)
+		i.device.fence(err)
 	}
-	if err := i.dev.failure(); err != nil {
+	if err := i.device.failure(); err != nil {
 		return err
 	}
 	_ = b.Close()
@@ -241,10 +241,10 @@
 // says. The write is given where it may have been begun: its outcome is known once it
 // is settled.
 func (i *instance) submit(limit time.Duration, edits []edit) (*write, error) {
-	if err := i.refuses(limit); err != nil {
+	if err := i.rejection(limit); err != nil {
 		return nil, err
 	}
-	w := &write{edits: edits, done: make(chan error, 1), settled: make(chan struct{})}
+	w := &write{edits: edits, done: make(chan error, 1), resolved: make(chan struct{})}
 	select {
 	case i.writes <- w:
 	default:
@@ -256,37 +256,37 @@
 	case err := <-w.done:
 		return w, err
 	case <-i.ended:
-		return i.after(w, errFenced)
+		return i.abandon(w, errFenced)
 	case <-t.C:
-		return i.after(w, errSyncWait)
+		return i.abandon(w, errSyncTimeout)
 	}
 }
 
 // Why a write was not begun, or not answered in time.
 var (
-	errNoRoom    = errors.New("the disk has no room")
-	errQueueFull = errors.New("too many writes wait for the disk")
-	errSyncWait  = errors.New("the disk has not synced in time")
+	errNoSpace     = errors.New("the disk has no room")
+	errQueueFull   = errors.New("too many writes wait for the disk")
+	errSyncTimeout = errors.New("the disk has not synced in time")
 )
 
-// refuses tells why a write is not even begun.
-func (i *instance) refuses(limit time.Duration) error {
+// rejection tells why a write is not even begun.
+func (i *instance) rejection(limit time.Duration) error {
 	switch {
-	case i.dev.failure() != nil:
-		return errors.Join(errFenced, i.dev.failure())
-	case i.dev.noRoom():
-		return errNoRoom
+	case i.device.failure() != nil:
+		return errors.Join(errFenced, i.device.failure())
+	case i.device.waitsForSpace():
+		return errNoSpace
 	case i.syncing() >= limit:
-		return errSyncWait
+		return errSyncTimeout
 	}
 	return nil
 }
 
-// after is the answer to a write that waits no longer.
-func (i *instance) after(w *write, why error) (*write, error) {
+// abandon is the answer to a write that waits no longer.
+func (i *instance) abandon(w *write, why error) (*write, error) {
 	if w.state.CompareAndSwap(queued, withdrawn) {
-		if i.dev.noRoom() {
-			why = errNoRoom
+		if i.device.waitsForSpace() {
+			why = errNoSpace
 		}
 		return nil, why
 	}
@@ -298,15 +298,15 @@
 	}
 }
 
-// settle ends the doubt about the writes of a failed instance, once another has been
+// resolve ends the doubt about the writes of a failed instance, once another has been
 // opened from what the disk holds.
-func (i *instance) settle() {
+func (i *instance) resolve() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, w := range i.unsure {
-		close(w.settled)
+	for _, w := range i.uncertain {
+		close(w.resolved)
 	}
-	i.unsure = nil
+	i.uncertain = nil
 }
 
 // close closes the database once no view is read any more. A disk that does not answer
@@ -322,25 +322,25 @@
 	}()
 	t := time.NewTimer(closeWait)
 	defer t.Stop()
-	if i.dev.noRoom() {
-		i.dev.fence(errNoRoom)
+	if i.device.waitsForSpace() {
+		i.device.fence(errNoSpace)
 	}
-	if i.dev.failure() != nil {
-		i.dev.doom()
+	if i.device.failure() != nil {
+		i.device.startDiscarding()
 	}
 	select {
 	case err := <-done:
 		return err
 	case <-t.C:
 	}
-	i.dev.fence(errSyncWait)
-	i.dev.doom()
+	i.device.fence(errSyncTimeout)
+	i.device.startDiscarding()
 	t.Reset(closeWait)
 	select {
 	case err := <-done:
 		return err
 	case <-t.C:
-		return errSyncWait
+		return errSyncTimeout
 	}
 }
 
--- a/internal/state/storage/model_test.go
+++ b/internal/state/storage/model_test.go
@@ -54,7 +54,7 @@
 	go func() { _ = old.Close() }()
 	w.start(t, id)
 	r, err := w.v.Load("k")
-	if err != nil || w.v.Fresh || wire.Cmp(r.Promised, answered) < 0 {
+	if err != nil || w.v.Fresh || wire.CompareBallots(r.Promised, answered) < 0 {
 		t.Errorf("%s promises %v after a crash, and had answered %v: %v", id, r.Promised, answered, err)
 	}
 }
@@ -68,18 +68,18 @@
 	}
 	switch {
 	case q.GetPrep() != nil:
-		view, err = acc.Prep(q.GetPrep())
+		view, err = acc.Prepare(q.GetPrep())
 	case q.GetAcc() != nil:
-		view, err = acc.Acc(q.GetAcc())
+		view, err = acc.Accept(q.GetAcc())
 	default:
-		view, err = acc.Look(q.GetLook())
+		view, err = acc.Read(q.GetLook())
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if acc != w.acc {
 		return nil, code.New(code.Unreachable, "crashed meanwhile")
 	}
-	if err == nil && wire.Cmp(view.Promised, w.answered) > 0 {
+	if err == nil && wire.CompareBallots(view.Promised, w.answered) > 0 {
 		w.answered = view.Promised
 	}
 	return view, err
@@ -121,7 +121,7 @@
 				mark := fmt.Sprintf("%d.%d;", n, i)
 				cctx, end := context.WithTimeout(ctx, 3*time.Second)
 				_, err := p.Change(cctx, register.Set{set}, "k", func(s register.State) ([]byte, bool, error) {
-					return append(append([]byte{}, s.Val...), mark...), false, nil
+					return append(append([]byte{}, s.Value...), mark...), false, nil
 				})
 				end()
 				mu.Lock()
@@ -165,7 +165,7 @@
 	}
 	n := 0
 	for mark, ok := range acked {
-		count := strings.Count(";"+string(st.Val), ";"+mark)
+		count := strings.Count(";"+string(st.Value), ";"+mark)
 		if ok {
 			n++
 		}
--- a/internal/state/storage/trouble_test.go
+++ b/internal/state/storage/trouble_test.go
@@ -32,9 +32,9 @@
 func record(n int) *wire.Rec { return &wire.Rec{Promised: &wire.Ballot{N: uint64(n)}} }
 
 // promised is what a key's record promises here.
-func promised(t *testing.T, v *storage.Engine, key string) int {
+func promised(t *testing.T, engine *storage.Engine, key string) int {
 	t.Helper()
-	r, err := v.Load(key)
+	r, err := engine.Load(key)
 	if err != nil {
 		t.Fatalf("%s: %v", key, err)
 	}
@@ -42,24 +42,24 @@
 }
 
 // saved waits until a key can be written again, reading it before each try.
-func saved(t *testing.T, v *storage.Engine, key string, n int) {
+func saved(t *testing.T, engine *storage.Engine, key string, n int) {
 	t.Helper()
 	for range 200 {
-		if _, err := v.Load(key); err == nil && v.Save(key, record(n)) == nil {
+		if _, err := engine.Load(key); err == nil && engine.Save(key, record(n)) == nil {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("%s can't be written again: %s", key, v.Status())
+	t.Fatalf("%s can't be written again: %s", key, engine.Status())
 }
 
 // closed closes an engine, whatever its disk does.
-func closed(t *testing.T, v *storage.Engine, fs *faultfs.FS) {
+func closed(t *testing.T, engine *storage.Engine, fs *faultfs.FS) {
 	t.Helper()
 	fs.Full(false)
 	fs.Stall(false)
 	time.Sleep(time.Second)
-	if err := v.Close(); err != nil {
+	if err := engine.Close(); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(time.Minute)
@@ -72,53 +72,53 @@
 	synctest.Test(t, func(t *testing.T) {
 		mem := vfs.NewCrashableMem()
 		fs := faultfs.New(mem)
-		v := open(t, fs, "s1")
-		saved(t, v, "caught", 1)
-		saved(t, v, "other", 1)
+		engine := open(t, fs, "s1")
+		saved(t, engine, "caught", 1)
+		saved(t, engine, "other", 1)
 		fs.Full(true)
 		at := time.Now()
-		if err := v.Save("caught", record(2)); code.Of(err) != code.WriteUnsure {
+		if err := engine.Save("caught", record(2)); code.Of(err) != code.WriteUncertain {
 			t.Errorf("the write that met the full disk: %v", err)
 		}
 		if d := time.Since(at); d > 3*time.Second {
 			t.Errorf("it took %s", d)
 		}
 		at = time.Now()
-		if err := v.Save("other", record(2)); code.Of(err) != code.DiskFull {
+		if err := engine.Save("other", record(2)); code.Of(err) != code.DiskFull {
 			t.Errorf("the next write: %v", err)
 		}
-		if err := v.Note("n", []byte("x")); code.Of(err) != code.DiskFull {
+		if err := engine.SaveMetadata("n", []byte("x")); code.Of(err) != code.DiskFull {
 			t.Errorf("a note: %v", err)
 		}
-		if err := v.PutBlob("b", []byte("x"), time.Hour); code.Of(err) != code.DiskFull {
+		if err := engine.PutBlob("b", []byte("x"), time.Hour); code.Of(err) != code.DiskFull {
 			t.Errorf("a blob: %v", err)
 		}
-		if n := promised(t, v, "caught"); n != 1 {
+		if n := promised(t, engine, "caught"); n != 1 {
 			t.Errorf("an unsynced promise of %d is read", n)
 		}
-		if n := promised(t, v, "other"); n != 1 {
+		if n := promised(t, engine, "other"); n != 1 {
 			t.Errorf("promise of %d is read", n)
 		}
 		if d := time.Since(at); d > 0 {
 			t.Errorf("answers that need no disk took %s", d)
 		}
-		if s := v.Status(); s != "disk full, no writes taken" {
+		if s := engine.Status(); s != "disk full, no writes taken" {
 			t.Errorf("status %q", s)
 		}
 		fs.Full(false)
 		time.Sleep(time.Second)
-		if s := v.Status(); strings.Contains(s, "no writes taken") {
+		if s := engine.Status(); strings.Contains(s, "no writes taken") {
 			t.Errorf("with room again: %q", s)
 		}
 		// What was in doubt is not written over before it was read.
-		if err := v.Save("caught", record(1)); code.Of(err) != code.DiskStalled {
+		if err := engine.Save("caught", record(1)); code.Of(err) != code.DiskStalled {
 			t.Errorf("written without having been read: %v", err)
 		}
-		if n := promised(t, v, "caught"); n != 2 {
+		if n := promised(t, engine, "caught"); n != 2 {
 			t.Errorf("promise of %d after the write landed", n)
 		}
-		saved(t, v, "caught", 3)
-		saved(t, v, "other", 3)
+		saved(t, engine, "caught", 3)
+		saved(t, engine, "other", 3)
 		after := open(t, mem.CrashClone(vfs.CrashCloneCfg{}), "s1")
 		if a, b := promised(t, after, "caught"), promised(t, after, "other"); a != 3 || b != 3 || after.Fresh {
 			t.Errorf("promises of %d and %d after the power went", a, b)
@@ -126,7 +126,7 @@
 		if err := after.Close(); err != nil {
 			t.Error(err)
 		}
-		closed(t, v, fs)
+		closed(t, engine, fs)
 	})
 }
 
@@ -135,41 +135,41 @@
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
-		v := open(t, fs, "s1")
-		saved(t, v, "k0", 1)
+		engine := open(t, fs, "s1")
+		saved(t, engine, "k0", 1)
 		fs.Stall(true)
 		const callers = 3000
 		answers := make(chan error, callers)
 		for i := range callers {
-			go func() { answers <- v.Save(fmt.Sprintf("k%d", i), record(2)) }()
+			go func() { answers <- engine.Save(fmt.Sprintf("k%d", i), record(2)) }()
 		}
 		synctest.Wait()
 		if n := len(answers); n < callers-1100 {
 			t.Errorf("%d of %d callers wait", callers-n, callers)
 		}
 		for range callers {
-			if c := code.Of(<-answers); c != code.WriteUnsure && c != code.DiskStalled {
+			if c := code.Of(<-answers); c != code.WriteUncertain && c != code.DiskStalled {
 				t.Fatalf("answer %v", c)
 			}
 		}
 		at := time.Now()
 		for range 100 {
-			if err := v.Save("k0", record(3)); code.Of(err) != code.DiskStalled {
+			if err := engine.Save("k0", record(3)); code.Of(err) != code.DiskStalled {
 				t.Fatal(err)
 			}
-			if err := v.Save("another", record(3)); code.Of(err) != code.DiskStalled {
+			if err := engine.Save("another", record(3)); code.Of(err) != code.DiskStalled {
 				t.Fatal(err)
 			}
-			if n := promised(t, v, "k0"); n != 1 {
+			if n := promised(t, engine, "k0"); n != 1 {
 				t.Fatalf("an unsynced promise of %d is read", n)
 			}
 		}
-		if d := time.Since(at); d > 0 || !strings.Contains(v.Status(), "disk does not answer") {
-			t.Errorf("refusals took %s, status %q", d, v.Status())
+		if d := time.Since(at); d > 0 || !strings.Contains(engine.Status(), "disk does not answer") {
+			t.Errorf("refusals took %s, status %q", d, engine.Status())
 		}
 		fs.Stall(false)
-		saved(t, v, "k0", 4)
-		closed(t, v, fs)
+		saved(t, engine, "k0", 4)
+		closed(t, engine, fs)
 	})
 }
 
@@ -189,25 +189,25 @@
 func failOnce(t *testing.T, kind faultfs.Kind, n int, cause error) {
 	mem := vfs.NewCrashableMem()
 	fs := faultfs.New(mem)
-	v := open(t, fs, "s1")
-	ident := v.Ident()
+	engine := open(t, fs, "s1")
+	ident := engine.Ident()
 	fs.FailNext(kind, n, cause)
 	seen := 0
 	val := make([]byte, 100<<10)
 	for i := 1; i <= 30; i++ {
-		now := promised(t, v, "k")
+		now := promised(t, engine, "k")
 		if now < seen {
 			t.Fatalf("kind %d, call %d, %v: read %d after %d", kind, n, cause, now, seen)
 		}
 		seen = max(seen, now)
 		r := record(i)
 		r.Cell = &wire.Cell{Val: val}
-		if err := v.Save("k", r); err == nil {
+		if err := engine.Save("k", r); err == nil {
 			seen = i
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	saved(t, v, "k", 61)
+	saved(t, engine, "k", 61)
 	rnd := rand.New(rand.NewPCG(uint64(n), uint64(kind)))
 	after := open(t, mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: rnd}), "s1")
 	if got := promised(t, after, "k"); got != 61 || after.Fresh || after.Ident() != ident {
@@ -216,7 +216,7 @@
 	if err := after.Close(); err != nil {
 		t.Error(err)
 	}
-	closed(t, v, fs)
+	closed(t, engine, fs)
 }
 
 // TestFailedSync: after a sync that failed, what was not synced is neither read nor
@@ -224,35 +224,35 @@
 func TestFailedSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
-		v := open(t, fs, "s1")
-		saved(t, v, "k", 1)
-		saved(t, v, "other", 1)
+		engine := open(t, fs, "s1")
+		saved(t, engine, "k", 1)
+		saved(t, engine, "other", 1)
 		fs.FailNext(faultfs.Sync, 1, syscall.EIO)
 		fs.At(func(kind faultfs.Kind, _ int) {
 			if kind == faultfs.Sync {
 				fs.Full(true)
 			}
 		})
-		if err := v.Save("k", record(2)); code.Of(err) != code.DiskFailure {
+		if err := engine.Save("k", record(2)); code.Of(err) != code.DiskFailure {
 			t.Errorf("the write whose sync failed: %v", err)
 		}
 		fs.At(nil)
 		for range 20 {
-			if n := promised(t, v, "k"); n != 1 {
+			if n := promised(t, engine, "k"); n != 1 {
 				t.Fatalf("an unsynced promise of %d is read", n)
 			}
-			if err := v.Save("other", record(2)); code.Of(err) != code.DiskFailure {
+			if err := engine.Save("other", record(2)); code.Of(err) != code.DiskFailure {
 				t.Fatalf("a write to a failed folder: %v", err)
 			}
 			time.Sleep(time.Second)
 		}
-		if v.Status() == "" {
+		if engine.Status() == "" {
 			t.Error("operators are not told")
 		}
 		fs.Full(false)
-		saved(t, v, "k", 3)
-		saved(t, v, "other", 3)
-		closed(t, v, fs)
+		saved(t, engine, "k", 3)
+		saved(t, engine, "other", 3)
+		closed(t, engine, fs)
 	})
 }
 
@@ -273,18 +273,18 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				mem := vfs.NewCrashableMem()
-				v := open(t, mem, "s1")
-				ident := v.Ident()
-				saved(t, v, "k", 7)
+				engine := open(t, mem, "s1")
+				ident := engine.Ident()
+				saved(t, engine, "k", 7)
 				fs := faultfs.New(mem.CrashClone(vfs.CrashCloneCfg{}))
 				trouble(fs, true)
 				opened := make(chan *storage.Engine, 1)
 				go func() {
-					v, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs})
+					engine, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs})
 					if err != nil {
 						t.Error(err)
 					}
-					opened <- v
+					opened <- engine
 				}()
 				time.Sleep(10 * time.Second)
 				if name != "fails" && len(opened) > 0 {
@@ -298,7 +298,7 @@
 					t.Errorf("fresh %v", w.Fresh)
 				}
 				closed(t, w, fs)
-				if err := v.Close(); err != nil {
+				if err := engine.Close(); err != nil {
 					t.Error(err)
 				}
 				if _, err := storage.Open(storage.Params{Dir: "/data", ID: "s2", Role: "store", FS: fs}); code.Of(err) != code.ForeignFolder {
@@ -314,13 +314,13 @@
 	for _, stall := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			fs := faultfs.New(vfs.NewCrashableMem())
-			v := open(t, fs, "s1")
-			saved(t, v, "k", 1)
+			engine := open(t, fs, "s1")
+			saved(t, engine, "k", 1)
 			fs.Full(!stall)
 			fs.Stall(stall)
-			_ = v.Save("k", record(2))
+			_ = engine.Save("k", record(2))
 			at := time.Now()
-			_ = v.Close()
+			_ = engine.Close()
 			if d := time.Since(at); d > 15*time.Second {
 				t.Errorf("closing took %s", d)
 			}
@@ -336,24 +336,24 @@
 func TestUnsureAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
-		v := open(t, fs, "s1")
-		a := register.NewAcceptor(v)
+		engine := open(t, fs, "s1")
+		a := register.NewAcceptor(engine)
 		time.Sleep(time.Hour)
 		fs.Full(true)
 		c := &wire.Cell{Ver: 1, Val: []byte("x"), Ops: []uint64{5}, Timed: true}
-		if _, err := a.Acc(&wire.Acc{Key: "k", Ballot: &wire.Ballot{N: 1}, Cell: c}); code.Of(err) != code.WriteUnsure {
+		if _, err := a.Accept(&wire.Acc{Key: "k", Ballot: &wire.Ballot{N: 1}, Cell: c}); code.Of(err) != code.WriteUncertain {
 			t.Errorf("accepted on a full disk: %v", err)
 		}
 		fs.Full(false)
 		time.Sleep(10 * time.Second)
-		view, err := a.Look(&wire.Look{Key: "k"})
+		view, err := a.Read(&wire.Look{Key: "k"})
 		if err != nil || view.Accepted.GetN() != 1 {
 			t.Fatalf("%v %v", view, err)
 		}
 		if view.AgeMs > 10_000 {
 			t.Errorf("held for %d ms", view.AgeMs)
 		}
-		closed(t, v, fs)
+		closed(t, engine, fs)
 	})
 }
 
@@ -364,7 +364,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(uint64(seed), 5))
 			fs := faultfs.New(vfs.NewCrashableMem())
-			v := open(t, fs, "s1")
+			engine := open(t, fs, "s1")
 			val := make([]byte, 200<<10)
 			last := map[string]int{}
 			for i := range 80 {
@@ -376,13 +376,13 @@
 				for j := range val {
 					val[j] = byte(rnd.Uint32())
 				}
-				n := promised(t, v, k)
+				n := promised(t, engine, k)
 				if n < last[k] {
 					t.Fatalf("%s: %d after %d", k, n, last[k])
 				}
 				r := record(i + 1)
 				r.Cell = &wire.Cell{Val: val}
-				err := v.Save(k, r)
+				err := engine.Save(k, r)
 				switch {
 				case err == nil:
 					last[k] = i + 1
@@ -392,9 +392,9 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 			for k := range last {
-				saved(t, v, k, 1000)
+				saved(t, engine, k, 1000)
 			}
-			closed(t, v, fs)
+			closed(t, engine, fs)
 		})
 	}
 }
@@ -407,7 +407,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				mem := vfs.NewCrashableMem()
 				fs := faultfs.New(mem)
-				v := open(t, fs, "s1")
+				engine := open(t, fs, "s1")
 				val := make([]byte, 200<<10)
 				for i := range 60 {
 					if i%20 == 10 {
@@ -415,13 +415,13 @@
 					}
 					r := record(i + 1)
 					r.Cell = &wire.Cell{Val: val}
-					if _, err := v.Load("k"); err == nil {
-						_ = v.Save("k", r)
+					if _, err := engine.Load("k"); err == nil {
+						_ = engine.Save("k", r)
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				saved(t, v, "k", 1000)
-				closed(t, v, fs)
+				saved(t, engine, "k", 1000)
+				closed(t, engine, fs)
 			})
 		}
 	}
@@ -432,17 +432,17 @@
 func TestStallRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
-		v := open(t, fs, "s1")
-		saved(t, v, "k", 1)
+		engine := open(t, fs, "s1")
+		saved(t, engine, "k", 1)
 		fs.Stall(true)
-		_ = v.Save("k", record(2))
+		_ = engine.Save("k", record(2))
 		at := time.Now()
-		if err := v.Save("another", record(1)); code.Of(err) != code.DiskStalled {
+		if err := engine.Save("another", record(1)); code.Of(err) != code.DiskStalled {
 			t.Error(err)
 		}
 		if d := time.Since(at); d > 0 {
 			t.Errorf("the refusal took %s", d)
 		}
-		closed(t, v, fs)
+		closed(t, engine, fs)
 	})
 }
--- a/internal/transport/code/code.go
+++ b/internal/transport/code/code.go
@@ -23,71 +23,71 @@
 	BadTime      Code = 106
 	NoRoute      Code = 107
 	NoTurn       Code = 108
-	PastKeeping  Code = 109
+	Expired      Code = 109
 	KeyReused    Code = 110
 	BadField     Code = 111
 	BadProgram   Code = 112
 	BodyLost     Code = 113
 
-	BacklogFull    Code = 201
-	DeadlinePassed Code = 202
-	Cooling        Code = 203
-	NoRunner       Code = 204
-	Stopping       Code = 205
-	TierAway       Code = 207
-	BudgetSpent    Code = 208
-	RunnerDrop     Code = 209
-	NotReady       Code = 210
-	FellBack       Code = 211
-	Overtaken      Code = 212
-	TooLong        Code = 213
+	BacklogFull       Code = 201
+	DeadlinePassed    Code = 202
+	Cooling           Code = 203
+	NoRunner          Code = 204
+	Stopping          Code = 205
+	StoresUnreachable Code = 207
+	BudgetSpent       Code = 208
+	RunnerDrop        Code = 209
+	NotReady          Code = 210
+	FellBack          Code = 211
+	Overtaken         Code = 212
+	TooLong           Code = 213
 
 	OutcomeUnknown Code = 301
 	InProgress     Code = 302
-	NotWhole       Code = 303
+	Incomplete     Code = 303
 	RunnerFailure  Code = 304
 	NotKept        Code = 305
 	ClaimPast      Code = 306
 	TimedOut       Code = 307
 
-	SpecConflict Code = 401
-	NotInForce   Code = 402
-	BadSpec      Code = 403
-	CoreAway     Code = 404
-	NoZone       Code = 405
-	LastZone     Code = 406
-	NoVersion    Code = 407
-	NoPath       Code = 408
-	NoMember     Code = 409
-	BadDay       Code = 410
-	BelowCopies  Code = 411
-	InSet        Code = 412
-	UsedIdentity Code = 413
-	SetChanging  Code = 414
-	BadPolicy    Code = 415
-	NotApproved  Code = 416
-	NoJob        Code = 417
-	FewLive      Code = 418
-	Forgotten    Code = 419
-	NotHeard     Code = 420
-	OutOfTouch   Code = 421
-
-	FrameTooLong  Code = 501
-	Garbled       Code = 502
-	WireVersion   Code = 503
-	OldEpoch      Code = 504
-	WrongIdentity Code = 505
-	NotVoting     Code = 506
-	OldBallot     Code = 507
-	UnknownMsg    Code = 508
-	DiskFailure   Code = 509
-	Unreachable   Code = 510
-	Unknown       Code = 511
-	NotHolder     Code = 512
-	DiskFull      Code = 513
-	StaleSpec     Code = 514
-	DiskStalled   Code = 515
-	WriteUnsure   Code = 516
+	SpecConflict    Code = 401
+	NotInForce      Code = 402
+	BadSpec         Code = 403
+	CoreUnreachable Code = 404
+	NoZone          Code = 405
+	LastZone        Code = 406
+	NoVersion       Code = 407
+	NoPath          Code = 408
+	NoMember        Code = 409
+	BadDay          Code = 410
+	BelowCopies     Code = 411
+	InSet           Code = 412
+	UsedIdentity    Code = 413
+	SetChanging     Code = 414
+	BadPolicy       Code = 415
+	NotApproved     Code = 416
+	NoJob           Code = 417
+	FewLive         Code = 418
+	Forgotten       Code = 419
+	NotSeen         Code = 420
+	OutOfContact    Code = 421
+
+	FrameTooLong   Code = 501
+	Garbled        Code = 502
+	WireVersion    Code = 503
+	OldEpoch       Code = 504
+	WrongIdentity  Code = 505
+	NotVoting      Code = 506
+	OldBallot      Code = 507
+	UnknownMessage Code = 508
+	DiskFailure    Code = 509
+	Unreachable    Code = 510
+	Unknown        Code = 511
+	NotHolder      Code = 512
+	DiskFull       Code = 513
+	StaleSpec      Code = 514
+	DiskStalled    Code = 515
+	WriteUncertain Code = 516
 
 	BadFlag       Code = 601
 	ForeignFolder Code = 602
@@ -114,7 +114,7 @@
 	{BadTime, "bad_time", 400, "no"},
 	{NoRoute, "no_route", 404, "no"},
 	{NoTurn, "no_turn", 404, "no"},
-	{PastKeeping, "past_keeping", 410, "no"},
+	{Expired, "past_keeping", 410, "no"},
 	{KeyReused, "key_reused", 422, "no"},
 	{BadField, "bad_field", 400, "no"},
 	{BadProgram, "bad_program", 409, "no"},
@@ -124,7 +124,7 @@
 	{Cooling, "cooling", 429, "no"},
 	{NoRunner, "no_runner", 503, "no"},
 	{Stopping, "stopping", 503, "no"},
-	{TierAway, "tier_away", 503, "no"},
+	{StoresUnreachable, "tier_away", 503, "no"},
 	{BudgetSpent, "budget_spent", 402, "no"},
 	{RunnerDrop, "runner_drop", 429, "no"},
 	{NotReady, "not_ready", 503, "no"},
@@ -133,7 +133,7 @@
 	{TooLong, "too_long", 503, "no"},
 	{OutcomeUnknown, "outcome_unknown", 502, "unknown"},
 	{InProgress, "in_progress", 409, "unknown"},
-	{NotWhole, "not_whole", 502, "unknown"},
+	{Incomplete, "not_whole", 502, "unknown"},
 	{RunnerFailure, "runner_problem", 502, "unknown"},
 	{NotKept, "not_kept", 502, "unknown"},
 	{ClaimPast, "claim_past", 410, "unknown"},
@@ -141,7 +141,7 @@
 	{SpecConflict, "spec_conflict", 409, ""},
 	{NotInForce, "not_in_force", 202, ""},
 	{BadSpec, "bad_spec", 400, ""},
-	{CoreAway, "core_away", 503, ""},
+	{CoreUnreachable, "core_away", 503, ""},
 	{NoZone, "no_zone", 404, ""},
 	{LastZone, "last_zone", 409, ""},
 	{NoVersion, "no_version", 404, ""},
@@ -157,8 +157,8 @@
 	{NoJob, "no_job", 404, ""},
 	{FewLive, "few_live", 503, ""},
 	{Forgotten, "order_forgotten", 503, ""},
-	{NotHeard, "not_heard", 503, ""},
-	{OutOfTouch, "out_of_touch", 503, ""},
+	{NotSeen, "not_heard", 503, ""},
+	{OutOfContact, "out_of_touch", 503, ""},
 	{FrameTooLong, "frame_too_long", 0, ""},
 	{Garbled, "garbled", 0, ""},
 	{WireVersion, "wire_version", 0, ""},
@@ -166,7 +166,7 @@
 	{WrongIdentity, "wrong_identity", 0, ""},
 	{NotVoting, "not_voting", 0, ""},
 	{OldBallot, "old_ballot", 0, ""},
-	{UnknownMsg, "unknown_msg", 0, ""},
+	{UnknownMessage, "unknown_msg", 0, ""},
 	{DiskFailure, "disk_problem", 500, ""},
 	{Unreachable, "unreachable", 503, ""},
 	{Unknown, "unknown", 500, ""},
@@ -174,7 +174,7 @@
 	{DiskFull, "disk_full", 0, ""},
 	{StaleSpec, "stale_spec", 0, ""},
 	{DiskStalled, "disk_stalled", 0, ""},
-	{WriteUnsure, "write_unsure", 0, ""},
+	{WriteUncertain, "write_unsure", 0, ""},
 	{BadFlag, "bad_flag", 0, ""},
 	{ForeignFolder, "foreign_folder", 0, ""},
 	{FolderVersion, "folder_version", 0, ""},
--- a/internal/transport/cuts.go
+++ b/internal/transport/cuts.go
@@ -2,41 +2,41 @@
 
 import "sync"
 
-// Cuts is the fault switch of the rehearsal kit: addresses that calls neither
+// Partitions is the fault switch of the rehearsal kit: addresses that calls neither
 // reach nor come from. In an ordinary run it stays empty.
-type Cuts struct {
-	mu    sync.Mutex
-	set   map[string]bool
-	fired int
+type Partitions struct {
+	mu        sync.Mutex
+	set       map[string]bool
+	swallowed int
 }
 
 // Set replaces the cut addresses.
-func (c *Cuts) Set(addrs []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.set = map[string]bool{}
+func (partitions *Partitions) Set(addrs []string) {
+	partitions.mu.Lock()
+	defer partitions.mu.Unlock()
+	partitions.set = map[string]bool{}
 	for _, a := range addrs {
-		c.set[a] = true
+		partitions.set[a] = true
 	}
 }
 
 // Has tells whether addr is cut off, and counts that the fault took effect.
-func (c *Cuts) Has(addr string) bool {
-	if c == nil {
+func (partitions *Partitions) Has(addr string) bool {
+	if partitions == nil {
 		return false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.set[addr] {
-		c.fired++
+	partitions.mu.Lock()
+	defer partitions.mu.Unlock()
+	if partitions.set[addr] {
+		partitions.swallowed++
 		return true
 	}
 	return false
 }
 
-// Fired counts the calls a cut has swallowed.
-func (c *Cuts) Fired() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.fired
+// Swallowed counts the calls a cut has swallowed.
+func (partitions *Partitions) Swallowed() int {
+	partitions.mu.Lock()
+	defer partitions.mu.Unlock()
+	return partitions.swallowed
 }
--- a/internal/transport/hub.go
+++ b/internal/transport/hub.go
@@ -59,44 +59,44 @@
 
 // Hub calls peers, one connection to each, dialled when first needed.
 type Hub struct {
-	net   Net
-	p     Params
-	cuts  *Cuts
-	mu    sync.Mutex
-	all   map[string]*link
-	swept time.Time
-	id    atomic.Uint64
+	net        Net
+	p          Params
+	partitions *Partitions
+	mu         sync.Mutex
+	all        map[string]*link
+	lastSwept  time.Time
+	id         atomic.Uint64
 	// Sent counts calls, for the measures of messages per node.
 	Sent atomic.Uint64
 }
 
 // NewHub makes a hub over the network n.
-func NewHub(n Net, p Params, cuts *Cuts) *Hub {
-	return &Hub{net: n, p: p, cuts: cuts, all: map[string]*link{}}
+func NewHub(n Net, p Params, partitions *Partitions) *Hub {
+	return &Hub{net: n, p: p, partitions: partitions, all: map[string]*link{}}
 }
 
 type link struct {
-	conn net.Conn
-	out  chan frame
-	done chan struct{}
-	once sync.Once
-	mu   sync.Mutex
-	wait map[uint64]chan frame
-	used time.Time // when a call last began or ended
-	// heard is when something last came in, or when it was dialled.
-	heard time.Time
-	idle  bool         // let go: no call may begin on it any more
-	rest  []chan frame // empty, for later calls
-	err   error
+	conn    net.Conn
+	out     chan frame
+	done    chan struct{}
+	once    sync.Once
+	mu      sync.Mutex
+	pending map[uint64]chan frame
+	used    time.Time // when a call last began or ended
+	// lastReceived is when something last came in, or when it was dialled.
+	lastReceived time.Time
+	idle         bool         // let go: no call may begin on it any more
+	spare        []chan frame // empty, for later calls
+	err          error
 }
 
-// restMost bounds the channels that a connection keeps for later calls.
-const restMost = 64
+// maxSpare bounds the channels that a connection keeps for later calls.
+const maxSpare = 64
 
 // Call sends body to addr and waits for the answer until ctx ends.
 func (h *Hub) Call(ctx context.Context, addr string, body []byte) ([]byte, error) {
 	// A cut swallows the call, as a lost packet would.
-	if h.cuts.Has(addr) {
+	if h.partitions.Has(addr) {
 		<-ctx.Done()
 		return nil, fmt.Errorf("%w: %s: %w", ErrLost, addr, ctx.Err())
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	l.mu.Lock()
-	old := time.Since(l.heard) > quiet
+	old := time.Since(l.lastReceived) > quiet
 	l.mu.Unlock()
 	if old {
 		l.end(net.ErrClosed)
@@ -170,12 +170,12 @@
 	if l.idle {
 		return nil
 	}
-	if n := len(l.rest); n > 0 {
-		ch, l.rest = l.rest[n-1], l.rest[:n-1]
+	if n := len(l.spare); n > 0 {
+		ch, l.spare = l.spare[n-1], l.spare[:n-1]
 	} else {
 		ch = make(chan frame, 1)
 	}
-	l.wait[id], l.used = ch, time.Now()
+	l.pending[id], l.used = ch, time.Now()
 	return ch
 }
 
@@ -184,21 +184,21 @@
 func (l *link) over(id uint64, ch chan frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.wait, id)
+	delete(l.pending, id)
 	l.used = time.Now()
 	select {
 	case <-ch:
 	default:
 	}
-	if len(l.rest) < restMost {
-		l.rest = append(l.rest, ch)
+	if len(l.spare) < maxSpare {
+		l.spare = append(l.spare, ch)
 	}
 }
 
 // letGo ends the connection if it has been idle since before.
 func (l *link) letGo(before time.Time) bool {
 	l.mu.Lock()
-	if len(l.wait) > 0 || !l.used.Before(before) {
+	if len(l.pending) > 0 || !l.used.Before(before) {
 		l.mu.Unlock()
 		return false
 	}
@@ -211,10 +211,10 @@
 // sweep lets idle connections go: a node talks to all others in time, and would
 // keep one to each of them. Whenever one is added is often enough.
 func (h *Hub) sweep(now time.Time) {
-	if h.p.Idle <= 0 || now.Sub(h.swept) < time.Second {
+	if h.p.Idle <= 0 || now.Sub(h.lastSwept) < time.Second {
 		return
 	}
-	h.swept = now
+	h.lastSwept = now
 	for a, l := range h.all {
 		if l.ended() || l.letGo(now.Add(-h.p.Idle)) {
 			delete(h.all, a)
@@ -236,7 +236,7 @@
 		}
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	n := &link{conn: c, out: make(chan frame, h.p.Backlog), done: make(chan struct{}), wait: map[uint64]chan frame{}, used: time.Now(), heard: time.Now()}
+	n := &link{conn: c, out: make(chan frame, h.p.Backlog), done: make(chan struct{}), pending: map[uint64]chan frame{}, used: time.Now(), lastReceived: time.Now()}
 	h.mu.Lock()
 	// Two callers may have dialled at once; the first one in is kept.
 	if l = h.all[addr]; l != nil && !l.ended() {
@@ -289,10 +289,10 @@
 			return
 		}
 		l.mu.Lock()
-		l.heard = time.Now()
+		l.lastReceived = time.Now()
 		// An answer nobody waits for any more is let go.
-		if ch := l.wait[f.id]; ch != nil {
-			delete(l.wait, f.id)
+		if ch := l.pending[f.id]; ch != nil {
+			delete(l.pending, f.id)
 			l.used = time.Now()
 			ch <- f
 		}
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Kick wakes a loop early. It holds one wake-up; more are the same wake-up.
-type Kick chan struct{}
+// Wakeup wakes a loop early. It holds one wake-up; more are the same wake-up.
+type Wakeup chan struct{}
 
-// NewKick makes a kick.
-func NewKick() Kick { return make(Kick, 1) }
+// NewWakeup makes a kick.
+func NewWakeup() Wakeup { return make(Wakeup, 1) }
 
-// Poke wakes the loop without waiting.
-func (k Kick) Poke() {
+// Notify wakes the loop without waiting.
+func (k Wakeup) Notify() {
 	select {
 	case k <- struct{}{}:
 	default:
@@ -22,9 +22,9 @@
 }
 
 // Every runs step at once, then at each period and each kick, until ctx ends.
-func Every(ctx context.Context, period time.Duration, kick Kick, step func(context.Context)) {
+func Every(ctx context.Context, period time.Duration, wakeup Wakeup, step func(context.Context)) {
 	step(ctx)
-	Take(ctx, kick, period, func() { step(ctx) }, func(struct{}) { step(ctx) })
+	Take(ctx, wakeup, period, func() { step(ctx) }, func(struct{}) { step(ctx) })
 }
 
 // Take hands each input to on and calls tick at each period until ctx ends.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -108,8 +108,8 @@
 func TestFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		cuts := &transport.Cuts{}
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, cuts)
+		partitions := &transport.Partitions{}
+		h := transport.NewHub(n.Host("c"), transport.DefaultParams, partitions)
 		defer h.Close()
 		if _, err := h.Call(t.Context(), "s", nil); !errors.Is(err, transport.ErrRefused) {
 			t.Errorf("nobody there: %v", err)
@@ -122,15 +122,15 @@
 		}
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		cuts.Set([]string{"s"})
+		partitions.Set([]string{"s"})
 		at := time.Now()
 		if _, err := h.Call(ctx, "s", nil); !errors.Is(err, transport.ErrLost) || time.Since(at) != time.Second {
 			t.Errorf("cut: %v after %s", err, time.Since(at))
 		}
-		if cuts.Fired() != 1 {
-			t.Errorf("the cut fired %d times", cuts.Fired())
+		if partitions.Swallowed() != 1 {
+			t.Errorf("the cut fired %d times", partitions.Swallowed())
 		}
-		cuts.Set(nil)
+		partitions.Set(nil)
 		s.Close()
 		if _, err := h.Call(t.Context(), "s", nil); err == nil || errors.Is(err, context.Canceled) {
 			t.Errorf("closed: %v", err)
@@ -210,7 +210,7 @@
 			dials++
 			return dial(ctx, addr)
 		}
-		h := transport.NewHub(host, transport.DefaultParams, &transport.Cuts{})
+		h := transport.NewHub(host, transport.DefaultParams, &transport.Partitions{})
 		defer h.Close()
 		call := func() {
 			if b, err := h.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
