--- a/cmd/damsontiller-control/operator.go
+++ b/cmd/damsontiller-control/operator.go
@@ -24,9 +24,9 @@
 	at := fs.String("core", "127.0.0.1:7200", "HTTP addresses of core machines, with commas between; the first that answers is asked")
 	file := fs.String("file", "-", "file to send; - is standard input")
 	expect := fs.Uint64("expect", 0, "version that is to be replaced")
-	place := fs.String("for", "", "admit: the machine whose place it takes")
+	member := fs.String("for", "", "admit: the machine whose place it takes")
 	force := fs.Bool("force", false, "zone empty: even if nothing is left to serve a route")
-	share := fs.Int("share", 100, "policy live: percent of all programs that it applies to")
+	percent := fs.Int("share", 100, "policy live: percent of all programs that it applies to")
 	edge := fs.String("edge", "127.0.0.1:7200", "trace: HTTP address of any edge")
 	wait := fs.Duration("wait", 10*time.Second, "how long to wait for the answer")
 	// Words may stand before and after flags.
@@ -94,7 +94,7 @@
 	case len(words) == 2 && words[0] == "trace":
 		return askAt([]string{*edge}, *wait, http.MethodGet, "/v1/trace/"+url.PathEscape(words[1]), nil)
 	case len(words) > 1 && words[0] == "policy":
-		return policy(words[1:], *file, *share, ask)
+		return policy(words[1:], *file, *percent, ask)
 	case len(words) == 3 && words[0] == "zone" && (words[1] == "empty" || words[1] == "refill") && spec.Name(words[2]):
 		var b []byte
 		if *force {
@@ -106,8 +106,8 @@
 		switch {
 		case len(words) == 3 && (words[1] == "admit" || words[1] == "retire") && spec.Name(words[2]):
 			o["id"] = words[2]
-			if *place != "" {
-				o["for"] = *place
+			if *member != "" {
+				o["for"] = *member
 			}
 		case len(words) == 2 && words[1] == "abandon":
 		default:
@@ -137,7 +137,7 @@
 }
 
 // policy runs the subcommands about policy programs.
-func policy(words []string, file string, share int, ask func(method, path string, body []byte) error) error {
+func policy(words []string, file string, percent int, ask func(method, path string, body []byte) error) error {
 	switch {
 	case len(words) == 1 && words[0] == "list":
 		return ask(http.MethodGet, "/v1/policies", nil)
@@ -148,7 +148,7 @@
 	case len(words) == 2 && words[0] == "drop":
 		return ask(http.MethodDelete, "/v1/policies/"+words[1], nil)
 	case len(words) == 2 && words[0] == "live":
-		b, err := spec.Live{Policy: words[1], Share: share}.MarshalJSON()
+		b, err := spec.Live{Policy: words[1], Share: percent}.MarshalJSON()
 		if err != nil {
 			return err
 		}
--- a/cmd/damsontiller-control/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -31,7 +31,7 @@
 		cp.FounderAddrs = s.Peers()
 	}
 	return runCore(p, cp, min(3*time.Second, s.Grace()/2), func(ctx context.Context, e *echo.Echo, c *core.Core, _ *storage.Engine) {
-		(&control.Door{Core: c, Sets: c}).Routes(e)
+		(&control.Handler{Core: c, Sets: c}).Routes(e)
 		startup.Reseed(ctx, s, c.Node)
 	})
 }
--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -48,7 +48,7 @@
 	return code.New(code.BadFlag, "-role: %q is neither edge nor store", *role)
 }
 
-func runEdge(p *startup.Place, grace time.Duration) error {
+func runEdge(p *startup.Process, grace time.Duration) error {
 	if p.Data != "" {
 		return code.New(code.BadFlag, "-data: an edge keeps nothing on disk")
 	}
@@ -94,7 +94,7 @@
 		err = serr
 	}
 	// What was decided behind the last answers is written down first.
-	e.Settle(2 * time.Second)
+	e.WaitBackground(2 * time.Second)
 	cancel()
 	e.Wait()
 	e.Peer.Close()
@@ -111,7 +111,7 @@
 
 // runStore runs a store until it is told to stop; more adds, before the start, what
 // this store has beside the others.
-func runStore(p *startup.Place, more func(context.Context, *store.Store)) error {
+func runStore(p *startup.Process, more func(context.Context, *store.Store)) error {
 	log := p.Log("damsontiller-data")
 	v, err := p.Engine("store", log)
 	if err != nil {
@@ -132,11 +132,11 @@
 	}
 	x := web.New(log)
 	x.GET("/v1/status", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, map[string]any{"id": p.ID, "ready": true, "spec": s.Cluster.Now().Version, "ident": v.Ident(), "messages_sent": s.Peer.Sent(), "mended": s.Mended()})
+		return c.JSON(http.StatusOK, map[string]any{"id": p.ID, "ready": true, "spec": s.Cluster.Now().Version, "ident": v.Ident(), "messages_sent": s.Peer.Sent(), "mended": s.Repaired()})
 	})
 	metrics.Routes(x, func() []metrics.Row {
 		return append(metrics.Node(s.Cluster.Now().Version, s.Peer.Sent()),
-			metrics.Row{Name: "keys_mended_total", Help: "Keys taken from other stores.", Value: float64(s.Mended()), Total: true},
+			metrics.Row{Name: "keys_mended_total", Help: "Keys taken from other stores.", Value: float64(s.Repaired()), Total: true},
 			metrics.Row{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.NearlyFull())})
 	})
 	if p.Faults {
--- a/cmd/damsontiller-data/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -38,7 +38,7 @@
 }
 
 // platformEdge serves the platform's callers.
-func platformEdge(p *startup.Place, s *platform.Params) error {
+func platformEdge(p *startup.Process, s *platform.Params) error {
 	log := p.Log("damsontiller-data")
 	sig, stop := startup.Signals()
 	defer stop()
@@ -46,15 +46,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ep := edge.DefaultParams
-	ep.OnlyRaw = true
+	ep.ProxyOnly = true
 	e := edge.New(ctx, ep, p.Node("edge", "", log))
-	door := e.Raw(edge.DefaultRaw, headers.Dialect{})
-	front := &platform.Front{Addr: s.Bind.Front, Handler: door, Limits: func() spec.Limits { return e.Cluster.Now().Table.Limits }}
+	handler := e.NewProxy(edge.DefaultProxy, headers.Codec{})
+	front := &platform.Front{Addr: s.Bind.Front, Handler: handler, Limits: func() spec.Limits { return e.Cluster.Now().Table.Limits }}
 	may := func() error {
 		if sig.Err() != nil {
 			return code.New(code.Stopping, "this node stops, ask another")
 		}
-		return door.Ready()
+		return handler.Ready()
 	}
 	// Three servers: for callers, for the platform's question, for the node's own
 	// figures. Any that fails ends the process.
@@ -81,13 +81,13 @@
 				return err
 			}
 			reader := discovery.New(s.Platform.Address)
-			e.Go(ctx, func(ctx context.Context) { door.Run(ctx, reader.List) })
+			e.Go(ctx, func(ctx context.Context) { handler.Run(ctx, reader.List) })
 		case err = <-served:
 			done = true
 		}
 	}
 	e.Stop()
-	e.Settle(500 * time.Millisecond)
+	e.WaitBackground(500 * time.Millisecond)
 	sideStop()
 	cancel()
 	e.Wait()
--- a/cmd/damsontiller-mutants/mutants_test.go
+++ b/cmd/damsontiller-mutants/mutants_test.go
@@ -37,7 +37,7 @@
 	return string(b)
 }
 
-func fenceOff() Mutant {
+func withoutEpochGuard() Mutant {
 	return Mutant{Name: "fence-off", Mechanism: "fence", File: "fence/fence.go", Old: "On = true", New: "On = false", Package: "./fence", Test: "TestFence"}
 }
 
@@ -65,7 +65,7 @@
 // TestJudge: each way a run may end has its verdict, the scratch copy is as it was
 // afterwards, and the tree itself is never touched.
 func TestJudge(t *testing.T) {
-	twice, lost := fenceOff(), fenceOff()
+	twice, lost := withoutEpochGuard(), withoutEpochGuard()
 	twice.Old, lost.File = "1", "fence/gone.go"
 	for _, c := range []struct {
 		what   string
@@ -73,11 +73,11 @@
 		tests  scripted
 		want   verdict
 	}{
-		{"the test fails", fenceOff(), scripted{passed, failed, nil}, killed},
-		{"the test passes", fenceOff(), scripted{passed, passed, nil}, survived},
-		{"the mutant is no program", fenceOff(), scripted{passed, unbuilt, nil}, notCompiled},
-		{"red before", fenceOff(), scripted{failed, failed, nil}, redWithoutIt},
-		{"no such test", fenceOff(), scripted{unfound, failed, nil}, notRun},
+		{"the test fails", withoutEpochGuard(), scripted{passed, failed, nil}, killed},
+		{"the test passes", withoutEpochGuard(), scripted{passed, passed, nil}, survived},
+		{"the mutant is no program", withoutEpochGuard(), scripted{passed, unbuilt, nil}, notCompiled},
+		{"red before", withoutEpochGuard(), scripted{failed, failed, nil}, redWithoutIt},
+		{"no such test", withoutEpochGuard(), scripted{unfound, failed, nil}, notRun},
 		{"the text stands twice", twice, scripted{passed, failed, nil}, notApplied},
 		{"the file is gone", lost, scripted{passed, failed, nil}, notApplied},
 	} {
@@ -110,12 +110,12 @@
 	}
 	defer s.remove()
 	ctx, stop := context.WithCancel(t.Context())
-	if r := judge(ctx, s, fenceOff(), scripted{passed, failed, stop}); r.verdict != brokenOff || content(t, s.root) != original {
+	if r := judge(ctx, s, withoutEpochGuard(), scripted{passed, failed, stop}); r.verdict != brokenOff || content(t, s.root) != original {
 		t.Errorf("interrupted: %s, the file holds %q", r.verdict, content(t, s.root))
 	}
 	func() {
 		defer func() { _ = recover() }()
-		judge(t.Context(), s, fenceOff(), scripted{passed, failed, func() { panic("x") }})
+		judge(t.Context(), s, withoutEpochGuard(), scripted{passed, failed, func() { panic("x") }})
 	}()
 	if content(t, s.root) != original {
 		t.Errorf("after a panic the file holds %q", content(t, s.root))
@@ -145,14 +145,14 @@
 
 // TestLoad: a list that is not whole is refused, naming what is wrong.
 func TestLoad(t *testing.T) {
-	whole := "[[mutant]]\nname='a'\nmechanism='m'\nfile='f.go'\nold='x'\nnew='y'\npackage='./p'\ntest='T'\n"
+	complete := "[[mutant]]\nname='a'\nmechanism='m'\nfile='f.go'\nold='x'\nnew='y'\npackage='./p'\ntest='T'\n"
 	for _, c := range []struct{ text, names string }{
-		{whole, ""},
-		{whole + whole, "two mutants"},
-		{strings.Replace(whole, "old='x'\n", "", 1), "old is missing"},
-		{strings.Replace(whole, "'y'", "'x'", 1), "the same"},
-		{strings.Replace(whole, "f.go", "../f.go", 1), "outside"},
-		{whole + "later='x'\n", "unknown field"},
+		{complete, ""},
+		{complete + complete, "two mutants"},
+		{strings.Replace(complete, "old='x'\n", "", 1), "old is missing"},
+		{strings.Replace(complete, "'y'", "'x'", 1), "the same"},
+		{strings.Replace(complete, "f.go", "../f.go", 1), "outside"},
+		{complete + "later='x'\n", "unknown field"},
 	} {
 		path := filepath.Join(t.TempDir(), "mutants.toml")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
@@ -169,11 +169,11 @@
 
 // TestSurvivors: whatever is not killed is an error, and the table counts it.
 func TestSurvivors(t *testing.T) {
-	results := []result{{mutant: fenceOff(), verdict: killed, took: time.Second}}
+	results := []result{{mutant: withoutEpochGuard(), verdict: killed, took: time.Second}}
 	if err := survivors(results); err != nil {
 		t.Error(err)
 	}
-	results = append(results, result{mutant: fenceOff(), verdict: notApplied, detail: "why"})
+	results = append(results, result{mutant: withoutEpochGuard(), verdict: notApplied, detail: "why"})
 	if err := survivors(results); !errors.Is(err, errSurvived) {
 		t.Error(err)
 	}
--- a/cmd/damsontiller-replay/main.go
+++ b/cmd/damsontiller-replay/main.go
@@ -151,7 +151,7 @@
 		Edges: func(zone string) []string { return traffic.Near(edges, zone) }}
 	fmt.Printf("%s: %d rows, digest %.12s, at speed %v\n", d.Name, len(d.Rows), d.Sum, speed)
 	p.Play(ctx)
-	traffic.Sum(p.Client.Ledger()).Print(os.Stdout)
+	traffic.Sum(p.Client.Log()).Print(os.Stdout)
 	return nil
 }
 
--- a/cmd/internal/startup/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -11,13 +11,13 @@
 
 // Platform is where a process stands, as the platform's settings say; http is
 // where it serves HTTP.
-func Platform(s *platform.Params, http string) (*Place, error) {
+func Platform(s *platform.Params, http string) (*Process, error) {
 	// A machine that is away for half of the time after which it counts as away
 	// for good is no member any more, and holds nobody up.
 	lasts := s.Contact() / 2
-	p := &Place{ID: s.ID, Listen: s.Listen(), HTTP: http, Zone: s.Zone, Data: s.Data, Level: "info",
-		Seeds: strings.Join(s.Peers(), ","), MinFree: s.MinFree(), Renew: lasts / 3, Lasts: lasts, Hold: 10 * time.Second}
-	p.Hold = max(p.Hold, p.Lasts)
+	p := &Process{ID: s.ID, Listen: s.Listen(), HTTP: http, Zone: s.Zone, Data: s.Data, Level: "info",
+		Seeds: strings.Join(s.Peers(), ","), MinFree: s.MinFree(), Renew: lasts / 3, Lasts: lasts, OrphanTimeout: 10 * time.Second}
+	p.OrphanTimeout = max(p.OrphanTimeout, p.Lasts)
 	s.Fit()
 	return p, p.check()
 }
--- a/cmd/internal/startup/startup.go
+++ b/cmd/internal/startup/startup.go
@@ -37,20 +37,20 @@
 	ExitFlags   = 2
 )
 
-// Place is where a process stands.
-type Place struct {
+// Process is where a process stands.
+type Process struct {
 	ID, Listen, HTTP, Zone, Data, Level string
 	Seeds                               string
 	Faults                              bool
 	MinFree                             int64
-	Renew, Lasts, Hold                  time.Duration
+	Renew, Lasts, OrphanTimeout         time.Duration
 	file                                string
 	fs                                  *flag.FlagSet
 }
 
 // Flags defines the flags that every process has.
-func Flags(fs *flag.FlagSet) *Place {
-	p := &Place{fs: fs}
+func Flags(fs *flag.FlagSet) *Process {
+	p := &Process{fs: fs}
 	d := lease.DefaultParams
 	fs.StringVar(&p.ID, "id", "", "name of this machine")
 	fs.StringVar(&p.Listen, "listen", "", "IP number and port for the system's own processes")
@@ -62,7 +62,7 @@
 	fs.BoolVar(&p.Faults, "faults", false, "let the rehearsal kit cut this process off (never in service)")
 	fs.DurationVar(&p.Renew, "renew", d.RenewInterval, "time between renewals of the lease")
 	fs.DurationVar(&p.Lasts, "lasts", d.Duration, "time a lease lasts")
-	fs.DurationVar(&p.Hold, "hold", d.OrphanTimeout, "time after which what a silent edge left running is no longer counted")
+	fs.DurationVar(&p.OrphanTimeout, "hold", d.OrphanTimeout, "time after which what a silent edge left running is no longer counted")
 	fs.Int64Var(&p.MinFree, "min-free", 64, "MiB of free disk below which a store or core takes no new key")
 	fs.StringVar(&p.file, "params", "", "settings file: a JSON object of flag names and values; flags go before it")
 	return p
@@ -73,7 +73,7 @@
 }
 
 // Parse reads flags and the settings file, and checks them.
-func (p *Place) Parse(args []string) error {
+func (p *Process) Parse(args []string) error {
 	p.fs.SetOutput(io.Discard)
 	if err := p.fs.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -94,7 +94,7 @@
 	return p.check()
 }
 
-func (p *Place) load() error {
+func (p *Process) load() error {
 	b, err := os.ReadFile(p.file)
 	if err != nil {
 		return flagErr("params", "%v", err)
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func (p *Place) check() error {
+func (p *Process) check() error {
 	if !spec.Name(p.ID) {
 		return flagErr("id", "%q is not a name", p.ID)
 	}
@@ -154,14 +154,14 @@
 	if p.Renew <= 0 || p.Lasts < 2*p.Renew {
 		return flagErr("lasts", "%s is less than twice -renew %s", p.Lasts, p.Renew)
 	}
-	if p.Hold < p.Lasts {
-		return flagErr("hold", "%s is less than -lasts %s", p.Hold, p.Lasts)
+	if p.OrphanTimeout < p.Lasts {
+		return flagErr("hold", "%s is less than -lasts %s", p.OrphanTimeout, p.Lasts)
 	}
 	return nil
 }
 
 // SeedList is the seeds as a list.
-func (p *Place) SeedList() []string {
+func (p *Process) SeedList() []string {
 	if p.Seeds == "" {
 		return nil
 	}
@@ -169,21 +169,21 @@
 }
 
 // Log makes the process's log.
-func (p *Place) Log(name string) hclog.Logger {
+func (p *Process) Log(name string) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: name + " " + p.ID, Level: hclog.LevelFromString(p.Level), Output: os.Stderr})
 }
 
 // Node makes the node's params.
-func (p *Place) Node(role, ident string, log hclog.Logger) node.Params {
+func (p *Process) Node(role, ident string, log hclog.Logger) node.Params {
 	return node.Params{
 		Self:  &wire.Member{Id: p.ID, Role: role, Addr: p.Listen, Http: p.HTTP, Zone: p.Zone, Ident: ident},
 		Seeds: p.SeedList(), Net: transport.TCP(transport.DefaultParams), Transport: transport.DefaultParams,
-		Lease: lease.Params{RenewInterval: p.Renew, Duration: p.Lasts, OrphanTimeout: p.Hold}, Broadcast: broadcast.DefaultParams, Log: log,
+		Lease: lease.Params{RenewInterval: p.Renew, Duration: p.Lasts, OrphanTimeout: p.OrphanTimeout}, Broadcast: broadcast.DefaultParams, Log: log,
 	}
 }
 
 // Engine opens the data folder.
-func (p *Place) Engine(role string, log hclog.Logger) (*storage.Engine, error) {
+func (p *Process) Engine(role string, log hclog.Logger) (*storage.Engine, error) {
 	if p.Data == "" {
 		return nil, flagErr("data", "missing")
 	}
@@ -230,11 +230,11 @@
 func Machines(name, s string) ([]spec.Machine, error) {
 	var out []spec.Machine
 	ids := map[string]bool{}
-	for _, part := range strings.Split(s, ",") {
-		id, rest, ok := strings.Cut(part, "=")
+	for _, segment := range strings.Split(s, ",") {
+		id, rest, ok := strings.Cut(segment, "=")
 		addr, zone, ok2 := strings.Cut(rest, "/")
 		if !ok || !ok2 || !spec.Name(id) || !spec.Name(zone) {
-			return nil, flagErr(name, "%q is not name=address/zone", part)
+			return nil, flagErr(name, "%q is not name=address/zone", segment)
 		}
 		if err := spec.Addr(addr); err != nil {
 			return nil, flagErr(name, "%v", err)
--- a/cmd/internal/startup/startup_test.go
+++ b/cmd/internal/startup/startup_test.go
@@ -12,7 +12,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-func parse(args ...string) (*startup.Place, error) {
+func parse(args ...string) (*startup.Process, error) {
 	fs := flag.NewFlagSet("x", flag.ContinueOnError)
 	p := startup.Flags(fs)
 	return p, p.Parse(args)
@@ -49,7 +49,7 @@
 	}
 	// A file fills in what the flags leave out; flags go before it.
 	p, err := parse(append(good[:len(good):len(good)], "-params", file(`{"hold":"50s","zone":"z","faults":true}`))...)
-	if err != nil || p.Hold.String() != "50s" || p.Zone != "a" || !p.Faults {
+	if err != nil || p.OrphanTimeout.String() != "50s" || p.Zone != "a" || !p.Faults {
 		t.Errorf("%+v %v", p, err)
 	}
 	if _, err := parse("-h"); !errors.Is(err, flag.ErrHelp) {
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -96,7 +96,7 @@
 		w.peers[3].Close() // n003, zone a: refused
 		for _, m := range w.list {
 			if m.Id != "n016" {
-				w.net.Cut("h16", m.Addr, true) // zone b: hangs
+				w.net.SetPartitioned("h16", m.Addr, true) // zone b: hangs
 			}
 		}
 		at := time.Now()
@@ -112,7 +112,7 @@
 			t.Errorf("the last heard after %s", d)
 		}
 		for _, m := range w.list {
-			w.net.Cut("h16", m.Addr, false)
+			w.net.SetPartitioned("h16", m.Addr, false)
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -104,9 +104,9 @@
 const clusterKey = "realm"
 
 // PersistCluster notes each spec on disk before it comes into force.
-func PersistCluster(note func(string, []byte) error) func([]byte, uint64) error {
+func PersistCluster(save func(string, []byte) error) func([]byte, uint64) error {
 	return func(raw []byte, ver uint64) error {
-		return note(clusterKey, append(binary.BigEndian.AppendUint64(nil, ver), raw...))
+		return save(clusterKey, append(binary.BigEndian.AppendUint64(nil, ver), raw...))
 	}
 }
 
--- a/internal/coordination/core/retire_test.go
+++ b/internal/coordination/core/retire_test.go
@@ -91,26 +91,26 @@
 			t.Errorf("at %d ms, lease %t: steady %t", ms, valid, got)
 		}
 	}
-	look := &contactTracker{start: start}
+	tracker := &contactTracker{start: start}
 	for ms := 500; ms <= 2000; ms += 500 {
-		look.check(at(ms), true)
+		tracker.check(at(ms), true)
 	}
-	check(look, 2400, true, true)
-	check(look, 2400, false, false)
+	check(tracker, 2400, true, true)
+	check(tracker, 2400, false, false)
 	// It stood still: seen before the next look, and after it.
-	check(look, 22000, true, false)
-	look.check(at(22000), true)
-	check(look, 22001, true, false)
+	check(tracker, 22000, true, false)
+	tracker.check(at(22000), true)
+	check(tracker, 22001, true, false)
 	for ms := 22500; ms <= 24000; ms += 500 {
-		look.check(at(ms), true)
-		check(look, ms+1, true, ms+1 > 23000)
+		tracker.check(at(ms), true)
+		check(tracker, ms+1, true, ms+1 > 23000)
 	}
 	// It was out of touch.
-	look.check(at(24500), false)
-	look.check(at(25000), true)
-	check(look, 25400, true, false)
-	look.check(at(25500), true)
-	check(look, 25501, true, true)
+	tracker.check(at(24500), false)
+	tracker.check(at(25000), true)
+	check(tracker, 25400, true, false)
+	tracker.check(at(25500), true)
+	check(tracker, 25501, true, true)
 }
 
 // TestAdmitRefusals: who is away or unknown at the moment, and who can't be admitted.
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -100,8 +100,8 @@
 		synctest.Test(t, func(*testing.T) {
 			core := register.Replica{Addr: "c", Ident: "i"}
 			h := NewHolder(DefaultParams, peer.New(&wire.Member{Id: "me", Addr: "m"}, memnet.New(1).Host("m"), transport.DefaultParams, hclog.NewNullLogger()), cluster.New(nil, nil))
-			tb, notes := table(rt, nil), map[string][]byte{}
-			tb.save = func(k string, b []byte) error { notes[k] = b; return nil }
+			tb, saved := table(rt, nil), map[string][]byte{}
+			tb.save = func(k string, b []byte) error { saved[k] = b; return nil }
 			me := node(9999)
 			incs := map[int]uint64{}
 			var late []*wire.RenewAck
@@ -146,7 +146,7 @@
 					}
 				case "restart":
 					save := tb.save
-					tb = table(rt, notes)
+					tb = table(rt, saved)
 					tb.save = save
 				case "follow":
 					follow()
@@ -191,9 +191,9 @@
 // from a core machine that has started anew; until then it is refused.
 func TestClockSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		notes := map[string][]byte{}
+		saved := map[string][]byte{}
 		tb := table(t, nil)
-		tb.save = func(k string, b []byte) error { notes[k] = b; return nil }
+		tb.save = func(k string, b []byte) error { saved[k] = b; return nil }
 		before, after := node(1), node(1)
 		before.Inc, before.SpecVer, after.Inc, after.SpecVer = 1000, 7, 10, 8
 		renew(t, tb, &wire.Renew{Self: before})
@@ -215,7 +215,7 @@
 		// A late renewal of the start before is taken, and goes when the living one renews.
 		renew(t, tb, &wire.Renew{Self: before})
 		time.Sleep(DefaultParams.Duration)
-		again := table(t, notes)
+		again := table(t, saved)
 		if err := ask(again); code.Of(err) != code.OldEpoch {
 			t.Errorf("right after the core's own start: %v", err)
 		}
--- a/internal/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -316,12 +316,12 @@
 	case w.rnd.IntN(60) == 0:
 		w.propose(p, "back", func(c *spec.Cluster) error { membership.SetNext(c, membership.Cores, nil); return nil })
 	default:
-		w.tend(p)
+		w.reconcile(p)
 	}
 }
 
-// tend does the cores' duty: it begins a change, gathers confirmations, and settles.
-func (w *coresWorld) tend(p *proposer) {
+// reconcile does the cores' duty: it begins a change, gathers confirmations, and settles.
+func (w *coresWorld) reconcile(p *proposer) {
 	if p.seen == nil {
 		w.learn(p.view)
 		p.seen = p.view.Now()
--- a/internal/coordination/membership/plan_test.go
+++ b/internal/coordination/membership/plan_test.go
@@ -17,10 +17,10 @@
 // machine is one named by id, zone and identity, as in "s1/a/i1"; its address is its
 // name unless a fourth part tells another.
 func machine(text string) spec.Machine {
-	share := strings.Split(text, "/")
-	m := spec.Machine{ID: share[0], Zone: share[1], Ident: share[2], Addr: share[0]}
-	if len(share) > 3 {
-		m.Addr = share[3]
+	fields := strings.Split(text, "/")
+	m := spec.Machine{ID: fields[0], Zone: fields[1], Ident: fields[2], Addr: fields[0]}
+	if len(fields) > 3 {
+		m.Addr = fields[3]
 	}
 	return m
 }
@@ -315,9 +315,9 @@
 	return o
 }
 
-// TestStuck: a change is aimed elsewhere only where one that must gain keys is gone or
+// TestStalled: a change is aimed elsewhere only where one that must gain keys is gone or
 // has come back as another.
-func TestStuck(t *testing.T) {
+func TestStalled(t *testing.T) {
 	c := &spec.Cluster{Stores: machinesOf(threeStores), NextStores: machinesOf("s1/a/i1 s2/b/i2 s4/c/i4")}
 	change := membership.Of(c, membership.Stores)
 	for _, tc := range []struct {
@@ -430,20 +430,20 @@
 	const next = "c4/c/k4 c2/b/k2 c3/c/k3 c1/a/new"
 	c := spec.Cluster{Cores: machinesOf("c4/c/k4 c2/b/k2 c3/c/k3"), NextCores: machinesOf(next), SelfManaged: true}
 	change := membership.Of(&c, membership.Cores)
-	var heard []membership.Member
+	var members []membership.Member
 	for _, m := range machinesOf("c4/c/k4 c2/b/k2 c3/c/k3 c1/a/old") {
-		heard = append(heard, membership.Member{Machine: m, Live: true})
+		members = append(members, membership.Member{Machine: m, Live: true})
 	}
 	self := membership.Member{Machine: machinesOf(next)[3]}
-	if stalled, _ := change.Stalled(membership.Observation{Set: membership.Cores, Cluster: &c, Members: heard}); !stalled {
+	if stalled, _ := change.Stalled(membership.Observation{Set: membership.Cores, Cluster: &c, Members: members}); !stalled {
 		t.Fatal("the old identity does not show")
 	}
-	o := membership.Observation{Set: membership.Cores, Cluster: &c, Members: membership.WithSelf(heard, self)}
+	o := membership.Observation{Set: membership.Cores, Cluster: &c, Members: membership.WithSelf(members, self)}
 	if stalled, ask := change.Stalled(o); stalled || len(ask) > 0 {
 		t.Errorf("stuck %t, ask %v", stalled, ask)
 	}
-	if len(o.Members) != len(heard) {
-		t.Errorf("%d members, want %d", len(o.Members), len(heard))
+	if len(o.Members) != len(members) {
+		t.Errorf("%d members, want %d", len(o.Members), len(members))
 	}
 	o.Presence = map[string]membership.Presence{}
 	if d := membership.Decide(o); d.Wait || !slices.Equal(d.Machines, change.Next) {
--- a/internal/coordination/membership/stores_history_test.go
+++ b/internal/coordination/membership/stores_history_test.go
@@ -114,7 +114,7 @@
 	return true
 }
 
-func (r *removal) settle(v *cluster.View) bool {
+func (r *removal) finish(v *cluster.View) bool {
 	finished := r.change("settled", func(c *spec.Cluster) error {
 		return membership.FinishChange(c, membership.Stores, membership.Of(&v.Cluster, membership.Stores))
 	})
@@ -137,11 +137,11 @@
 		t.Fatal("the old set alone must take the write")
 	}
 	r.begin()
-	if r.settle(seen) {
+	if r.finish(seen) {
 		t.Error("settled on keys that were brought for another change")
 	}
 	r.tell()
-	if !r.settle(r.fillAll()) {
+	if !r.finish(r.fillAll()) {
 		t.Error("the second change can't end")
 	}
 }
@@ -160,14 +160,14 @@
 	if r.accept(op) {
 		t.Error("a write under the old set alone was acknowledged after its keys had been brought")
 	}
-	if !r.settle(seen) {
+	if !r.finish(seen) {
 		t.Error("the second change can't end")
 	}
 }
 
-// TestWholeOnce: a store that brought its keys for the first removal has brought none
+// TestRemovedOnlyOnceComplete: a store that brought its keys for the first removal has brought none
 // for the second one.
-func TestWholeOnce(t *testing.T) {
+func TestRemovedOnlyOnceComplete(t *testing.T) {
 	r := newRemoval(t)
 	r.begin()
 	r.tell()
@@ -189,8 +189,8 @@
 // got all that was acknowledged, and is not whole.
 func TestTooFewAnswer(t *testing.T) {
 	for _, tc := range []struct {
-		absent int
-		whole  bool
+		absent   int
+		complete bool
 	}{{0, true}, {1, true}, {2, false}, {3, false}} {
 		r := newRemoval(t)
 		if !r.accept(r.prepare()) {
@@ -216,10 +216,10 @@
 				f.answered--
 			}
 		}
-		if f.whole != tc.whole {
-			t.Errorf("without %d holders: whole %t", tc.absent, f.whole)
+		if f.complete != tc.complete {
+			t.Errorf("without %d holders: whole %t", tc.absent, f.complete)
 		}
-		if f.whole && !r.holds(r.newcome, r.key, r.acked[r.key][0]) {
+		if f.complete && !r.hasCopy(r.newcome, r.key, r.acked[r.key][0]) {
 			t.Errorf("without %d holders: whole, and lacks what was acknowledged", tc.absent)
 		}
 	}
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -70,14 +70,14 @@
 
 // filling is a store's bringing of what falls to it.
 type filling struct {
-	version, sets uint64
-	view          *cluster.View
-	asked         []spec.Machine
-	answered      int
-	pages         [][]*wire.Copy
-	failed        []string
-	names         map[string]namedCopy
-	whole, over   bool
+	version, sets  uint64
+	view           *cluster.View
+	asked          []spec.Machine
+	answered       int
+	pages          [][]*wire.Copy
+	failed         []string
+	names          map[string]namedCopy
+	complete, over bool
 }
 
 type namedCopy struct {
@@ -103,10 +103,10 @@
 
 // mover is a core that brings a change further, with what it remembers of it.
 type mover struct {
-	view    *cluster.Cluster
-	seen    *cluster.View
-	whole   map[string]bool // gainers that have told that they have all
-	settles bool
+	view     *cluster.Cluster
+	seen     *cluster.View
+	complete map[string]bool // gainers that have told that they have all
+	settles  bool
 	// thaw is the version at which one that was frozen goes on.
 	thaw int
 }
@@ -266,7 +266,7 @@
 	return n != nil && n.machine.Ident == m.Ident
 }
 
-func (w *storesWorld) holds(m spec.Machine, key, name string) bool {
+func (w *storesWorld) hasCopy(m spec.Machine, key, name string) bool {
 	r := w.nodes[m.Addr].disk.recs[key]
 	return r != nil && slices.Contains(value(r.Cell), name)
 }
@@ -293,7 +293,7 @@
 		holders := cluster.Holders(group, key, copies)
 		without := 0
 		for _, m := range holders {
-			if w.present(m) && !w.holds(m, key, name) {
+			if w.present(m) && !w.hasCopy(m, key, name) {
 				without++
 			}
 		}
@@ -316,7 +316,7 @@
 				switch {
 				case !w.present(m):
 					departed++
-				case w.holds(m, key, name):
+				case w.hasCopy(m, key, name):
 					have++
 				}
 			}
@@ -471,7 +471,7 @@
 		f.answered++
 	default:
 		f.over = true
-		f.whole = membership.Readable(f.view.Cluster.Stores, f.failed, copies) && w.takeNamed(n, f)
+		f.complete = membership.Readable(f.view.Cluster.Stores, f.failed, copies) && w.takeNamed(n, f)
 	}
 }
 
@@ -559,8 +559,8 @@
 		return false
 	}
 	f := n.fill
-	if f != nil && f.version == version && f.sets == sets && (!f.over || f.whole) {
-		return f.whole
+	if f != nil && f.version == version && f.sets == sets && (!f.over || f.complete) {
+		return f.complete
 	}
 	n.fill = &filling{version: version, sets: v.StoresDigest(), view: v, names: map[string]namedCopy{}}
 	for _, m := range v.Cluster.Stores {
@@ -581,7 +581,7 @@
 	}
 	if m.seen == nil {
 		w.learn(m.view)
-		m.seen, m.whole = m.view.Now(), map[string]bool{}
+		m.seen, m.complete = m.view.Now(), map[string]bool{}
 	}
 	change := membership.Of(&m.seen.Cluster, membership.Stores)
 	if !change.Running() {
@@ -590,11 +590,11 @@
 		return
 	}
 	for _, g := range change.Receivers(copies) {
-		if m.whole[g.Ident] {
+		if m.complete[g.Ident] {
 			continue
 		}
 		if w.present(g) && w.order(w.nodes[g.Addr], m.seen.StoresVersion, m.seen.StoresDigest()) {
-			m.whole[g.Ident] = true
+			m.complete[g.Ident] = true
 			w.say("%s is whole for v%d", g.ID, m.seen.StoresVersion)
 		} else if w.rnd.IntN(100) == 0 {
 			m.seen = nil
--- a/internal/coordination/singleton/singleton_test.go
+++ b/internal/coordination/singleton/singleton_test.go
@@ -10,8 +10,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestFence: an epoch below the highest seen is refused, wherever that was seen.
-func TestFence(t *testing.T) {
+// TestEpochGuard: an epoch below the highest seen is refused, wherever that was seen.
+func TestEpochGuard(t *testing.T) {
 	var f singleton.EpochGuard
 	if err := f.Admit(3); err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/assignment/assigner.go
+++ b/internal/dataplane/assignment/assigner.go
@@ -32,164 +32,166 @@
 
 // Params are the dealer's times.
 type Params struct {
-	Poll  time.Duration // between reports
-	Term  time.Duration // of dealt slots
-	Warm  time.Duration // between two doublings of a fresh runner's share
-	Fresh int           // slots a fresh runner starts with
-	// Known: a runner up this long that bears well is not fresh to a new dealer.
-	Known time.Duration
-	// Web carries the requests for reports; nil means the ordinary way.
-	Web http.RoundTripper
-	// Told is the last news of a runner, by which a new dealer knows how far a
+	Poll        time.Duration // between reports
+	Term        time.Duration // of dealt slots
+	WarmupStep  time.Duration // between two doublings of a fresh runner's share
+	WarmupStart int           // slots a fresh runner starts with
+	// WarmAfter: a runner up this long that bears well is not fresh to a new dealer.
+	WarmAfter time.Duration
+	// Transport carries the requests for reports; nil means the ordinary way.
+	Transport http.RoundTripper
+	// LastState is the last news of a runner, by which a new dealer knows how far a
 	// process had warmed up.
-	Told func(name string) (State, bool)
-	// Since is how long ago this tenure was surely the last.
-	Since func() time.Duration
+	LastState func(name string) (State, bool)
+	// SinceConfirmed is how long ago this tenure was surely the last.
+	SinceConfirmed func() time.Duration
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Poll: 300 * time.Millisecond, Term: 2 * time.Second, Warm: time.Second, Fresh: 2, Known: 20 * time.Second}
+var DefaultParams = Params{Poll: 300 * time.Millisecond, Term: 2 * time.Second, WarmupStep: time.Second, WarmupStart: 2, WarmAfter: 20 * time.Second}
 
 // State is what the tree hears of a runner.
 type State struct {
 	spec.Runner
-	State    string   `json:"state"`
-	Mark     string   `json:"mark,omitempty"`
-	Bears    int      `json:"bears"`
-	Cap      int      `json:"cap"` // what of it may be dealt, while it warms up
-	Busy     int      `json:"busy"`
-	Prefixes []string `json:"prefixes,omitempty"`
+	State       string   `json:"state"`
+	Incarnation string   `json:"mark,omitempty"`
+	Concurrency int      `json:"bears"`
+	Limit       int      `json:"cap"` // what of it may be dealt, while it warms up
+	Load        int      `json:"busy"`
+	Prefixes    []string `json:"prefixes,omitempty"`
 }
 
 type runner struct {
 	State
-	warmAt  time.Time
-	refused int64
-	misses  int
-	known   bool
+	warmedAt time.Time
+	refused  int64
+	misses   int
+	known    bool
 	// base bounds the sum dealt until every edge has been heard: what those
 	// heard held when first heard.
 	base int
-	// ghost is work seen at the opening that no edge accounted for.
-	ghost int
+	// unaccounted is work seen at the opening that no edge accounted for.
+	unaccounted int
 }
 
 // share is what an edge may hold of a runner. Once the edge's term is over,
 // left bounds what it may have left running there.
 type share struct {
-	mark          string // of the process it is a share of
+	incarnation   string // of the process it is a share of
 	plain, urgent int
 	used          int // at the edge's last word
-	over          bool
-	left          int
+	expired       bool
+	orphaned      int
 }
 
 // edge is one start of an edge node; past is set once another start of the
 // same node has been heard.
 type edge struct {
-	id   string
-	todo map[string]int // jobs waiting or under way, by route
-	at   time.Time
-	past bool
-	held map[string]share
+	id         string
+	backlog    map[string]int // jobs waiting or under way, by route
+	reportedAt time.Time
+	superseded bool
+	shares     map[string]share
 }
 
-// over tells whether the edge's term has ended.
-func (e *edge) over(now time.Time, term time.Duration) bool { return e.past || now.Sub(e.at) >= term }
-
-// Dispatcher is one tenure of the duty.
-type Dispatcher struct {
-	p     Params
-	n     *node.Node
-	epoch uint64
-	web   *http.Client
-	kick  loop.Wakeup
-
-	mu     sync.Mutex
-	start  time.Time // of this tenure
-	seq    uint64
-	open   bool // every edge has been heard or is gone
-	all    map[string]*runner
-	edges  map[uint64]*edge // by incarnation
-	opened time.Time
-	listed []runnerapi.Listed
+// termOver tells whether the edge's term has ended.
+func (e *edge) termOver(now time.Time, term time.Duration) bool {
+	return e.superseded || now.Sub(e.reportedAt) >= term
 }
 
-// Duty answers Deal and Tell calls for whichever tenure runs here.
-type Duty struct {
-	p     Params
-	n     *node.Node
-	fence *singleton.EpochGuard
-	mu    sync.Mutex
-	cur   *Dispatcher
+// Assigner is one tenure of the duty.
+type Assigner struct {
+	params Params
+	node   *node.Node
+	epoch  uint64
+	client *http.Client
+	wakeup loop.Wakeup
+
+	mu          sync.Mutex
+	start       time.Time // of this tenure
+	seq         uint64
+	allReported bool // every edge has been heard or is gone
+	runners     map[string]*runner
+	edges       map[uint64]*edge // by incarnation
+	opened      time.Time
+	listed      []runnerapi.Listed
+}
+
+// Service answers Deal and Tell calls for whichever tenure runs here.
+type Service struct {
+	params  Params
+	node    *node.Node
+	epochs  *singleton.EpochGuard
+	mu      sync.Mutex
+	current *Assigner
 }
 
 // New makes the duty's local end.
-func New(p Params, n *node.Node, f *singleton.EpochGuard) *Duty {
-	d := &Duty{p: p, n: n, fence: f}
-	n.Peer.Handle(&wire.Req_Deal{}, d.deal)
-	n.Peer.Handle(&wire.Req_Tell{}, d.tell)
+func New(p Params, n *node.Node, f *singleton.EpochGuard) *Service {
+	d := &Service{params: p, node: n, epochs: f}
+	n.Peer.Handle(&wire.Req_Deal{}, d.assign)
+	n.Peer.Handle(&wire.Req_Tell{}, d.suspect)
 	return d
 }
 
-func (d *Duty) now() (*Dispatcher, error) {
+func (d *Service) now() (*Assigner, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cur == nil {
-		return nil, code.New(code.NotHolder, "%s does not deal", d.n.Peer.Self.Id)
+	if d.current == nil {
+		return nil, code.New(code.NotHolder, "%s does not deal", d.node.Peer.Self.Id)
 	}
-	return d.cur, nil
+	return d.current, nil
 }
 
-func (d *Duty) set(h *Dispatcher) {
+func (d *Service) set(assigner *Assigner) {
 	d.mu.Lock()
-	d.cur = h
+	d.current = assigner
 	d.mu.Unlock()
 }
 
 // Work is one tenure.
-func (d *Duty) Work(ctx context.Context, epoch uint64) {
-	h := &Dispatcher{p: d.p, n: d.n, epoch: epoch, start: time.Now(), kick: loop.NewWakeup(), all: map[string]*runner{}, edges: map[uint64]*edge{},
-		web: &http.Client{Timeout: d.p.Poll, Transport: d.p.Web}}
-	defer h.web.CloseIdleConnections()
-	h.poll(ctx)
-	d.set(h)
+func (d *Service) Work(ctx context.Context, epoch uint64) {
+	assigner := &Assigner{params: d.params, node: d.node, epoch: epoch, start: time.Now(), wakeup: loop.NewWakeup(), runners: map[string]*runner{}, edges: map[uint64]*edge{},
+		client: &http.Client{Timeout: d.params.Poll, Transport: d.params.Transport}}
+	defer assigner.client.CloseIdleConnections()
+	assigner.poll(ctx)
+	d.set(assigner)
 	defer d.set(nil)
-	loop.Every(ctx, d.p.Poll, h.kick, h.poll)
+	loop.Every(ctx, d.params.Poll, assigner.wakeup, assigner.poll)
 }
 
-func (d *Duty) deal(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	h, err := d.now()
+func (d *Service) assign(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+	assigner, err := d.now()
 	if err != nil {
-		return &wire.Resp{Op: &wire.Resp_Deal{Deal: &wire.DealAck{Epoch: d.fence.Highest(), QuietMs: min(d.fence.SinceContact(), time.Hour).Milliseconds()}}}, err
+		return &wire.Resp{Op: &wire.Resp_Deal{Deal: &wire.DealAck{Epoch: d.epochs.Highest(), QuietMs: min(d.epochs.SinceContact(), time.Hour).Milliseconds()}}}, err
 	}
-	if e := q.GetDeal().GetEpoch(); e > h.epoch {
+	if e := q.GetDeal().GetEpoch(); e > assigner.epoch {
 		// The asker has dealt with a later holder: this tenure is over.
-		d.fence.Observe(e)
+		d.epochs.Observe(e)
 		d.set(nil)
-		return nil, code.New(code.OldEpoch, "epoch %d is over", h.epoch)
+		return nil, code.New(code.OldEpoch, "epoch %d is over", assigner.epoch)
 	}
 	// A dealer is replaced by a higher epoch, which it may not have heard of. It
 	// stops raising well before the shares of edges that left it run out here.
-	a := h.Ask(q.Id, q.Inc, q.GetDeal(), d.p.Since() < d.p.Term*3/4)
+	a := assigner.Report(q.Id, q.Inc, q.GetDeal(), d.params.SinceConfirmed() < d.params.Term*3/4)
 	return &wire.Resp{Op: &wire.Resp_Deal{Deal: a}}, nil
 }
 
-func (d *Duty) tell(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	h, err := d.now()
+func (d *Service) suspect(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+	assigner, err := d.now()
 	if err != nil {
 		return nil, err
 	}
 	// Whoever tells may be wrong about the cause; the report decides, at once.
-	h.kick.Notify()
+	assigner.wakeup.Notify()
 	return nil, nil
 }
 
 // poll asks every runner and the platform once.
-func (h *Dispatcher) poll(ctx context.Context) {
-	v := h.n.Cluster.Now()
+func (assigner *Assigner) poll(ctx context.Context) {
+	v := assigner.node.Cluster.Now()
 	want := map[string]spec.Runner{}
-	for _, r := range h.list(ctx, v.Spec.Platform) {
+	for _, r := range assigner.pollPlatform(ctx, v.Spec.Platform) {
 		want[r.Name] = spec.Runner{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Route: r.Route}
 	}
 	// Where both name a runner, the operators' word counts.
@@ -197,65 +199,65 @@
 		want[r.Name] = r
 	}
 	type seen struct {
-		r    spec.Runner
-		rep  *runnerapi.Report
-		gone bool
+		r        spec.Runner
+		rep      *runnerapi.Report
+		departed bool
 	}
 	ch := make(chan seen, len(want))
 	for _, r := range want {
 		go func() {
-			rep, gone := h.ask(ctx, r)
-			ch <- seen{r, rep, gone}
+			rep, departed := assigner.pollRunner(ctx, r)
+			ch <- seen{r, rep, departed}
 		}()
 	}
 	var items []*wire.Item
 	now := time.Now()
 	for range want {
 		s := <-ch
-		if i := h.note(now, s.r, s.rep, s.gone); i != nil {
+		if i := assigner.observe(now, s.r, s.rep, s.departed); i != nil {
 			items = append(items, i)
 		}
 	}
-	h.mu.Lock()
-	for name := range h.all {
+	assigner.mu.Lock()
+	for name := range assigner.runners {
 		if _, ok := want[name]; !ok {
-			h.all[name].Cap = 0
-			h.all[name].State.State = runnerapi.Gone
+			assigner.runners[name].Limit = 0
+			assigner.runners[name].State.State = runnerapi.Departed
 		}
 	}
-	h.mu.Unlock()
-	h.heard(ctx)
+	assigner.mu.Unlock()
+	assigner.checkAllReported(ctx)
 	if len(items) > 0 && ctx.Err() == nil {
 		// The tree may be slow; the next poll must not be.
-		go h.n.Broadcast.Publish(ctx, items...)
+		go assigner.node.Broadcast.Publish(ctx, items...)
 	}
 }
 
-func (h *Dispatcher) list(ctx context.Context, addr string) []runnerapi.Listed {
+func (assigner *Assigner) pollPlatform(ctx context.Context, addr string) []runnerapi.Listed {
 	if addr == "" {
 		return nil
 	}
 	var l runnerapi.Platform
-	if err := h.get(ctx, "http://"+addr+"/v1/runners", &l); err != nil {
-		h.n.Log.Debug("platform list not read", "err", err)
+	if err := assigner.get(ctx, "http://"+addr+"/v1/runners", &l); err != nil {
+		assigner.node.Log.Debug("platform list not read", "err", err)
 		// The list lags anyway; the last one read stays good.
-		return h.listed
+		return assigner.listed
 	}
-	h.listed = l.Runners[:0:0]
+	assigner.listed = l.Runners[:0:0]
 	for _, r := range l.Runners {
 		if spec.Name(r.Name) && spec.Addr(r.Addr) == nil {
-			h.listed = append(h.listed, r)
+			assigner.listed = append(assigner.listed, r)
 		}
 	}
-	return h.listed
+	return assigner.listed
 }
 
-func (h *Dispatcher) get(ctx context.Context, url string, into any) error {
+func (assigner *Assigner) get(ctx context.Context, url string, into any) error {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	r, err := h.web.Do(q)
+	r, err := assigner.client.Do(q)
 	if err != nil {
 		return err
 	}
@@ -266,196 +268,196 @@
 	return json.NewDecoder(http.MaxBytesReader(nil, r.Body, 1<<20)).Decode(into)
 }
 
-func (h *Dispatcher) ask(ctx context.Context, r spec.Runner) (rep *runnerapi.Report, gone bool) {
+func (assigner *Assigner) pollRunner(ctx context.Context, r spec.Runner) (rep *runnerapi.Report, departed bool) {
 	rep = &runnerapi.Report{}
-	if err := h.get(ctx, "http://"+r.Addr+"/v1/report", rep); err != nil {
-		return nil, Refused(err)
+	if err := assigner.get(ctx, "http://"+r.Addr+"/v1/report", rep); err != nil {
+		return nil, PortRefused(err)
 	}
 	if rep.Name != r.Name {
-		h.n.Log.Warn("another runner answers", "want", r.Name, "got", rep.Name)
+		assigner.node.Log.Warn("another runner answers", "want", r.Name, "got", rep.Name)
 		return nil, false
 	}
 	return rep, false
 }
 
-// note takes one report; it gives news where the state has changed.
-func (h *Dispatcher) note(now time.Time, r spec.Runner, rep *runnerapi.Report, gone bool) *wire.Item {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	o := h.all[r.Name]
+// observe takes one report; it gives news where the state has changed.
+func (assigner *Assigner) observe(now time.Time, r spec.Runner, rep *runnerapi.Report, departed bool) *wire.Item {
+	assigner.mu.Lock()
+	defer assigner.mu.Unlock()
+	o := assigner.runners[r.Name]
 	if o == nil {
 		o = &runner{}
-		h.all[r.Name] = o
+		assigner.runners[r.Name] = o
 	}
 	was := o.State
 	o.Runner = r
 	if rep == nil {
 		// One lost report is no leave; a refused port is.
-		if o.misses++; gone || o.misses >= 3 {
-			o.State.State, o.Cap, o.known = runnerapi.Gone, 0, false
+		if o.misses++; departed || o.misses >= 3 {
+			o.State.State, o.Limit, o.known = runnerapi.Departed, 0, false
 		}
 	} else {
 		o.misses = 0
-		if rep.Mark != o.Mark {
+		if rep.Incarnation != o.Incarnation {
 			// Another process at the same address: nothing that was dealt of the
 			// one before counts, and it is fresh whatever that one bore.
-			o.Mark, o.known, o.Cap, o.base, o.ghost = rep.Mark, false, 0, 0, 0
+			o.Incarnation, o.known, o.Limit, o.base, o.unaccounted = rep.Incarnation, false, 0, 0, 0
 		}
-		h.leftovers(now, o, rep.Busy)
-		o.State.State, o.Bears, o.Busy, o.Prefixes = rep.State, max(rep.Bears, 0), rep.Busy, rep.Prefixes
-		h.warm(now, o, rep)
+		assigner.boundOrphans(now, o, rep.Load)
+		o.State.State, o.Concurrency, o.Load, o.Prefixes = rep.State, max(rep.Concurrency, 0), rep.Load, rep.Prefixes
+		assigner.warmUp(now, o, rep)
 	}
-	if reflect.DeepEqual(quietly(was), quietly(o.State)) {
+	if reflect.DeepEqual(withoutLoad(was), withoutLoad(o.State)) {
 		return nil
 	}
-	h.seq++
+	assigner.seq++
 	b, err := json.Marshal(o.State)
 	if err != nil {
 		return nil
 	}
-	return &wire.Item{Topic: "runner", Key: r.Name, Epoch: h.epoch, Seq: h.seq, Body: b}
+	return &wire.Item{Topic: "runner", Key: r.Name, Epoch: assigner.epoch, Seq: assigner.seq, Body: b}
 }
 
-// quietly leaves out what changes all the time.
-func quietly(s State) State {
-	s.Busy = 0
+// withoutLoad leaves out what changes all the time.
+func withoutLoad(s State) State {
+	s.Load = 0
 	return s
 }
 
-// leftovers bounds what edges that are gone have left running: each may have
+// boundOrphans bounds what edges that are gone have left running: each may have
 // used its whole share up to the end of its term, but never more than the
 // runner reports at any time since.
-func (h *Dispatcher) leftovers(now time.Time, o *runner, busy int) {
-	o.ghost = min(o.ghost, busy)
-	for _, e := range h.edges {
-		s, ok := e.held[o.Name]
-		if !ok || s.mark != o.Mark || !e.over(now, h.p.Term) {
+func (assigner *Assigner) boundOrphans(now time.Time, o *runner, load int) {
+	o.unaccounted = min(o.unaccounted, load)
+	for _, e := range assigner.edges {
+		s, ok := e.shares[o.Name]
+		if !ok || s.incarnation != o.Incarnation || !e.termOver(now, assigner.params.Term) {
 			continue
 		}
-		if !s.over {
-			s.over, s.left = true, s.plain+s.urgent
+		if !s.expired {
+			s.expired, s.orphaned = true, s.plain+s.urgent
 		}
-		s.left = min(s.left, busy)
-		e.held[o.Name] = s
+		s.orphaned = min(s.orphaned, load)
+		e.shares[o.Name] = s
 	}
 }
 
-// warm sets what may be dealt: a fresh runner starts with few and doubles
+// warmUp sets what may be dealt: a fresh runner starts with few and doubles
 // while its own reports show no refusals.
-func (h *Dispatcher) warm(now time.Time, o *runner, rep *runnerapi.Report) {
+func (assigner *Assigner) warmUp(now time.Time, o *runner, rep *runnerapi.Report) {
 	switch {
 	case rep.State != runnerapi.Ready:
-		o.Cap, o.known = 0, false
+		o.Limit, o.known = 0, false
 		return
 	case !o.known:
-		o.known, o.refused, o.warmAt = true, rep.Refused, now
-		o.Cap = h.p.Fresh
-		if h.p.Told != nil {
-			if s, ok := h.p.Told(o.Name); ok && s.Mark == o.Mark {
-				o.Cap = max(o.Cap, s.Cap)
+		o.known, o.refused, o.warmedAt = true, rep.Refused, now
+		o.Limit = assigner.params.WarmupStart
+		if assigner.params.LastState != nil {
+			if s, ok := assigner.params.LastState(o.Name); ok && s.Incarnation == o.Incarnation {
+				o.Limit = max(o.Limit, s.Limit)
 			}
 		}
-		if time.Duration(rep.UpMs)*time.Millisecond >= h.p.Known {
-			o.Cap = rep.Bears
+		if time.Duration(rep.UpMs)*time.Millisecond >= assigner.params.WarmAfter {
+			o.Limit = rep.Concurrency
 		}
 	case rep.Refused > o.refused:
 		// It refused: stay, and look again after a while.
-		o.refused, o.warmAt = rep.Refused, now
-	case now.Sub(o.warmAt) >= h.p.Warm:
-		o.Cap, o.warmAt = o.Cap*2, now
+		o.refused, o.warmedAt = rep.Refused, now
+	case now.Sub(o.warmedAt) >= assigner.params.WarmupStep:
+		o.Limit, o.warmedAt = o.Limit*2, now
 	}
 	// What edges held when a new dealer first heard them, the one before it had
 	// warmed the process up to.
-	o.Cap = min(max(o.Cap, o.base), o.Bears)
+	o.Limit = min(max(o.Limit, o.base), o.Concurrency)
 }
 
-// heard opens the dealing once no edge is left that could hold shares unknown
+// checkAllReported opens the dealing once no edge is left that could hold shares unknown
 // to this tenure.
-func (h *Dispatcher) heard(ctx context.Context) {
-	h.mu.Lock()
-	open := h.open
-	h.mu.Unlock()
+func (assigner *Assigner) checkAllReported(ctx context.Context) {
+	assigner.mu.Lock()
+	open := assigner.allReported
+	assigner.mu.Unlock()
 	if open {
 		return
 	}
 	// A former holder dealt for three quarters of a term after its epoch was
 	// over, at the most, and those shares have a term: then no edge that was not
 	// heard has any, frozen or cut off. What it left running the runners report.
-	for _, m := range h.n.Lease.Members() {
-		if m.Role != "edge" || time.Since(h.start) > 2*h.p.Term {
+	for _, m := range assigner.node.Lease.Members() {
+		if m.Role != "edge" || time.Since(assigner.start) > 2*assigner.params.Term {
 			continue
 		}
-		h.mu.Lock()
-		_, ok := h.edges[m.Inc]
-		h.mu.Unlock()
-		if !ok && !singleton.PortRefused(ctx, h.n.Peer, m.Addr) {
+		assigner.mu.Lock()
+		_, ok := assigner.edges[m.Inc]
+		assigner.mu.Unlock()
+		if !ok && !singleton.PortRefused(ctx, assigner.node.Peer, m.Addr) {
 			return
 		}
 	}
-	h.begin()
-	h.n.Log.Info("dealing is open", "epoch", h.epoch)
+	assigner.open()
+	assigner.node.Log.Info("dealing is open", "epoch", assigner.epoch)
 }
 
-// begin opens the dealing. Work that runs now and that no edge accounts for was
+// open opens the dealing. Work that runs now and that no edge accounts for was
 // left by edges that are gone.
-func (h *Dispatcher) begin() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.open, h.opened = true, time.Now()
-	for _, o := range h.all {
-		o.ghost = o.Busy
-		for _, e := range h.edges {
-			if s := e.held[o.Name]; s.mark == o.Mark {
-				o.ghost -= s.used
+func (assigner *Assigner) open() {
+	assigner.mu.Lock()
+	defer assigner.mu.Unlock()
+	assigner.allReported, assigner.opened = true, time.Now()
+	for _, o := range assigner.runners {
+		o.unaccounted = o.Load
+		for _, e := range assigner.edges {
+			if s := e.shares[o.Name]; s.incarnation == o.Incarnation {
+				o.unaccounted -= s.used
 			}
 		}
-		o.ghost = max(o.ghost, 0)
+		o.unaccounted = max(o.unaccounted, 0)
 	}
 }
 
-// Ask answers one edge. raise is whether this dealer's lease is valid.
-func (h *Dispatcher) Ask(id string, inc uint64, q *wire.Deal, raise bool) *wire.DealAck {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Report answers one edge. raise is whether this dealer's lease is valid.
+func (assigner *Assigner) Report(id string, inc uint64, q *wire.Deal, raise bool) *wire.DealAck {
+	assigner.mu.Lock()
+	defer assigner.mu.Unlock()
 	now := time.Now()
-	e := h.edges[inc]
+	e := assigner.edges[inc]
 	if e == nil {
 		// A new start holds nothing; what the former one left running is
 		// still counted.
-		for _, o := range h.edges {
-			o.past = o.past || o.id == id
+		for _, o := range assigner.edges {
+			o.superseded = o.superseded || o.id == id
 		}
 		e = &edge{id: id}
-		h.edges[inc] = e
+		assigner.edges[inc] = e
 		for _, s := range q.Held {
-			if o := h.all[s.Runner]; o != nil && o.Mark == s.Mark {
+			if o := assigner.runners[s.Runner]; o != nil && o.Incarnation == s.Mark {
 				o.base += int(s.Plain + s.Urgent)
-				o.Cap = min(max(o.Cap, o.base), o.Bears)
+				o.Limit = min(max(o.Limit, o.base), o.Concurrency)
 			}
 		}
 	}
-	e.at, e.todo, e.held = now, map[string]int{}, map[string]share{}
+	e.reportedAt, e.backlog, e.shares = now, map[string]int{}, map[string]share{}
 	for route, n := range q.Waiting {
-		e.todo[route] = int(n)
+		e.backlog[route] = int(n)
 	}
 	for _, s := range q.Held {
-		if o := h.all[s.Runner]; o != nil {
-			e.todo[o.Route] += int(s.Busy)
+		if o := assigner.runners[s.Runner]; o != nil {
+			e.backlog[o.Route] += int(s.Busy)
 		}
-		e.held[s.Runner] = share{mark: s.Mark, plain: int(s.Plain), urgent: int(s.Urgent), used: int(s.Busy)}
+		e.shares[s.Runner] = share{incarnation: s.Mark, plain: int(s.Plain), urgent: int(s.Urgent), used: int(s.Busy)}
 	}
-	out := &wire.DealAck{Epoch: h.epoch, TermMs: h.p.Term.Milliseconds()}
-	for name, o := range h.all {
-		cur, want := e.held[name], h.target(o, inc)
-		if cur.mark != o.Mark {
+	out := &wire.DealAck{Epoch: assigner.epoch, TermMs: assigner.params.Term.Milliseconds()}
+	for name, o := range assigner.runners {
+		cur, want := e.shares[name], assigner.target(o, inc)
+		if cur.incarnation != o.Incarnation {
 			cur = share{}
 		}
-		room0 := h.room(o, now)
+		availableNow := assigner.available(o, now)
 		room := 0
 		if raise {
-			room = max(room0, 0)
+			room = max(availableNow, 0)
 		}
-		if (!h.open || !raise) && o.Cap > 0 && room0 >= 0 && !h.n.Cluster.Now().Spec.Empty(o.Zone) {
+		if (!assigner.allReported || !raise) && o.Limit > 0 && availableNow >= 0 && !assigner.node.Cluster.Now().Spec.Empty(o.Zone) {
 			// Shares worked out from some of the edges only would be too small,
 			// and what can't be raised again must not be lowered: each keeps
 			// what it has.
@@ -465,34 +467,34 @@
 		room -= max(urgent-cur.urgent, 0)
 		plain := min(want.plain, cur.plain+room)
 		// Until the edge says that it holds less, it may hold the more.
-		e.held[name] = share{mark: o.Mark, plain: max(plain, cur.plain), urgent: max(urgent, cur.urgent), used: cur.used}
+		e.shares[name] = share{incarnation: o.Incarnation, plain: max(plain, cur.plain), urgent: max(urgent, cur.urgent), used: cur.used}
 		if plain+urgent > 0 {
-			out.Slots = append(out.Slots, &wire.Slot{Runner: name, Mark: o.Mark, Plain: int32(plain), Urgent: int32(urgent)})
+			out.Slots = append(out.Slots, &wire.Slot{Runner: name, Mark: o.Incarnation, Plain: int32(plain), Urgent: int32(urgent)})
 		}
 	}
 	return out
 }
 
-// room is how many more slots of a runner may be dealt: what it can bear, less
+// available is how many more slots of a runner may be dealt: what it can bear, less
 // what the edges hold, less work left behind by edges that are gone.
-func (h *Dispatcher) room(o *runner, now time.Time) int {
-	total := o.Cap
-	if !h.open {
+func (assigner *Assigner) available(o *runner, now time.Time) int {
+	total := o.Limit
+	if !assigner.allReported {
 		total = min(total, o.base)
 	}
-	for _, e := range h.edges {
-		s := e.held[o.Name]
+	for _, e := range assigner.edges {
+		s := e.shares[o.Name]
 		switch {
-		case s.mark != o.Mark:
+		case s.incarnation != o.Incarnation:
 			// Of a process that is gone.
-		case !s.over:
+		case !s.expired:
 			total -= s.plain + s.urgent
-		case now.Sub(e.at) < h.n.Params.Lease.OrphanTimeout:
-			total -= s.left
+		case now.Sub(e.reportedAt) < assigner.node.Params.Lease.OrphanTimeout:
+			total -= s.orphaned
 		}
 	}
-	if now.Sub(h.opened) < h.n.Params.Lease.OrphanTimeout {
-		total -= o.ghost
+	if now.Sub(assigner.opened) < assigner.node.Params.Lease.OrphanTimeout {
+		total -= o.unaccounted
 	}
 	return total
 }
@@ -501,37 +503,37 @@
 // all edges alike, wherever the work is now: it can't wait for them. Of the plain
 // ones those with more to do on the route get more, within bounds, so that one
 // edge's backlog does not starve the others.
-func (h *Dispatcher) target(o *runner, inc uint64) share {
-	v := h.n.Cluster.Now()
-	if o.Cap <= 0 || v.Spec.Empty(o.Zone) {
+func (assigner *Assigner) target(o *runner, inc uint64) share {
+	v := assigner.node.Cluster.Now()
+	if o.Limit <= 0 || v.Spec.Empty(o.Zone) {
 		return share{}
 	}
 	reserve := 0
 	for _, c := range v.Spec.Classes {
 		reserve = max(reserve, c.Reserve)
 	}
-	urgent := o.Cap * reserve / 100
-	plain := func(e *edge) int { return 4 + min(e.todo[o.Route], 20) }
-	return share{plain: h.cut(o, inc, o.Cap-urgent, plain), urgent: h.cut(o, inc, urgent, func(*edge) int { return 1 })}
+	urgent := o.Limit * reserve / 100
+	plain := func(e *edge) int { return 4 + min(e.backlog[o.Route], 20) }
+	return share{plain: assigner.portion(o, inc, o.Limit-urgent, plain), urgent: assigner.portion(o, inc, urgent, func(*edge) int { return 1 })}
 }
 
-// cut gives one edge its part of n by largest remainder over the weights.
-func (h *Dispatcher) cut(o *runner, inc uint64, n int, weight func(*edge) int) int {
-	type part struct {
+// portion gives one edge its part of n by largest remainder over the weights.
+func (assigner *Assigner) portion(o *runner, inc uint64, n int, weight func(*edge) int) int {
+	type portion struct {
 		inc  uint64
 		id   string
 		rest int
 		w    int
 	}
-	var ps []part
+	var ps []portion
 	sum := 0
 	now := time.Now()
-	for i, e := range h.edges {
-		if e.over(now, h.p.Term) {
+	for i, e := range assigner.edges {
+		if e.termOver(now, assigner.params.Term) {
 			continue
 		}
 		w := weight(e)
-		ps = append(ps, part{inc: i, id: e.id, w: w})
+		ps = append(ps, portion{inc: i, id: e.id, w: w})
 		sum += w
 	}
 	if len(ps) == 0 {
@@ -550,8 +552,8 @@
 	// before it on the route left off, so that they come round to every edge.
 	sort.Slice(ps, func(i, j int) bool { return ps[i].id < ps[j].id })
 	off := 0
-	for name, r := range h.all {
-		if r.Route == o.Route && name < o.Name && r.Cap > 0 {
+	for name, r := range assigner.runners {
+		if r.Route == o.Route && name < o.Name && r.Limit > 0 {
 			off += left
 		}
 	}
--- a/internal/dataplane/assignment/assigner_test.go
+++ b/internal/dataplane/assignment/assigner_test.go
@@ -22,7 +22,7 @@
 
 const runnerName = "m1"
 
-func newDispatcher(epoch uint64) *Dispatcher {
+func newDispatcher(epoch uint64) *Assigner {
 	n := node.New(node.Params{Self: &wire.Member{Id: "d"}, Net: memnet.New(1).Host("d"), Transport: transport.DefaultParams, Lease: lease.DefaultParams, Log: hclog.NewNullLogger()})
 	re := spec.Cluster{Spec: spec.Spec{Classes: []spec.Class{{Name: "u", Urgent: true, Reserve: 25}}}}
 	raw, err := re.MarshalJSON()
@@ -32,11 +32,11 @@
 	if err != nil {
 		panic(err)
 	}
-	return &Dispatcher{p: DefaultParams, n: n, epoch: epoch, all: map[string]*runner{}, edges: map[uint64]*edge{}}
+	return &Assigner{params: DefaultParams, node: n, epoch: epoch, runners: map[string]*runner{}, edges: map[uint64]*edge{}}
 }
 
 type box struct {
-	b     *slots.Box
+	b     *slots.Table
 	inc   uint64
 	ix    int
 	taken []slots.Kind
@@ -46,7 +46,7 @@
 
 func (e *box) total() int {
 	n := 0
-	for _, s := range e.b.Held() {
+	for _, s := range e.b.Report() {
 		n += int(s.Plain + s.Urgent)
 	}
 	return n
@@ -78,53 +78,53 @@
 // play carries out a plan and tells what went wrong.
 func play(plan []step, fired *int) string {
 	const bears = 8
-	h := newDispatcher(1)
+	assigner := newDispatcher(1)
 	var edges []*box
 	left := 0 // jobs still running of edges that were restarted
 	inc := uint64(0)
-	fresh := func() *box {
+	unknown := func() *box {
 		inc++
 		n := &intern.Table{}
 		return &box{b: slots.New(n), inc: inc, ix: n.Ix(runnerName)}
 	}
 	note := func() {
 		// The runner reports what runs on it.
-		busy := left
+		load := left
 		for _, e := range edges {
-			busy += len(e.taken)
+			load += len(e.taken)
 		}
-		h.note(time.Now(), spec.Runner{Name: runnerName, Zone: "a"}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Bears: bears, Busy: busy, UpMs: 60000}, false)
+		assigner.observe(time.Now(), spec.Runner{Name: runnerName, Zone: "a"}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: bears, Load: load, UpMs: 60000}, false)
 	}
 	note()
-	h.open = true
+	assigner.allReported = true
 	ids := []string{"e1", "e2", "e3", "e4"}
 	for range ids {
-		edges = append(edges, fresh())
+		edges = append(edges, unknown())
 	}
-	heard := map[int]bool{}
+	reported := map[int]bool{}
 	for at, s := range plan {
 		e := edges[s.edge]
 		switch s.what {
 		case 0, 1, 2, 3: // ask, perhaps with a late answer
-			if e.cut || e.epoch > h.epoch {
+			if e.cut || e.epoch > assigner.epoch {
 				break
 			}
 			asked := time.Now()
-			a := h.Ask(ids[s.edge], e.inc, &wire.Deal{Held: e.b.Held(), Waiting: map[string]int32{"": int32(s.n % 10)}}, true)
+			a := assigner.Report(ids[s.edge], e.inc, &wire.Deal{Held: e.b.Report(), Waiting: map[string]int32{"": int32(s.n % 10)}}, true)
 			time.Sleep(time.Duration(s.n%200) * time.Millisecond)
 			e.epoch = a.Epoch
-			e.b.Deal(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
-			if heard[s.edge] = true; len(heard) == len(edges) && !h.open {
+			e.b.Update(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
+			if reported[s.edge] = true; len(reported) == len(edges) && !assigner.allReported {
 				note()
-				h.begin()
+				assigner.open()
 			}
 		case 4, 5:
-			if k, _, ok := e.b.Take(e.ix, s.n%2 == 0); ok {
+			if k, _, ok := e.b.Acquire(e.ix, s.n%2 == 0); ok {
 				e.taken = append(e.taken, k)
 			}
 		case 6:
 			if len(e.taken) > 0 {
-				e.b.Give(e.ix, "", e.taken[0])
+				e.b.Release(e.ix, "", e.taken[0])
 				e.taken = e.taken[1:]
 			} else if left > 0 {
 				left--
@@ -132,13 +132,13 @@
 		case 7:
 			e.cut = !e.cut
 		case 8: // a new dealer that knows nothing; the old one is gone
-			h = newDispatcher(h.epoch + 1)
+			assigner = newDispatcher(assigner.epoch + 1)
 			note()
-			heard = map[int]bool{}
+			reported = map[int]bool{}
 			*fired++
 		case 10: // the edge is killed and starts anew; its jobs run on
 			left += len(e.taken)
-			edges[s.edge] = fresh()
+			edges[s.edge] = unknown()
 		case 9:
 			time.Sleep(time.Duration(s.n) * time.Millisecond)
 		}
@@ -156,14 +156,14 @@
 	return ""
 }
 
-// TestFreshClimbs: a runner that has just come up gets few, then more, and no
+// TestWarmupDoubles: a runner that has just come up gets few, then more, and no
 // more while it refuses.
-func TestFreshClimbs(t *testing.T) {
+func TestWarmupDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newDispatcher(1)
+		assigner := newDispatcher(1)
 		rep := func(refused int64) int {
-			h.note(time.Now(), spec.Runner{Name: runnerName}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Bears: 16, Refused: refused}, false)
-			return h.all[runnerName].Cap
+			assigner.observe(time.Now(), spec.Runner{Name: runnerName}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: 16, Refused: refused}, false)
+			return assigner.runners[runnerName].Limit
 		}
 		want := []int{2, 4, 8, 16, 16}
 		for i, w := range want {
@@ -172,8 +172,8 @@
 			}
 			time.Sleep(time.Second)
 		}
-		h.note(time.Now(), spec.Runner{Name: runnerName}, nil, true)
-		if c := h.all[runnerName].Cap; c != 0 {
+		assigner.observe(time.Now(), spec.Runner{Name: runnerName}, nil, true)
+		if c := assigner.runners[runnerName].Limit; c != 0 {
 			t.Errorf("gone, and still dealt %d", c)
 		}
 		if got := rep(3); got != 2 {
--- a/internal/dataplane/assignment/refusals.go
+++ b/internal/dataplane/assignment/refusals.go
@@ -5,5 +5,5 @@
 	"syscall"
 )
 
-// Refused tells whether a port was refused: nobody is there.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// PortRefused tells whether a port was refused: nobody is there.
+func PortRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -22,13 +22,13 @@
 
 // Params bound the backlog.
 type Params struct {
-	Most int           // jobs waiting
-	Tick time.Duration // between looks at deadlines and cooldowns
-	Room time.Duration // what a call itself needs
+	Most     int           // jobs waiting
+	Tick     time.Duration // between looks at deadlines and cooldowns
+	CallTime time.Duration // what a call itself needs
 }
 
 // DefaultParams suit an edge machine.
-var DefaultParams = Params{Most: 1024, Tick: 10 * time.Millisecond, Room: 50 * time.Millisecond}
+var DefaultParams = Params{Most: 1024, Tick: 10 * time.Millisecond, CallTime: 50 * time.Millisecond}
 
 type waiter struct {
 	c   *job.Ctx
@@ -43,23 +43,23 @@
 
 // Backlog is the policy; Run hands out slots.
 type Backlog struct {
-	p    Params
-	dir  *balancer.Dir
-	pol  *policy.Desk
-	box  *slots.Box
-	in   chan *waiter // a nil one only asks to look again
-	n    atomic.Int64
-	stop atomic.Bool
-	mu   sync.Mutex
-	by   map[string]int32 // waiting, by route
+	p         Params
+	directory *balancer.Directory
+	selector  *policy.Selector
+	slots     *slots.Table
+	in        chan *waiter // a nil one only asks to look again
+	n         atomic.Int64
+	stop      atomic.Bool
+	mu        sync.Mutex
+	by        map[string]int32 // waiting, by route
 	// list, in order, and pace, by route, are the runner goroutine's own.
 	list []*waiter
 	pace map[string]*pace
 }
 
 // New makes a backlog.
-func New(p Params, dir *balancer.Dir, box *slots.Box, pol *policy.Desk) *Backlog {
-	return &Backlog{p: p, dir: dir, box: box, pol: pol, in: make(chan *waiter, p.Most), by: map[string]int32{}, pace: map[string]*pace{}}
+func New(p Params, dir *balancer.Directory, table *slots.Table, pol *policy.Selector) *Backlog {
+	return &Backlog{p: p, directory: dir, slots: table, selector: pol, in: make(chan *waiter, p.Most), by: map[string]int32{}, pace: map[string]*pace{}}
 }
 
 // Len is how many jobs wait.
@@ -80,8 +80,8 @@
 	}
 }
 
-// Poke asks to look again: slots were dealt or given back.
-func (b *Backlog) Poke() {
+// Notify asks to look again: slots were dealt or given back.
+func (b *Backlog) Notify() {
 	select {
 	case b.in <- nil:
 	default:
@@ -92,7 +92,7 @@
 // Stop answers all that waits, now and later.
 func (b *Backlog) Stop() {
 	b.stop.Store(true)
-	b.Poke()
+	b.Notify()
 }
 
 // Run is the backlog's own goroutine.
@@ -119,8 +119,8 @@
 }
 
 func order(a, b *waiter) int {
-	if a.c.Rank != b.c.Rank {
-		return a.c.Rank - b.c.Rank
+	if a.c.Priority != b.c.Priority {
+		return a.c.Priority - b.c.Priority
 	}
 	// The operators' order of classes goes first; within one, a policy's.
 	if a.c.Order != b.c.Order {
@@ -145,7 +145,7 @@
 )
 
 // after tells when a job with so many before it would have its turn.
-func (p *pace) after(ahead int, now time.Time) (time.Duration, bool) {
+func (p *pace) after(waiting int, now time.Time) (time.Duration, bool) {
 	span := now.Sub(p.since)
 	if span > mostSpan {
 		p.since, p.n = now.Add(-mostSpan/2), p.n*float64(mostSpan/2)/float64(span)
@@ -154,23 +154,23 @@
 	if span < leastSpan || p.n < leastJobs {
 		return 0, false
 	}
-	return time.Duration(float64(span) * float64(ahead+1) / p.n), true
+	return time.Duration(float64(span) * float64(waiting+1) / p.n), true
 }
 
 // hopeless answers a job at once that can't be reached in time by the present
 // pace, and tells when its turn would have come. Held on, it would only take the
 // turn of one that can.
-func (b *Backlog) hopeless(c *job.Ctx, ahead int, now time.Time) (job.Answer, bool) {
+func (b *Backlog) hopeless(c *job.Ctx, waiting int, now time.Time) (job.Answer, bool) {
 	p := b.pace[c.Route]
 	if p == nil {
 		b.pace[c.Route] = &pace{since: now}
 		return job.Answer{}, false
 	}
-	d, ok := p.after(ahead, now)
-	if !ok || c.Fits(d, b.p.Room) {
+	d, ok := p.after(waiting, now)
+	if !ok || c.Fits(d, b.p.CallTime) {
 		return job.Answer{}, false
 	}
-	a := job.Bad(code.TooLong, "%d jobs are before it, and its turn would come in %s", ahead, d.Round(100*time.Millisecond))
+	a := job.Bad(code.TooLong, "%d jobs are before it, and its turn would come in %s", waiting, d.Round(100*time.Millisecond))
 	a.Wait = d - c.Left()
 	return a, true
 }
@@ -182,7 +182,7 @@
 		urgent bool
 	}
 	var none []need
-	now, ahead := time.Now(), map[string]int{}
+	now, waiting := time.Now(), map[string]int{}
 	b.list = slices.DeleteFunc(b.list, func(w *waiter) bool {
 		c := w.c
 		e, over := picked{}, true
@@ -192,13 +192,13 @@
 			e.err = stopping
 		case c.Err() != nil:
 			e.err = job.Bad(code.DeadlinePassed, "the caller has gone")
-		case c.Left() < b.p.Room:
+		case c.Left() < b.p.CallTime:
 			e.err = job.Bad(code.DeadlinePassed, "no slot came free in time")
 		case slices.Contains(none, n):
-			e.err, over = b.hopeless(c, ahead[c.Route], now)
+			e.err, over = b.hopeless(c, waiting[c.Route], now)
 		default:
 			var least time.Duration
-			c.Runner, e.kind, e.ok, least = b.dir.Pick(c)
+			c.Runner, e.kind, e.ok, least = b.directory.Pick(c)
 			switch {
 			case e.ok:
 				if p := b.pace[c.Route]; p != nil {
@@ -207,16 +207,16 @@
 			case least < 0:
 				e.err = job.Bad(code.NoRunner, "no runner is left for %s", c.Route)
 				e.err.Wait = time.Second
-			case least > 0 && !c.Fits(least, b.p.Room):
+			case least > 0 && !c.Fits(least, b.p.CallTime):
 				// A wait that can't fit is told at once.
 				e.err = cooldown.Cooling(least)
 			default:
 				none = append(none, n)
-				e.err, over = b.hopeless(c, ahead[c.Route], now)
+				e.err, over = b.hopeless(c, waiting[c.Route], now)
 			}
 		}
 		if !over {
-			ahead[c.Route]++
+			waiting[c.Route]++
 		}
 		if over {
 			w.got <- e
@@ -224,7 +224,7 @@
 		return over
 	})
 	for route := range b.pace {
-		if ahead[route] == 0 {
+		if waiting[route] == 0 {
 			// Nobody waits: from here on the pace is the callers', not ours.
 			delete(b.pace, route)
 		}
@@ -240,7 +240,7 @@
 		a.Wait = time.Second
 		return a
 	}
-	c.Order = b.pol.Order(c)
+	c.Order = b.selector.Order(c)
 	w := &waiter{c: c, got: make(chan picked, 1)}
 	if b.stop.Load() {
 		b.n.Add(-1)
@@ -256,9 +256,9 @@
 	}
 	r := c.Runner
 	defer func() {
-		b.dir.Leave(r, a)
-		b.box.Give(r.Ix, r.Mark, e.kind)
-		b.Poke()
+		b.directory.Finished(r, a)
+		b.slots.Release(r.Ix, r.Incarnation, e.kind)
+		b.Notify()
 	}()
 	return next(c)
 }
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -25,103 +25,103 @@
 // entry is one runner.
 type entry struct {
 	spec.Runner
-	route    int
-	on       bool // in the spec, or in the platform's list
-	leaving  bool
-	avoid    time.Time
-	prefixes map[string]bool
-	cool     string
-	mark     string // of the process last told of
+	route       int
+	listed      bool // in the spec, or in the platform's list
+	draining    bool
+	avoid       time.Time
+	prefixes    map[string]bool
+	cooldownKey string
+	incarnation string // of the process last told of
 }
 
-// Dir is the directory of runners, by index.
-type Dir struct {
-	n       *node.Node
-	Runners *intern.Table
-	Routes  *intern.Table
-	box     *slots.Box
-	desk    *cooldown.Desk
-	pol     *policy.Desk
-
-	mu   sync.Mutex
-	ver  uint64
-	all  []*entry
-	told map[string]assignment.State
+// Directory is the directory of runners, by index.
+type Directory struct {
+	node      *node.Node
+	Runners   *intern.Table
+	Routes    *intern.Table
+	slots     *slots.Table
+	cooldowns *cooldown.Manager
+	selector  *policy.Selector
+
+	mu      sync.Mutex
+	version uint64
+	entries []*entry
+	states  map[string]assignment.State
 }
 
 // New makes the directory and listens for news of runners.
-func New(n *node.Node, runners *intern.Table, box *slots.Box, desk *cooldown.Desk, pol *policy.Desk) *Dir {
-	d := &Dir{n: n, Runners: runners, Routes: &intern.Table{}, box: box, desk: desk, pol: pol, told: map[string]assignment.State{}}
-	n.Broadcast.Handle("runner", d.hear)
-	return d
+func New(n *node.Node, runners *intern.Table, table *slots.Table, cooldowns *cooldown.Manager, pol *policy.Selector) *Directory {
+	directory := &Directory{node: n, Runners: runners, Routes: &intern.Table{}, slots: table, cooldowns: cooldowns, selector: pol, states: map[string]assignment.State{}}
+	n.Broadcast.Handle("runner", directory.updateState)
+	return directory
 }
 
-func (d *Dir) hear(i *wire.Item) error {
+func (directory *Directory) updateState(i *wire.Item) error {
 	var s assignment.State
 	if err := json.Unmarshal(i.Body, &s); err != nil {
 		return code.New(code.Garbled, "runner %s: %w", i.Key, err)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if old, ok := d.told[s.Name]; ok && old.Mark != s.Mark {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	if old, ok := directory.states[s.Name]; ok && old.Incarnation != s.Incarnation {
 		// What was seen of the process before says nothing about this one.
-		if ix := d.Runners.Ix(s.Name); ix < len(d.all) {
-			d.all[ix].avoid = time.Time{}
+		if ix := directory.Runners.Ix(s.Name); ix < len(directory.entries) {
+			directory.entries[ix].avoid = time.Time{}
 		}
 	}
-	d.told[s.Name] = s
-	d.ver = 0 // lay out anew
+	directory.states[s.Name] = s
+	directory.version = 0 // lay out anew
 	return nil
 }
 
-// Told is the last news heard of a runner.
-func (d *Dir) Told(name string) (assignment.State, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s, ok := d.told[name]
+// LastState is the last news heard of a runner.
+func (directory *Directory) LastState(name string) (assignment.State, bool) {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	s, ok := directory.states[name]
 	return s, ok
 }
 
-// Served tells whether the slots are enough for a job of any route.
-func (d *Dir) Served(slots []*wire.Slot) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lay()
+// Sufficient tells whether the slots are enough for a job of any route.
+func (directory *Directory) Sufficient(slots []*wire.Slot) bool {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	directory.rebuild()
 	routes := map[int]bool{}
 	for _, s := range slots {
-		if ix := d.Runners.Ix(s.Runner); ix < len(d.all) {
-			routes[d.all[ix].route] = true
+		if ix := directory.Runners.Ix(s.Runner); ix < len(directory.entries) {
+			routes[directory.entries[ix].route] = true
 		}
 	}
-	return len(routes) >= len(d.n.Cluster.Now().Spec.Routes)
+	return len(routes) >= len(directory.node.Cluster.Now().Spec.Routes)
 }
 
-// lay brings the entries in line with the spec in force and the news.
-func (d *Dir) lay() {
-	v := d.n.Cluster.Now()
-	if d.ver == v.Version {
+// rebuild brings the entries in line with the spec in force and the news.
+func (directory *Directory) rebuild() {
+	v := directory.node.Cluster.Now()
+	if directory.version == v.Version {
 		return
 	}
-	d.ver = v.Version
-	for _, e := range d.all {
-		e.on = false
+	directory.version = v.Version
+	for _, e := range directory.entries {
+		e.listed = false
 	}
 	put := func(r spec.Runner) *entry {
-		ix := d.Runners.Ix(r.Name)
-		for len(d.all) <= ix {
-			d.all = append(d.all, &entry{prefixes: map[string]bool{}})
+		ix := directory.Runners.Ix(r.Name)
+		for len(directory.entries) <= ix {
+			directory.entries = append(directory.entries, &entry{prefixes: map[string]bool{}})
 		}
-		e := d.all[ix]
-		e.Runner, e.route, e.on, e.cool = r, d.Routes.Ix(r.Route), true, cooldown.Key(&v.Spec, r)
+		e := directory.entries[ix]
+		e.Runner, e.route, e.listed, e.cooldownKey = r, directory.Routes.Ix(r.Route), true, cooldown.Key(&v.Spec, r)
 		return e
 	}
-	for _, s := range d.told {
-		if s.State == runnerapi.Gone {
+	for _, s := range directory.states {
+		if s.State == runnerapi.Departed {
 			// Whoever comes up under that name holds no prefix yet.
 			s.Prefixes = nil
 		}
 		e := put(s.Runner)
-		e.leaving, e.mark = s.State != runnerapi.Ready, s.Mark
+		e.draining, e.incarnation = s.State != runnerapi.Ready, s.Incarnation
 		e.prefixes = map[string]bool{}
 		for _, p := range s.Prefixes {
 			e.prefixes[p] = true
@@ -134,34 +134,34 @@
 
 // Avoid keeps a runner from being picked for a while: this node has seen that
 // it leaves or is gone, and the dealer has not yet said so.
-func (d *Dir) Avoid(ix int, t time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.all[ix].avoid = time.Now().Add(t)
+func (directory *Directory) Avoid(ix int, t time.Duration) {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	directory.entries[ix].avoid = time.Now().Add(t)
 }
 
-// Holds notes the prefixes that a runner says it holds.
-func (d *Dir) Holds(ix int, prefixes []string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// SetPrefixes notes the prefixes that a runner says it holds.
+func (directory *Directory) SetPrefixes(ix int, prefixes []string) {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
 	// The list is the whole of what it holds now; what it let go is let go.
-	held := make(map[string]bool, len(prefixes))
+	cached := make(map[string]bool, len(prefixes))
 	for _, p := range prefixes {
-		held[p] = true
+		cached[p] = true
 	}
-	d.all[ix].prefixes = held
+	directory.entries[ix].prefixes = cached
 }
 
 // Keys lists the cooldown keys of the runners that could serve the job.
-func (d *Dir) Keys(c *job.Ctx) []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lay()
+func (directory *Directory) Keys(c *job.Ctx) []string {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	directory.rebuild()
 	var out []string
-	route := d.Routes.Ix(c.Route)
-	for _, e := range d.all {
-		if e.on && e.route == route && !e.leaving {
-			out = append(out, e.cool)
+	route := directory.Routes.Ix(c.Route)
+	for _, e := range directory.entries {
+		if e.listed && e.route == route && !e.draining {
+			out = append(out, e.cooldownKey)
 		}
 	}
 	return out
@@ -170,63 +170,65 @@
 // Pick finds a runner with a free slot and takes the slot. Without one it
 // tells the least cooldown, where that is what stands in the way; -1 where no
 // runner is left.
-func (d *Dir) Pick(c *job.Ctx) (r job.Runner, k slots.Kind, ok bool, least time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lay()
+func (directory *Directory) Pick(c *job.Ctx) (r job.Runner, k slots.Kind, ok bool, least time.Duration) {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	directory.rebuild()
 	now := time.Now()
-	route := d.Routes.Ix(c.Route)
+	route := directory.Routes.Ix(c.Route)
 	var rs []script.Runner
 	var ixs []int
 	least = -1
-	for ix, e := range d.all {
-		if e.route != route || !d.may(e, e.mark) {
+	for ix, e := range directory.entries {
+		if e.route != route || !directory.eligible(e, e.incarnation) {
 			continue
 		}
-		w := d.desk.Seen(e.cool)
+		w := directory.cooldowns.KnownWait(e.cooldownKey)
 		if least < 0 || w < least {
 			least = w
 		}
 		// A process seen leaving, or whose slots are for the one before it, is no
 		// candidate now, and may be one soon.
-		if w > 0 || !d.desk.Free(e.cool) || now.Before(e.avoid) || d.box.Mark(ix) != e.mark {
+		if w > 0 || !directory.cooldowns.Allowed(e.cooldownKey) || now.Before(e.avoid) || directory.slots.Incarnation(ix) != e.incarnation {
 			continue
 		}
-		free, used := d.box.Free(ix, c.Urgent)
+		free, used := directory.slots.Free(ix, c.Urgent)
 		if free == 0 {
 			continue
 		}
-		rs = append(rs, script.Runner{Name: e.Name, Zone: e.Zone, Near: e.Zone == d.n.Peer.Self.Zone, Free: int64(free), Used: int64(used), Prefix: prefix(e, c)})
+		rs = append(rs, script.Runner{Name: e.Name, Zone: e.Zone, Near: e.Zone == directory.node.Peer.Self.Zone, Free: int64(free), Used: int64(used), Prefix: prefix(e, c)})
 		ixs = append(ixs, ix)
 	}
 	if len(rs) > 0 {
-		i, why := d.pol.Pick(c, rs)
-		if k, mark, ok := d.box.Take(ixs[i], c.Urgent); ok {
-			e := d.all[ixs[i]]
-			d.desk.Enter(e.cool)
-			why.Picked, why.Spec = e.Name, d.n.Cluster.Now().Version
+		i, why := directory.selector.Pick(c, rs)
+		if k, incarnation, ok := directory.slots.Acquire(ixs[i], c.Urgent); ok {
+			e := directory.entries[ixs[i]]
+			directory.cooldowns.BeginCall(e.cooldownKey)
+			why.Picked, why.Spec = e.Name, directory.node.Cluster.Now().Version
 			c.Whys = append(c.Whys, why)
-			return job.Runner{Ix: ixs[i], Name: e.Name, Addr: e.Addr, Cool: e.cool, Mark: mark}, k, true, 0
+			return job.Runner{Ix: ixs[i], Name: e.Name, Addr: e.Addr, Cool: e.cooldownKey, Incarnation: incarnation}, k, true, 0
 		}
 	}
 	return job.Runner{}, 0, false, least
 }
 
-// May tells whether work may go to a runner's process now: it is there, does not
+// Eligible tells whether work may go to a runner's process now: it is there, does not
 // leave, stands in no emptied zone, and is the one that was meant.
-func (d *Dir) May(ix int, mark string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lay()
-	return d.may(d.all[ix], mark)
+func (directory *Directory) Eligible(ix int, incarnation string) bool {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	directory.rebuild()
+	return directory.eligible(directory.entries[ix], incarnation)
 }
 
-func (d *Dir) may(e *entry, mark string) bool {
-	return e.on && !e.leaving && e.mark == mark && !d.n.Cluster.Now().Spec.Empty(e.Zone)
+func (directory *Directory) eligible(e *entry, incarnation string) bool {
+	return e.listed && !e.draining && e.incarnation == incarnation && !directory.node.Cluster.Now().Spec.Empty(e.Zone)
 }
 
-// Leave takes note of how an picked runner's call ended.
-func (d *Dir) Leave(r job.Runner, a job.Answer) { d.desk.Leave(r.Cool, a.Err == nil) }
+// Finished takes note of how an picked runner's call ended.
+func (directory *Directory) Finished(r job.Runner, a job.Answer) {
+	directory.cooldowns.EndCall(r.Cool, a.Err == nil)
+}
 
 // prefix is the share of the job's parts, leading ones, that a runner holds.
 func prefix(e *entry, c *job.Ctx) float64 {
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -34,10 +34,10 @@
 
 // Time counts down what was left by the age of the last write, and takes a smaller
 // word of what is left; a larger one is not taken.
-func (v *Value) Time(age, word time.Duration) time.Duration {
-	left := word
+func (v *Value) Time(age, stated time.Duration) time.Duration {
+	left := stated
 	if v.Timed {
-		left = min(time.Duration(v.LeftMs)*time.Millisecond-age, word)
+		left = min(time.Duration(v.LeftMs)*time.Millisecond-age, stated)
 	}
 	v.Timed, v.LeftMs = true, max(left, 0).Milliseconds()
 	return left
@@ -69,10 +69,10 @@
 
 // Policy reserves before a model turn and settles after it.
 type Policy struct {
-	T *storeclient.Client
+	Stores *storeclient.Client
 	// Pre is the deadline of reserving, Write of one try at settling.
 	Pre, Write time.Duration
-	Bg         job.Bg
+	Background job.Background
 }
 
 // All is what is spent or still reserved.
@@ -116,7 +116,7 @@
 		return job.Bad(code.BadField, "no budget is stated for program %q", c.Root)
 	}
 	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
-	st, err := p.T.ChangeStrict(ctx, key(c.Root), func(st register.State) ([]byte, bool, error) {
+	st, err := p.Stores.ChangeStrict(ctx, key(c.Root), func(st register.State) ([]byte, bool, error) {
 		v, err := read(st)
 		if err != nil {
 			return nil, false, err
@@ -133,7 +133,7 @@
 	stop()
 	if code.Of(err) == code.OutcomeUnknown {
 		// Perhaps it is reserved; nothing was passed, so it is handed back.
-		p.Bg.Go(func() { p.settle(c, 0) })
+		p.Background.Go(func() { p.commit(c, 0) })
 		return job.Bad(code.StoresUnreachable, "the budget could not be reserved: %w", err)
 	}
 	if err != nil {
@@ -149,13 +149,13 @@
 	a := next(c)
 	switch a.Ran() {
 	case "no":
-		p.Bg.Go(func() { p.settle(c, 0) })
+		p.Background.Go(func() { p.commit(c, 0) })
 	case "yes":
 		// The next turn of the program may come at once and should find what
 		// this one left; but the caller does not wait for a slow tier.
 		done := make(chan struct{})
 		spent := c.Spent
-		p.Bg.Go(func() { defer close(done); p.settle(c, spent) })
+		p.Background.Go(func() { defer close(done); p.commit(c, spent) })
 		ctx, stop := context.WithTimeout(c, p.Write)
 		defer stop()
 		select {
@@ -167,11 +167,11 @@
 	return a
 }
 
-// settle tries for a minute; what stays reserved counts as spent.
-func (p Policy) settle(c *job.Ctx, spent int64) {
+// commit tries for a minute; what stays reserved counts as spent.
+func (p Policy) commit(c *job.Ctx, spent int64) {
 	for try := 0; try < 60; try++ {
-		ctx, stop := context.WithTimeout(p.Bg.Ctx, p.Write)
-		_, err := p.T.Change(ctx, key(c.Root), func(st register.State) ([]byte, bool, error) {
+		ctx, stop := context.WithTimeout(p.Background.Ctx, p.Write)
+		_, err := p.Stores.Change(ctx, key(c.Root), func(st register.State) ([]byte, bool, error) {
 			v, err := read(st)
 			if err != nil {
 				return nil, false, err
@@ -182,7 +182,7 @@
 			return b, true, err
 		})
 		stop()
-		if err == nil || !loop.Wait(p.Bg.Ctx, time.Second) {
+		if err == nil || !loop.Wait(p.Background.Ctx, time.Second) {
 			return
 		}
 	}
@@ -196,14 +196,14 @@
 	if v.Root != "" {
 		return code.New(code.BadProgram, "%q was started by another program, of %q: name it", c.Root, v.Root)
 	}
-	helper := c.Root != c.Program
-	if helper && !v.Timed {
+	subagent := c.Root != c.Program
+	if subagent && !v.Timed {
 		return code.New(code.BadProgram, "program %q is not known", c.Root)
 	}
 	if v.Time(age, time.Until(c.Ends)) > 0 {
 		return nil
 	}
-	if helper {
+	if subagent {
 		return code.New(code.BadProgram, "program %q has ended", c.Root)
 	}
 	// The time that was heard is over and the program asks again: it has more than
@@ -229,7 +229,7 @@
 	}
 	ctx, stop := context.WithTimeout(c, min(2*p.Pre, c.Left()))
 	defer stop()
-	by, err := Read(ctx, p.T, c.StartedBy)
+	by, err := Read(ctx, p.Stores, c.StartedBy)
 	if err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 	if c.Root == c.Program {
 		return code.New(code.BadProgram, "%q is the root of %q", c.Program, c.StartedBy)
 	}
-	_, err = p.T.Change(ctx, key(c.Program), func(st register.State) ([]byte, bool, error) {
+	_, err = p.Stores.Change(ctx, key(c.Program), func(st register.State) ([]byte, bool, error) {
 		v, err := read(st)
 		switch {
 		case err != nil:
@@ -266,11 +266,11 @@
 
 var errKnown = errors.New("the helper is known")
 
-// Kin bounds a helper's tool calls by the program at the root.
-type Kin struct{ Policy }
+// Tree bounds a helper's tool calls by the program at the root.
+type Tree struct{ Policy }
 
 // Do is the policy.
-func (p Kin) Do(c *job.Ctx, next job.Next) job.Answer {
+func (p Tree) Do(c *job.Ctx, next job.Next) job.Answer {
 	if c.StartedBy == "" {
 		return next(c)
 	}
@@ -278,7 +278,7 @@
 		return job.Answer{Err: err}
 	}
 	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
-	st, err := p.T.Read(ctx, key(c.Root))
+	st, err := p.Stores.Read(ctx, key(c.Root))
 	stop()
 	if err != nil {
 		return job.Answer{Err: err}
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestWhole: whatever turns come, settle, fail or are lost, in any order, what
+// TestCompleteBudget: whatever turns come, settle, fail or are lost, in any order, what
 // is put out never passes the budget: each puts out no more than it reserved,
 // and one that nobody settles counts as spent.
-func TestWhole(t *testing.T) {
+func TestCompleteBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		total := rapid.Int64Range(1, 500).Draw(rt, "total")
 		var v Value
--- a/internal/dataplane/call/call.go
+++ b/internal/dataplane/call/call.go
@@ -30,12 +30,12 @@
 
 // Caller is the end of the way.
 type Caller struct {
-	Desk *cooldown.Desk
-	Dir  *balancer.Dir
-	Box  *slots.Box
-	// Leaves tells the dealer that a runner seems to leave.
-	Leaves func(runner, why string)
-	Web    *http.Client
+	Cooldowns *cooldown.Manager
+	Directory *balancer.Directory
+	Slots     *slots.Table
+	// OnDeparture tells the dealer that a runner seems to leave.
+	OnDeparture func(runner, why string)
+	Web         *http.Client
 	// Avoid is how long a runner seen leaving is not picked here.
 	Avoid time.Duration
 }
@@ -53,28 +53,28 @@
 	}
 }
 
-// Again passes a job once more where nothing stands against it.
-type Again struct{ Room time.Duration }
+// Retry passes a job once more where nothing stands against it.
+type Retry struct{ CallTime time.Duration }
 
 // Do is the policy.
-func (p Again) Do(c *job.Ctx, next job.Next) job.Answer {
+func (p Retry) Do(c *job.Ctx, next job.Next) job.Answer {
 	for try := 1; ; try++ {
 		a := next(c)
-		if !a.Again || try == Tries || !c.Fits(a.Wait, p.Room) {
+		if !a.Again || try == Tries || !c.Fits(a.Wait, p.CallTime) {
 			return a
 		}
 	}
 }
 
 // Cool reads the deadline of the picked runner's key right before the call.
-type Cool struct{ Desk *cooldown.Desk }
+type Cool struct{ Cooldowns *cooldown.Manager }
 
 // Do is the policy. Where the wait fits, the job goes back to the backlog and
 // waits there; where it does not, the caller is told at once.
 func (p Cool) Do(c *job.Ctx, next job.Next) job.Answer {
 	c.At(job.Picked)
 	c.Looked = time.Now()
-	w, ver, err := p.Desk.Look(c, c.Runner.Cool)
+	w, ver, err := p.Cooldowns.Read(c, c.Runner.Cool)
 	if err != nil {
 		// Calling early must never happen; not calling is allowed.
 		a := job.Bad(code.StoresUnreachable, "the cooldown could not be read: %w", err)
@@ -106,18 +106,18 @@
 		return a, false
 	}
 	r := c.Runner
-	switch w := p.Desk.Seen(r.Cool); {
+	switch w := p.Cooldowns.KnownWait(r.Cool); {
 	case c.Err() != nil, c.Left() <= 0:
 		return job.Bad(code.DeadlinePassed, "no time is left, or the caller has gone"), false
 	case time.Since(c.Looked) > storeclient.ReadWindow:
 		return back("the look at the cooldown is too old")
-	case p.Desk.Spec() != c.Ver:
+	case p.Cooldowns.Spec() != c.Ver:
 		return back("the spec has changed since the look")
 	case w > 0:
 		return waits(w), false
-	case !p.Box.Holds(r.Ix, r.Mark):
+	case !p.Slots.Valid(r.Ix, r.Incarnation):
 		return back("the slot's term is over")
-	case !p.Dir.May(r.Ix, r.Mark):
+	case !p.Directory.Eligible(r.Ix, r.Incarnation):
 		return back("the runner leaves, is emptied, or is another process")
 	}
 	return job.Answer{}, true
@@ -125,8 +125,8 @@
 
 // Do passes the job.
 func (p *Caller) Do(c *job.Ctx) job.Answer {
-	body, err := json.Marshal(runnerapi.Run{Job: c.ID, Route: c.Route, Mark: c.Runner.Mark, Program: c.Program, Class: c.Class, Parts: c.Parts,
-		History: c.History, Words: c.Words, MaxOutput: c.Most, DeadlineMs: c.Left().Milliseconds()})
+	body, err := json.Marshal(runnerapi.Request{Job: c.ID, Route: c.Route, Incarnation: c.Runner.Incarnation, Program: c.Program, Class: c.Class, Parts: c.Parts,
+		History: c.History, Prompt: c.Prompt, MaxOutput: c.Most, DeadlineMs: c.Left().Milliseconds()})
 	if err != nil {
 		return job.Bad(code.BadField, "%w", err)
 	}
@@ -144,7 +144,7 @@
 	}
 	c.Passed = time.Now()
 	r, err := p.Web.Do(q)
-	c.At(job.Heard)
+	c.At(job.ResponseReceived)
 	if err != nil {
 		return p.lost(c, err)
 	}
@@ -152,7 +152,7 @@
 	b, err := io.ReadAll(io.LimitReader(r.Body, MaxAnswer+1))
 	if err != nil || len(b) > MaxAnswer {
 		if r.StatusCode == http.StatusOK {
-			return p.doubt(c, code.Incomplete, "the answer broke off", err)
+			return p.uncertain(c, code.Incomplete, "the answer broke off", err)
 		}
 		// A refusal's status stands even if its words are cut.
 		b = nil
@@ -185,24 +185,24 @@
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		// No byte was sent: surely not run.
-		if assignment.Refused(err) {
-			p.leaves(c, "port refused")
+		if assignment.PortRefused(err) {
+			p.departs(c, "port refused")
 		} else {
-			p.Dir.Avoid(c.Runner.Ix, p.Avoid)
+			p.Directory.Avoid(c.Runner.Ix, p.Avoid)
 		}
 		a := job.Bad(code.NoRunner, "runner %s can't be reached", c.Runner.Name)
 		a.Again, a.Wait = retry.Allowed(retry.NotRun, repeatable(c)), 0
 		return a
 	}
 	if cooldown.Raised("", err.Error()) {
-		p.Desk.Install(c, c.Runner.Cool, 0)
+		p.Cooldowns.Install(c, c.Runner.Cool, 0)
 	}
-	return p.doubt(c, code.OutcomeUnknown, "no answer came", err)
+	return p.uncertain(c, code.OutcomeUnknown, "no answer came", err)
 }
 
-// doubt answers for a job that may have run. Only one that may be repeated is
+// uncertain answers for a job that may have run. Only one that may be repeated is
 // passed again.
-func (p *Caller) doubt(c *job.Ctx, n code.Code, what string, err error) job.Answer {
+func (p *Caller) uncertain(c *job.Ctx, n code.Code, what string, err error) job.Answer {
 	if err != nil {
 		c.Log.Debug("answer lost", "job", c.ID, "runner", c.Runner.Name, "err", err)
 	}
@@ -211,38 +211,38 @@
 	return a
 }
 
-func (p *Caller) leaves(c *job.Ctx, why string) {
-	p.Dir.Avoid(c.Runner.Ix, p.Avoid)
-	p.Leaves(c.Runner.Name, why)
+func (p *Caller) departs(c *job.Ctx, why string) {
+	p.Directory.Avoid(c.Runner.Ix, p.Avoid)
+	p.OnDeparture(c.Runner.Name, why)
 }
 
 // whole takes an answer only if it is all there and answers this job.
 func (p *Caller) whole(c *job.Ctx, b []byte) job.Answer {
 	var r struct {
-		runnerapi.Ran
+		runnerapi.Response
 		Text *string `json:"text"`
 	}
 	if err := json.Unmarshal(b, &r); err != nil {
-		return p.doubt(c, code.Incomplete, "an answer that can't be read", err)
+		return p.uncertain(c, code.Incomplete, "an answer that can't be read", err)
 	}
 	if r.Text == nil {
-		return p.doubt(c, code.Incomplete, "an answer without text", nil)
+		return p.uncertain(c, code.Incomplete, "an answer without text", nil)
 	}
 	if r.Job != c.ID {
-		return p.doubt(c, code.Incomplete, "another job's answer", nil)
+		return p.uncertain(c, code.Incomplete, "another job's answer", nil)
 	}
 	if r.Output < 0 {
-		return p.doubt(c, code.Incomplete, "a negative output", nil)
+		return p.uncertain(c, code.Incomplete, "a negative output", nil)
 	}
-	c.Spent, c.Held = r.Output, r.Held
-	p.Dir.Holds(c.Runner.Ix, r.Prefixes)
-	out := map[string]any{"job": c.ID, "text": *r.Text, "output": r.Output, "held": r.Held, "runner": c.Runner.Name}
+	c.Spent, c.PrefixHit = r.Output, r.PrefixHit
+	p.Directory.SetPrefixes(c.Runner.Ix, r.Prefixes)
+	out := map[string]any{"job": c.ID, "text": *r.Text, "output": r.Output, "held": r.PrefixHit, "runner": c.Runner.Name}
 	if c.Conv != "" {
 		out["turn"] = c.ID
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
-		return p.doubt(c, code.Incomplete, "an answer that can't be passed on", err)
+		return p.uncertain(c, code.Incomplete, "an answer that can't be passed on", err)
 	}
 	return job.Good(body)
 }
@@ -256,18 +256,18 @@
 	if c.View.Spec.Cooldown.Refusal(r.StatusCode) {
 		// A returned refusal: installed for all, and handed back unretried.
 		a := job.Bad(code.RunnerDrop, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
-		a.Wait = p.Desk.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
+		a.Wait = p.Cooldowns.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
 		return a
 	}
 	if pr.State == runnerapi.Other {
 		// Its successor answered: nothing ran, and the dealer should know.
-		p.leaves(c, "another process answers")
+		p.departs(c, "another process answers")
 		a := job.Bad(code.NoRunner, "runner %s is another process by now", c.Runner.Name)
 		a.Again = true
 		return a
 	}
 	if pr.State == runnerapi.Draining {
-		p.leaves(c, "it drains")
+		p.departs(c, "it drains")
 		a := job.Bad(code.NoRunner, "runner %s drains", c.Runner.Name)
 		a.Again = true
 		return a
@@ -275,20 +275,20 @@
 	if cooldown.Raised(pr.Error.Type, pr.Error.Message) {
 		// A raised one: installed for all, and tried again after the cooldown
 		// if it surely did not run or may run twice.
-		w := p.Desk.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
+		w := p.Cooldowns.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
 		if clear {
 			return waits(w)
 		}
-		a := p.doubt(c, code.OutcomeUnknown, "a rate limit raised halfway", nil)
+		a := p.uncertain(c, code.OutcomeUnknown, "a rate limit raised halfway", nil)
 		a.Wait = w
 		return a
 	}
 	if clear {
 		a := job.Bad(code.NoRunner, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
 		// It would refuse again at once; another may not.
-		p.Dir.Avoid(c.Runner.Ix, p.Avoid/10)
+		p.Directory.Avoid(c.Runner.Ix, p.Avoid/10)
 		a.Again, a.Wait = r.StatusCode == http.StatusServiceUnavailable, 0
 		return a
 	}
-	return p.doubt(c, code.RunnerFailure, "status "+http.StatusText(r.StatusCode), nil)
+	return p.uncertain(c, code.RunnerFailure, "status "+http.StatusText(r.StatusCode), nil)
 }
--- a/internal/dataplane/conversation/conversation.go
+++ b/internal/dataplane/conversation/conversation.go
@@ -26,11 +26,11 @@
 
 // Policy fetches the history before a turn and keeps the turn after it.
 type Policy struct {
-	T *storeclient.Client
+	Stores *storeclient.Client
 	// Read is the deadline of fetching a history, Late of keeping a turn whose own
 	// deadline has passed.
 	Read, Late time.Duration
-	Bg         job.Bg
+	Background job.Background
 }
 
 func key(id string) string { return "turn/" + id }
@@ -55,14 +55,14 @@
 	if err := json.Unmarshal(a.Body, &got); err != nil {
 		return job.Bad(code.Incomplete, "answer can't be read: %w", err)
 	}
-	b, err := json.Marshal(turn{c.Program, c.Conv, append(c.History[:len(c.History):len(c.History)], job.Line{Words: c.Words, Answer: got.Text})})
+	b, err := json.Marshal(turn{c.Program, c.Conv, append(c.History[:len(c.History):len(c.History)], job.Line{Words: c.Prompt, Answer: got.Text})})
 	if err != nil {
 		return job.Bad(code.NotKept, "%w", err)
 	}
-	ctx, stop := context.WithTimeout(p.Bg.Ctx, max(c.Left(), p.Late))
+	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.Late))
 	defer stop()
 	// The keeping time is the intent's in force when the turn was accepted.
-	if err := p.T.PutBlob(ctx, key(c.ID), b, keep); err != nil {
+	if err := p.Stores.PutBlob(ctx, key(c.ID), b, keep); err != nil {
 		return job.Bad(code.NotKept, "the turn ran but could not be kept: %w", err)
 	}
 	return a
@@ -77,7 +77,7 @@
 	// and not held until its own deadline.
 	ctx, stop := context.WithTimeout(c, min(p.Read, c.Left()))
 	defer stop()
-	b, err := p.T.GetBlob(ctx, key(c.Follows))
+	b, err := p.Stores.GetBlob(ctx, key(c.Follows))
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		return code.New(code.NoTurn, "turn %s was never kept", c.Follows)
 	}
 	// Refused before it runs: afterwards it could not be kept.
-	if len(b)+len(c.Words) > MaxBytes {
+	if len(b)+len(c.Prompt) > MaxBytes {
 		return code.New(code.TooLarge, "follows: the conversation has %d bytes, limit %d", len(b), MaxBytes)
 	}
 	c.History = t.Lines
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -26,23 +26,23 @@
 
 // Params are the worker's times.
 type Params struct {
-	Read  time.Duration // deadline of a look at the deadline
-	Write time.Duration // deadline of installing one
-	Room  time.Duration // what a call itself needs after a wait
-	Word  WordParams
-	// Alone leaves each node to its own refusals. It is here for the measure of
+	Read     time.Duration // deadline of a look at the deadline
+	Write    time.Duration // deadline of installing one
+	CallTime time.Duration // what a call itself needs after a wait
+	Snapshot SnapshotParams
+	// Local leaves each node to its own refusals. It is here for the measure of
 	// what sharing is worth; no program sets it.
-	Alone bool
+	Local bool
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Read: 150 * time.Millisecond, Write: time.Second, Room: 100 * time.Millisecond, Word: DefaultWord}
+var DefaultParams = Params{Read: 150 * time.Millisecond, Write: time.Second, CallTime: 100 * time.Millisecond, Snapshot: DefaultSnapshot}
 
-// Desk reads and installs cooldowns for the workers of this node.
-type Desk struct {
-	p Params
-	n *node.Node
-	t *storeclient.Client
+// Manager reads and installs cooldowns for the workers of this node.
+type Manager struct {
+	params Params
+	node   *node.Node
+	stores *storeclient.Client
 
 	mu sync.Mutex
 	// until is what this node has seen, on its own clock. It only ever saves
@@ -50,28 +50,28 @@
 	until map[string]time.Time
 	// gates let few through first once a cooldown has ended.
 	gates map[string]*gate
-	// kept are refusals that could not be written yet.
-	kept map[string]time.Time
-	// word is what the stores said of late; wrote is until when they have what this
+	// unwritten are refusals that could not be written yet.
+	unwritten map[string]time.Time
+	// snapshot is what the stores said of late; wrote is until when they have what this
 	// node wrote, and writes what it is writing.
-	word   word
-	wrote  map[string]time.Time
-	writes map[string]*write
-	seq    uint64
+	snapshot     snapshot
+	writtenUntil map[string]time.Time
+	writes       map[string]*write
+	seq          uint64
 	// installs counts cooldowns written.
 	installs uint64
 
-	kick                  loop.Wakeup // asks the stores for their word
-	hot                   atomic.Bool // some cooldown or gate is known
-	words, lookups, blind atomic.Uint64
+	wakeup                   loop.Wakeup // asks the stores for their word
+	active                   atomic.Bool // some cooldown or gate is known
+	polls, reads, unverified atomic.Uint64
 }
 
 // New makes the desk and listens for what others spread.
-func New(p Params, n *node.Node, t *storeclient.Client) *Desk {
-	d := &Desk{p: p, n: n, t: t, until: map[string]time.Time{}, gates: map[string]*gate{}, kept: map[string]time.Time{},
-		word: newWord(), wrote: map[string]time.Time{}, writes: map[string]*write{}, kick: loop.NewWakeup()}
-	n.Broadcast.Handle("cool", d.hear)
-	return d
+func New(p Params, n *node.Node, t *storeclient.Client) *Manager {
+	manager := &Manager{params: p, node: n, stores: t, until: map[string]time.Time{}, gates: map[string]*gate{}, unwritten: map[string]time.Time{},
+		snapshot: newSnapshot(), writtenUntil: map[string]time.Time{}, writes: map[string]*write{}, wakeup: loop.NewWakeup()}
+	n.Broadcast.Handle("cool", manager.onBroadcast)
+	return manager
 }
 
 // value is what the register holds: how long to wait, counted by each store
@@ -86,8 +86,8 @@
 
 func regKey(key string) string { return Prefix + key }
 
-// Ceil is a wait in whole milliseconds, never shorter.
-func Ceil(w time.Duration) int64 { return (w + time.Millisecond - 1).Milliseconds() }
+// WaitMs is a wait in whole milliseconds, never shorter.
+func WaitMs(w time.Duration) int64 { return (w + time.Millisecond - 1).Milliseconds() }
 
 func decode(b []byte) (value, error) {
 	var v value
@@ -124,53 +124,53 @@
 	return "route/" + r.Route
 }
 
-// Seen is the wait as far as this node knows without asking.
-func (d *Desk) Seen(key string) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return max(d.left(key), 0)
+// KnownWait is the wait as far as this node knows without asking.
+func (manager *Manager) KnownWait(key string) time.Duration {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	return max(manager.remaining(key), 0)
 }
 
-// left is the wait by the latest deadline known.
-func (d *Desk) left(key string) time.Duration {
-	u := d.until[key]
-	if e := d.word.told[key].end(); e.After(u) {
+// remaining is the wait by the latest deadline known.
+func (manager *Manager) remaining(key string) time.Duration {
+	u := manager.until[key]
+	if e := manager.snapshot.observed[key].end(); e.After(u) {
 		u = e
 	}
 	return time.Until(u)
 }
 
-func (d *Desk) see(key string, w time.Duration) {
+func (manager *Manager) extend(key string, w time.Duration) {
 	if w <= 0 {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.narrow(key)
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	manager.narrowGate(key)
 	// A merge never shortens.
-	if u := time.Now().Add(w); u.After(d.until[key]) {
-		d.until[key] = u
+	if u := time.Now().Add(w); u.After(manager.until[key]) {
+		manager.until[key] = u
 	}
 }
 
-// narrow lets one call of the key through at first, once its cooldown is over.
-func (d *Desk) narrow(key string) {
-	d.hot.Store(true)
-	g := d.gates[key]
+// narrowGate lets one call of the key through at first, once its cooldown is over.
+func (manager *Manager) narrowGate(key string) {
+	manager.active.Store(true)
+	g := manager.gates[key]
 	if g == nil {
 		g = &gate{used: time.Now()}
-		d.gates[key] = g
+		manager.gates[key] = g
 	}
-	g.most = 1
+	g.limit = 1
 }
 
-// widen lets twice as many through after a good answer, unless the key cools.
-func (d *Desk) widen(key string, g *gate) {
-	if d.left(key) > 0 {
+// widenGate lets twice as many through after a good answer, unless the key cools.
+func (manager *Manager) widenGate(key string, g *gate) {
+	if manager.remaining(key) > 0 {
 		return
 	}
-	if g.most *= 2; g.most > gateOpen && d.gates[key] == g {
-		delete(d.gates, key)
+	if g.limit *= 2; g.limit > gateUnlimited && manager.gates[key] == g {
+		delete(manager.gates, key)
 	}
 }
 
@@ -178,64 +178,64 @@
 // a cooldown: one at first, twice as many with each good answer. A whole backlog
 // let loose at once would only be refused again.
 type gate struct {
-	most, busy int
-	used       time.Time
+	limit, inFlight int
+	used            time.Time
 }
 
-// gateOpen is where a gate is wide enough to be none.
-const gateOpen = 16
+// gateUnlimited is where a gate is wide enough to be none.
+const gateUnlimited = 16
 
-// Free tells whether a call of the key may be made as far as this node knows.
-func (d *Desk) Free(key string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	g := d.gates[key]
-	return g == nil || g.busy < g.most
+// Allowed tells whether a call of the key may be made as far as this node knows.
+func (manager *Manager) Allowed(key string) bool {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	g := manager.gates[key]
+	return g == nil || g.inFlight < g.limit
 }
 
-// Enter counts a call in that Free let through, Leave counts it out.
-func (d *Desk) Enter(key string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if g := d.gates[key]; g != nil {
-		g.busy++
+// BeginCall counts a call in that Free let through, Leave counts it out.
+func (manager *Manager) BeginCall(key string) {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	if g := manager.gates[key]; g != nil {
+		g.inFlight++
 	}
 }
 
-// Leave widens the gate after a good answer.
-func (d *Desk) Leave(key string, good bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	g := d.gates[key]
+// EndCall widens the gate after a good answer.
+func (manager *Manager) EndCall(key string, good bool) {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	g := manager.gates[key]
 	if g == nil {
 		return
 	}
 	// Calls from before the gate were never counted in.
-	g.busy = max(g.busy-1, 0)
+	g.inFlight = max(g.inFlight-1, 0)
 	g.used = time.Now()
 	if good {
-		d.widen(key, g)
+		manager.widenGate(key, g)
 	}
 }
 
-// Look reads the deadline at a majority. Without one there is no answer, and
+// Read reads the deadline at a majority. Without one there is no answer, and
 // the call must not be made. It tells under which spec it looked.
-func (d *Desk) Look(ctx context.Context, key string) (time.Duration, uint64, error) {
-	if w := d.Seen(key); w > 0 || d.p.Alone {
-		return w, d.n.Cluster.Now().Version, nil
+func (manager *Manager) Read(ctx context.Context, key string) (time.Duration, uint64, error) {
+	if w := manager.KnownWait(key); w > 0 || manager.params.Local {
+		return w, manager.node.Cluster.Now().Version, nil
 	}
-	ctx, stop := context.WithTimeout(ctx, d.p.Read)
+	ctx, stop := context.WithTimeout(ctx, manager.params.Read)
 	defer stop()
-	st, ver, err := d.t.ReadStrict(ctx, regKey(key))
+	st, ver, err := manager.stores.ReadStrict(ctx, regKey(key))
 	if err != nil {
 		return 0, ver, err
 	}
-	w, _, err := remains(st)
-	d.see(key, w)
+	w, _, err := remainingOf(st)
+	manager.extend(key, w)
 	return w, ver, err
 }
 
-func remains(st register.State) (time.Duration, value, error) {
+func remainingOf(st register.State) (time.Duration, value, error) {
 	if len(st.Value) == 0 {
 		return 0, value{}, nil
 	}
@@ -248,8 +248,8 @@
 
 // Next works out the value after one more refusal. Refusals within one
 // cooldown are one step; after a quiet spell the steps start again.
-func next(c *spec.Cooldown, st register.State, floor time.Duration) (value, bool, error) {
-	left, v, err := remains(st)
+func nextValue(c *spec.Cooldown, st register.State, floor time.Duration) (value, bool, error) {
+	left, v, err := remainingOf(st)
 	if err != nil {
 		return v, false, err
 	}
@@ -258,7 +258,7 @@
 		if floor <= left {
 			return v, false, nil
 		}
-		return value{v.Step, Ceil(floor)}, true, nil
+		return value{v.Step, WaitMs(floor)}, true, nil
 	}
 	step := v.Step + 1
 	if len(st.Value) == 0 || st.Age-time.Duration(v.WaitMs)*time.Millisecond > c.Quiet() {
@@ -269,140 +269,140 @@
 		wait *= 2
 	}
 	wait = max(min(wait, c.Cap()), floor)
-	return value{min(step, 30), Ceil(wait)}, true, nil
+	return value{min(step, 30), WaitMs(wait)}, true, nil
 }
 
 // Install puts a refusal in force for all and gives the wait. It returns once
 // the cooldown is written, or once its writing has failed by the deadline; then
 // it is spread by the tree, kept, and written when the tier is back.
-func (d *Desk) Install(ctx context.Context, key string, floor time.Duration) time.Duration {
-	c := d.n.Cluster.Now().Spec.Cooldown
+func (manager *Manager) Install(ctx context.Context, key string, floor time.Duration) time.Duration {
+	c := manager.node.Cluster.Now().Spec.Cooldown
 	// This node stops at once, whatever becomes of the write.
-	d.see(key, max(floor, c.First()))
-	if d.p.Alone {
-		return d.Seen(key)
+	manager.extend(key, max(floor, c.First()))
+	if manager.params.Local {
+		return manager.KnownWait(key)
 	}
-	w, err := d.write(ctx, key, floor)
+	w, err := manager.write(ctx, key, floor)
 	if err != nil {
-		w = d.Seen(key)
-		d.mu.Lock()
-		d.kept[key] = time.Now().Add(w)
-		d.mu.Unlock()
-		d.n.Log.Warn("cooldown kept until the tier is back", "key", key, "wait", w, "err", err)
-	}
-	d.see(key, w)
-	d.tell(key, w)
+		w = manager.KnownWait(key)
+		manager.mu.Lock()
+		manager.unwritten[key] = time.Now().Add(w)
+		manager.mu.Unlock()
+		manager.node.Log.Warn("cooldown kept until the tier is back", "key", key, "wait", w, "err", err)
+	}
+	manager.extend(key, w)
+	manager.broadcast(key, w)
 	return w
 }
 
-func (d *Desk) write(ctx context.Context, key string, floor time.Duration) (time.Duration, error) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), d.p.Write)
+func (manager *Manager) write(ctx context.Context, key string, floor time.Duration) (time.Duration, error) {
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), manager.params.Write)
 	defer stop()
-	c := d.n.Cluster.Now().Spec.Cooldown
+	c := manager.node.Cluster.Now().Spec.Cooldown
 	var wait time.Duration
-	st, err := d.t.Change(ctx, regKey(key), func(st register.State) ([]byte, bool, error) {
-		v, changed, err := next(&c, st, floor)
+	st, err := manager.stores.Change(ctx, regKey(key), func(st register.State) ([]byte, bool, error) {
+		v, changed, err := nextValue(&c, st, floor)
 		if err != nil {
 			return nil, false, err
 		}
 		if !changed {
-			wait, _, _ = remains(st)
+			wait, _, _ = remainingOf(st)
 			return nil, false, errInForce
 		}
 		b, err := json.Marshal(v)
 		return b, true, err
 	})
 	if errors.Is(err, errInForce) {
-		d.noteWrote(key, wait)
+		manager.recordWritten(key, wait)
 		return wait, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	d.mu.Lock()
-	d.installs++
-	d.mu.Unlock()
-	wait, _, err = remains(st)
-	d.noteWrote(key, wait)
+	manager.mu.Lock()
+	manager.installs++
+	manager.mu.Unlock()
+	wait, _, err = remainingOf(st)
+	manager.recordWritten(key, wait)
 	return wait, err
 }
 
-// noteWrote remembers until when the stores have a cooldown in force.
-func (d *Desk) noteWrote(key string, w time.Duration) {
-	d.mu.Lock()
-	d.wrote[key] = time.Now().Add(w)
-	d.mu.Unlock()
+// recordWritten remembers until when the stores have a cooldown in force.
+func (manager *Manager) recordWritten(key string, w time.Duration) {
+	manager.mu.Lock()
+	manager.writtenUntil[key] = time.Now().Add(w)
+	manager.mu.Unlock()
 }
 
 var errInForce = code.New(code.Cooling, "a longer cooldown is in force")
 
-type spread struct {
+type announcement struct {
 	Key    string `json:"key"`
 	WaitMs int64  `json:"wait_ms"`
 }
 
-// tell spreads what was installed, so that others need not ask to know.
-func (d *Desk) tell(key string, w time.Duration) {
-	d.mu.Lock()
-	d.seq++
-	i := &wire.Item{Topic: "cool", Key: d.n.Peer.Self.Id + "/" + key, Epoch: d.n.Peer.Self.Inc, Seq: d.seq, Brief: true}
-	d.mu.Unlock()
-	i.Body, _ = json.Marshal(spread{key, Ceil(w)})
-	go d.n.Broadcast.Publish(context.Background(), i)
+// broadcast spreads what was installed, so that others need not ask to know.
+func (manager *Manager) broadcast(key string, w time.Duration) {
+	manager.mu.Lock()
+	manager.seq++
+	i := &wire.Item{Topic: "cool", Key: manager.node.Peer.Self.Id + "/" + key, Epoch: manager.node.Peer.Self.Inc, Seq: manager.seq, Brief: true}
+	manager.mu.Unlock()
+	i.Body, _ = json.Marshal(announcement{key, WaitMs(w)})
+	go manager.node.Broadcast.Publish(context.Background(), i)
 }
 
-func (d *Desk) hear(i *wire.Item) error {
-	var s spread
+func (manager *Manager) onBroadcast(i *wire.Item) error {
+	var s announcement
 	if err := json.Unmarshal(i.Body, &s); err != nil {
 		return code.New(code.Garbled, "cool: %w", err)
 	}
-	d.see(s.Key, time.Duration(s.WaitMs)*time.Millisecond)
+	manager.extend(s.Key, time.Duration(s.WaitMs)*time.Millisecond)
 	return nil
 }
 
 // Run writes kept refusals once the tier takes them, and forgets what is over.
-func (d *Desk) Run(ctx context.Context) {
+func (manager *Manager) Run(ctx context.Context) {
 	loop.Every(ctx, 250*time.Millisecond, nil, func(ctx context.Context) {
-		d.sweep()
-		d.mu.Lock()
+		manager.expire()
+		manager.mu.Lock()
 		todo := map[string]time.Time{}
-		for k, u := range d.kept {
+		for k, u := range manager.unwritten {
 			todo[k] = u
 		}
-		d.mu.Unlock()
+		manager.mu.Unlock()
 		for k, u := range todo {
 			left := time.Until(u)
 			if left > 0 {
-				if _, err := d.write(ctx, k, left); err != nil {
+				if _, err := manager.write(ctx, k, left); err != nil {
 					continue
 				}
 			}
-			d.mu.Lock()
-			if d.kept[k].Equal(u) {
-				delete(d.kept, k)
+			manager.mu.Lock()
+			if manager.unwritten[k].Equal(u) {
+				delete(manager.unwritten, k)
 			}
-			d.mu.Unlock()
+			manager.mu.Unlock()
 		}
 	})
 }
 
-// Door refuses at once, before anything is written, a job whose every runner
+// Precheck refuses at once, before anything is written, a job whose every runner
 // is known to be cooling for longer than the job can wait.
-type Door struct {
-	D *Desk
+type Precheck struct {
+	Manager *Manager
 	// Keys lists the cooldown keys that could serve the job.
 	Keys func(*job.Ctx) []string
 }
 
 // Do is the policy.
-func (p Door) Do(c *job.Ctx, next job.Next) job.Answer {
+func (p Precheck) Do(c *job.Ctx, next job.Next) job.Answer {
 	least := time.Duration(-1)
 	for _, k := range p.Keys(c) {
-		if w := p.D.Seen(k); least < 0 || w < least {
+		if w := p.Manager.KnownWait(k); least < 0 || w < least {
 			least = w
 		}
 	}
-	if least > 0 && !c.Fits(least, p.D.p.Room) {
+	if least > 0 && !c.Fits(least, p.Manager.params.CallTime) {
 		return Cooling(least)
 	}
 	return next(c)
@@ -416,27 +416,27 @@
 }
 
 // Spec is the version in force here.
-func (d *Desk) Spec() uint64 { return d.n.Cluster.Now().Version }
+func (manager *Manager) Spec() uint64 { return manager.node.Cluster.Now().Version }
 
-// Count is how many cooldowns this node has written.
-func (d *Desk) Count() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.installs
+// Installs is how many cooldowns this node has written.
+func (manager *Manager) Installs() uint64 {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	return manager.installs
 }
 
-// All lists the cooldowns this node knows to be in force.
-func (d *Desk) All() map[string]int64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// Active lists the cooldowns this node knows to be in force.
+func (manager *Manager) Active() map[string]int64 {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
 	out := map[string]int64{}
-	for k := range d.until {
-		if w := d.left(k); w > 0 {
+	for k := range manager.until {
+		if w := manager.remaining(k); w > 0 {
 			out[k] = w.Milliseconds()
 		}
 	}
-	for k := range d.word.told {
-		if w := d.left(k); w > 0 {
+	for k := range manager.snapshot.observed {
+		if w := manager.remaining(k); w > 0 {
 			out[k] = w.Milliseconds()
 		}
 	}
--- a/internal/dataplane/cooldown/manager_test.go
+++ b/internal/dataplane/cooldown/manager_test.go
@@ -61,7 +61,7 @@
 			now += gap
 			st.Age += gap
 			inForce := now < end
-			v, changed, err := next(c, st, floor)
+			v, changed, err := nextValue(c, st, floor)
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -113,7 +113,7 @@
 // never after the soonest count of the latest value.
 func TestTake(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWord()
+		w := newSnapshot()
 		at := time.Now()
 		type val struct {
 			ver, op uint64
@@ -148,7 +148,7 @@
 					continue
 				}
 				end := has.taken[s] + has.wait
-				w.take("k", has.ver, has.op, at.Add(end))
+				w.observe("k", has.ver, has.op, at.Add(end))
 				if top == nil || has.ver > top.ver {
 					top = has
 				}
@@ -159,7 +159,7 @@
 			if top == nil {
 				continue
 			}
-			got := w.told["k"].end().Sub(at)
+			got := w.observed["k"].end().Sub(at)
 			if got < top.refused+top.wait || got > soon[top] {
 				rt.Fatalf("ends at %s, refused until %s, soonest count %s", got, top.refused+top.wait, soon[top])
 			}
@@ -170,15 +170,15 @@
 // TestTakeRivals: of two values of one version only one was chosen, and nobody here
 // knows which: the longer wait holds.
 func TestTakeRivals(t *testing.T) {
-	w, now := newWord(), time.Now()
-	w.take("k", 3, 1, now.Add(9*time.Second))
-	w.take("k", 3, 2, now.Add(time.Second))
-	w.take("k", 2, 7, now.Add(time.Minute))
-	if d := w.told["k"].end().Sub(now); d != 9*time.Second {
+	w, now := newSnapshot(), time.Now()
+	w.observe("k", 3, 1, now.Add(9*time.Second))
+	w.observe("k", 3, 2, now.Add(time.Second))
+	w.observe("k", 2, 7, now.Add(time.Minute))
+	if d := w.observed["k"].end().Sub(now); d != 9*time.Second {
 		t.Errorf("%s", d)
 	}
-	w.take("k", 4, 3, now.Add(2*time.Second))
-	if d := w.told["k"].end().Sub(now); d != 2*time.Second {
+	w.observe("k", 4, 3, now.Add(2*time.Second))
+	if d := w.observed["k"].end().Sub(now); d != 2*time.Second {
 		t.Errorf("after the next version: %s", d)
 	}
 }
--- a/internal/dataplane/cooldown/snapshot.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -13,63 +13,63 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// WordParams are the times of the stores' word, on which a node that passes many
+// SnapshotParams are the times of the stores' word, on which a node that passes many
 // jobs rests in place of a majority read for each.
-type WordParams struct {
-	Every time.Duration // between two askings
-	Ask   time.Duration // deadline of one
-	Old   time.Duration // an answer asked for longer ago is no word any more
-	Idle  time.Duration // so long after the last job nobody is asked
-	Look  time.Duration // deadline of a look where there is no fresh word
-	Join  time.Duration // a look begun no longer ago serves the next job as well
-	Wait  time.Duration // how long a refused job waits for its cooldown to be written
+type SnapshotParams struct {
+	Interval    time.Duration // between two askings
+	Timeout     time.Duration // deadline of one
+	MaxAge      time.Duration // an answer asked for longer ago is no word any more
+	IdleAfter   time.Duration // so long after the last job nobody is asked
+	ReadTimeout time.Duration // deadline of a look where there is no fresh word
+	ShareWindow time.Duration // a look begun no longer ago serves the next job as well
+	WriteWait   time.Duration // how long a refused job waits for its cooldown to be written
 }
 
-// DefaultWord are the design's.
-var DefaultWord = WordParams{Every: 250 * time.Millisecond, Ask: 350 * time.Millisecond, Old: 600 * time.Millisecond, Idle: 2 * time.Second,
-	Look: 100 * time.Millisecond, Join: 200 * time.Millisecond, Wait: 150 * time.Millisecond}
+// DefaultSnapshot are the design's.
+var DefaultSnapshot = SnapshotParams{Interval: 250 * time.Millisecond, Timeout: 350 * time.Millisecond, MaxAge: 600 * time.Millisecond, IdleAfter: 2 * time.Second,
+	ReadTimeout: 100 * time.Millisecond, ShareWindow: 200 * time.Millisecond, WriteWait: 150 * time.Millisecond}
 
-// word is what the stores said of late. Desk.mu guards it.
-type word struct {
-	at   map[register.Replica]time.Time // when the newest answer was asked for
-	told map[string]*told               // by cooldown key
+// snapshot is what the stores said of late. Desk.mu guards it.
+type snapshot struct {
+	answeredAt map[register.Replica]time.Time // when the newest answer was asked for
+	observed   map[string]*observed           // by cooldown key
 
-	// have are the stores whose answers are fresh, until one of them isn't; ok is
+	// freshStores are the stores whose answers are fresh, until one of them isn't; ok is
 	// whether they are a majority of a key's holders, under one spec.
-	have  map[register.Replica]bool
-	until time.Time
-	ver   uint64
-	ok    map[string]bool
-
-	asked time.Time // last
-	used  time.Time // by a job, last
-	looks map[string]*look
-	// failed is when a look last failed, fails how many did in a row.
-	failed time.Time
-	fails  int
+	freshStores map[register.Replica]bool
+	until       time.Time
+	version     uint64
+	majority    map[string]bool
+
+	lastPoll time.Time // last
+	lastUsed time.Time // by a job, last
+	reads    map[string]*sharedRead
+	// lastFailure is when a look last failed, fails how many did in a row.
+	lastFailure time.Time
+	failures    int
 }
 
-// told is one register as the stores tell of it. Every store counts from when it
+// observed is one register as the stores tell of it. Every store counts from when it
 // took the value, which is after the refusal: of one value the shortest count is
 // long enough. A store that took it late, by repair, must not make it longer.
-type told struct {
-	ver  uint64
-	ends map[uint64]time.Time // by the mark of the change: of one version there may be several values, one chosen
+type observed struct {
+	version         uint64
+	endsByOperation map[uint64]time.Time // by the mark of the change: of one version there may be several values, one chosen
 }
 
-// remember is how long a cooldown that is over is known to be over.
-const remember = 10 * time.Minute
+// retention is how long a cooldown that is over is known to be over.
+const retention = 10 * time.Minute
 
-func newWord() word {
-	return word{at: map[register.Replica]time.Time{}, told: map[string]*told{}, ok: map[string]bool{}, looks: map[string]*look{}}
+func newSnapshot() snapshot {
+	return snapshot{answeredAt: map[register.Replica]time.Time{}, observed: map[string]*observed{}, majority: map[string]bool{}, reads: map[string]*sharedRead{}}
 }
 
-func (t *told) end() time.Time {
+func (t *observed) end() time.Time {
 	var end time.Time
 	if t == nil {
 		return end
 	}
-	for _, e := range t.ends {
+	for _, e := range t.endsByOperation {
 		if e.After(end) {
 			end = e
 		}
@@ -77,55 +77,55 @@
 	return end
 }
 
-// take notes one register of one store's answer, and tells whether it is news.
-func (w *word) take(key string, ver, op uint64, end time.Time) bool {
-	t := w.told[key]
+// observe notes one register of one store's answer, and tells whether it is news.
+func (w *snapshot) observe(key string, ver, op uint64, end time.Time) bool {
+	t := w.observed[key]
 	switch {
-	case t == nil || ver > t.ver:
-		w.told[key] = &told{ver, map[uint64]time.Time{op: end}}
+	case t == nil || ver > t.version:
+		w.observed[key] = &observed{ver, map[uint64]time.Time{op: end}}
 		return true
-	case ver < t.ver:
+	case ver < t.version:
 		return false
 	}
-	old, known := t.ends[op]
+	old, known := t.endsByOperation[op]
 	if !known || end.Before(old) {
-		t.ends[op] = end
+		t.endsByOperation[op] = end
 	}
 	return !known
 }
 
-// heard takes a store's answer. What is left counts from when it came, which is
+// recordAnswer takes a store's answer. What is left counts from when it came, which is
 // never too short.
-func (d *Desk) heard(r register.Replica, asked time.Time, cools []*wire.Cool) {
+func (manager *Manager) recordAnswer(r register.Replica, asked time.Time, cools []*wire.Cool) {
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
 	for _, c := range cools {
 		key, ok := strings.CutPrefix(c.Key, Prefix)
 		if !ok || c.LeftMs <= 0 {
 			continue
 		}
-		if d.word.take(key, c.Ver, c.Op, now.Add(time.Duration(c.LeftMs)*time.Millisecond)) && d.left(key) > 0 {
-			d.narrow(key)
+		if manager.snapshot.observe(key, c.Ver, c.Op, now.Add(time.Duration(c.LeftMs)*time.Millisecond)) && manager.remaining(key) > 0 {
+			manager.narrowGate(key)
 		}
 	}
-	if asked.After(d.word.at[r]) {
-		d.word.at[r] = asked
+	if asked.After(manager.snapshot.answeredAt[r]) {
+		manager.snapshot.answeredAt[r] = asked
 	}
-	if !d.word.have[r] {
-		d.word.until = time.Time{}
+	if !manager.snapshot.freshStores[r] {
+		manager.snapshot.until = time.Time{}
 	}
 }
 
-// fresh tells whether a majority of a key's holders have answered of late.
-func (d *Desk) fresh(key string) bool {
-	w, v, now := &d.word, d.n.Cluster.Now(), time.Now()
-	if v.Version != w.ver || !now.Before(w.until) {
-		have, until := map[register.Replica]bool{}, now.Add(d.p.Word.Old)
-		for r, at := range w.at {
-			end := at.Add(d.p.Word.Old)
+// isFresh tells whether a majority of a key's holders have answered of late.
+func (manager *Manager) isFresh(key string) bool {
+	w, v, now := &manager.snapshot, manager.node.Cluster.Now(), time.Now()
+	if v.Version != w.version || !now.Before(w.until) {
+		have, until := map[register.Replica]bool{}, now.Add(manager.params.Snapshot.MaxAge)
+		for r, at := range w.answeredAt {
+			end := at.Add(manager.params.Snapshot.MaxAge)
 			if !now.Before(end) {
-				delete(w.at, r)
+				delete(w.answeredAt, r)
 				continue
 			}
 			have[r] = true
@@ -133,20 +133,20 @@
 				until = end
 			}
 		}
-		same := v.Version == w.ver && len(have) == len(w.have)
+		same := v.Version == w.version && len(have) == len(w.freshStores)
 		for r := range have {
-			same = same && w.have[r]
+			same = same && w.freshStores[r]
 		}
-		if !same || len(w.ok) > maxKeys {
-			w.ok = map[string]bool{}
+		if !same || len(w.majority) > maxKeys {
+			w.majority = map[string]bool{}
 		}
-		w.have, w.until, w.ver = have, until, v.Version
+		w.freshStores, w.until, w.version = have, until, v.Version
 	}
-	ok, known := w.ok[key]
+	ok, known := w.majority[key]
 	if !known {
 		s := v.Stores(Prefix + key)
-		ok = s.Quorum(w.have)
-		w.ok[key] = ok
+		ok = s.Quorum(w.freshStores)
+		w.majority[key] = ok
 	}
 	return ok
 }
@@ -154,24 +154,24 @@
 // maxKeys bounds what is remembered of keys by heart.
 const maxKeys = 4096
 
-// Word keeps the stores' word fresh while there are jobs, until ctx ends.
-func (d *Desk) Word(ctx context.Context) {
-	loop.Every(ctx, d.p.Word.Every, d.kick, func(ctx context.Context) {
+// RunSnapshot keeps the stores' word fresh while there are jobs, until ctx ends.
+func (manager *Manager) RunSnapshot(ctx context.Context) {
+	loop.Every(ctx, manager.params.Snapshot.Interval, manager.wakeup, func(ctx context.Context) {
 		now := time.Now()
-		d.mu.Lock()
-		due := now.Sub(d.word.used) < d.p.Word.Idle && now.Sub(d.word.asked) >= d.p.Word.Every/2
+		manager.mu.Lock()
+		due := now.Sub(manager.snapshot.lastUsed) < manager.params.Snapshot.IdleAfter && now.Sub(manager.snapshot.lastPoll) >= manager.params.Snapshot.Interval/2
 		if due {
-			d.word.asked = now
+			manager.snapshot.lastPoll = now
 		}
-		d.mu.Unlock()
+		manager.mu.Unlock()
 		if due {
-			d.askAll(ctx, d.n.Cluster.Now(), now)
+			manager.pollAll(ctx, manager.node.Cluster.Now(), now)
 		}
 	})
 }
 
-// askAll asks every store at once and waits for none.
-func (d *Desk) askAll(ctx context.Context, v *cluster.View, asked time.Time) {
+// pollAll asks every store at once and waits for none.
+func (manager *Manager) pollAll(ctx context.Context, v *cluster.View, asked time.Time) {
 	seen := map[string]bool{}
 	ctx = register.WithVersion(ctx, v.Version, false)
 	for _, m := range slices.Concat(v.Cluster.Stores, v.NextStores) {
@@ -179,150 +179,150 @@
 			continue
 		}
 		seen[m.Ident] = true
-		go d.askOne(ctx, m, asked)
+		go manager.pollStore(ctx, m, asked)
 	}
 }
 
-func (d *Desk) askOne(ctx context.Context, m spec.Machine, asked time.Time) {
+func (manager *Manager) pollStore(ctx context.Context, m spec.Machine, asked time.Time) {
 	q := &wire.Req{Ident: m.Ident, Op: &wire.Req_Cools{Cools: &wire.Cools{}}}
 	register.SetVersion(ctx, q)
-	d.words.Add(1)
-	a, err := d.n.Peer.CallFor(ctx, d.p.Word.Ask, m.Addr, q)
+	manager.polls.Add(1)
+	a, err := manager.node.Peer.CallFor(ctx, manager.params.Snapshot.Timeout, m.Addr, q)
 	if err != nil {
 		// Away, or with another spec: it has no part in the word.
 		return
 	}
-	d.heard(register.Replica{Addr: m.Addr, Ident: m.Ident}, asked, a.GetCools().GetCools())
+	manager.recordAnswer(register.Replica{Addr: m.Addr, Ident: m.Ident}, asked, a.GetCools().GetCools())
 }
 
-// look is one majority read that several jobs wait for.
-type look struct {
+// sharedRead is one majority read that several jobs wait for.
+type sharedRead struct {
 	at   time.Time
 	done chan struct{}
 }
 
-// Clear gives the wait that a call of the key must still keep to, 0 for none. It
+// Remaining gives the wait that a call of the key must still keep to, 0 for none. It
 // rests on the stores' fresh word, or else on one look. A node whom the stores do
 // not answer goes by what it knows: docs/cooldown.md says why. The job has so much
 // time left.
-func (d *Desk) Clear(ctx context.Context, key string, left time.Duration) time.Duration {
-	d.mu.Lock()
-	d.word.used = time.Now()
-	if w := d.left(key); w > 0 || d.p.Alone {
-		d.mu.Unlock()
+func (manager *Manager) Remaining(ctx context.Context, key string, left time.Duration) time.Duration {
+	manager.mu.Lock()
+	manager.snapshot.lastUsed = time.Now()
+	if w := manager.remaining(key); w > 0 || manager.params.Local {
+		manager.mu.Unlock()
 		return w
 	}
-	if d.fresh(key) {
-		d.mu.Unlock()
+	if manager.isFresh(key) {
+		manager.mu.Unlock()
 		return 0
 	}
-	if time.Since(d.word.failed) < d.p.Word.Join<<min(d.word.fails, 2) {
-		d.mu.Unlock()
-		d.kick.Notify()
-		d.blind.Add(1)
+	if time.Since(manager.snapshot.lastFailure) < manager.params.Snapshot.ShareWindow<<min(manager.snapshot.failures, 2) {
+		manager.mu.Unlock()
+		manager.wakeup.Notify()
+		manager.unverified.Add(1)
 		return 0
 	}
-	l := d.word.looks[key]
-	if l == nil || time.Since(l.at) > d.p.Word.Join {
-		l = &look{time.Now(), make(chan struct{})}
-		d.word.looks[key] = l
-		go d.look(ctx, key, l)
+	l := manager.snapshot.reads[key]
+	if l == nil || time.Since(l.at) > manager.params.Snapshot.ShareWindow {
+		l = &sharedRead{time.Now(), make(chan struct{})}
+		manager.snapshot.reads[key] = l
+		go manager.readShared(ctx, key, l)
 	}
-	d.mu.Unlock()
-	d.kick.Notify()
-	wctx, stop := context.WithTimeout(ctx, min(d.p.Word.Look, left/10))
+	manager.mu.Unlock()
+	manager.wakeup.Notify()
+	wctx, stop := context.WithTimeout(ctx, min(manager.params.Snapshot.ReadTimeout, left/10))
 	defer stop()
 	if !loop.Until(wctx, l.done) {
-		d.blind.Add(1)
+		manager.unverified.Add(1)
 	}
-	return d.Seen(key)
+	return manager.KnownWait(key)
 }
 
-func (d *Desk) look(ctx context.Context, key string, l *look) {
+func (manager *Manager) readShared(ctx context.Context, key string, l *sharedRead) {
 	defer close(l.done)
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), d.p.Word.Look)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), manager.params.Snapshot.ReadTimeout)
 	defer stop()
-	d.lookups.Add(1)
-	_, _, err := d.Look(ctx, key)
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	manager.reads.Add(1)
+	_, _, err := manager.Read(ctx, key)
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
 	if err == nil {
-		d.word.fails, d.word.failed = 0, time.Time{}
+		manager.snapshot.failures, manager.snapshot.lastFailure = 0, time.Time{}
 		return
 	}
 	// While the stores are away one job in a while finds out whether they still
 	// are. What the node knew of them before it slept is no ground to skip that.
-	d.word.fails++
-	d.word.failed = time.Now()
-	d.n.Log.Debug("cooldown not read", "key", key, "err", err)
+	manager.snapshot.failures++
+	manager.snapshot.lastFailure = time.Now()
+	manager.node.Log.Debug("cooldown not read", "key", key, "err", err)
 }
 
-// Calm tells that this node knows of no cooldown at all, nor of one just over.
-func (d *Desk) Calm() bool { return !d.hot.Load() }
+// Idle tells that this node knows of no cooldown at all, nor of one just over.
+func (manager *Manager) Idle() bool { return !manager.active.Load() }
 
-// Open tells whether a call of the key may be made as far as this node knows.
-func (d *Desk) Open(key string) bool {
-	if d.Calm() {
+// GateOpen tells whether a call of the key may be made as far as this node knows.
+func (manager *Manager) GateOpen(key string) bool {
+	if manager.Idle() {
 		return true
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	g := d.gates[key]
-	return d.left(key) <= 0 && (g == nil || g.busy < g.most)
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	g := manager.gates[key]
+	return manager.remaining(key) <= 0 && (g == nil || g.inFlight < g.limit)
 }
 
-// Pass is the leave for one call of a key.
-type Pass struct {
-	d    *Desk
-	key  string
-	g    *gate // nil: there was no cooldown of late
-	good bool
+// Admission is the leave for one call of a key.
+type Admission struct {
+	manager *Manager
+	key     string
+	gate    *gate // nil: there was no cooldown of late
+	good    bool
 }
 
 // Admit gives the leave for a call, where its key is clear and, right after a
 // cooldown, few others are under way.
-func (d *Desk) Admit(ctx context.Context, key string, left time.Duration) (*Pass, bool) {
-	if d.Clear(ctx, key, left) > 0 {
+func (manager *Manager) Admit(ctx context.Context, key string, left time.Duration) (*Admission, bool) {
+	if manager.Remaining(ctx, key, left) > 0 {
 		return nil, false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	g := d.gates[key]
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	g := manager.gates[key]
 	if g != nil {
-		if g.busy >= g.most {
+		if g.inFlight >= g.limit {
 			return nil, false
 		}
-		g.busy++
+		g.inFlight++
 	}
-	return &Pass{d: d, key: key, g: g}, true
+	return &Admission{manager: manager, key: key, gate: g}, true
 }
 
-// Stands tells whether the leave is still good, right before the first byte: a dial
+// StillValid tells whether the leave is still good, right before the first byte: a dial
 // takes a while, and a node that slept must ask anew.
-func (p *Pass) Stands(ctx context.Context, left time.Duration) bool {
-	return p.d.Clear(ctx, p.key, left) <= 0
+func (p *Admission) StillValid(ctx context.Context, left time.Duration) bool {
+	return p.manager.Remaining(ctx, p.key, left) <= 0
 }
 
-// Good widens the gate: the call was taken.
-func (p *Pass) Good() {
-	if p.g == nil || p.good {
+// Succeeded widens the gate: the call was taken.
+func (p *Admission) Succeeded() {
+	if p.gate == nil || p.good {
 		return
 	}
 	p.good = true
-	p.d.mu.Lock()
-	defer p.d.mu.Unlock()
-	p.d.widen(p.key, p.g)
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
+	p.manager.widenGate(p.key, p.gate)
 }
 
-// Leave ends the call.
-func (p *Pass) Leave() {
-	if p.g == nil {
+// End ends the call.
+func (p *Admission) End() {
+	if p.gate == nil {
 		return
 	}
-	p.d.mu.Lock()
-	defer p.d.mu.Unlock()
-	p.g.busy--
-	p.g.used = time.Now()
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
+	p.gate.inFlight--
+	p.gate.used = time.Now()
 }
 
 // write is one writing of a refusal that others may join.
@@ -331,89 +331,89 @@
 	done  chan struct{}
 }
 
-// Refused puts a refusal in force and gives the wait. This node stops at once. The
+// RecordRefusal puts a refusal in force and gives the wait. This node stops at once. The
 // caller waits for the stores for a moment only; the write goes on. Refusals of
 // one key at once are one write, and none is needed while the stores have a
 // cooldown in force that is long enough.
-func (d *Desk) Refused(ctx context.Context, key string, floor time.Duration) time.Duration {
-	c := &d.n.Cluster.Now().Spec.Cooldown
-	d.see(key, max(floor, c.First()))
-	d.mu.Lock()
+func (manager *Manager) RecordRefusal(ctx context.Context, key string, floor time.Duration) time.Duration {
+	c := &manager.node.Cluster.Now().Spec.Cooldown
+	manager.extend(key, max(floor, c.First()))
+	manager.mu.Lock()
 	// Near its end the stores may call it over, and this refusal the next.
-	if time.Until(d.wrote[key]) > floor+c.First()/4 {
-		d.mu.Unlock()
-		return d.Seen(key)
+	if time.Until(manager.writtenUntil[key]) > floor+c.First()/4 {
+		manager.mu.Unlock()
+		return manager.KnownWait(key)
 	}
-	w := d.writes[key]
+	w := manager.writes[key]
 	if w == nil || w.floor < floor {
 		w = &write{floor, make(chan struct{})}
-		d.writes[key] = w
+		manager.writes[key] = w
 		go func() {
-			d.Install(context.WithoutCancel(ctx), key, floor)
-			d.mu.Lock()
-			if d.writes[key] == w {
-				delete(d.writes, key)
+			manager.Install(context.WithoutCancel(ctx), key, floor)
+			manager.mu.Lock()
+			if manager.writes[key] == w {
+				delete(manager.writes, key)
 			}
-			d.mu.Unlock()
+			manager.mu.Unlock()
 			close(w.done)
 		}()
 	}
-	away := d.word.fails > 0
-	d.mu.Unlock()
+	away := manager.snapshot.failures > 0
+	manager.mu.Unlock()
 	if away {
 		// It has waited for them already.
-		return d.Seen(key)
+		return manager.KnownWait(key)
 	}
-	wctx, stop := context.WithTimeout(ctx, d.p.Word.Wait)
+	wctx, stop := context.WithTimeout(ctx, manager.params.Snapshot.WriteWait)
 	defer stop()
 	loop.Until(wctx, w.done)
-	return d.Seen(key)
+	return manager.KnownWait(key)
 }
 
-// sweep forgets what is over, so that keys that no runner has any more leave
+// expire forgets what is over, so that keys that no runner has any more leave
 // nothing behind.
-func (d *Desk) sweep() {
-	now, quiet := time.Now(), d.n.Cluster.Now().Spec.Cooldown.Quiet()
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (manager *Manager) expire() {
+	now, quiet := time.Now(), manager.node.Cluster.Now().Spec.Cooldown.Quiet()
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
 	hot := false
-	for k, u := range d.until {
+	for k, u := range manager.until {
 		if !now.Before(u) {
-			delete(d.until, k)
+			delete(manager.until, k)
 		}
 	}
-	for k, t := range d.word.told {
-		if now.Sub(t.end()) > remember {
-			delete(d.word.told, k)
+	for k, t := range manager.snapshot.observed {
+		if now.Sub(t.end()) > retention {
+			delete(manager.snapshot.observed, k)
 		}
 		hot = hot || now.Before(t.end())
 	}
-	for k, u := range d.wrote {
+	for k, u := range manager.writtenUntil {
 		if !now.Before(u) {
-			delete(d.wrote, k)
+			delete(manager.writtenUntil, k)
 		}
 	}
-	for k, l := range d.word.looks {
+	for k, l := range manager.snapshot.reads {
 		if now.Sub(l.at) > time.Second {
-			delete(d.word.looks, k)
+			delete(manager.snapshot.reads, k)
 		}
 	}
-	for k, g := range d.gates {
-		if g.busy == 0 && d.left(k) <= 0 && now.Sub(g.used) > quiet {
-			delete(d.gates, k)
+	for k, g := range manager.gates {
+		if g.inFlight == 0 && manager.remaining(k) <= 0 && now.Sub(g.used) > quiet {
+			delete(manager.gates, k)
 		}
 	}
-	d.hot.Store(hot || len(d.until)+len(d.gates) > 0)
+	manager.active.Store(hot || len(manager.until)+len(manager.gates) > 0)
 }
 
-// Figures are counts since the start, for the cost of a job.
-type Figures struct {
-	Words uint64 // askings of single stores for their word
-	Looks uint64 // majority reads where there was no fresh word
-	Blind uint64 // jobs that went on without either
+// Stats are counts since the start, for the cost of a job.
+type Stats struct {
+	Polls      uint64 // askings of single stores for their word
+	Reads      uint64 // majority reads where there was no fresh word
+	Unverified uint64 // jobs that went on without either
 }
 
-// Figures gives the counts.
-func (d *Desk) Figures() Figures {
-	return Figures{d.words.Load(), d.lookups.Load(), d.blind.Load()}
+// Stats gives the counts.
+func (manager *Manager) Stats() Stats {
+	return Stats{manager.polls.Load(), manager.reads.Load(), manager.unverified.Load()}
 }
--- a/internal/dataplane/cooldown/snapshot_test.go
+++ b/internal/dataplane/cooldown/snapshot_test.go
@@ -26,7 +26,7 @@
 // fleet is some stores and the desks of some edges, without a core.
 type fleet struct {
 	stores []*store.Store
-	desks  []*cooldown.Desk
+	desks  []*cooldown.Manager
 	nodes  []*node.Node
 }
 
@@ -85,34 +85,34 @@
 	}
 }
 
-// looks clears many keys at a desk and tells how many the word did not cover.
-func looks(ctx context.Context, d *cooldown.Desk, keys int) int {
+// reads clears many keys at a desk and tells how many the word did not cover.
+func reads(ctx context.Context, manager *cooldown.Manager, keys int) int {
 	n := 0
 	for i := range keys {
-		was := d.Figures()
-		d.Clear(ctx, fmt.Sprint("runner/", i), 4*time.Second)
-		if a := d.Figures(); a.Looks > was.Looks || a.Blind > was.Blind {
+		was := manager.Stats()
+		manager.Remaining(ctx, fmt.Sprint("runner/", i), 4*time.Second)
+		if a := manager.Stats(); a.Reads > was.Reads || a.Unverified > was.Unverified {
 			n++
 		}
 	}
 	return n
 }
 
-// TestFresh: the word covers a key while a majority of its holders has answered,
+// TestSnapshotIsFresh: the word covers a key while a majority of its holders has answered,
 // so a whole zone may be away; what is not covered is looked up.
-func TestFresh(t *testing.T) {
+func TestSnapshotIsFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		net := memnet.New(1)
 		f := lay(t, ctx, 9, 1, func(addr string) transport.Net { return net.Host(addr) })
-		d := f.desks[0]
-		go d.Word(ctx)
-		if n := looks(ctx, d, 1); n != 1 {
+		manager := f.desks[0]
+		go manager.RunSnapshot(ctx)
+		if n := reads(ctx, manager, 1); n != 1 {
 			t.Errorf("%d looks before any word", n)
 		}
 		time.Sleep(300 * time.Millisecond)
-		if n := looks(ctx, d, 50); n != 0 {
+		if n := reads(ctx, manager, 50); n != 0 {
 			t.Errorf("%d looks with a fresh word", n)
 		}
 		for _, i := range []int{0, 3, 6} {
@@ -120,21 +120,21 @@
 		}
 		for range 10 {
 			time.Sleep(200 * time.Millisecond)
-			if n := looks(ctx, d, 50); n != 0 {
+			if n := reads(ctx, manager, 50); n != 0 {
 				t.Errorf("%d looks with a zone away", n)
 			}
 		}
 		// One more store: its keys, and no others, have no majority.
 		f.stores[1].Peer.Close()
 		time.Sleep(time.Second)
-		looks(ctx, d, 1)
+		reads(ctx, manager, 1)
 		time.Sleep(100 * time.Millisecond)
-		if n := looks(ctx, d, 50); n == 0 || n == 50 {
+		if n := reads(ctx, manager, 50); n == 0 || n == 50 {
 			t.Errorf("%d looks of 50 with a zone and a store away", n)
 		}
 		// Asleep for long, the word is old.
 		time.Sleep(10 * time.Second)
-		if n := looks(ctx, d, 1); n != 1 {
+		if n := reads(ctx, manager, 1); n != 1 {
 			t.Errorf("%d looks after a long sleep", n)
 		}
 		stop()
@@ -152,37 +152,37 @@
 		net := memnet.New(1)
 		f := lay(t, ctx, 3, 3, func(addr string) transport.Net { return net.Host(addr) })
 		a, b, c := f.desks[0], f.desks[1], f.desks[2]
-		go b.Word(ctx)
-		b.Clear(ctx, "runner/x", time.Second)
+		go b.RunSnapshot(ctx)
+		b.Remaining(ctx, "runner/x", time.Second)
 		time.Sleep(300 * time.Millisecond)
 		at := time.Now()
 		floor := 7*time.Second + 300*time.Microsecond
-		if w := a.Refused(ctx, "runner/x", floor); w < floor {
+		if w := a.RecordRefusal(ctx, "runner/x", floor); w < floor {
 			t.Errorf("the refused one may come back after %s", w)
 		}
-		if w := c.Clear(ctx, "runner/x", time.Second); w < floor-time.Since(at) || w > floor+10*time.Millisecond {
+		if w := c.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(at) || w > floor+10*time.Millisecond {
 			t.Errorf("by a look: %s", w)
 		}
-		for b.Clear(ctx, "runner/x", time.Second) == 0 {
+		for b.Remaining(ctx, "runner/x", time.Second) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if d := time.Since(at); d > cooldown.DefaultWord.Old {
+		if d := time.Since(at); d > cooldown.DefaultSnapshot.MaxAge {
 			t.Errorf("by the word after %s", d)
 		}
 		time.Sleep(3 * time.Second)
-		b.Clear(ctx, "runner/x", time.Second)
+		b.Remaining(ctx, "runner/x", time.Second)
 		time.Sleep(300 * time.Millisecond)
-		if w := b.Clear(ctx, "runner/x", time.Second); w < floor-time.Since(at) || w > floor-time.Since(at)+10*time.Millisecond {
+		if w := b.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(at) || w > floor-time.Since(at)+10*time.Millisecond {
 			t.Errorf("what is left after %s: %s", time.Since(at), w)
 		}
 		// A second refusal within it writes nothing, a longer one lengthens it.
-		a.Refused(ctx, "runner/x", 0)
-		a.Refused(ctx, "runner/x", 20*time.Second)
-		if n := a.Count(); n != 2 {
+		a.RecordRefusal(ctx, "runner/x", 0)
+		a.RecordRefusal(ctx, "runner/x", 20*time.Second)
+		if n := a.Installs(); n != 2 {
 			t.Errorf("%d cooldowns written", n)
 		}
 		time.Sleep(300 * time.Millisecond)
-		if w := b.Clear(ctx, "runner/x", time.Second); w < 19*time.Second {
+		if w := b.Remaining(ctx, "runner/x", time.Second); w < 19*time.Second {
 			t.Errorf("lengthened: %s", w)
 		}
 		stop()
@@ -199,24 +199,24 @@
 		defer stop()
 		net := memnet.New(1)
 		f := lay(t, ctx, 3, 1, func(addr string) transport.Net { return net.Host(addr) })
-		d := f.desks[0]
-		go d.Word(ctx)
-		go d.Run(ctx)
-		early, ok := d.Admit(ctx, "k", time.Second)
+		manager := f.desks[0]
+		go manager.RunSnapshot(ctx)
+		go manager.Run(ctx)
+		early, ok := manager.Admit(ctx, "k", time.Second)
 		if !ok {
 			t.Fatal("no leave without a cooldown")
 		}
-		d.Refused(ctx, "k", 0)
-		if _, ok := d.Admit(ctx, "k", time.Second); ok || d.Open("k") || early.Stands(ctx, time.Second) {
+		manager.RecordRefusal(ctx, "k", 0)
+		if _, ok := manager.Admit(ctx, "k", time.Second); ok || manager.GateOpen("k") || early.StillValid(ctx, time.Second) {
 			t.Error("a leave while it cools")
 		}
 		time.Sleep(1100 * time.Millisecond)
-		early.Good()
-		early.Leave()
+		early.Succeeded()
+		early.End()
 		for _, want := range []int{1, 2, 4, 8, 16} {
-			var ps []*cooldown.Pass
+			var ps []*cooldown.Admission
 			for {
-				p, ok := d.Admit(ctx, "k", time.Second)
+				p, ok := manager.Admit(ctx, "k", time.Second)
 				if !ok {
 					break
 				}
@@ -225,31 +225,31 @@
 			if len(ps) != want {
 				t.Errorf("%d at once, want %d", len(ps), want)
 			}
-			ps[0].Good()
-			ps[0].Good()
+			ps[0].Succeeded()
+			ps[0].Succeeded()
 			for _, p := range ps {
-				p.Leave()
+				p.End()
 			}
 		}
-		var ps []*cooldown.Pass
+		var ps []*cooldown.Admission
 		for range 100 {
-			p, ok := d.Admit(ctx, "k", time.Second)
+			p, ok := manager.Admit(ctx, "k", time.Second)
 			if !ok {
 				t.Fatal("the gate is not open")
 			}
 			ps = append(ps, p)
 		}
 		for _, p := range ps {
-			p.Leave()
+			p.End()
 		}
 		time.Sleep(time.Second)
-		if !d.Calm() {
+		if !manager.Idle() {
 			t.Error("not calm")
 		}
 		// A gate that nobody goes through is forgotten.
-		d.Refused(ctx, "gone", 0)
+		manager.RecordRefusal(ctx, "gone", 0)
 		time.Sleep(40 * time.Second)
-		if !d.Calm() {
+		if !manager.Idle() {
 			t.Error("a key that nobody uses any more is remembered")
 		}
 		stop()
@@ -268,10 +268,10 @@
 		f := lay(t, ctx, 3, 64, func(addr string) transport.Net { return net.Host(addr) })
 		at := time.Now()
 		done := make(chan time.Duration, 64*5)
-		for _, d := range f.desks {
+		for _, manager := range f.desks {
 			for range 5 {
 				go func() {
-					d.Refused(ctx, "runner/x", 0)
+					manager.RecordRefusal(ctx, "runner/x", 0)
 					done <- time.Since(at)
 				}()
 			}
@@ -282,15 +282,15 @@
 		}
 		time.Sleep(time.Second)
 		n, kept, rounds := uint64(0), 0, uint64(0)
-		for i, d := range f.desks {
-			n += d.Count()
+		for i, manager := range f.desks {
+			n += manager.Installs()
 			rounds += f.nodes[i].Proposer.Rounds.Load()
-			if !d.Open("runner/x") {
+			if !manager.GateOpen("runner/x") {
 				kept++
 			}
 		}
 		t.Logf("64 desks, 5 refusals each: %d written, %d rounds, the last job waited %s", n, rounds, last)
-		if n != 1 || last > cooldown.DefaultWord.Wait+time.Millisecond {
+		if n != 1 || last > cooldown.DefaultSnapshot.WriteWait+time.Millisecond {
 			t.Errorf("%d cooldowns written, the last after %s", n, last)
 		}
 		stop()
@@ -306,20 +306,20 @@
 	defer stop()
 	f := lay(b, ctx, 3, 1, func(string) transport.Net { return transport.TCP(transport.DefaultParams) })
 	defer f.close()
-	d := f.desks[0]
-	go d.Word(ctx)
-	d.Clear(ctx, "runner/x", time.Second)
-	for d.Figures().Words < 6 {
-		d.Clear(ctx, "runner/x", time.Second)
+	manager := f.desks[0]
+	go manager.RunSnapshot(ctx)
+	manager.Remaining(ctx, "runner/x", time.Second)
+	for manager.Stats().Polls < 6 {
+		manager.Remaining(ctx, "runner/x", time.Second)
 	}
 	b.Run("word", func(b *testing.B) {
 		for b.Loop() {
-			d.Clear(ctx, "runner/x", time.Second)
+			manager.Remaining(ctx, "runner/x", time.Second)
 		}
 	})
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
-			if _, _, err := d.Look(ctx, "runner/x"); err != nil {
+			if _, _, err := manager.Read(ctx, "runner/x"); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -39,101 +39,101 @@
 
 // Params are the edge's settings.
 type Params struct {
-	Door       turnapi.Params
-	Cool       cooldown.Params
-	Dispatcher assignment.Params
-	Backlog    backlog.Params
-	Ask        time.Duration // between two requests for slots
-	Pre        time.Duration // deadline of one dealing with the tier before a pass
-	Write      time.Duration // deadline of one write to the tier after it
+	API          turnapi.Params
+	Cooldown     cooldown.Params
+	Assignment   assignment.Params
+	Backlog      backlog.Params
+	SlotInterval time.Duration // between two requests for slots
+	ReadTimeout  time.Duration // deadline of one dealing with the tier before a pass
+	WriteTimeout time.Duration // deadline of one write to the tier after it
 	// Point is called at each numbered point of a job's way, for tests.
-	Point func(job.Point, *job.Ctx)
-	Late  time.Duration // for writing down what is known past a deadline
-	Open  time.Duration // until the door opens even without slots
-	Tape  int           // answered jobs remembered for records of the traffic
-	// OnlyRaw leaves out what named turns and tools need: no slots are dealt, and no
+	Point            func(job.Point, *job.Ctx)
+	LateWriteTimeout time.Duration // for writing down what is known past a deadline
+	OpenTimeout      time.Duration // until the door opens even without slots
+	RecordedJobs     int           // answered jobs remembered for records of the traffic
+	// ProxyOnly leaves out what named turns and tools need: no slots are dealt, and no
 	// runner of the spec is asked.
-	OnlyRaw bool
+	ProxyOnly bool
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Door: turnapi.DefaultParams, Cool: cooldown.DefaultParams, Dispatcher: assignment.DefaultParams, Backlog: backlog.DefaultParams,
-	Ask: 250 * time.Millisecond, Pre: 300 * time.Millisecond, Write: time.Second, Late: 2 * time.Second, Open: 3 * time.Second, Tape: 8192}
+var DefaultParams = Params{API: turnapi.DefaultParams, Cooldown: cooldown.DefaultParams, Assignment: assignment.DefaultParams, Backlog: backlog.DefaultParams,
+	SlotInterval: 250 * time.Millisecond, ReadTimeout: 300 * time.Millisecond, WriteTimeout: time.Second, LateWriteTimeout: 2 * time.Second, OpenTimeout: 3 * time.Second, RecordedJobs: 8192}
 
 // Edge is one edge process.
 type Edge struct {
 	*node.Node
-	p     Params
-	Door  *turnapi.Door
-	Desk  *cooldown.Desk
-	dir   *balancer.Dir
-	box   *slots.Box
-	tier  *storeclient.Client
-	back  *backlog.Backlog
-	Fence *singleton.EpochGuard
-	duty  *singleton.Role
-	kick  loop.Wakeup
-	tape  *traffic.Tape
-	book  *trace.Book
-	pol   *policy.Desk
-	bg    job.Bg
-	ready atomic.Bool
+	params     Params
+	API        *turnapi.Handler
+	Cooldowns  *cooldown.Manager
+	directory  *balancer.Directory
+	slots      *slots.Table
+	stores     *storeclient.Client
+	backlog    *backlog.Backlog
+	Epochs     *singleton.EpochGuard
+	assigner   *singleton.Role
+	wakeup     loop.Wakeup
+	recorder   *traffic.Recorder
+	traces     *trace.Journal
+	selector   *policy.Selector
+	background job.Background
+	ready      atomic.Bool
 	// joined: a member with the spec as a majority has it.
 	joined atomic.Bool
 	// When slots were last dealt to this node, and first in this spell; the asking
 	// goroutine's own.
-	last, first time.Time
-	stops       atomic.Bool
+	lastGrant, firstGrant time.Time
+	stopping              atomic.Bool
 }
 
 // New makes an edge. ctx carries what goes on behind an answer.
-func New(ctx context.Context, p Params, np node.Params) *Edge {
-	e := &Edge{Node: node.New(np), p: p, Fence: &singleton.EpochGuard{}, kick: loop.NewWakeup(), bg: job.NewBg(ctx)}
+func New(ctx context.Context, params Params, np node.Params) *Edge {
+	e := &Edge{Node: node.New(np), params: params, Epochs: &singleton.EpochGuard{}, wakeup: loop.NewWakeup(), background: job.NewBg(ctx)}
 	t := &storeclient.Client{Peer: e.Peer, Cluster: e.Cluster, Proposer: e.Proposer}
 	runners := &intern.Table{}
-	e.tier = t
-	e.box = slots.New(runners)
-	e.Desk = cooldown.New(p.Cool, e.Node, t)
-	e.pol = policy.New(e.Cluster, e.Log.Named("policy"))
-	e.dir = balancer.New(e.Node, runners, e.box, e.Desk, e.pol)
-	e.back = backlog.New(p.Backlog, e.dir, e.box, e.pol)
-	p.Dispatcher.Told = e.dir.Told
-	e.duty = &singleton.Role{Name: "deal", Peer: e.Peer, Cluster: e.Cluster, Lease: e.Lease, Stores: t, Epochs: e.Fence, SuspectAfter: time.Second}
-	p.Dispatcher.Since = e.duty.SinceConfirmed
-	e.duty.Work = assignment.New(p.Dispatcher, e.Node, e.Fence).Work
-	caller := &call.Caller{Desk: e.Desk, Dir: e.dir, Box: e.box, Leaves: e.leaves, Web: call.NewWeb(p.Dispatcher.Web), Avoid: 2 * time.Second}
+	e.stores = t
+	e.slots = slots.New(runners)
+	e.Cooldowns = cooldown.New(params.Cooldown, e.Node, t)
+	e.selector = policy.New(e.Cluster, e.Log.Named("policy"))
+	e.directory = balancer.New(e.Node, runners, e.slots, e.Cooldowns, e.selector)
+	e.backlog = backlog.New(params.Backlog, e.directory, e.slots, e.selector)
+	params.Assignment.LastState = e.directory.LastState
+	e.assigner = &singleton.Role{Name: "deal", Peer: e.Peer, Cluster: e.Cluster, Lease: e.Lease, Stores: t, Epochs: e.Epochs, SuspectAfter: time.Second}
+	params.Assignment.SinceConfirmed = e.assigner.SinceConfirmed
+	e.assigner.Work = assignment.New(params.Assignment, e.Node, e.Epochs).Work
+	caller := &call.Caller{Cooldowns: e.Cooldowns, Directory: e.directory, Slots: e.slots, OnDeparture: e.reportDeparture, Web: call.NewWeb(params.Assignment.Transport), Avoid: 2 * time.Second}
 
 	// The way of a job, in the one place where it is fixed. What stands
 	// further out is written down first and settled last.
 	rest := []job.Policy{
-		cooldown.Door{D: e.Desk, Keys: e.dir.Keys},
-		call.Again{Room: p.Cool.Room},
-		e.back,
-		call.Cool{Desk: e.Desk},
-		idempotency.Start{T: t, Pre: p.Pre},
+		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.Keys},
+		call.Retry{CallTime: params.Cooldown.CallTime},
+		e.backlog,
+		call.Cool{Cooldowns: e.Cooldowns},
+		idempotency.Start{Stores: t, ReadTimeout: params.ReadTimeout},
 	}
-	keyed := idempotency.Policy{T: t, Pre: p.Pre, Write: p.Write, Late: p.Late, Bg: e.bg}
-	spend := budget.Policy{T: t, Pre: p.Pre, Write: p.Write, Bg: e.bg}
-	turns := append([]job.Policy{keyed, conversation.Policy{T: t, Read: p.Pre, Late: p.Late, Bg: e.bg}, spend}, rest...)
-	calls := append([]job.Policy{keyed, budget.Kin{Policy: spend}}, rest...)
-	e.Door = &turnapi.Door{P: p.Door, ID: np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36), Log: e.Log.Named("door"), View: e.Cluster.Now, Ready: e.mayTake, Point: p.Point,
+	keyed := idempotency.Policy{Stores: t, ReadTimeout: params.ReadTimeout, WriteTimeout: params.WriteTimeout, LateWriteTimeout: params.LateWriteTimeout, Background: e.background}
+	spend := budget.Policy{Stores: t, Pre: params.ReadTimeout, Write: params.WriteTimeout, Background: e.background}
+	turns := append([]job.Policy{keyed, conversation.Policy{Stores: t, Read: params.ReadTimeout, Late: params.LateWriteTimeout, Background: e.background}, spend}, rest...)
+	calls := append([]job.Policy{keyed, budget.Tree{Policy: spend}}, rest...)
+	e.API = &turnapi.Handler{Params: params.API, ID: np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36), Log: e.Log.Named("door"), View: e.Cluster.Now, Ready: e.checkOpen, Point: params.Point,
 		Turn: job.Chain(caller.Do, turns...), Call: job.Chain(caller.Do, calls...)}
-	e.tape, e.book = traffic.NewTape(p.Tape), trace.New(p.Tape)
-	e.Door.Seen = func(c *job.Ctx, a job.Answer, took time.Duration) {
-		e.tape.Add(e.Peer.Self.Id, e.Peer.Self.Zone, c, a, took)
-		e.book.Add(c, a, took)
+	e.recorder, e.traces = traffic.NewRecorder(params.RecordedJobs), trace.New(params.RecordedJobs)
+	e.API.OnAnswer = func(c *job.Ctx, a job.Answer, took time.Duration) {
+		e.recorder.Add(e.Peer.Self.Id, e.Peer.Self.Zone, c, a, took)
+		e.traces.Add(c, a, took)
 	}
 	return e
 }
 
-// mayTake tells whether the door is open.
-func (e *Edge) mayTake() error {
+// checkOpen tells whether the door is open.
+func (e *Edge) checkOpen() error {
 	switch {
 	case !e.ready.Load():
 		return code.New(code.NotReady, "this node has just come up, ask another")
-	case e.stops.Load():
+	case e.stopping.Load():
 		return code.New(code.Stopping, "this node stops, ask another")
-	case e.tier.Unreachable():
+	case e.stores.Unreachable():
 		return code.New(code.StoresUnreachable, "the stores are out of reach, ask another")
 	}
 	return nil
@@ -141,13 +141,13 @@
 
 // Routes puts the callers' interface on x.
 func (e *Edge) Routes(x *echo.Echo) {
-	e.Door.Routes(x)
+	e.API.Routes(x)
 	x.GET("/v1/traffic", func(c echo.Context) error {
 		after, err := strconv.Atoi(c.QueryParam("after"))
 		if err != nil || after < 0 {
 			return web.Fail(c, code.New(code.BadField, "after: %q is not a row's number", c.QueryParam("after")))
 		}
-		return c.JSON(http.StatusOK, e.tape.After(after))
+		return c.JSON(http.StatusOK, e.recorder.After(after))
 	})
 	metrics.Routes(x, e.rows)
 	x.GET("/v1/trace/:job", e.trace)
@@ -165,7 +165,7 @@
 			}
 		}
 	}
-	r, err := e.book.Get(id)
+	r, err := e.traces.Get(id)
 	if err != nil {
 		return web.Fail(x, err)
 	}
@@ -193,7 +193,7 @@
 }
 
 // Fallbacks counts decisions in which a policy program failed.
-func (e *Edge) Fallbacks() int64 { return e.pol.Fallbacks.Load() }
+func (e *Edge) Fallbacks() int64 { return e.selector.Fallbacks.Load() }
 
 // Status is what an edge says of itself.
 type Status struct {
@@ -214,12 +214,12 @@
 }
 
 func (e *Edge) status() Status {
-	s := Status{ID: e.Peer.Self.Id, Ready: e.mayTake() == nil, Spec: e.Cluster.Now().Version, Waiting: e.back.Len(), Epoch: e.Fence.Highest(),
-		Counts: e.Door.Counts(), Rounds: e.Proposer.Rounds.Load(), Sent: e.Peer.Sent(), Installs: e.Desk.Count(), Slots: map[string]int{}, Cooling: e.Desk.All(), Policy: policy.Builtin, Fell: e.pol.Fallbacks.Load()}
+	s := Status{ID: e.Peer.Self.Id, Ready: e.checkOpen() == nil, Spec: e.Cluster.Now().Version, Waiting: e.backlog.Len(), Epoch: e.Epochs.Highest(),
+		Counts: e.API.Counts(), Rounds: e.Proposer.Rounds.Load(), Sent: e.Peer.Sent(), Installs: e.Cooldowns.Installs(), Slots: map[string]int{}, Cooling: e.Cooldowns.Active(), Policy: policy.Builtin, Fell: e.selector.Fallbacks.Load()}
 	if l := e.Cluster.Now().Spec.Live; l != nil {
 		s.Policy, s.Share = l.Policy, l.Share
 	}
-	for _, h := range e.box.Held() {
+	for _, h := range e.slots.Report() {
 		s.Slots[h.Runner] = int(h.Plain + h.Urgent)
 	}
 	return s
@@ -239,27 +239,27 @@
 	}
 	e.Run(ctx)
 	e.joined.Store(true)
-	e.Go(ctx, e.tier.Run)
-	e.Go(ctx, e.Desk.Run)
-	if e.p.OnlyRaw {
+	e.Go(ctx, e.stores.Run)
+	e.Go(ctx, e.Cooldowns.Run)
+	if e.params.ProxyOnly {
 		return nil
 	}
-	e.Go(ctx, e.back.Run)
-	e.Go(ctx, e.duty.Run)
-	e.Go(ctx, func(ctx context.Context) { loop.Every(ctx, e.p.Ask, e.kick, e.ask) })
+	e.Go(ctx, e.backlog.Run)
+	e.Go(ctx, e.assigner.Run)
+	e.Go(ctx, func(ctx context.Context) { loop.Every(ctx, e.params.SlotInterval, e.wakeup, e.requestSlots) })
 	return nil
 }
 
 // Stop closes the door and answers what waits; what runs is left to end.
 func (e *Edge) Stop() {
-	e.stops.Store(true)
-	e.back.Stop()
+	e.stopping.Store(true)
+	e.backlog.Stop()
 }
 
-// Settle waits for what goes on behind the answers, up to d.
-func (e *Edge) Settle(d time.Duration) {
+// WaitBackground waits for what goes on behind the answers, up to d.
+func (e *Edge) WaitBackground(d time.Duration) {
 	done := make(chan struct{})
-	go func() { defer close(done); e.bg.WG.Wait() }()
+	go func() { defer close(done); e.background.WG.Wait() }()
 	select {
 	case <-done:
 	case <-time.After(d):
@@ -267,53 +267,53 @@
 	}
 }
 
-// touch opens the door with the first slots of every route after a start, and after a spell in
+// updateOpen opens the door with the first slots of every route after a start, and after a spell in
 // which this node had none because it was frozen or cut off: whoever came before
 // would only wait here for what other edges have. Where there are hardly any
 // slots it opens all the same, for those who wait make some come.
-func (e *Edge) touch(at time.Time, some bool) {
-	if at.Sub(e.last) > e.p.Dispatcher.Term {
-		e.first = at
+func (e *Edge) updateOpen(at time.Time, some bool) {
+	if at.Sub(e.lastGrant) > e.params.Assignment.Term {
+		e.firstGrant = at
 		e.ready.Store(false)
 	}
-	e.last = at
-	if some || at.Sub(e.first) > e.p.Open {
+	e.lastGrant = at
+	if some || at.Sub(e.firstGrant) > e.params.OpenTimeout {
 		e.ready.Store(true)
 	}
 }
 
-// ask fetches slots from whoever deals.
-func (e *Edge) ask(ctx context.Context) {
+// requestSlots fetches slots from whoever deals.
+func (e *Edge) requestSlots(ctx context.Context) {
 	for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
 		asked := time.Now()
-		r, err := e.Peer.CallFor(ctx, e.p.Dispatcher.Term/4, m.Addr, &wire.Req{Op: &wire.Req_Deal{Deal: &wire.Deal{
-			Epoch: e.Fence.Highest(), Held: e.box.Held(), Waiting: e.back.Waiting()}}})
+		r, err := e.Peer.CallFor(ctx, e.params.Assignment.Term/4, m.Addr, &wire.Req{Op: &wire.Req_Deal{Deal: &wire.Deal{
+			Epoch: e.Epochs.Highest(), Held: e.slots.Report(), Waiting: e.backlog.Waiting()}}})
 		if err != nil {
 			// Not the dealer, or not there: the next in order may be.
 			if a := r.GetDeal(); a != nil && m.Id != e.Peer.Self.Id {
-				e.Fence.ObserveContact(time.Duration(a.QuietMs) * time.Millisecond)
+				e.Epochs.ObserveContact(time.Duration(a.QuietMs) * time.Millisecond)
 			}
 			continue
 		}
 		a := r.GetDeal()
-		if err := e.Fence.Admit(a.Epoch); err != nil {
+		if err := e.Epochs.Admit(a.Epoch); err != nil {
 			e.Log.Warn("dealer refused", "id", m.Id, "err", err)
 			continue
 		}
-		e.box.Deal(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
-		e.touch(asked, e.dir.Served(a.Slots))
-		e.back.Poke()
+		e.slots.Update(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
+		e.updateOpen(asked, e.directory.Sufficient(a.Slots))
+		e.backlog.Notify()
 		return
 	}
 }
 
-// leaves tells the dealer; it looks for itself at once.
-func (e *Edge) leaves(runner, why string) {
+// reportDeparture tells the dealer; it looks for itself at once.
+func (e *Edge) reportDeparture(runner, why string) {
 	e.Log.Info("runner seems to leave", "runner", runner, "why", why)
 	go func() {
 		for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
 			if _, err := e.Peer.CallFor(context.Background(), 500*time.Millisecond, m.Addr, &wire.Req{Op: &wire.Req_Tell{Tell: &wire.Tell{Runner: runner, Why: why}}}); err == nil {
-				e.kick.Notify()
+				e.wakeup.Notify()
 				return
 			}
 		}
--- a/internal/dataplane/endpoints/endpoints_test.go
+++ b/internal/dataplane/endpoints/endpoints_test.go
@@ -13,7 +13,7 @@
 func TestList(t *testing.T) {
 	l := endpoints.NewList(time.Now(), []endpoints.Runner{{ID: "c", Service: "x"}, {ID: "a", Service: "x"}, {ID: "b", Service: "y"}})
 	if x := l.Of("x"); len(x) != 2 || x[0].ID != "a" || x[1].ID != "c" || len(l.Of("y")) != 1 || len(l.Of("z")) != 0 {
-		t.Errorf("%v", l.All)
+		t.Errorf("%v", l.Runners)
 	}
 	if l.Get("b") != l.Of("y")[0] || l.Get("nobody") != nil {
 		t.Error("by id")
@@ -23,20 +23,20 @@
 // TestTake: the latest reading stands, whoever comes last.
 func TestTake(t *testing.T) {
 	r, at := endpoints.New(), time.Now()
-	if len(r.Now().All) != 0 {
+	if len(r.Current().Runners) != 0 {
 		t.Error("somebody is on a new roll")
 	}
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Go(func() {
-			r.Take(endpoints.NewList(at.Add(time.Duration(i)*time.Millisecond), []endpoints.Runner{{ID: fmt.Sprint(i)}}))
+			r.Replace(endpoints.NewList(at.Add(time.Duration(i)*time.Millisecond), []endpoints.Runner{{ID: fmt.Sprint(i)}}))
 		})
 	}
 	wg.Wait()
-	if r.Now().Get("99") == nil {
-		t.Errorf("%v stands", r.Now().All)
+	if r.Current().Get("99") == nil {
+		t.Errorf("%v stands", r.Current().Runners)
 	}
-	if r.Take(endpoints.NewList(at, nil)) || r.Now().Get("99") == nil {
+	if r.Replace(endpoints.NewList(at, nil)) || r.Current().Get("99") == nil {
 		t.Error("an earlier reading was taken")
 	}
 }
--- a/internal/dataplane/idempotency/idempotency.go
+++ b/internal/dataplane/idempotency/idempotency.go
@@ -39,12 +39,12 @@
 
 // Policy stands around a keyed job's way.
 type Policy struct {
-	T *storeclient.Client
-	// Pre is the deadline of reading the claim, Write of one write after the pass,
+	Stores *storeclient.Client
+	// ReadTimeout is the deadline of reading the claim, Write of one write after the pass,
 	// Late of writing down what is known of a job whose own deadline has passed.
-	Pre, Write, Late time.Duration
-	// Bg carries what goes on after the answer.
-	Bg job.Bg
+	ReadTimeout, WriteTimeout, LateWriteTimeout time.Duration
+	// Background carries what goes on after the answer.
+	Background job.Background
 }
 
 func key(c *job.Ctx) string { return "claim/" + c.Program + "/" + c.Key }
@@ -71,8 +71,8 @@
 	if c.Key == "" {
 		return next(c)
 	}
-	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
-	st, err := p.T.Read(ctx, key(c))
+	ctx, stop := context.WithTimeout(c, min(p.ReadTimeout, c.Left()))
+	st, err := p.Stores.Read(ctx, key(c))
 	stop()
 	if err != nil {
 		return job.Answer{Err: err}
@@ -82,7 +82,7 @@
 		return job.Answer{Err: err}
 	}
 	if v.taken() {
-		return held(c, v)
+		return inProgress(c, v)
 	}
 	c.ClaimVer = st.Version
 	c.At(job.Claimed)
@@ -94,8 +94,8 @@
 		}
 	case ran == "no":
 		// Never passed, or clearly refused: freed first, then said.
-		if c.Sure = p.free(c, false); !c.Sure && c.Started {
-			p.Bg.Go(func() { p.free(c, true) })
+		if c.Sure = p.release(c, false); !c.Sure && c.Started {
+			p.Background.Go(func() { p.release(c, true) })
 		}
 	}
 	return a
@@ -103,8 +103,8 @@
 
 // Start is the step right before the pass.
 type Start struct {
-	T   *storeclient.Client
-	Pre time.Duration
+	Stores      *storeclient.Client
+	ReadTimeout time.Duration
 }
 
 // Do is the policy.
@@ -114,8 +114,8 @@
 		return next(c)
 	}
 	var now value
-	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
-	_, err := p.T.ChangeStrict(ctx, key(c), func(st register.State) ([]byte, bool, error) {
+	ctx, stop := context.WithTimeout(c, min(p.ReadTimeout, c.Left()))
+	_, err := p.Stores.ChangeStrict(ctx, key(c), func(st register.State) ([]byte, bool, error) {
 		var err error
 		if now, err = read(st); err != nil {
 			return nil, false, err
@@ -129,7 +129,7 @@
 	stop()
 	switch {
 	case errors.Is(err, errTaken) && now.taken():
-		return held(c, now)
+		return inProgress(c, now)
 	case errors.Is(err, errTaken):
 		return job.Bad(code.Overtaken, "another request with this key was told that it did not run")
 	case code.Of(err) == code.OutcomeUnknown:
@@ -145,8 +145,8 @@
 	return next(c)
 }
 
-// held answers a second asking.
-func held(c *job.Ctx, v value) job.Answer {
+// inProgress answers a second asking.
+func inProgress(c *job.Ctx, v value) job.Answer {
 	switch {
 	case v.Hash != c.Hash:
 		return job.Bad(code.KeyReused, "the key was used for another job")
@@ -158,10 +158,10 @@
 	return job.Bad(code.InProgress, "started by an earlier request, its outcome is not known here")
 }
 
-// own changes the claim as long as this job holds it, or nobody has touched it
+// changeOwned changes the claim as long as this job holds it, or nobody has touched it
 // since it was read.
-func (p Policy) own(ctx context.Context, c *job.Ctx, to value) error {
-	_, err := p.T.Change(ctx, key(c), func(st register.State) ([]byte, bool, error) {
+func (p Policy) changeOwned(ctx context.Context, c *job.Ctx, to value) error {
+	_, err := p.Stores.Change(ctx, key(c), func(st register.State) ([]byte, bool, error) {
 		v, err := read(st)
 		if err != nil {
 			return nil, false, err
@@ -175,19 +175,19 @@
 	return err
 }
 
-// free lets the claim go and says whether it surely did. Its write trips every
+// release lets the claim go and says whether it surely did. Its write trips every
 // request of the key that read the claim before, and buries a start of this
 // job's own that is still in doubt. stubborn keeps on trying.
-func (p Policy) free(c *job.Ctx, stubborn bool) bool {
+func (p Policy) release(c *job.Ctx, stubborn bool) bool {
 	to := value{State: Free, Hash: c.Hash, Job: c.ID}
 	for try := 0; try < 60; try++ {
-		ctx, stop := context.WithTimeout(p.Bg.Ctx, p.Pre/2)
-		err := p.own(ctx, c, to)
+		ctx, stop := context.WithTimeout(p.Background.Ctx, p.ReadTimeout/2)
+		err := p.changeOwned(ctx, c, to)
 		stop()
 		if err == nil || errors.Is(err, errTaken) {
 			return err == nil
 		}
-		if !stubborn || !loop.Wait(p.Bg.Ctx, time.Second) {
+		if !stubborn || !loop.Wait(p.Background.Ctx, time.Second) {
 			return false
 		}
 	}
@@ -196,7 +196,7 @@
 
 func (p Policy) done(c *job.Ctx, a job.Answer) error {
 	// The job has run: even past its deadline its result is worth keeping.
-	ctx, stop := context.WithTimeout(p.Bg.Ctx, max(c.Left(), p.Late))
+	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.LateWriteTimeout))
 	defer stop()
-	return p.own(ctx, c, value{State: Done, Hash: c.Hash, Job: c.ID, Body: a.Body})
+	return p.changeOwned(ctx, c, value{State: Done, Hash: c.Hash, Job: c.ID, Body: a.Body})
 }
--- a/internal/dataplane/job/job.go
+++ b/internal/dataplane/job/job.go
@@ -28,14 +28,14 @@
 	Ends      time.Time
 	Class     string
 	Urgent    bool
-	Rank      int // place of the class in the spec's order
+	Priority  int // place of the class in the spec's order
 	Route     string
 	Key       string // Idempotency-Key; empty: the job may be repeated
 	Hash      string // of the body, to know a key used for another job
 	Parts     []string
 	Asked     int64 // largest output asked for
 	Most      int64 // largest output allowed
-	Words     string
+	Prompt    string
 	Follows   string
 	Conv      string // conversation class
 	History   []Line
@@ -65,8 +65,8 @@
 	// Point is called at each numbered point of the way; nil outside tests.
 	Point func(Point, *Ctx)
 	// Spent is the output the runner reports, Held whether it held the prefix.
-	Spent int64
-	Held  bool
+	Spent     int64
+	PrefixHit bool
 }
 
 // Point is a numbered point of a job's way, where a test may bring a fault about.
@@ -74,16 +74,16 @@
 
 // The points, in order.
 const (
-	Taken    Point = iota + 1 // parsed at the door
-	Claimed                   // its claim is read
-	Read                      // its history is there
-	Reserved                  // its budget is reserved
-	Picked                    // it has a runner and a slot
-	Looked                    // its runner's cooldown is read
-	Begun                     // its claim says 'started'
-	Passing                   // right before what is checked before the first byte
-	Heard                     // the runner has answered, nothing is written yet
-	Points   = int(Heard)
+	Taken            Point = iota + 1 // parsed at the door
+	Claimed                           // its claim is read
+	Read                              // its history is there
+	Reserved                          // its budget is reserved
+	Picked                            // it has a runner and a slot
+	Looked                            // its runner's cooldown is read
+	Begun                             // its claim says 'started'
+	Passing                           // right before what is checked before the first byte
+	ResponseReceived                  // the runner has answered, nothing is written yet
+	Points           = int(ResponseReceived)
 )
 
 // At is where a test's fault comes in.
@@ -128,18 +128,18 @@
 
 // Runner is an picked back end.
 type Runner struct {
-	Ix   int
-	Name string
-	Addr string
-	Cool string // its cooldown key
-	Mark string // of the process that the slot is for
+	Ix          int
+	Name        string
+	Addr        string
+	Cool        string // its cooldown key
+	Incarnation string // of the process that the slot is for
 }
 
 // Left is the time until the deadline.
 func (c *Ctx) Left() time.Duration { return time.Until(c.AnswerBy) }
 
 // Fits tells whether a wait leaves room for the call itself.
-func (c *Ctx) Fits(wait, room time.Duration) bool { return wait+room <= c.Left() }
+func (c *Ctx) Fits(wait, callTime time.Duration) bool { return wait+callTime <= c.Left() }
 
 // Answer is what becomes of a job.
 type Answer struct {
@@ -162,17 +162,17 @@
 // Ran is "no", "yes" or "unknown".
 func (a Answer) Ran() string { return code.Of(a.Err).Ran() }
 
-// Bg is what goes on behind an answer: writes that must still be tried.
-type Bg struct {
+// Background is what goes on behind an answer: writes that must still be tried.
+type Background struct {
 	Ctx context.Context
 	WG  *sync.WaitGroup
 }
 
 // NewBg makes a Bg that ends with ctx.
-func NewBg(ctx context.Context) Bg { return Bg{ctx, &sync.WaitGroup{}} }
+func NewBg(ctx context.Context) Background { return Background{ctx, &sync.WaitGroup{}} }
 
 // Go runs f behind the answer.
-func (b Bg) Go(f func()) { b.WG.Go(f) }
+func (b Background) Go(f func()) { b.WG.Go(f) }
 
 // Next is the rest of the way.
 type Next func(*Ctx) Answer
--- a/internal/dataplane/loadreport/loadreport.go
+++ b/internal/dataplane/loadreport/loadreport.go
@@ -26,115 +26,115 @@
 
 // Params are the load report's times.
 type Params struct {
-	Ask   time.Duration // between two questions of an edge
-	Wait  time.Duration // for an answer, before the next in order is asked
-	Read  time.Duration // between two readings of the list by whoever counts
-	Stale time.Duration // a reading older than this is not waited with: the edge reads itself
-	Count time.Duration // an edge's word counts for so long
+	Interval     time.Duration // between two questions of an edge
+	Timeout      time.Duration // for an answer, before the next in order is asked
+	ReadInterval time.Duration // between two readings of the list by whoever counts
+	Stale        time.Duration // a reading older than this is not waited with: the edge reads itself
+	Expiry       time.Duration // an edge's word counts for so long
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Ask: 250 * time.Millisecond, Wait: 150 * time.Millisecond, Read: 900 * time.Millisecond, Stale: 1900 * time.Millisecond, Count: time.Second}
+var DefaultParams = Params{Interval: 250 * time.Millisecond, Timeout: 150 * time.Millisecond, ReadInterval: 900 * time.Millisecond, Stale: 1900 * time.Millisecond, Expiry: time.Second}
 
 // List reads the list of runners.
 type List func(ctx context.Context) ([]endpoints.Runner, error)
 
 // LoadReport counts, and asks whoever counts.
 type LoadReport struct {
-	p    Params
-	n    *node.Node
-	roll *endpoints.Roll
-	load *proxy.Load
-	list List
-	out  *outlier.Detector
+	params    Params
+	node      *node.Node
+	endpoints *endpoints.Store
+	load      *proxy.Load
+	discover  List
+	outliers  *outlier.Detector
 
-	mu    sync.Mutex
-	heard map[string]word // by edge
-	read  time.Time       // when the last own reading was asked for
-	body  []byte          // the roll as it is handed on
-	sum   uint64
+	mu       sync.Mutex
+	reports  map[string]edgeReport // by edge
+	lastRead time.Time             // when the last own reading was asked for
+	body     []byte                // the roll as it is handed on
+	sum      uint64
 }
 
-type word struct {
-	at  time.Time
-	own []*wire.Busy
+type edgeReport struct {
+	receivedAt time.Time
+	load       []*wire.Busy
 }
 
 // New makes a load report; list may be set until Run.
-func New(p Params, n *node.Node, r *endpoints.Roll, l *proxy.Load) *LoadReport {
-	t := &LoadReport{p: p, n: n, roll: r, load: l, out: outlier.NewDetector(outlier.DefaultParams), heard: map[string]word{}}
-	n.Peer.Handle(&wire.Req_LoadReport{}, t.answer)
-	return t
+func New(p Params, n *node.Node, r *endpoints.Store, l *proxy.Load) *LoadReport {
+	report := &LoadReport{params: p, node: n, endpoints: r, load: l, outliers: outlier.NewDetector(outlier.DefaultParams), reports: map[string]edgeReport{}}
+	n.Peer.Handle(&wire.Req_LoadReport{}, report.collect)
+	return report
 }
 
 // Run asks and, where this edge is the one that counts, reads, until ctx ends.
-func (t *LoadReport) Run(ctx context.Context, list List) {
-	t.mu.Lock()
-	t.list = list
-	t.mu.Unlock()
-	loop.Every(ctx, t.p.Ask, nil, t.step)
+func (report *LoadReport) Run(ctx context.Context, list List) {
+	report.mu.Lock()
+	report.discover = list
+	report.mu.Unlock()
+	loop.Every(ctx, report.params.Interval, nil, report.step)
 }
 
-func (t *LoadReport) step(ctx context.Context) {
-	counts := t.load.Watch.Take()
-	own := t.own(counts)
-	for _, m := range singleton.Order(t.n.Cluster.Now(), t.n.Lease.Members()) {
-		if m.Id == t.n.Peer.Self.Id {
+func (report *LoadReport) step(ctx context.Context) {
+	counts := report.load.Watch.TakeCounts()
+	own := report.own(counts)
+	for _, m := range singleton.Order(report.node.Cluster.Now(), report.node.Lease.Members()) {
+		if m.Id == report.node.Peer.Self.Id {
 			// This edge is the first that answers: it counts.
-			t.load.Hear(t.others(m.Id))
-			t.load.Watch.Hear(t.judge(m.Id, counts))
-			t.fresh(ctx, t.p.Read)
+			report.load.UpdateRemote(report.others(m.Id))
+			report.load.Watch.Update(report.judgeOutliers(m.Id, counts))
+			report.refresh(ctx, report.params.ReadInterval)
 			return
 		}
-		if t.ask(ctx, m.Addr, own) {
-			t.fresh(ctx, t.p.Stale)
+		if report.report(ctx, m.Addr, own) {
+			report.refresh(ctx, report.params.Stale)
 			return
 		}
 	}
-	t.load.Watch.Return(counts)
-	t.fresh(ctx, t.p.Stale)
+	report.load.Watch.RestoreCounts(counts)
+	report.refresh(ctx, report.params.Stale)
 }
 
-func (t *LoadReport) own(counts map[string]outlier.Count) []*wire.Busy {
+func (report *LoadReport) own(counts map[string]outlier.Count) []*wire.Busy {
 	var out []*wire.Busy
-	busy := t.load.Own()
+	busy := report.load.Own()
 	for id, b := range busy {
-		out = append(out, counted(&wire.Busy{Runner: id, Jobs: int32(b.N), Tokens: b.Tokens}, counts[id]))
+		out = append(out, withCounts(&wire.Busy{Runner: id, Jobs: int32(b.Requests), Tokens: b.Tokens}, counts[id]))
 	}
 	for id, c := range counts {
 		if _, ok := busy[id]; !ok {
-			out = append(out, counted(&wire.Busy{Runner: id}, c))
+			out = append(out, withCounts(&wire.Busy{Runner: id}, c))
 		}
 	}
 	return out
 }
 
-func counted(b *wire.Busy, c outlier.Count) *wire.Busy {
+func withCounts(b *wire.Busy, c outlier.Count) *wire.Busy {
 	b.Ended, b.Failures, b.Paced, b.Pace = int32(c.Ended), int32(c.Failures), int32(c.Paced), int32(math.Round(100*c.Pace))
 	return b
 }
 
-// judge takes what an edge has counted, and tells it of the outliers.
-func (t *LoadReport) judge(edge string, counts map[string]outlier.Count) outlier.Verdict {
+// judgeOutliers takes what an edge has counted, and tells it of the outliers.
+func (report *LoadReport) judgeOutliers(edge string, counts map[string]outlier.Count) outlier.Verdict {
 	now := time.Now()
-	t.out.Adopt(t.load.Watch.Ejected(), now)
-	t.out.Tell(edge, counts, now)
-	t.out.Decide(t.roll.Now(), t.load.UnderWay, now)
-	return t.out.Verdict(now)
+	report.outliers.Adopt(report.load.Watch.Ejected(), now)
+	report.outliers.Report(edge, counts, now)
+	report.outliers.Decide(report.endpoints.Current(), report.load.InFlight, now)
+	return report.outliers.Verdict(now)
 }
 
-// ask tells the one that counts, and hears.
-func (t *LoadReport) ask(ctx context.Context, addr string, own []*wire.Busy) bool {
-	t.mu.Lock()
-	sum := t.sum
-	t.mu.Unlock()
+// report tells the one that counts, and hears.
+func (report *LoadReport) report(ctx context.Context, addr string, own []*wire.Busy) bool {
+	report.mu.Lock()
+	sum := report.sum
+	report.mu.Unlock()
 	asked := time.Now()
-	r, err := t.n.Peer.CallFor(ctx, t.p.Wait, addr, &wire.Req{Op: &wire.Req_LoadReport{LoadReport: &wire.LoadReport{Own: own, Roll: sum}}})
+	r, err := report.node.Peer.CallFor(ctx, report.params.Timeout, addr, &wire.Req{Op: &wire.Req_LoadReport{LoadReport: &wire.LoadReport{Own: own, Roll: sum}}})
 	if err != nil {
 		return false
 	}
 	a := r.GetLoadReport()
-	t.load.Hear(busy(a.GetOthers()))
+	report.load.UpdateRemote(loadOf(a.GetOthers()))
 	v := outlier.Verdict{Slow: map[string]float64{}}
 	for _, o := range a.GetOutliers() {
 		if o.Ejected {
@@ -144,7 +144,7 @@
 			v.Slow[o.Runner] = float64(o.Slow) / 100
 		}
 	}
-	t.load.Watch.Hear(v)
+	report.load.Watch.Update(v)
 	if a.GetRollAgeMs() < 0 {
 		return true
 	}
@@ -153,110 +153,110 @@
 	at := asked.Add(-time.Duration(a.RollAgeMs) * time.Millisecond)
 	switch {
 	case len(a.Runners) > 0:
-		t.take(at, a.Runners, a.Roll)
+		report.adopt(at, a.Runners, a.Roll)
 	case a.Roll == sum:
-		t.roll.Touch(at)
+		report.endpoints.Confirm(at)
 	}
 	return true
 }
 
-func (t *LoadReport) take(at time.Time, body []byte, sum uint64) {
+func (report *LoadReport) adopt(at time.Time, body []byte, sum uint64) {
 	var all []endpoints.Runner
 	if err := json.Unmarshal(body, &all); err != nil {
-		t.n.Log.Warn("roll not taken", "err", err)
+		report.node.Log.Warn("roll not taken", "err", err)
 		return
 	}
-	t.set(at, all, body, sum)
+	report.publish(at, all, body, sum)
 }
 
-func (t *LoadReport) set(at time.Time, all []endpoints.Runner, body []byte, sum uint64) {
-	if t.roll.Take(endpoints.NewList(at, all)) {
-		t.mu.Lock()
-		t.body, t.sum = body, sum
-		t.mu.Unlock()
+func (report *LoadReport) publish(at time.Time, all []endpoints.Runner, body []byte, sum uint64) {
+	if report.endpoints.Replace(endpoints.NewList(at, all)) {
+		report.mu.Lock()
+		report.body, report.sum = body, sum
+		report.mu.Unlock()
 	}
 }
 
-// fresh reads the list where the last reading is older than d.
-func (t *LoadReport) fresh(ctx context.Context, d time.Duration) {
-	t.mu.Lock()
-	list, last := t.list, t.read
-	if list == nil || time.Since(t.roll.Now().At) < d || time.Since(last) < t.p.Read/3 {
-		t.mu.Unlock()
+// refresh reads the list where the last reading is older than d.
+func (report *LoadReport) refresh(ctx context.Context, d time.Duration) {
+	report.mu.Lock()
+	list, last := report.discover, report.lastRead
+	if list == nil || time.Since(report.endpoints.Current().ReadAt) < d || time.Since(last) < report.params.ReadInterval/3 {
+		report.mu.Unlock()
 		return
 	}
-	t.read = time.Now()
-	t.mu.Unlock()
+	report.lastRead = time.Now()
+	report.mu.Unlock()
 	at := time.Now()
 	all, err := list(ctx)
 	if err != nil {
-		t.n.Log.Warn("list of runners not read", "err", err)
+		report.node.Log.Warn("list of runners not read", "err", err)
 		return
 	}
 	l := endpoints.NewList(at, all)
-	body, err := json.Marshal(settled(l.All))
+	body, err := json.Marshal(roundWarmup(l.Runners))
 	if err != nil {
-		t.n.Log.Warn("list of runners not handed on", "err", err)
+		report.node.Log.Warn("list of runners not handed on", "err", err)
 		return
 	}
 	h := fnv.New64a()
 	h.Write(body)
-	t.set(at, l.All, body, h.Sum64())
+	report.publish(at, l.Runners, body, h.Sum64())
 }
 
-// settled is the roll with fresh times rounded up, so that a runner that warms up
+// roundWarmup is the roll with fresh times rounded up, so that a runner that warms up
 // does not make a new roll of each reading.
-func settled(all []endpoints.Runner) []endpoints.Runner {
+func roundWarmup(all []endpoints.Runner) []endpoints.Runner {
 	out := make([]endpoints.Runner, len(all))
 	copy(out, all)
 	for i := range out {
-		if out[i].ColdMs > 0 {
-			out[i].ColdMs = (out[i].ColdMs + 999) / 1000 * 1000
+		if out[i].WarmupRemainingMs > 0 {
+			out[i].WarmupRemainingMs = (out[i].WarmupRemainingMs + 999) / 1000 * 1000
 		}
 	}
 	return out
 }
 
 // others sums up what all but one have under way, as last heard.
-func (t *LoadReport) others(but string) map[string]proxy.Busy {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := map[string]proxy.Busy{}
-	for id, w := range t.heard {
-		if time.Since(w.at) > t.p.Count {
-			delete(t.heard, id)
+func (report *LoadReport) others(but string) map[string]proxy.InFlight {
+	report.mu.Lock()
+	defer report.mu.Unlock()
+	out := map[string]proxy.InFlight{}
+	for id, w := range report.reports {
+		if time.Since(w.receivedAt) > report.params.Expiry {
+			delete(report.reports, id)
 			continue
 		}
 		if id == but {
 			continue
 		}
-		for _, b := range w.own {
+		for _, b := range w.load {
 			if b.Jobs == 0 {
 				continue
 			}
 			o := out[b.Runner]
-			out[b.Runner] = proxy.Busy{N: o.N + int(b.Jobs), Tokens: o.Tokens + b.Tokens}
+			out[b.Runner] = proxy.InFlight{Requests: o.Requests + int(b.Jobs), Tokens: o.Tokens + b.Tokens}
 		}
 	}
 	return out
 }
 
-func busy(bs []*wire.Busy) map[string]proxy.Busy {
-	out := make(map[string]proxy.Busy, len(bs))
+func loadOf(bs []*wire.Busy) map[string]proxy.InFlight {
+	out := make(map[string]proxy.InFlight, len(bs))
 	for _, b := range bs {
-		out[b.Runner] = proxy.Busy{N: int(b.Jobs), Tokens: b.Tokens}
+		out[b.Runner] = proxy.InFlight{Requests: int(b.Jobs), Tokens: b.Tokens}
 	}
 	return out
 }
 
-// answer is the side that counts.
-func (t *LoadReport) answer(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+// collect is the side that counts.
+func (report *LoadReport) collect(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	if q.Id == "" {
 		return nil, code.New(code.Garbled, "a load report of nobody")
 	}
-	t.mu.Lock()
-	t.heard[q.Id] = word{time.Now(), q.GetLoadReport().GetOwn()}
-	t.mu.Unlock()
+	report.mu.Lock()
+	report.reports[q.Id] = edgeReport{time.Now(), q.GetLoadReport().GetOwn()}
+	report.mu.Unlock()
 	counts := map[string]outlier.Count{}
 	for _, b := range q.GetLoadReport().GetOwn() {
 		if b.Ended > 0 {
@@ -264,28 +264,28 @@
 		}
 	}
 	a := &wire.LoadReportAck{RollAgeMs: -1}
-	v := t.judge(q.Id, counts)
+	v := report.judgeOutliers(q.Id, counts)
 	for _, e := range v.Ejected {
 		a.Outliers = append(a.Outliers, &wire.Outlier{Runner: e.ID, Ejected: true, Trial: e.Trial})
 	}
 	for id, x := range v.Slow {
 		a.Outliers = append(a.Outliers, &wire.Outlier{Runner: id, Slow: int32(100 * x)})
 	}
-	o := t.others(q.Id)
+	o := report.others(q.Id)
 	// Its own is not kept: it is known at the moment.
-	for id, b := range t.load.Own() {
+	for id, b := range report.load.Own() {
 		x := o[id]
-		o[id] = proxy.Busy{N: x.N + b.N, Tokens: x.Tokens + b.Tokens}
+		o[id] = proxy.InFlight{Requests: x.Requests + b.Requests, Tokens: x.Tokens + b.Tokens}
 	}
 	for id, b := range o {
-		a.Others = append(a.Others, &wire.Busy{Runner: id, Jobs: int32(b.N), Tokens: b.Tokens})
+		a.Others = append(a.Others, &wire.Busy{Runner: id, Jobs: int32(b.Requests), Tokens: b.Tokens})
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if l := t.roll.Now(); len(t.body) > 0 {
-		a.Roll, a.RollAgeMs = t.sum, time.Since(l.At).Milliseconds()
+	report.mu.Lock()
+	defer report.mu.Unlock()
+	if l := report.endpoints.Current(); len(report.body) > 0 {
+		a.Roll, a.RollAgeMs = report.sum, time.Since(l.ReadAt).Milliseconds()
 		if a.Roll != q.GetLoadReport().GetRoll() {
-			a.Runners = t.body
+			a.Runners = report.body
 		}
 	}
 	return &wire.Resp{Op: &wire.Resp_LoadReport{LoadReport: a}}, nil
