--- a/internal/dataplane/outlier/detector.go
+++ b/internal/dataplane/outlier/detector.go
@@ -12,57 +12,57 @@
 
 // A window is some slots long; counts older than the longest are base rate.
 const (
-	slot  = 500 * time.Millisecond
-	slots = 20
+	slotLength = 500 * time.Millisecond
+	slotCount  = 20
 )
 
 // windows that are judged: a short one sees a runner that fails all at once, a long
 // one that fails now and then.
-var windows = [...]int{slots, 6, 2}
+var windows = [...]int{slotCount, 6, 2}
 
-// carry is the part of an even trouble seen in a longer window that is expected in a
+// expectedCarry is the part of an even trouble seen in a longer window that is expected in a
 // shorter one, where a few failures more or less are chance.
-const carry = 0.3
+const expectedCarry = 0.3
 
 // Detector decides for all edges.
 type Detector struct {
-	p Params
+	params Params
 
 	mu       sync.Mutex
 	runners  map[string]*track
-	services map[string]*base
+	services map[string]*baseline
 	edges    map[string]time.Time // heard lately
 	decided  time.Time
 	ejected  int
 	slow     map[string]float64
 }
 
-// base is what is normal at a service: what its runners, less the ejected ones, did
+// baseline is what is normal at a service: what its runners, less the ejected ones, did
 // before the longest window.
-type base struct {
+type baseline struct {
 	ended, failures float64
 	at              time.Time
 }
 
-// forget is how long the normal is remembered.
-const forget = time.Minute
+// baselineLifetime is how long the normal is remembered.
+const baselineLifetime = time.Minute
 
-func (b *base) rate() float64 { return min((b.failures+1)/(b.ended+2000), 0.01) }
+func (b *baseline) rate() float64 { return min((b.failures+1)/(b.ended+2000), 0.01) }
 
-func (b *base) fade(now time.Time) {
+func (b *baseline) fade(now time.Time) {
 	if d := now.Sub(b.at); d > 0 {
-		f := math.Exp(-float64(d) / float64(forget))
+		f := math.Exp(-float64(d) / float64(baselineLifetime))
 		b.ended, b.failures, b.at = b.ended*f, b.failures*f, now
 	}
 }
 
 type track struct {
-	ring [slots]Count
-	at   int64 // the slot that is written
+	window [slotCount]Count
+	at     int64 // the slot that is written
 	// The two edges that last saw a failure: one edge alone may have a bad link.
-	by   [2]string
-	when [2]time.Time
-	out  *ejection
+	by       [2]string
+	when     [2]time.Time
+	ejection *ejection
 }
 
 type ejection struct {
@@ -74,19 +74,19 @@
 }
 
 // NewDetector makes a detector that has heard nothing.
-func NewDetector(p Params) *Detector {
-	return &Detector{p: p, runners: map[string]*track{}, services: map[string]*base{}, edges: map[string]time.Time{}}
+func NewDetector(params Params) *Detector {
+	return &Detector{params: params, runners: map[string]*track{}, services: map[string]*baseline{}, edges: map[string]time.Time{}}
 }
 
-// Tell takes what an edge has counted since it last told.
-func (d *Detector) Tell(edge string, cs map[string]Count, now time.Time) {
+// Report takes what an edge has counted since it last told.
+func (d *Detector) Report(edge string, cs map[string]Count, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.edges[edge] = now
 	for id, c := range cs {
 		t := d.of(id, now)
-		if t.out != nil {
-			if d.trial(t.out, c, now); t.out.good >= d.p.Back {
+		if t.ejection != nil {
+			if d.trial(t.ejection, c, now); t.ejection.good >= d.params.TrialsToReturn {
 				// It begins anew.
 				*t = track{at: t.at}
 				d.ejected--
@@ -94,7 +94,7 @@
 			continue
 		}
 		t.move(now, nil)
-		t.ring[t.at%slots].add(c)
+		t.window[t.at%slotCount].add(c)
 		if c.Failures > 0 {
 			if t.by[0] != edge {
 				t.by[1], t.when[1] = t.by[0], t.when[0]
@@ -107,19 +107,19 @@
 func (d *Detector) of(id string, now time.Time) *track {
 	t := d.runners[id]
 	if t == nil {
-		t = &track{at: at(now)}
+		t = &track{at: slotOf(now)}
 		d.runners[id] = t
 	}
 	return t
 }
 
-func at(now time.Time) int64 { return now.UnixNano() / int64(slot) }
+func slotOf(now time.Time) int64 { return now.UnixNano() / int64(slotLength) }
 
 // move begins the slot of now; what leaves the longest window goes to the base.
-func (t *track) move(now time.Time, b *base) {
-	for n := min(at(now)-t.at, slots); n > 0; n-- {
-		t.at = at(now) - n + 1
-		c := &t.ring[t.at%slots]
+func (t *track) move(now time.Time, b *baseline) {
+	for n := min(slotOf(now)-t.at, slotCount); n > 0; n-- {
+		t.at = slotOf(now) - n + 1
+		c := &t.window[t.at%slotCount]
 		if b != nil {
 			b.ended += float64(c.Ended)
 			b.failures += float64(c.Failures)
@@ -132,7 +132,7 @@
 	var c Count
 	for i := range int64(n) {
 		if t.at >= i {
-			c.add(t.ring[(t.at-i)%slots])
+			c.add(t.window[(t.at-i)%slotCount])
 		}
 	}
 	return c
@@ -154,19 +154,19 @@
 }
 
 func (d *Detector) wait(e *ejection) time.Duration {
-	return min(d.p.Retry<<min(e.fails, 10), d.p.Most)
+	return min(d.params.Retry<<min(e.fails, 10), d.params.MaxRetry)
 }
 
 // Adopt goes on from the verdict of whoever counted before.
 func (d *Detector) Adopt(ids []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now.Sub(d.decided) < d.p.Hold {
+	if now.Sub(d.decided) < d.params.VerdictLifetime {
 		return
 	}
 	for _, id := range ids {
-		if t := d.of(id, now); t.out == nil {
-			t.out = &ejection{next: now.Add(d.p.Retry)}
+		if t := d.of(id, now); t.ejection == nil {
+			t.ejection = &ejection{next: now.Add(d.params.Retry)}
 		}
 	}
 }
@@ -176,13 +176,13 @@
 func (d *Detector) Decide(l *endpoints.List, underWay func() map[string]int, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now.Sub(d.decided) < d.p.Decide {
+	if now.Sub(d.decided) < d.params.Interval {
 		return
 	}
 	d.decided = now
 	load := underWay()
 	for e, at := range d.edges {
-		if now.Sub(at) > d.p.Hold {
+		if now.Sub(at) > d.params.VerdictLifetime {
 			delete(d.edges, e)
 		}
 	}
@@ -192,8 +192,8 @@
 		}
 	}
 	byService := map[string][]*endpoints.Runner{}
-	for i := range l.All {
-		if r := &l.All[i]; !r.Leaving {
+	for i := range l.Runners {
+		if r := &l.Runners[i]; !r.Draining {
 			byService[r.Service] = append(byService[r.Service], r)
 		}
 	}
@@ -201,7 +201,7 @@
 	for name, rs := range byService {
 		b := d.services[name]
 		if b == nil {
-			b = &base{at: now}
+			b = &baseline{at: now}
 			d.services[name] = b
 		}
 		b.fade(now)
@@ -211,7 +211,7 @@
 			ts[i].move(now, b)
 		}
 		d.eject(rs, ts, b, load, now)
-		d.lag(rs, ts)
+		d.findSlow(rs, ts)
 	}
 }
 
@@ -221,51 +221,51 @@
 	rate float64
 }
 
-func (d *Detector) eject(rs []*endpoints.Runner, ts []*track, b *base, load map[string]int, now time.Time) {
+func (d *Detector) eject(rs []*endpoints.Runner, ts []*track, b *baseline, load map[string]int, now time.Time) {
 	var out []suspect
-	room, busy := 0.0, 0.0
+	capacity, total := 0.0, 0.0
 	for i, t := range ts {
-		busy += float64(load[rs[i].ID])
-		if t.out == nil {
-			room += float64(max(rs[i].Room, 1))
+		total += float64(load[rs[i].ID])
+		if t.ejection == nil {
+			capacity += float64(max(rs[i].Capacity, 1))
 		} else {
-			out = append(out, suspect{i, t.out.rate})
+			out = append(out, suspect{i, t.ejection.rate})
 		}
 	}
-	most := min(max(int(d.p.Share*float64(len(rs))), 1), len(rs)-1)
+	most := min(max(int(d.params.MaxEjectedShare*float64(len(rs))), 1), len(rs)-1)
 	// Where runners have gone or load has come, the least bad ones are needed.
 	slices.SortFunc(out, func(a, b suspect) int { return cmp.Compare(a.rate, b.rate) })
-	for len(out) > 0 && (len(out) > most || room < busy*d.p.Spare) {
+	for len(out) > 0 && (len(out) > most || capacity < total*d.params.Headroom) {
 		t := ts[out[0].i]
-		room += float64(max(rs[out[0].i].Room, 1))
+		capacity += float64(max(rs[out[0].i].Capacity, 1))
 		*t = track{at: t.at}
 		out = out[1:]
 	}
 	for _, s := range d.suspects(ts, b, now) {
-		left := room - float64(max(rs[s.i].Room, 1))
-		if len(out) >= most || left < busy*d.p.Spare {
+		left := capacity - float64(max(rs[s.i].Capacity, 1))
+		if len(out) >= most || left < total*d.params.Headroom {
 			break
 		}
-		room = left
+		capacity = left
 		out = append(out, s)
-		ts[s.i].out = &ejection{rate: s.rate, next: now.Add(d.p.Retry)}
+		ts[s.i].ejection = &ejection{rate: s.rate, next: now.Add(d.params.Retry)}
 		// What the trials bring begins a new record.
-		ts[s.i].ring = [slots]Count{}
+		ts[s.i].window = [slotCount]Count{}
 	}
 	d.ejected += len(out)
 }
 
 // suspects finds the runners to eject, the worst first.
-func (d *Detector) suspects(ts []*track, b *base, now time.Time) []suspect {
+func (d *Detector) suspects(ts []*track, b *baseline, now time.Time) []suspect {
 	all := map[int]float64{}
 	pri := prior
 	for _, w := range windows {
 		var cs []Count
 		var at []int
-		bad, gone := false, 0
+		bad, departed := false, 0
 		for i, t := range ts {
-			if t.out != nil {
-				gone++
+			if t.ejection != nil {
+				departed++
 				continue
 			}
 			if c := t.sum(w); c.Ended > 0 {
@@ -278,19 +278,19 @@
 			continue
 		}
 		sure, like := mixture(cs, b.rate(), pri)
-		for i := 1; i < grey; i++ {
-			pri[i] = prior[i] + carry*like[i]
+		for i := 1; i < failingRate; i++ {
+			pri[i] = prior[i] + expectedCarry*like[i]
 		}
-		sum := float64(gone)
+		sum := float64(departed)
 		for _, s := range sure {
 			sum += s
 		}
-		if sum > float64(len(cs)+gone)/2 && len(cs)+gone > 2 {
+		if sum > float64(len(cs)+departed)/2 && len(cs)+departed > 2 {
 			// Most are alike: it is the service's trouble, and no runner's.
 			continue
 		}
 		for k, c := range cs {
-			if sure[k] >= d.p.Sure && tail(c.Ended, c.Failures, b.rate()) < d.p.Chance && d.seen(ts[at[k]], now) {
+			if sure[k] >= d.params.Confidence && tail(c.Ended, c.Failures, b.rate()) < d.params.Chance && d.corroborated(ts[at[k]], now) {
 				all[at[k]] = max(all[at[k]], float64(c.Failures)/float64(c.Ended))
 			}
 		}
@@ -303,21 +303,21 @@
 	return out
 }
 
-// seen tells whether two edges saw failures, where there are two.
-func (d *Detector) seen(t *track, now time.Time) bool {
-	return len(d.edges) < 2 || t.by[1] != "" && now.Sub(t.when[1]) < slots*slot
+// corroborated tells whether two edges saw failures, where there are two.
+func (d *Detector) corroborated(t *track, now time.Time) bool {
+	return len(d.edges) < 2 || t.by[1] != "" && now.Sub(t.when[1]) < slotCount*slotLength
 }
 
 // far is how many times as far from the middle as most runners are one must be; least
 // is how far they are at the least.
 const (
-	far   = 4
-	least = 0.1
+	deviations   = 4
+	minDeviation = 0.1
 )
 
-// lag finds the slow runners of a service: farther behind the middle than chance has
+// findSlow finds the slow runners of a service: farther behind the middle than chance has
 // it.
-func (d *Detector) lag(rs []*endpoints.Runner, ts []*track) {
+func (d *Detector) findSlow(rs []*endpoints.Runner, ts []*track) {
 	for _, w := range windows[:2] {
 		var cs []Count
 		var means, paced []float64
@@ -337,12 +337,12 @@
 		for i := range sorted {
 			sorted[i] = math.Abs(means[i] - mid)
 		}
-		stray := max(1.48*median(sorted), least)
+		maxPaceWeight := max(1.48*median(sorted), minDeviation)
 		jobs := median(paced)
 		for k, m := range means {
 			over := m - mid
 			// The mean of fewer jobs strays farther.
-			if over < math.Log(d.p.Lag) || over < far*stray*max(1, math.Sqrt(jobs/float64(cs[k].Paced))) {
+			if over < math.Log(d.params.SlowFactor) || over < deviations*maxPaceWeight*max(1, math.Sqrt(jobs/float64(cs[k].Paced))) {
 				continue
 			}
 			if d.slow == nil {
@@ -369,17 +369,17 @@
 		return v
 	}
 	for id, t := range d.runners {
-		if e := t.out; e != nil {
-			v.Ejected = append(v.Ejected, Ejected{ID: id, Trial: d.give(e, now)})
+		if e := t.ejection; e != nil {
+			v.Ejected = append(v.Ejected, Ejected{ID: id, Trial: d.allowTrial(e, now)})
 		}
 	}
 	return v
 }
 
-// give tells whether an edge may try an ejected runner: one job at a time, and twice
+// allowTrial tells whether an edge may try an ejected runner: one job at a time, and twice
 // as many after each round without a failure.
-func (d *Detector) give(e *ejection, now time.Time) bool {
-	for len(e.trials) > 0 && now.Sub(e.trials[0]) > d.p.Result {
+func (d *Detector) allowTrial(e *ejection, now time.Time) bool {
+	for len(e.trials) > 0 && now.Sub(e.trials[0]) > d.params.ResultTimeout {
 		e.trials = e.trials[1:]
 	}
 	if now.Before(e.next) || len(e.trials) > e.good {
--- a/internal/dataplane/outlier/outlier.go
+++ b/internal/dataplane/outlier/outlier.go
@@ -41,41 +41,41 @@
 
 // Params are the settings of a detector and a watch.
 type Params struct {
-	Share   float64       // of a service's runners that may be ejected; one always
-	Spare   float64       // times the load that the room of those left must be
-	Chance  float64       // that a healthy runner looks so bad in one window
-	Sure    float64       // that it is one that fails often, and not part of an even trouble
-	Retry   time.Duration // until the first trial of an ejected runner; doubled while it fails
-	Most    time.Duration // until any further trial
-	Trial   time.Duration // how long an edge may put off a trial
-	Result  time.Duration // after which a trial without a result is given to another edge
-	Back    int           // trials without a failure that bring it back
-	Decide  time.Duration // between two decisions
-	Lag     float64       // times the middle of its service's pace from which a runner is slow
-	Suspect time.Duration // how long an edge by itself keeps away from a runner after one failure
-	Hold    time.Duration // how long a verdict stands where no other is heard
-	Hang    time.Duration // the least silence that is a failure of the runner
+	MaxEjectedShare float64       // of a service's runners that may be ejected; one always
+	Headroom        float64       // times the load that the room of those left must be
+	Chance          float64       // that a healthy runner looks so bad in one window
+	Confidence      float64       // that it is one that fails often, and not part of an even trouble
+	Retry           time.Duration // until the first trial of an ejected runner; doubled while it fails
+	MaxRetry        time.Duration // until any further trial
+	Trial           time.Duration // how long an edge may put off a trial
+	ResultTimeout   time.Duration // after which a trial without a result is given to another edge
+	TrialsToReturn  int           // trials without a failure that bring it back
+	Interval        time.Duration // between two decisions
+	SlowFactor      float64       // times the middle of its service's pace from which a runner is slow
+	SuspectTime     time.Duration // how long an edge by itself keeps away from a runner after one failure
+	VerdictLifetime time.Duration // how long a verdict stands where no other is heard
+	MinHang         time.Duration // the least silence that is a failure of the runner
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Share: 0.3, Spare: 1.25, Chance: 1e-7, Sure: 0.9, Retry: time.Second, Most: 3 * time.Second, Trial: time.Second, Result: 2500 * time.Millisecond,
-	Back: 7, Decide: 200 * time.Millisecond, Lag: 2, Suspect: 500 * time.Millisecond, Hold: 3 * time.Second, Hang: time.Second}
+var DefaultParams = Params{MaxEjectedShare: 0.3, Headroom: 1.25, Chance: 1e-7, Confidence: 0.9, Retry: time.Second, MaxRetry: 3 * time.Second, Trial: time.Second, ResultTimeout: 2500 * time.Millisecond,
+	TrialsToReturn: 7, Interval: 200 * time.Millisecond, SlowFactor: 2, SuspectTime: 500 * time.Millisecond, VerdictLifetime: 3 * time.Second, MinHang: time.Second}
 
 // tail is the chance of k or more of n, each with chance p.
-func tail(n, k int, p float64) float64 {
+func tail(n, k int, params float64) float64 {
 	if k <= 0 {
 		return 1
 	}
-	if k > n || p <= 0 {
+	if k > n || params <= 0 {
 		return 0
 	}
 	a, _ := math.Lgamma(float64(n + 1))
 	b, _ := math.Lgamma(float64(k + 1))
 	c, _ := math.Lgamma(float64(n - k + 1))
-	t := math.Exp(a - b - c + float64(k)*math.Log(p) + float64(n-k)*math.Log1p(-p))
+	t := math.Exp(a - b - c + float64(k)*math.Log(params) + float64(n-k)*math.Log1p(-params))
 	sum := t
 	for i := k; i < n && t > sum*1e-9; i++ {
-		t *= float64(n-i) / float64(i+1) * p / (1 - p)
+		t *= float64(n-i) / float64(i+1) * params / (1 - params)
 		sum += t
 	}
 	return min(sum, 1)
@@ -86,7 +86,7 @@
 // grey on it is better to leave the runner.
 var rates = [...]float64{0, 0.02, 0.06, 0.2, 0.35, 0.65, 0.97}
 
-const grey = 3
+const failingRate = 3
 
 // prior is how many runners count for each rate before any was seen.
 var prior = [...]float64{1, 0.2, 0.2, 0.1, 0.1, 0.1, 0.1}
@@ -123,10 +123,10 @@
 				sum += w[j] * like[i][j]
 			}
 			for j := range w {
-				p := w[j] * like[i][j] / sum
-				next[j] += p
-				if j >= grey {
-					bad += p
+				params := w[j] * like[i][j] / sum
+				next[j] += params
+				if j >= failingRate {
+					bad += params
 				}
 			}
 			out[i] = bad
--- a/internal/dataplane/outlier/outlier_test.go
+++ b/internal/dataplane/outlier/outlier_test.go
@@ -18,19 +18,19 @@
 type fleet struct {
 	edges, runners, room int
 	perS                 float64 // jobs a second at one runner
-	p                    Params
+	params               Params
 	fails                func(runner int, at time.Duration) float64 // the chance of a failure
 	pace                 func(runner int, at time.Duration) float64 // times the typical; nil: all alike
 	failure              func(edge, runner int) bool                // one that this edge alone sees
 
-	d       *Detector
-	list    *endpoints.List
-	rnd     *rand.Rand
-	told    []map[string]Count
-	trials  []map[string]bool
-	ejected map[string]bool
-	slow    map[string]float64
-	ever    int // ejections
+	d        *Detector
+	list     *endpoints.List
+	rnd      *rand.Rand
+	reported []map[string]Count
+	trials   []map[string]bool
+	ejected  map[string]bool
+	slow     map[string]float64
+	ever     int // ejections
 }
 
 // The rates of the two grown sites.
@@ -42,17 +42,17 @@
 func (f *fleet) id(i int) string { return fmt.Sprintf("i-%03d", i) }
 
 func (f *fleet) start(seed uint64) {
-	if f.p == (Params{}) {
-		f.p = DefaultParams
+	if f.params == (Params{}) {
+		f.params = DefaultParams
 	}
-	f.d, f.rnd, f.ejected = NewDetector(f.p), rand.New(rand.NewPCG(seed, 1)), map[string]bool{}
+	f.d, f.rnd, f.ejected = NewDetector(f.params), rand.New(rand.NewPCG(seed, 1)), map[string]bool{}
 	var all []endpoints.Runner
 	for i := range f.runners {
-		all = append(all, endpoints.Runner{ID: f.id(i), Service: "svc", Room: f.room})
+		all = append(all, endpoints.Runner{ID: f.id(i), Service: "svc", Capacity: f.room})
 	}
 	f.list = endpoints.NewList(epoch, all)
 	for range f.edges {
-		f.told, f.trials = append(f.told, map[string]Count{}), append(f.trials, map[string]bool{})
+		f.reported, f.trials = append(f.reported, map[string]Count{}), append(f.trials, map[string]bool{})
 	}
 }
 
@@ -78,8 +78,8 @@
 				f.job(e, i, at)
 				delete(f.trials[e], id)
 			}
-			f.d.Tell(f.id(1000+e), f.told[e], now)
-			f.told[e] = map[string]Count{}
+			f.d.Report(f.id(1000+e), f.reported[e], now)
+			f.reported[e] = map[string]Count{}
 			f.d.Decide(f.list, f.load, now)
 			v := f.d.Verdict(now)
 			was := f.ejected
@@ -108,7 +108,7 @@
 }
 
 func (f *fleet) job(e, i int, at time.Duration) {
-	c := f.told[e][f.id(i)]
+	c := f.reported[e][f.id(i)]
 	c.Ended++
 	if f.failure != nil && f.failure(e, i) || f.rnd.Float64() < f.fails(i, at) {
 		c.Failures++
@@ -120,7 +120,7 @@
 		}
 		c.Pace += x
 	}
-	f.told[e][f.id(i)] = c
+	f.reported[e][f.id(i)] = c
 }
 
 func poisson(r *rand.Rand, mean float64) int {
@@ -165,9 +165,9 @@
 		var in, back []float64
 		for seed := range uint64(runs) {
 			f := make()
-			ill, well := 20*time.Second, 27*time.Second
+			failing, well := 20*time.Second, 27*time.Second
 			f.fails = func(i int, at time.Duration) float64 {
-				if i == 7 && at >= ill && at < well {
+				if i == 7 && at >= failing && at < well {
 					return 0.3
 				}
 				return 0.0002
@@ -177,7 +177,7 @@
 			f.run(0, 40*time.Second, func(at time.Duration) bool {
 				switch x := f.ejected[f.id(7)]; {
 				case x && out == 0:
-					out = at - ill
+					out = at - failing
 				case !x && at >= well && home == 0:
 					home = at - well
 				}
@@ -204,8 +204,8 @@
 			}
 		}
 		t.Logf("%d within 2 s, %d back within 5 s", quick, soon)
-		if least := map[float64]int{5.5: 26, 10: 34}[make().perS]; quick < least || len(in) < runs-1 || soon < runs {
-			t.Errorf("of %d: %d out within 2 s, want %d; %d out at all; %d back within 5 s", runs, quick, least, len(in), soon)
+		if minDeviation := map[float64]int{5.5: 26, 10: 34}[make().perS]; quick < minDeviation || len(in) < runs-1 || soon < runs {
+			t.Errorf("of %d: %d out within 2 s, want %d; %d out at all; %d back within 5 s", runs, quick, minDeviation, len(in), soon)
 		}
 	})
 }
@@ -223,9 +223,9 @@
 func TestGroup(t *testing.T) {
 	sites(t, func(t *testing.T, make func() *fleet) {
 		f := make()
-		ill := func(i int) bool { return i%8 == 0 }
+		failing := func(i int) bool { return i%8 == 0 }
 		f.fails = func(i int, at time.Duration) float64 {
-			if ill(i) && at > 20*time.Second {
+			if failing(i) && at > 20*time.Second {
 				return 0.34
 			}
 			return 0.0002
@@ -235,7 +235,7 @@
 		n, wrong := 0, 0
 		for i := range f.runners {
 			switch {
-			case f.ejected[f.id(i)] && ill(i):
+			case f.ejected[f.id(i)] && failing(i):
 				n++
 			case f.ejected[f.id(i)]:
 				wrong++
@@ -375,7 +375,7 @@
 func TestBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(rt, "runners")
-		room := rapid.IntRange(1, 8).Draw(rt, "room")
+		capacity := rapid.IntRange(1, 8).Draw(rt, "room")
 		d := NewDetector(DefaultParams)
 		now := epoch
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
@@ -384,12 +384,12 @@
 			n = max(1, n+rapid.IntRange(-2, 2).Draw(rt, "more"))
 			var all []endpoints.Runner
 			load := map[string]int{}
-			busy := 0
+			total := 0
 			for i := range n {
 				id := fmt.Sprint(i)
-				all = append(all, endpoints.Runner{ID: id, Service: "svc", Room: room})
-				load[id] = rapid.IntRange(0, room).Draw(rt, "load")
-				busy += load[id]
+				all = append(all, endpoints.Runner{ID: id, Service: "svc", Capacity: capacity})
+				load[id] = rapid.IntRange(0, capacity).Draw(rt, "load")
+				total += load[id]
 			}
 			for _, e := range []string{"e1", "e2"} {
 				cs := map[string]Count{}
@@ -400,7 +400,7 @@
 					}
 					cs[fmt.Sprint(i)] = c
 				}
-				d.Tell(e, cs, now)
+				d.Report(e, cs, now)
 			}
 			d.Decide(endpoints.NewList(now, all), func() map[string]int { return load }, now)
 			if now.Sub(d.decided) > 0 {
@@ -410,8 +410,8 @@
 			if most := max(1, int(0.3*float64(n))); out > most || out >= n && out > 0 {
 				rt.Fatalf("%d of %d are out", out, n)
 			}
-			if left := (n - out) * room; out > 0 && float64(left) < 1.25*float64(busy) {
-				rt.Fatalf("a room of %d for a load of %d", left, busy)
+			if left := (n - out) * capacity; out > 0 && float64(left) < 1.25*float64(total) {
+				rt.Fatalf("a room of %d for a load of %d", left, total)
 			}
 		}
 	})
@@ -421,7 +421,7 @@
 // fails, and is back after some without a failure.
 func TestTrials(t *testing.T) {
 	d := NewDetector(DefaultParams)
-	l := endpoints.NewList(epoch, []endpoints.Runner{{ID: "a", Service: "s", Room: 4}, {ID: "b", Service: "s", Room: 4}, {ID: "c", Service: "s", Room: 4}})
+	l := endpoints.NewList(epoch, []endpoints.Runner{{ID: "a", Service: "s", Capacity: 4}, {ID: "b", Service: "s", Capacity: 4}, {ID: "c", Service: "s", Capacity: 4}})
 	idle := func() map[string]int { return nil }
 	now := epoch
 	d.Adopt([]string{"a"}, now)
@@ -439,7 +439,7 @@
 		if given() {
 			at = append(at, now.Sub(last))
 			last = now
-			d.Tell("e", map[string]Count{"a": {Ended: 1, Failures: 1}}, now)
+			d.Report("e", map[string]Count{"a": {Ended: 1, Failures: 1}}, now)
 		}
 	}
 	if fmt.Sprint(at) != "[1s 2s 3s 3s 3s]" {
@@ -449,10 +449,10 @@
 	for end := now.Add(20 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		if given() {
 			n++
-			d.Tell("e", map[string]Count{"a": {Ended: 1}}, now)
+			d.Report("e", map[string]Count{"a": {Ended: 1}}, now)
 		}
 	}
-	if n != DefaultParams.Back || len(d.Verdict(now).Ejected) > 0 {
+	if n != DefaultParams.TrialsToReturn || len(d.Verdict(now).Ejected) > 0 {
 		t.Errorf("%d trials, %v", n, d.Verdict(now))
 	}
 }
@@ -462,15 +462,15 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(rt, "n")
 		k := rapid.IntRange(0, n).Draw(rt, "k")
-		p := rapid.Float64Range(1e-4, 0.9).Draw(rt, "p")
+		params := rapid.Float64Range(1e-4, 0.9).Draw(rt, "p")
 		// By adding up one job after the other.
 		dist := make([]float64, n+1)
 		dist[0] = 1
 		for range n {
 			for i := n; i >= 0; i-- {
-				dist[i] *= 1 - p
+				dist[i] *= 1 - params
 				if i > 0 {
-					dist[i] += dist[i-1] * p
+					dist[i] += dist[i-1] * params
 				}
 			}
 		}
@@ -478,7 +478,7 @@
 		for _, x := range dist[k:] {
 			want += x
 		}
-		if got := tail(n, k, p); math.Abs(got-want) > 1e-6*want+1e-12 {
+		if got := tail(n, k, params); math.Abs(got-want) > 1e-6*want+1e-12 {
 			rt.Fatalf("%v, want %v", got, want)
 		}
 	})
@@ -489,9 +489,9 @@
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatch(DefaultParams)
-		doubts := func(once, repeatable Doubt) {
+		doubts := func(once, repeatable Suspicion) {
 			t.Helper()
-			if a, b := w.Doubt("a", false), w.Doubt("a", true); a != once || b != repeatable {
+			if a, b := w.Suspicion("a", false), w.Suspicion("a", true); a != once || b != repeatable {
 				t.Errorf("doubts %d and %d, want %d and %d", a, b, once, repeatable)
 			}
 		}
@@ -504,16 +504,16 @@
 		doubts(None, None)
 		w.Failure("a")
 		doubts(Often, Often)
-		w.Good("a", Took{})
+		w.Success("a", Duration{})
 		doubts(None, None)
-		w.Hear(Verdict{Ejected: []Ejected{{ID: "a", Trial: true}, {ID: "b"}}})
+		w.Update(Verdict{Ejected: []Ejected{{ID: "a", Trial: true}, {ID: "b"}}})
 		doubts(Out, Out)
 		if w.Trial("b", true) || w.Trial("a", false) || !w.Trial("a", true) || w.Trial("a", true) {
 			t.Error("trials")
 		}
-		time.Sleep(DefaultParams.Hold)
+		time.Sleep(DefaultParams.VerdictLifetime)
 		doubts(None, None)
-		if c := w.Take()["a"]; c.Ended != 3 || c.Failures != 2 {
+		if c := w.TakeCounts()["a"]; c.Ended != 3 || c.Failures != 2 {
 			t.Errorf("counted %+v", c)
 		}
 	})
@@ -524,13 +524,13 @@
 	w := NewWatch(DefaultParams)
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		w.Good("a", Took{Path: "p", First: time.Duration(float64(100*time.Millisecond) * math.Exp(0.3*r.NormFloat64()))})
+		w.Success("a", Duration{Path: "p", First: time.Duration(float64(100*time.Millisecond) * math.Exp(0.3*r.NormFloat64()))})
 	}
-	w.Take()
+	w.TakeCounts()
 	for range 20 {
-		w.Good("slow", Took{Path: "p", First: 600 * time.Millisecond})
+		w.Success("slow", Duration{Path: "p", First: 600 * time.Millisecond})
 	}
-	c := w.Take()["slow"]
+	c := w.TakeCounts()["slow"]
 	if x := math.Exp(c.Pace / float64(c.Paced)); c.Paced != 20 || x < 3 || x > 7 {
 		t.Errorf("%d jobs, %.2f times the middle", c.Paced, x)
 	}
--- a/internal/dataplane/outlier/watch.go
+++ b/internal/dataplane/outlier/watch.go
@@ -8,39 +8,39 @@
 
 // Watch is what one edge saw of the runners, and what it heard of them.
 type Watch struct {
-	p Params
+	params Params
 
-	mu      sync.Mutex
-	counts  map[string]Count // not told yet
-	own     map[string]*own
-	typical map[string]*typical // by path
-	ejected map[string]bool
-	trials  map[string]time.Time // may be tried until
-	slow    map[string]float64
-	heard   time.Time
+	mu        sync.Mutex
+	counts    map[string]Count // not told yet
+	local     map[string]*local
+	typical   map[string]*typical // by path
+	ejected   map[string]bool
+	trials    map[string]time.Time // may be tried until
+	slow      map[string]float64
+	updatedAt time.Time
 }
 
-// own is what this edge saw of one runner.
-type own struct {
-	row   int // failures in a row
-	until time.Time
-	last  time.Time
+// local is what this edge saw of one runner.
+type local struct {
+	consecutive int // failures in a row
+	until       time.Time
+	last        time.Time
 }
 
 // NewWatch makes a watch that saw nothing.
-func NewWatch(p Params) *Watch {
-	return &Watch{p: p, counts: map[string]Count{}, own: map[string]*own{}, typical: map[string]*typical{}, ejected: map[string]bool{}, trials: map[string]time.Time{}}
+func NewWatch(params Params) *Watch {
+	return &Watch{params: params, counts: map[string]Count{}, local: map[string]*local{}, typical: map[string]*typical{}, ejected: map[string]bool{}, trials: map[string]time.Time{}}
 }
 
-// Took is how long a job took: until its first byte, and between its events where it
+// Duration is how long a job took: until its first byte, and between its events where it
 // has some.
-type Took struct {
+type Duration struct {
 	Path           string
 	First, Between time.Duration
 }
 
-// Good counts a job that ended as it should.
-func (w *Watch) Good(id string, t Took) {
+// Success counts a job that ended as it should.
+func (w *Watch) Success(id string, t Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts[id]
@@ -50,7 +50,7 @@
 		c.Pace += x
 	}
 	w.counts[id] = c
-	delete(w.own, id)
+	delete(w.local, id)
 }
 
 // Failure counts a job that the runner failed.
@@ -61,44 +61,44 @@
 	c.Ended++
 	c.Failures++
 	w.counts[id] = c
-	o := w.own[id]
+	o := w.local[id]
 	if o == nil {
-		o = &own{}
-		w.own[id] = o
+		o = &local{}
+		w.local[id] = o
 	}
-	o.row++
+	o.consecutive++
 	o.last = time.Now()
-	o.until = o.last.Add(min(w.p.Suspect<<min(o.row-1, 10), w.p.Most))
+	o.until = o.last.Add(min(w.params.SuspectTime<<min(o.consecutive-1, 10), w.params.MaxRetry))
 }
 
 // Hung tells whether a silence is the runner's: one much longer than is typical.
-func (w *Watch) Hung(path string, silent time.Duration) bool {
+func (w *Watch) Hung(path string, idle time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t := w.typical[path]
-	return t != nil && t.n >= enough && silent >= w.p.Hang && silent.Seconds() > 8*math.Exp(t.first.mid)
+	return t != nil && t.n >= minSamples && idle >= w.params.MinHang && idle.Seconds() > 8*math.Exp(t.first.median)
 }
 
-// Doubt is how much this edge doubts a runner.
-type Doubt int
+// Suspicion is how much this edge doubts a runner.
+type Suspicion int
 
 // The doubts.
 const (
-	None  Doubt = iota
-	Once        // one failure just now
-	Often       // several in a row
-	Out         // ejected, by the word of all
+	None  Suspicion = iota
+	Once            // one failure just now
+	Often           // several in a row
+	Out             // ejected, by the word of all
 )
 
-// Doubt tells how much a runner is to be kept away from. What may be repeated may
+// Suspicion tells how much a runner is to be kept away from. What may be repeated may
 // go there again earlier, and finds out.
-func (w *Watch) Doubt(id string, repeatable bool) Doubt {
+func (w *Watch) Suspicion(id string, repeatable bool) Suspicion {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.ejected) > 0 && w.ejected[id] && time.Since(w.heard) < w.p.Hold {
+	if len(w.ejected) > 0 && w.ejected[id] && time.Since(w.updatedAt) < w.params.VerdictLifetime {
 		return Out
 	}
-	o := w.own[id]
+	o := w.local[id]
 	if o == nil {
 		return None
 	}
@@ -109,7 +109,7 @@
 	switch {
 	case left <= 0:
 		return None
-	case o.row == 1:
+	case o.consecutive == 1:
 		return Once
 	}
 	return Often
@@ -125,7 +125,7 @@
 		return false
 	}
 	left := time.Until(until)
-	if left > 0 && !eager && left > w.p.Trial*3/4 {
+	if left > 0 && !eager && left > w.params.Trial*3/4 {
 		return false
 	}
 	delete(w.trials, id)
@@ -136,22 +136,22 @@
 func (w *Watch) Slow(id string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.slow) == 0 || time.Since(w.heard) > w.p.Hold {
+	if len(w.slow) == 0 || time.Since(w.updatedAt) > w.params.VerdictLifetime {
 		return 1
 	}
 	return max(w.slow[id], 1)
 }
 
-// Hear takes a verdict.
-func (w *Watch) Hear(v Verdict) {
+// Update takes a verdict.
+func (w *Watch) Update(v Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.heard = time.Now()
+	w.updatedAt = time.Now()
 	clear(w.ejected)
 	for _, e := range v.Ejected {
 		w.ejected[e.ID] = true
 		if e.Trial {
-			w.trials[e.ID] = w.heard.Add(w.p.Trial)
+			w.trials[e.ID] = w.updatedAt.Add(w.params.Trial)
 		}
 	}
 	for id := range w.trials {
@@ -167,7 +167,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
-	if time.Since(w.heard) < w.p.Hold {
+	if time.Since(w.updatedAt) < w.params.VerdictLifetime {
 		for id := range w.ejected {
 			out = append(out, id)
 		}
@@ -175,8 +175,8 @@
 	return out
 }
 
-// Take gives what was counted since it was last called.
-func (w *Watch) Take() map[string]Count {
+// TakeCounts gives what was counted since it was last called.
+func (w *Watch) TakeCounts() map[string]Count {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.counts) == 0 {
@@ -187,8 +187,8 @@
 	return out
 }
 
-// Return gives back what could not be told.
-func (w *Watch) Return(cs map[string]Count) {
+// RestoreCounts gives back what could not be told.
+func (w *Watch) RestoreCounts(cs map[string]Count) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, c := range cs {
@@ -197,13 +197,13 @@
 	}
 }
 
-// Sweep forgets runners that are not on the list any more.
-func (w *Watch) Sweep(on func(id string) bool) {
+// Retain forgets runners that are not on the list any more.
+func (w *Watch) Retain(on func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id := range w.own {
+	for id := range w.local {
 		if !on(id) {
-			delete(w.own, id)
+			delete(w.local, id)
 		}
 	}
 	for id := range w.counts {
@@ -215,37 +215,37 @@
 
 // typical is what is usual of a path on this edge.
 type typical struct {
-	first, between middle
+	first, between runningMedian
 	n              int
 }
 
-// enough jobs make a path's middle known.
-const enough = 8
+// minSamples jobs make a path's middle known.
+const minSamples = 8
 
-// middle follows the median of logarithms.
-type middle struct {
-	mid float64
-	n   int
+// runningMedian follows the median of logarithms.
+type runningMedian struct {
+	median float64
+	n      int
 }
 
-// take gives how far a time is from the middle so far, which it moves.
-func (m *middle) take(d time.Duration) float64 {
+// deviation gives how far a time is from the middle so far, which it moves.
+func (m *runningMedian) deviation(d time.Duration) float64 {
 	x := math.Log(max(d.Seconds(), 1e-4))
 	if m.n++; m.n == 1 {
-		m.mid = x
+		m.median = x
 		return 0
 	}
-	off := x - m.mid
-	m.mid += math.Copysign(min(math.Abs(off), max(1/float64(m.n), 0.04)), off)
+	off := x - m.median
+	m.median += math.Copysign(min(math.Abs(off), max(1/float64(m.n), 0.04)), off)
 	return off
 }
 
-// stray bounds one job's weight in a runner's pace.
-const stray = 3.5
+// maxPaceWeight bounds one job's weight in a runner's pace.
+const maxPaceWeight = 3.5
 
 // pace tells how a job's time is to what is typical of its path: of its first byte
 // and its events whichever is better, for only a runner that is slow is late with both.
-func (w *Watch) pace(t Took) (float64, bool) {
+func (w *Watch) pace(t Duration) (float64, bool) {
 	if t.Path == "" || t.First <= 0 {
 		return 0, false
 	}
@@ -255,9 +255,9 @@
 		w.typical[t.Path] = m
 	}
 	m.n++
-	x := m.first.take(t.First)
+	x := m.first.deviation(t.First)
 	if t.Between > 0 {
-		x = min(x, m.between.take(t.Between))
+		x = min(x, m.between.deviation(t.Between))
 	}
-	return max(min(x, stray), -stray), m.n > enough
+	return max(min(x, maxPaceWeight), -maxPaceWeight), m.n > minSamples
 }
--- a/internal/dataplane/policy/policy.go
+++ b/internal/dataplane/policy/policy.go
@@ -73,7 +73,7 @@
 // see is what a program may see of a job.
 func see(c *job.Ctx) *script.Job {
 	class, _, _ := strings.Cut(c.Program, "/")
-	n := len(c.Words)
+	n := len(c.Prompt)
 	for _, l := range c.History {
 		n += len(l.Words) + len(l.Answer)
 	}
@@ -81,8 +81,8 @@
 		Left: c.Left().Seconds(), Words: int64(n), Output: c.Most, Parts: c.Parts}
 }
 
-// Desk knows which policy is in force for a job.
-type Desk struct {
+// Selector knows which policy is in force for a job.
+type Selector struct {
 	cluster *cluster.Cluster
 	log     hclog.Logger
 	// Fallbacks counts decisions in which a program failed.
@@ -95,12 +95,12 @@
 }
 
 // New makes a desk.
-func New(r *cluster.Cluster, log hclog.Logger) *Desk { return &Desk{cluster: r, log: log} }
+func New(r *cluster.Cluster, log hclog.Logger) *Selector { return &Selector{cluster: r, log: log} }
 
 // For is the policy for a job's program: every node decides alike, by a hash of
 // the program's name.
-func (d *Desk) For(c *job.Ctx) Policy {
-	v := d.cluster.Now()
+func (selector *Selector) For(c *job.Ctx) Policy {
+	v := selector.cluster.Now()
 	l := v.Spec.Live
 	if l == nil {
 		return builtin{}
@@ -110,44 +110,44 @@
 	if int(h.Sum32()%100) >= l.Share {
 		return builtin{}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.ver != v.Version {
-		d.ver, d.live = v.Version, nil
+	selector.mu.Lock()
+	defer selector.mu.Unlock()
+	if selector.ver != v.Version {
+		selector.ver, selector.live = v.Version, nil
 		if p, ok := v.Spec.Policy(l.Policy); ok {
 			s, err := v.Spec.Load(p)
 			if err != nil {
 				// The core has checked it; another version of this program may not
 				// know all that it knows.
-				d.log.Error("policy not loaded, the built-in decides", "policy", p.Name, "err", err)
+				selector.log.Error("policy not loaded, the built-in decides", "policy", p.Name, "err", err)
 			} else {
-				d.live = &program{name: p.Name, s: s}
+				selector.live = &program{name: p.Name, s: s}
 			}
 		}
 	}
-	if d.live == nil {
+	if selector.live == nil {
 		return builtin{}
 	}
-	return d.live
+	return selector.live
 }
 
 // fell counts and tells of a program that failed, not more than once a second.
-func (d *Desk) fell(p Policy, err error) {
-	d.Fallbacks.Add(1)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if time.Since(d.said) > time.Second {
-		d.said = time.Now()
-		d.log.Warn("policy failed, the built-in decides", "policy", p.Name(), "err", err, "times", d.Fallbacks.Load())
+func (selector *Selector) fell(p Policy, err error) {
+	selector.Fallbacks.Add(1)
+	selector.mu.Lock()
+	defer selector.mu.Unlock()
+	if time.Since(selector.said) > time.Second {
+		selector.said = time.Now()
+		selector.log.Warn("policy failed, the built-in decides", "policy", p.Name(), "err", err, "times", selector.Fallbacks.Load())
 	}
 }
 
 // Order is a job's place within its class.
-func (d *Desk) Order(c *job.Ctx) float64 {
-	p := d.For(c)
+func (selector *Selector) Order(c *job.Ctx) float64 {
+	p := selector.For(c)
 	n, err := p.Order(c)
 	if err != nil {
-		d.fell(p, err)
+		selector.fell(p, err)
 		n, _ = builtin{}.Order(c)
 	}
 	return n
@@ -155,12 +155,12 @@
 
 // Pick gives the place of the best of rs, and how it came to be: all ranks are
 // one policy's, or all the built-in's.
-func (d *Desk) Pick(c *job.Ctx, rs []script.Runner) (int, job.Why) {
-	p := d.For(c)
-	why, err := rank(p, c, rs)
+func (selector *Selector) Pick(c *job.Ctx, rs []script.Runner) (int, job.Why) {
+	p := selector.For(c)
+	why, err := rankRunners(p, c, rs)
 	if err != nil {
-		d.fell(p, err)
-		why, _ = rank(builtin{}, c, rs)
+		selector.fell(p, err)
+		why, _ = rankRunners(builtin{}, c, rs)
 		why.Policy = p.Name() + ", which failed: " + Builtin
 	}
 	best := 0
@@ -172,7 +172,7 @@
 	return best, why
 }
 
-func rank(p Policy, c *job.Ctx, rs []script.Runner) (job.Why, error) {
+func rankRunners(p Policy, c *job.Ctx, rs []script.Runner) (job.Why, error) {
 	why := job.Why{Policy: p.Name(), Ranks: make([]job.Rank, len(rs))}
 	for i := range rs {
 		n, err := p.Rank(c, &rs[i])
--- a/internal/dataplane/proxy/budget.go
+++ b/internal/dataplane/proxy/budget.go
@@ -18,12 +18,12 @@
 // all nodes: a turn reserves the most it may put out, and settles to what it did.
 // What nobody settles counts as spent.
 type Budgets struct {
-	t   *storeclient.Client
-	p   BudgetParams
-	bg  job.Bg
-	mu  sync.Mutex
-	due map[string]map[string]settlement // not yet written, by program and try
-	at  [64]chan struct{}                // changes of one program from this node take turns; each holds a token
+	stores     *storeclient.Client
+	params     BudgetParams
+	background job.Background
+	mu         sync.Mutex
+	pending    map[string]map[string]settlement // not yet written, by program and try
+	locks      [64]chan struct{}                // changes of one program from this node take turns; each holds a token
 }
 
 // settlement is what a turn put out, and where.
@@ -34,20 +34,20 @@
 
 // BudgetParams are the times of budgets.
 type BudgetParams struct {
-	Pre    time.Duration // for reserving
-	Settle time.Duration // how long a settlement waits for the program's next turn
-	Write  time.Duration // for one try at writing it
+	ReadTimeout  time.Duration // for reserving
+	CommitDelay  time.Duration // how long a settlement waits for the program's next turn
+	WriteTimeout time.Duration // for one try at writing it
 }
 
 // DefaultBudgets are the design's.
-var DefaultBudgets = BudgetParams{Pre: 800 * time.Millisecond, Settle: 200 * time.Millisecond, Write: time.Second}
+var DefaultBudgets = BudgetParams{ReadTimeout: 800 * time.Millisecond, CommitDelay: 200 * time.Millisecond, WriteTimeout: time.Second}
 
 // NewBudgets makes the keeper of budgets.
-func NewBudgets(p BudgetParams, t *storeclient.Client, bg job.Bg) *Budgets {
-	c := &Budgets{t: t, p: p, bg: bg, due: map[string]map[string]settlement{}}
-	for i := range c.at {
-		c.at[i] = make(chan struct{}, 1)
-		c.at[i] <- struct{}{}
+func NewBudgets(p BudgetParams, t *storeclient.Client, bg job.Background) *Budgets {
+	c := &Budgets{stores: t, params: p, background: bg, pending: map[string]map[string]settlement{}}
+	for i := range c.locks {
+		c.locks[i] = make(chan struct{}, 1)
+		c.locks[i] <- struct{}{}
 	}
 	return c
 }
@@ -68,18 +68,18 @@
 // change makes f's change of a program's budget together with the settlements due.
 func (p *Budgets) change(ctx context.Context, program string, f func(*budget.Value) error) (budget.Value, error) {
 	// Nobody waits for his turn longer than for the change itself.
-	l := p.at[weigh(program, "")%uint64(len(p.at))]
+	l := p.locks[weigh(program, "")%uint64(len(p.locks))]
 	if !loop.Until(ctx, l) {
 		return budget.Value{}, code.New(code.StoresUnreachable, "other changes of budgets are under way: %w", ctx.Err())
 	}
 	defer func() { l <- struct{}{} }()
 	p.mu.Lock()
 	due := map[string]settlement{}
-	for k, n := range p.due[program] {
+	for k, n := range p.pending[program] {
 		due[k] = n
 	}
 	p.mu.Unlock()
-	st, err := p.t.Change(ctx, budgetKey(program), func(st register.State) ([]byte, bool, error) {
+	st, err := p.stores.Change(ctx, budgetKey(program), func(st register.State) ([]byte, bool, error) {
 		v, err := readBudget(st)
 		if err != nil {
 			return nil, false, err
@@ -102,10 +102,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range due {
-		delete(p.due[program], id)
+		delete(p.pending[program], id)
 	}
-	if len(p.due[program]) == 0 {
-		delete(p.due, program)
+	if len(p.pending[program]) == 0 {
+		delete(p.pending, program)
 	}
 	return readBudget(st)
 }
@@ -114,13 +114,13 @@
 // does not hold it.
 func (p *Budgets) Reserve(ctx context.Context, j *Job) error {
 	v, err := p.change(ctx, j.Program, func(v *budget.Value) error {
-		if _, ok := v.Open[j.Try]; ok {
+		if _, ok := v.Open[j.Attempt]; ok {
 			return nil
 		}
 		if v.All()+j.Most > j.Budget {
 			return code.New(code.BudgetSpent, "%d of %d are spent or reserved, the turn may put out %d", v.All(), j.Budget, j.Most)
 		}
-		return v.Reserve(j.Try, j.Most, j.Budget)
+		return v.Reserve(j.Attempt, j.Most, j.Budget)
 	})
 	if err == nil {
 		j.Home, j.Homed = v.Home, true
@@ -128,34 +128,34 @@
 	return err
 }
 
-// Settle writes down what a turn put out, with the program's next turn or soon.
-func (p *Budgets) Settle(program, try string, spent int64, home string) {
+// Commit writes down what a turn put out, with the program's next turn or soon.
+func (p *Budgets) Commit(program, try string, spent int64, home string) {
 	p.mu.Lock()
-	first := p.due[program] == nil
+	first := p.pending[program] == nil
 	if first {
-		p.due[program] = map[string]settlement{}
+		p.pending[program] = map[string]settlement{}
 	}
-	p.due[program][try] = settlement{spent, home}
+	p.pending[program][try] = settlement{spent, home}
 	p.mu.Unlock()
 	if !first {
 		return
 	}
-	p.bg.Go(func() {
+	p.background.Go(func() {
 		// One that waits already takes this along.
 		for try := 0; try < 60; try++ {
 			if try == 0 {
-				loop.Wait(p.bg.Ctx, p.p.Settle)
+				loop.Wait(p.background.Ctx, p.params.CommitDelay)
 			}
 			p.mu.Lock()
-			n := len(p.due[program])
+			n := len(p.pending[program])
 			p.mu.Unlock()
 			if n == 0 {
 				return
 			}
-			ctx, stop := context.WithTimeout(context.WithoutCancel(p.bg.Ctx), p.p.Write)
+			ctx, stop := context.WithTimeout(context.WithoutCancel(p.background.Ctx), p.params.WriteTimeout)
 			_, err := p.change(ctx, program, func(*budget.Value) error { return nil })
 			stop()
-			if err != nil && !loop.Wait(p.bg.Ctx, 250*time.Millisecond) {
+			if err != nil && !loop.Wait(p.background.Ctx, 250*time.Millisecond) {
 				return
 			}
 		}
@@ -163,13 +163,13 @@
 }
 
 // Do is the policy.
-func (p *Budgets) Do(j *Job, w *Out, next Next) Answer {
+func (p *Budgets) Do(j *Job, w *Response, next Next) Answer {
 	if j.Program == "" || j.Budget <= 0 || j.Most <= 0 {
 		return next(j, w)
 	}
-	ctx, stop := context.WithTimeout(j, min(p.p.Pre, j.Left()))
+	ctx, stop := context.WithTimeout(j, min(p.params.ReadTimeout, j.Left()))
 	unsure := false // one of the tries may have reserved it
-	err := again(ctx, func() error {
+	err := retryAtStores(ctx, func() error {
 		err := p.Reserve(ctx, j)
 		unsure = unsure || code.Of(err) == code.OutcomeUnknown
 		return err
@@ -177,7 +177,7 @@
 	stop()
 	if err != nil && unsure {
 		// Perhaps it is reserved; nothing was sent, so it is handed back.
-		p.Settle(j.Program, j.Try, 0, "")
+		p.Commit(j.Program, j.Attempt, 0, "")
 	}
 	switch {
 	case code.Of(err) == code.OutcomeUnknown:
@@ -187,6 +187,6 @@
 	}
 	a := next(j, w)
 	// What the caller was handed, whatever became of the rest.
-	p.Settle(j.Program, j.Try, int64(w.Events())*j.perEvent(), w.ran)
+	p.Commit(j.Program, j.Attempt, int64(w.Events())*j.perEvent(), w.runner)
 	return a
 }
--- a/internal/dataplane/proxy/conversation.go
+++ b/internal/dataplane/proxy/conversation.go
@@ -15,31 +15,31 @@
 
 // TurnParams are the times and bounds of kept turns.
 type TurnParams struct {
-	Read  time.Duration // for fetching what this node lacks of a chain
-	Late  time.Duration // for keeping a turn whose own deadline has passed
-	Slack time.Duration // a turn is kept this much longer than promised, so that those after it seldom renew it
-	Bytes int           // of turns remembered by this node
+	ReadTimeout      time.Duration // for fetching what this node lacks of a chain
+	LateWriteTimeout time.Duration // for keeping a turn whose own deadline has passed
+	ExtraRetention   time.Duration // a turn is kept this much longer than promised, so that those after it seldom renew it
+	CacheBytes       int           // of turns remembered by this node
 }
 
 // DefaultTurns are the design's.
-var DefaultTurns = TurnParams{Read: time.Second, Late: time.Second, Slack: 4 * time.Minute, Bytes: 8 << 20}
+var DefaultTurns = TurnParams{ReadTimeout: time.Second, LateWriteTimeout: time.Second, ExtraRetention: 4 * time.Minute, CacheBytes: 8 << 20}
 
 // Turns keeps conversations as deltas: of each turn what it brought and what
 // came of it, with the names of all before it. A turn is at a majority of its
 // stores before its answer ends.
 type Turns struct {
-	t *storeclient.Client
-	p TurnParams
+	stores *storeclient.Client
+	params TurnParams
 
-	mu   sync.Mutex
-	have map[string]*list.Element
-	late *list.List // least lately used last
-	size int
+	mu          sync.Mutex
+	cached      map[string]*list.Element
+	leastRecent *list.List // least lately used last
+	size        int
 }
 
 // NewTurns makes the keeper of turns.
 func NewTurns(p TurnParams, t *storeclient.Client) *Turns {
-	return &Turns{t: t, p: p, have: map[string]*list.Element{}, late: list.New()}
+	return &Turns{stores: t, params: p, cached: map[string]*list.Element{}, leastRecent: list.New()}
 }
 
 // turn is one kept turn as this node remembers it; it is never changed.
@@ -56,27 +56,27 @@
 func (c *Turns) get(id string) *turn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.have[id]
+	e := c.cached[id]
 	if e == nil {
 		return nil
 	}
-	c.late.MoveToFront(e)
+	c.leastRecent.MoveToFront(e)
 	return e.Value.(*turn)
 }
 
 func (c *Turns) remember(t *turn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.have[t.id]; e != nil {
+	if e := c.cached[t.id]; e != nil {
 		c.size -= e.Value.(*turn).bytes()
-		c.late.Remove(e)
+		c.leastRecent.Remove(e)
 	}
-	c.have[t.id] = c.late.PushFront(t)
-	for c.size += t.bytes(); c.size > c.p.Bytes && c.late.Len() > 1; {
-		e := c.late.Back()
+	c.cached[t.id] = c.leastRecent.PushFront(t)
+	for c.size += t.bytes(); c.size > c.params.CacheBytes && c.leastRecent.Len() > 1; {
+		e := c.leastRecent.Back()
 		old := e.Value.(*turn)
-		c.late.Remove(e)
-		delete(c.have, old.id)
+		c.leastRecent.Remove(e)
+		delete(c.cached, old.id)
 		c.size -= old.bytes()
 	}
 }
@@ -88,7 +88,7 @@
 		return t, nil
 	}
 	asked := time.Now()
-	b, left, err := c.t.GetBlobTimeLeft(ctx, turnKey(id))
+	b, left, err := c.stores.GetBlobTimeLeft(ctx, turnKey(id))
 	if err != nil {
 		return nil, err
 	}
@@ -147,17 +147,17 @@
 	var renewed []*turn
 	put := func(t *turn) {
 		b := wire.MustEncode(t.Turn)
-		errs <- again(ctx, func() error { return c.t.PutBlob(ctx, turnKey(t.id), b, keep+c.p.Slack) })
+		errs <- retryAtStores(ctx, func() error { return c.stores.PutBlob(ctx, turnKey(t.id), b, keep+c.params.ExtraRetention) })
 	}
 	for _, b := range chain {
-		if b.until.Before(now.Add(keep + 2*c.p.Late)) {
+		if b.until.Before(now.Add(keep + 2*c.params.LateWriteTimeout)) {
 			n++
-			fresh := &turn{id: b.id, until: now.Add(keep + c.p.Slack), Turn: b.Turn}
-			go put(fresh)
-			renewed = append(renewed, fresh)
+			copied := &turn{id: b.id, until: now.Add(keep + c.params.ExtraRetention), Turn: b.Turn}
+			go put(copied)
+			renewed = append(renewed, copied)
 		}
 	}
-	t.until = now.Add(keep + c.p.Slack)
+	t.until = now.Add(keep + c.params.ExtraRetention)
 	go put(t)
 	var err error
 	for range n {
@@ -178,15 +178,15 @@
 
 // Do is the policy: the runner gets the whole chain, and the answer ends only
 // once the turn is kept.
-func (c *Turns) Do(j *Job, w *Out, next Next) Answer {
+func (c *Turns) Do(j *Job, w *Response, next Next) Answer {
 	if !j.Path.Kept {
 		return next(j, w)
 	}
 	var chain []*turn
 	in := j.Body
 	if j.Follows != "" {
-		ctx, stop := context.WithTimeout(j, min(c.p.Read, j.Left()))
-		err := again(ctx, func() (err error) {
+		ctx, stop := context.WithTimeout(j, min(c.params.ReadTimeout, j.Left()))
+		err := retryAtStores(ctx, func() (err error) {
 			chain, err = c.Chain(ctx, j.Follows)
 			return err
 		})
@@ -207,29 +207,29 @@
 	if a.Err != nil || !a.Good {
 		return a
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(j), max(min(j.Left(), 2*c.p.Late), c.p.Late))
+	ctx, stop := context.WithTimeout(context.WithoutCancel(j), max(min(j.Left(), 2*c.params.LateWriteTimeout), c.params.LateWriteTimeout))
 	defer stop()
-	if err := c.Keep(ctx, j.Try, chain, in, w.Text(), time.Duration(j.Path.KeepMs)*time.Millisecond); err != nil {
+	if err := c.Keep(ctx, j.Attempt, chain, in, w.Text(), time.Duration(j.Path.KeepMs)*time.Millisecond); err != nil {
 		return Answer{Err: err}
 	}
 	return a
 }
 
-// again does something at the stores until it is done, or time is over; it must be safe
+// retryAtStores does something at the stores until it is done, or time is over; it must be safe
 // to do twice. While their set changes they refuse who goes by the old one, some of them
 // perhaps after others have taken it, and a store that is new may not know yet that it is
 // one: moments that pass.
-func again(ctx context.Context, do func() error) error {
+func retryAtStores(ctx context.Context, do func() error) error {
 	for try := 0; ; try++ {
 		err := do()
-		if !passes(err) || !loop.Wait(ctx, min(10*time.Millisecond<<min(try, 4), 100*time.Millisecond)) {
+		if !isTransient(err) || !loop.Wait(ctx, min(10*time.Millisecond<<min(try, 4), 100*time.Millisecond)) {
 			return err
 		}
 	}
 }
 
-// passes tells whether a failure at the stores may be over in a moment.
-func passes(err error) bool {
+// isTransient tells whether a failure at the stores may be over in a moment.
+func isTransient(err error) bool {
 	c := code.Of(err)
 	return c == code.StoresUnreachable || c == code.OutcomeUnknown
 }
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -23,16 +23,16 @@
 func takeAnswer(b []byte, kind string) taken {
 	left := bytes.NewReader(b)
 	c := &conn{br: bufio.NewReader(left)}
-	heard := func(r *http.Response) Word {
-		return Word{Try: r.Header.Get("Try"), Sealed: r.Header.Get("Seal") != "", NotRun: r.Header.Get("Not-Run") != ""}
+	heard := func(r *http.Response) ResponseInfo {
+		return ResponseInfo{Attempt: r.Header.Get("Try"), Sealed: r.Header.Get("Seal") != "", NotRun: r.Header.Get("Not-Run") != ""}
 	}
 	a, err := c.answer(&http.Request{Method: http.MethodPost}, "a", heard)
 	if err != nil {
 		return taken{}
 	}
 	w := httptest.NewRecorder()
-	x := &exchange{j: &Job{Path: &spec.Path{Kind: kind}}, w: &Out{w: w}, r: &endpoints.Runner{ID: "i-1"}, c: c}
-	if a.word.NotRun {
+	x := &exchange{j: &Job{Path: &spec.Path{Kind: kind}}, w: &Response{w: w}, r: &endpoints.Runner{ID: "i-1"}, c: c}
+	if a.info.NotRun {
 		return taken{refused: true, used: len(b) - left.Len() - c.br.Buffered()}
 	}
 	if x.unusable(a) != nil || x.handOn(a) != nil {
@@ -70,13 +70,13 @@
 		if stream {
 			kind = spec.Stream
 		}
-		whole := takeAnswer(b, kind)
-		if !whole.success && !whole.refused {
+		complete := takeAnswer(b, kind)
+		if !complete.success && !complete.refused {
 			return
 		}
-		for n := range whole.used {
+		for n := range complete.used {
 			if part := takeAnswer(b[:n], kind); part.success || part.refused {
-				t.Fatalf("%d of %d bytes are taken for %+v", n, whole.used, part)
+				t.Fatalf("%d of %d bytes are taken for %+v", n, complete.used, part)
 			}
 		}
 	})
--- a/internal/dataplane/proxy/job.go
+++ b/internal/dataplane/proxy/job.go
@@ -18,8 +18,8 @@
 // a turn whose name could not be kept must not run.
 const MaxName = 256
 
-// Part is a piece of a prompt that several jobs may share.
-type Part struct {
+// PromptPart is a piece of a prompt that several jobs may share.
+type PromptPart struct {
 	ID     string
 	Tokens int64
 }
@@ -27,15 +27,15 @@
 // Job is one try of a caller.
 type Job struct {
 	context.Context
-	Try     string // its caller's name of this very try
-	Program string // empty: it belongs to none
-	Follows string // the try whose turn it goes on from
-	Subject string // what it is about, for a runner that saw it lately
-	Parts   []Part
-	In      int64         // tokens of the prompt
-	Most    int64         // tokens put out at the most
-	Budget  int64         // of all turns of the program; 0: none is stated
-	Wait    time.Duration // how long the caller waits; 0: it does not say
+	Attempt     string // its caller's name of this very try
+	Program     string // empty: it belongs to none
+	Follows     string // the try whose turn it goes on from
+	Subject     string // what it is about, for a runner that saw it lately
+	PromptParts []PromptPart
+	In          int64         // tokens of the prompt
+	Most        int64         // tokens put out at the most
+	Budget      int64         // of all turns of the program; 0: none is stated
+	Wait        time.Duration // how long the caller waits; 0: it does not say
 
 	// Home is the runner that the program's last turn ran on, where its budget says so;
 	// Homed, that there is a budget to say it.
@@ -60,24 +60,24 @@
 	return j.Path.Kind == spec.Repeatable || j.Path.Kind == spec.Stream && j.Path.Resumable
 }
 
-// Word is what a runner's answer says beside its body.
-type Word struct {
-	Try    string // whose answer it is; empty: it does not say
-	Sealed bool   // the runner's own mark is on it
-	NotRun bool   // it did not run the job and never will
-	Other  bool   // it is another runner than the one meant; it did not run the job
-	Cold   time.Duration
+// ResponseInfo is what a runner's answer says beside its body.
+type ResponseInfo struct {
+	Attempt         string // whose answer it is; empty: it does not say
+	Sealed          bool   // the runner's own mark is on it
+	NotRun          bool   // it did not run the job and never will
+	Other           bool   // it is another runner than the one meant; it did not run the job
+	WarmupRemaining time.Duration
 }
 
-// Dialect is how jobs and answers are spelt on HTTP. It only translates.
-type Dialect interface {
-	// Read fills a job from a request's head; a failure names the header.
-	Read(r *http.Request, j *Job) error
-	// Send writes what goes to a runner beside the caller's own headers: the try's
+// Headers is how jobs and answers are spelt on HTTP. It only translates.
+type Headers interface {
+	// ReadRequest fills a job from a request's head; a failure names the header.
+	ReadRequest(r *http.Request, j *Job) error
+	// WriteRequest writes what goes to a runner beside the caller's own headers: the try's
 	// name, the runner meant, the time left, the rank (0 first).
-	Send(h http.Header, j *Job, to *endpoints.Runner, left time.Duration, rank int)
-	// Resume asks a runner to begin after an event.
-	Resume(h http.Header, after string)
-	// Heard reads an answer's head.
-	Heard(r *http.Response) Word
+	WriteRequest(h http.Header, j *Job, to *endpoints.Runner, left time.Duration, rank int)
+	// WriteResume asks a runner to begin after an event.
+	WriteResume(h http.Header, after string)
+	// ReadResponse reads an answer's head.
+	ReadResponse(r *http.Response) ResponseInfo
 }
--- a/internal/dataplane/proxy/load.go
+++ b/internal/dataplane/proxy/load.go
@@ -22,46 +22,46 @@
 	Watch *outlier.Watch // of how the runners do
 
 	mu  sync.Mutex
-	all map[string]*busy
+	all map[string]*runnerLoad
 }
 
-type busy struct {
-	n      int   // jobs of this node under way
-	early  int   // of them, those without a first event: their prompts are to be read
-	tokens int64 // of prompts and outputs
+type runnerLoad struct {
+	requests   int   // jobs of this node under way
+	prefilling int   // of them, those without a first event: their prompts are to be read
+	tokens     int64 // of prompts and outputs
 	// Of the other nodes, as last heard.
-	others      int
-	otherTokens int64
-	avoid       time.Time
-	chill       time.Time // fresh until then, by its own word
-	cold        *rate.Limiter
-	coldRate    float64
-	used        time.Time
+	remote        int
+	remoteTokens  int64
+	avoidUntil    time.Time
+	warmingUntil  time.Time // fresh until then, by its own word
+	warmupLimiter *rate.Limiter
+	warmupRate    float64
+	used          time.Time
 }
 
 // NewLoad makes a load that knows of nothing.
 func NewLoad() *Load {
-	return &Load{Watch: outlier.NewWatch(outlier.DefaultParams), all: map[string]*busy{}}
+	return &Load{Watch: outlier.NewWatch(outlier.DefaultParams), all: map[string]*runnerLoad{}}
 }
 
-func (l *Load) of(id string) *busy {
+func (l *Load) entry(id string) *runnerLoad {
 	b := l.all[id]
 	if b == nil {
-		b = &busy{}
+		b = &runnerLoad{}
 		l.all[id] = b
 	}
 	b.used = time.Now()
 	return b
 }
 
-// Enter counts a job in; first says that its first event has come, done counts it
+// Begin counts a job in; first says that its first event has come, done counts it
 // out.
-func (l *Load) Enter(id string, tokens int64) (first, done func()) {
+func (l *Load) Begin(id string, tokens int64) (first, done func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.of(id)
-	b.n++
-	b.early++
+	b := l.entry(id)
+	b.requests++
+	b.prefilling++
 	b.tokens += tokens
 	early := true
 	first = func() {
@@ -69,14 +69,14 @@
 		defer l.mu.Unlock()
 		if early {
 			early = false
-			b.early--
+			b.prefilling--
 		}
 	}
 	return first, func() {
 		first()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		b.n--
+		b.requests--
 		b.tokens -= tokens
 	}
 }
@@ -85,109 +85,109 @@
 func (l *Load) Avoid(id string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if u := time.Now().Add(d); u.After(l.of(id).avoid) {
-		l.of(id).avoid = u
+	if u := time.Now().Add(d); u.After(l.entry(id).avoidUntil) {
+		l.entry(id).avoidUntil = u
 	}
 }
 
-// Chill takes a runner's own word that it is fresh.
-func (l *Load) Chill(id string, d time.Duration) {
+// MarkWarmingUp takes a runner's own word that it is fresh.
+func (l *Load) MarkWarmingUp(id string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(id).chill = time.Now().Add(d)
+	l.entry(id).warmingUntil = time.Now().Add(d)
 }
 
-// Under tells whether a runner has less under way than so many times its room.
-func (l *Load) Under(r *endpoints.Runner, s *spec.Service, times float64) bool {
+// BelowCapacity tells whether a runner has less under way than so many times its room.
+func (l *Load) BelowCapacity(r *endpoints.Runner, s *spec.Service, times float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.of(r.ID).full(r, s) < times
+	return l.entry(r.ID).utilization(r, s) < times
 }
 
-// UnderWay is how many jobs each runner has, of all nodes, as far as is known.
-func (l *Load) UnderWay() map[string]int {
+// InFlight is how many jobs each runner has, of all nodes, as far as is known.
+func (l *Load) InFlight() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]int, len(l.all))
 	for id, b := range l.all {
-		out[id] = b.n + b.others
+		out[id] = b.requests + b.remote
 	}
 	return out
 }
 
-// Busy is what this node has under way at one runner.
-type Busy struct {
-	N      int
-	Tokens int64
+// InFlight is what this node has under way at one runner.
+type InFlight struct {
+	Requests int
+	Tokens   int64
 }
 
 // Own lists what this node has under way.
-func (l *Load) Own() map[string]Busy {
+func (l *Load) Own() map[string]InFlight {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[string]Busy{}
+	out := map[string]InFlight{}
 	for id, b := range l.all {
-		if b.n > 0 {
-			out[id] = Busy{b.n, b.tokens}
+		if b.requests > 0 {
+			out[id] = InFlight{b.requests, b.tokens}
 		}
 	}
 	return out
 }
 
-// Hear takes what all other nodes have under way.
-func (l *Load) Hear(others map[string]Busy) {
+// UpdateRemote takes what all other nodes have under way.
+func (l *Load) UpdateRemote(others map[string]InFlight) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, b := range l.all {
 		o := others[id]
-		b.others, b.otherTokens = o.N, o.Tokens
+		b.remote, b.remoteTokens = o.Requests, o.Tokens
 	}
 	for id, o := range others {
 		if l.all[id] == nil {
-			b := l.of(id)
-			b.others, b.otherTokens = o.N, o.Tokens
+			b := l.entry(id)
+			b.remote, b.remoteTokens = o.Requests, o.Tokens
 		}
 	}
 }
 
-// Sweep forgets runners that are not on the list any more.
-func (l *Load) Sweep(on func(id string) bool) {
+// Retain forgets runners that are not on the list any more.
+func (l *Load) Retain(on func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, b := range l.all {
-		if b.n == 0 && !on(id) && time.Since(b.used) > 10*time.Second {
+		if b.requests == 0 && !on(id) && time.Since(b.used) > 10*time.Second {
 			delete(l.all, id)
 		}
 	}
 }
 
-// Shares is how many nodes a fresh runner's rate is dealt to. Each may send one at
+// WarmupNodes is how many nodes a fresh runner's rate is dealt to. Each may send one at
 // once on top of its part of the rate, so they are few; who they are follows from
 // the runner's id, the same on every node.
-const Shares = 4
+const WarmupNodes = 4
 
 // cold tells whether this node may send a fresh runner one more job now.
-func (b *busy) mayCold(perS float64, nodes int) bool {
+func (b *runnerLoad) allowWarmup(perS float64, nodes int) bool {
 	if perS <= 0 || nodes == 0 {
 		return false
 	}
-	r := part(perS, nodes)
+	r := rateShare(perS, nodes)
 	switch {
-	case b.cold == nil:
-		b.cold, b.coldRate = rate.NewLimiter(rate.Limit(r), 1), r
-	case b.coldRate != r:
+	case b.warmupLimiter == nil:
+		b.warmupLimiter, b.warmupRate = rate.NewLimiter(rate.Limit(r), 1), r
+	case b.warmupRate != r:
 		// The same bucket goes on: a new one would be full at each change of the members.
-		b.cold.SetLimit(rate.Limit(r))
-		b.coldRate = r
+		b.warmupLimiter.SetLimit(rate.Limit(r))
+		b.warmupRate = r
 	}
-	return b.cold.Allow()
+	return b.warmupLimiter.Allow()
 }
 
-// part is one node's part of a rate. A second holds as many jobs as its part rounded
+// rateShare is one node's part of a rate. A second holds as many jobs as its part rounded
 // up. Where views of the members differ by two, two more nodes take a part, so a part
 // that is hardly more than a whole number is that number: six parts of a quarter each
 // then stay within half again the rate and five.
-func part(perS float64, nodes int) float64 {
+func rateShare(perS float64, nodes int) float64 {
 	r := perS / float64(nodes)
 	if f := math.Floor(r); f >= 1 && r-f < 1.0/6 {
 		return f
@@ -195,17 +195,17 @@
 	return r
 }
 
-// Ask is what an choice rests on.
-type Ask struct {
-	Service *spec.Service
-	List    *endpoints.List
-	Zone    string // this node's
-	Key     string // jobs of one key go to one runner; empty: to the least busy
-	Home    string // the runner that the job's program ran on last
-	Part    string // what its prompt begins with; empty: nothing shared
-	May     func(*endpoints.Runner) bool
-	Cold    func(*endpoints.Runner) bool // it is fresh
-	Shares  func(*endpoints.Runner) int  // among how many nodes its rate is dealt; 0: this node has no part
+// Selection is what an choice rests on.
+type Selection struct {
+	Service        *spec.Service
+	List           *endpoints.List
+	Zone           string // this node's
+	Key            string // jobs of one key go to one runner; empty: to the least busy
+	PreviousRunner string // the runner that the job's program ran on last
+	Prefix         string // what its prompt begins with; empty: nothing shared
+	Allowed        func(*endpoints.Runner) bool
+	WarmingUp      func(*endpoints.Runner) bool // it is fresh
+	WarmupShares   func(*endpoints.Runner) int  // among how many nodes its rate is dealt; 0: this node has no part
 	// Repeatable jobs go to a doubtful runner earlier: they can go on elsewhere.
 	Repeatable bool
 }
@@ -214,56 +214,56 @@
 // nothing of; for one whose prompts it holds, half as much again or a fifth of its
 // room, for to read them anew elsewhere costs more than a few jobs beside it.
 const (
-	spread = 1.25
-	loyal  = 1.5
-	fond   = 0.2
+	spread         = 1.25
+	affinityBonus  = 1.5
+	affinityMargin = 0.2
 )
 
-// near is how many runners a shared part points to: so many read it, and the least
+// prefixCandidates is how many runners a shared part points to: so many read it, and the least
 // busy of them is picked.
-const near = 3
+const prefixCandidates = 3
 
-// unread is what a job whose prompt is still to be read weighs beside one that puts
+// prefillWeight is what a job whose prompt is still to be read weighs beside one that puts
 // out.
-const unread = 3
-
-type cand struct {
-	r    *endpoints.Runner
-	b    *busy
-	f    float64 // of its room in use
-	g    float64 // how busy it is in the eyes of one more job: a slow runner is longer at each
-	cold bool
+const prefillWeight = 3
+
+type candidate struct {
+	runner      *endpoints.Runner
+	load        *runnerLoad
+	utilization float64 // of its room in use
+	cost        float64 // how busy it is in the eyes of one more job: a slow runner is longer at each
+	warmingUp   bool
 }
 
 // Pick finds the runner for a job: the one that its key points to, in this
 // node's zone first, unless it is much busier than the rest; without a key the
 // least busy. Room tells whether the one found has a place free.
-func (l *Load) Pick(a Ask) (r *endpoints.Runner, room bool) {
+func (l *Load) Pick(a Selection) (r *endpoints.Runner, hasCapacity bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	var cs, doubtful, out []cand
+	var cs, doubtful, out []candidate
 	for _, r := range a.List.Of(a.Service.Name) {
-		if r.Leaving || !a.May(r) {
+		if r.Draining || !a.Allowed(r) {
 			continue
 		}
-		b := l.of(r.ID)
-		if now.Before(b.avoid) {
+		b := l.entry(r.ID)
+		if now.Before(b.avoidUntil) {
 			continue
 		}
-		c := cand{r: r, b: b, f: b.full(r, a.Service), cold: now.Before(b.chill) || a.Cold(r)}
-		one := 1 / float64(max(r.Room, 1))
-		c.g = (c.f+one)*l.Watch.Slow(r.ID) - one
-		switch l.Watch.Doubt(r.ID, a.Repeatable) {
+		c := candidate{runner: r, load: b, utilization: b.utilization(r, a.Service), warmingUp: now.Before(b.warmingUntil) || a.WarmingUp(r)}
+		one := 1 / float64(max(r.Capacity, 1))
+		c.cost = (c.utilization+one)*l.Watch.Slow(r.ID) - one
+		switch l.Watch.Suspicion(r.ID, a.Repeatable) {
 		case outlier.Out:
 			// The trial of an ejected runner is best a job that holds nothing anywhere.
-			if c.f < 1 && !c.cold && l.Watch.Trial(r.ID, a.Repeatable && a.Home == "") {
+			if c.utilization < 1 && !c.warmingUp && l.Watch.Trial(r.ID, a.Repeatable && a.PreviousRunner == "") {
 				return r, true
 			}
 			out = append(out, c)
 		case outlier.Once:
 			// One failure is not worth to read a program's prompts anew.
-			if r.ID == a.Home {
+			if r.ID == a.PreviousRunner {
 				cs = append(cs, c)
 			} else {
 				doubtful = append(doubtful, c)
@@ -276,7 +276,7 @@
 	}
 	// Where this node doubts many, the fault is rather its own; and where nobody else
 	// has a place, a doubtful runner is better than none.
-	n, free := len(cs)+len(doubtful), slices.ContainsFunc(cs, func(c cand) bool { return c.f < 1 })
+	n, free := len(cs)+len(doubtful), slices.ContainsFunc(cs, func(c candidate) bool { return c.utilization < 1 })
 	if 10*len(doubtful) > 3*n && n > 3 || !free {
 		cs = append(cs, doubtful...)
 	}
@@ -288,81 +288,81 @@
 	}
 	sum := 0.0
 	for _, c := range cs {
-		sum += c.f
+		sum += c.utilization
 	}
 	mean := sum / float64(len(cs))
-	bound := mean*spread + 1/float64(max(cs[0].r.Room, 1))
-	kept := max(mean*loyal, mean+fond)
+	bound := mean*spread + 1/float64(max(cs[0].runner.Capacity, 1))
+	kept := max(mean*affinityBonus, mean+affinityMargin)
 	for i := range cs {
-		if c := &cs[i]; c.r.ID == a.Home && !c.cold && c.g <= kept && c.f < 1 {
-			return c.r, true
+		if c := &cs[i]; c.runner.ID == a.PreviousRunner && !c.warmingUp && c.cost <= kept && c.utilization < 1 {
+			return c.runner, true
 		}
 	}
-	if a.Part != "" {
+	if a.Prefix != "" {
 		for _, home := range []bool{true, false} {
-			if c := l.parted(a, cs, home, bound); c != nil {
-				return c.r, c.f < 1
+			if c := l.byPrefix(a, cs, home, bound); c != nil {
+				return c.runner, c.utilization < 1
 			}
 		}
 	}
 	if a.Key != "" {
 		// Own zone first: a prefix is not read twice, nor sent between zones.
 		for _, home := range []bool{true, false} {
-			if c := l.keyed(a, cs, home, kept); c != nil {
-				return c.r, c.f < 1
+			if c := l.byAffinity(a, cs, home, kept); c != nil {
+				return c.runner, c.utilization < 1
 			}
 		}
 	}
-	if c := l.least(a, cs); c != nil {
-		return c.r, c.f < 1
+	if c := l.leastLoaded(a, cs); c != nil {
+		return c.runner, c.utilization < 1
 	}
 	return nil, false
 }
 
-func (b *busy) full(r *endpoints.Runner, s *spec.Service) float64 {
-	f := float64(b.n+b.others) / float64(max(r.Room, 1))
+func (b *runnerLoad) utilization(r *endpoints.Runner, s *spec.Service) float64 {
+	f := float64(b.requests+b.remote) / float64(max(r.Capacity, 1))
 	if s.Engine != nil {
-		f = max(f, float64(b.tokens+b.otherTokens)/float64(s.Engine.CacheTokens))
+		f = max(f, float64(b.tokens+b.remoteTokens)/float64(s.Engine.CacheTokens))
 	}
 	return f
 }
 
-func (a *Ask) fresh(c *cand) bool {
-	return !c.cold || c.b.mayCold(a.Service.ColdRate, a.Shares(c.r))
+func (a *Selection) warmingUp(c *candidate) bool {
+	return !c.warmingUp || c.load.allowWarmup(a.Service.WarmupRate, a.WarmupShares(c.runner))
 }
 
-func (l *Load) keyed(a Ask, cs []cand, home bool, bound float64) *cand {
-	var best *cand
+func (l *Load) byAffinity(a Selection, cs []candidate, home bool, bound float64) *candidate {
+	var best *candidate
 	var top uint64
 	for i := range cs {
 		c := &cs[i]
-		if (c.r.Zone == a.Zone) != home || c.g > bound || c.f >= 1 || c.cold {
+		if (c.runner.Zone == a.Zone) != home || c.cost > bound || c.utilization >= 1 || c.warmingUp {
 			continue
 		}
-		if h := weigh(a.Key, c.r.ID); best == nil || h > top {
+		if h := weigh(a.Key, c.runner.ID); best == nil || h > top {
 			best, top = c, h
 		}
 	}
 	return best
 }
 
-// parted finds the least busy of the few runners that a shared part points to.
-func (l *Load) parted(a Ask, cs []cand, home bool, bound float64) *cand {
+// byPrefix finds the least busy of the few runners that a shared part points to.
+func (l *Load) byPrefix(a Selection, cs []candidate, home bool, bound float64) *candidate {
 	type at struct {
-		c *cand
+		c *candidate
 		h uint64
 	}
 	var top []at
 	for i := range cs {
 		c := &cs[i]
-		if (c.r.Zone == a.Zone) != home || c.g > bound || c.f >= 1 || c.cold {
+		if (c.runner.Zone == a.Zone) != home || c.cost > bound || c.utilization >= 1 || c.warmingUp {
 			continue
 		}
-		top = append(top, at{c, weigh(a.Part, c.r.ID)})
+		top = append(top, at{c, weigh(a.Prefix, c.runner.ID)})
 	}
 	slices.SortFunc(top, func(a, b at) int { return cmp.Compare(b.h, a.h) })
-	var best *cand
-	for _, t := range top[:min(near, len(top))] {
+	var best *candidate
+	for _, t := range top[:min(prefixCandidates, len(top))] {
 		if best == nil || t.c.weight() < best.weight() {
 			best = t.c
 		}
@@ -371,19 +371,19 @@
 }
 
 // weight is a runner's load in the eyes of a new program.
-func (c *cand) weight() float64 {
-	return c.g + float64((unread-1)*c.b.early)/float64(max(c.r.Room, 1))
+func (c *candidate) weight() float64 {
+	return c.cost + float64((prefillWeight-1)*c.load.prefilling)/float64(max(c.runner.Capacity, 1))
 }
 
-// least finds the least busy; of equals one of this zone, then any.
-func (l *Load) least(a Ask, cs []cand) *cand {
+// leastLoaded finds the least busy; of equals one of this zone, then any.
+func (l *Load) leastLoaded(a Selection, cs []candidate) *candidate {
 	for len(cs) > 0 {
 		best, n := -1, 0
 		top := 0.0
 		for i := range cs {
-			f := cs[i].g
-			if cs[i].r.Zone != a.Zone {
-				f += 0.5 / float64(max(cs[i].r.Room, 1))
+			f := cs[i].cost
+			if cs[i].runner.Zone != a.Zone {
+				f += 0.5 / float64(max(cs[i].runner.Capacity, 1))
 			}
 			switch {
 			case best < 0 || f < top:
@@ -395,7 +395,7 @@
 				}
 			}
 		}
-		if a.fresh(&cs[best]) {
+		if a.warmingUp(&cs[best]) {
 			return &cs[best]
 		}
 		cs[best] = cs[len(cs)-1]
--- a/internal/dataplane/proxy/outlier_test.go
+++ b/internal/dataplane/proxy/outlier_test.go
@@ -18,14 +18,14 @@
 func TestPickOutliers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, list := NewLoad(), runners(4, 4, "a")
-		ask := Ask{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", May: any, Cold: none}
-		pick := func(ask Ask) string {
+		ask := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: any, WarmingUp: none}
+		pick := func(ask Selection) string {
 			if r, _ := l.Pick(ask); r != nil {
 				return r.ID
 			}
 			return ""
 		}
-		never := func(id string, ask Ask) {
+		never := func(id string, ask Selection) {
 			t.Helper()
 			for range 50 {
 				if pick(ask) == id {
@@ -35,18 +35,18 @@
 			}
 		}
 		homed, repeatable := ask, ask
-		homed.Home, repeatable.Repeatable = "i-a0", true
+		homed.PreviousRunner, repeatable.Repeatable = "i-a0", true
 
-		l.Watch.Hear(outlier.Verdict{Ejected: []outlier.Ejected{{ID: "i-a0"}}})
+		l.Watch.Update(outlier.Verdict{Ejected: []outlier.Ejected{{ID: "i-a0"}}})
 		never("i-a0", ask)
 		never("i-a0", homed)
 		only := ask
-		only.May = func(r *endpoints.Runner) bool { return r.ID == "i-a0" }
+		only.Allowed = func(r *endpoints.Runner) bool { return r.ID == "i-a0" }
 		if pick(only) != "i-a0" {
 			t.Error("nobody rather than the ejected one")
 		}
 
-		l.Watch.Hear(outlier.Verdict{Ejected: []outlier.Ejected{{ID: "i-a0", Trial: true}}})
+		l.Watch.Update(outlier.Verdict{Ejected: []outlier.Ejected{{ID: "i-a0", Trial: true}}})
 		never("i-a0", ask)
 		if pick(repeatable) != "i-a0" {
 			t.Error("the trial was not made")
@@ -54,7 +54,7 @@
 		never("i-a0", repeatable)
 
 		// One failure is no reason to leave where the prompts are held, two are.
-		l.Watch.Hear(outlier.Verdict{})
+		l.Watch.Update(outlier.Verdict{})
 		l.Watch.Failure("i-a0")
 		never("i-a0", ask)
 		if pick(homed) != "i-a0" {
@@ -65,7 +65,7 @@
 		var done []func()
 		for _, id := range []string{"i-a1", "i-a2", "i-a3"} {
 			for range 4 {
-				_, out := l.Enter(id, 0)
+				_, out := l.Begin(id, 0)
 				done = append(done, out)
 			}
 		}
@@ -86,11 +86,11 @@
 		}
 		time.Sleep(5 * time.Second)
 
-		l.Watch.Hear(outlier.Verdict{Slow: map[string]float64{"i-a0": 3}})
+		l.Watch.Update(outlier.Verdict{Slow: map[string]float64{"i-a0": 3}})
 		never("i-a0", ask)
 		for _, id := range []string{"i-a1", "i-a2", "i-a3"} {
 			for range 3 {
-				l.Enter(id, 0)
+				l.Begin(id, 0)
 			}
 		}
 		if pick(ask) != "i-a0" {
@@ -106,7 +106,7 @@
 		n := rapid.IntRange(1, 6).Draw(rt, "runners")
 		l, list := NewLoad(), runners(2, n, "a")
 		v := outlier.Verdict{Slow: map[string]float64{}}
-		for _, r := range list.All {
+		for _, r := range list.Runners {
 			switch rapid.IntRange(0, 3).Draw(rt, "state") {
 			case 1:
 				v.Ejected = append(v.Ejected, outlier.Ejected{ID: r.ID, Trial: rapid.Bool().Draw(rt, "trial")})
@@ -117,12 +117,12 @@
 				l.Watch.Failure(r.ID)
 			}
 			for range rapid.IntRange(0, 2).Draw(rt, "busy") {
-				l.Enter(r.ID, 1)
+				l.Begin(r.ID, 1)
 			}
 		}
-		l.Watch.Hear(v)
-		ask := Ask{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", May: any, Cold: none, Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
-			Home: rapid.SampledFrom([]string{"", "i-a0"}).Draw(rt, "home"), Repeatable: rapid.Bool().Draw(rt, "repeatable")}
+		l.Watch.Update(v)
+		ask := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: any, WarmingUp: none, Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
+			PreviousRunner: rapid.SampledFrom([]string{"", "i-a0"}).Draw(rt, "home"), Repeatable: rapid.Bool().Draw(rt, "repeatable")}
 		if r, _ := l.Pick(ask); r == nil {
 			rt.Fatal("nobody was picked")
 		}
--- a/internal/dataplane/proxy/pass.go
+++ b/internal/dataplane/proxy/pass.go
@@ -7,8 +7,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// sending is what became of one send.
-type sending struct {
+// attemptResult is what became of one send.
+type attemptResult struct {
 	outcome retry.Outcome
 	good    bool // of an answered one: a success
 	sent    bool // a byte may have gone out
@@ -16,15 +16,15 @@
 	wait    time.Duration // when the caller may come back, of a job that did not run
 }
 
-// sends are those of one job so far.
-type sends struct {
+// attempts are those of one job so far.
+type attempts struct {
 	tried map[string]bool // runners
 	count int             // that a byte of it may have reached
 	ran   bool            // it may have run at one of them
 }
 
-// note adds a send without an answer.
-func (s *sends) note(x sending) {
+// recordAttempt adds a send without an answer.
+func (s *attempts) recordAttempt(x attemptResult) {
 	if x.sent {
 		s.count++
 	}
@@ -33,34 +33,34 @@
 	}
 }
 
-// unsure takes the promise out of a refusal where an earlier send may have run.
-func (s *sends) unsure(a Answer) Answer {
+// withoutNotRun takes the promise out of a refusal where an earlier send may have run.
+func (s *attempts) withoutNotRun(a Answer) Answer {
 	if s.ran && a.NotRun() {
 		return Answer{Err: code.New(code.OutcomeUnknown, "an earlier send may have run; then: %s", code.Text(a.Err))}
 	}
 	return a
 }
 
-// pass is the end of the way: pick, send, and the word on what became of it.
-func (d *Door) pass(j *Job, w *Out) Answer {
-	s := &sends{tried: map[string]bool{}}
+// forward is the end of the way: pick, send, and the word on what became of it.
+func (handler *Handler) forward(j *Job, w *Response) Answer {
+	s := &attempts{tried: map[string]bool{}}
 	for {
-		r, a := d.place(j, s.tried)
+		r, a := handler.selectRunner(j, s.tried)
 		if r == nil {
-			return s.unsure(a)
+			return s.withoutNotRun(a)
 		}
-		admitted, ok := d.pt.Cool.Admit(j, coolKey(r), j.Left())
+		admitted, ok := handler.parts.Cooldowns.Admit(j, cooldownKey(r), j.Left())
 		if !ok {
 			continue
 		}
 		s.tried[r.ID] = true
-		x := d.send(j, w, r, admitted)
+		x := handler.send(j, w, r, admitted)
 		if x.outcome == retry.Answered {
 			return Answer{Good: x.good}
 		}
-		s.note(x)
+		s.recordAttempt(x)
 		if !mayResend(j, w, s, x.outcome) {
-			return d.unserved(j, s, x)
+			return handler.unserved(j, s, x)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 // mayResend is the one place that decides whether a job goes to another runner: by what
 // is known of the last send, by the table's bound on runners, by the time left, and by
 // what the caller has been handed already.
-func mayResend(j *Job, w *Out, s *sends, last retry.Outcome) bool {
+func mayResend(j *Job, w *Response, s *attempts, last retry.Outcome) bool {
 	switch {
 	case !retry.Allowed(last, j.Repeatable()):
 		return false
@@ -77,16 +77,16 @@
 	case j.Left() <= 0 || j.Err() != nil:
 		return false
 	}
-	return w.mayGoOn(j.Path.Resumable)
+	return w.canResume(j.Path.Resumable)
 }
 
 // unserved is the answer to a job that is not sent again.
-func (d *Door) unserved(j *Job, s *sends, last sending) Answer {
+func (handler *Handler) unserved(j *Job, s *attempts, last attemptResult) Answer {
 	if last.outcome != retry.NotRun {
 		return Answer{Err: last.err}
 	}
-	if _, all := d.cooling(j, nil); code.Of(last.err) == code.RunnerDrop {
+	if _, all := handler.cooling(j, nil); code.Of(last.err) == code.RunnerDrop {
 		last.wait = max(all, refusedWait)
 	}
-	return s.unsure(Refuse(last.err, last.wait))
+	return s.withoutNotRun(Refuse(last.err, last.wait))
 }
--- a/internal/dataplane/proxy/pool.go
+++ b/internal/dataplane/proxy/pool.go
@@ -18,8 +18,8 @@
 // Pool keeps connections to runners. One job at a time is on a connection, and it
 // is used again only after a clean end: whole answer, not a byte more.
 type Pool struct {
-	dial func(ctx context.Context, addr string) (net.Conn, error)
-	p    PoolParams
+	dial   func(ctx context.Context, addr string) (net.Conn, error)
+	params PoolParams
 
 	mu   sync.Mutex
 	idle map[string][]*conn // by runner; the latest used last
@@ -28,24 +28,24 @@
 
 // PoolParams bound the pool.
 type PoolParams struct {
-	Idle int           // connections kept to one runner
-	Rest time.Duration // how long an idle one is kept, where the runner says nothing
-	Dial time.Duration // deadline of one dial
+	MaxIdle     int           // connections kept to one runner
+	IdleTimeout time.Duration // how long an idle one is kept, where the runner says nothing
+	DialTimeout time.Duration // deadline of one dial
 }
 
 // DefaultPool suits runners of one city.
-var DefaultPool = PoolParams{Idle: 24, Rest: 20 * time.Second, Dial: time.Second}
+var DefaultPool = PoolParams{MaxIdle: 24, IdleTimeout: 20 * time.Second, DialTimeout: time.Second}
 
 // NewPool makes a pool over a way to dial.
 func NewPool(p PoolParams, dial func(ctx context.Context, addr string) (net.Conn, error)) *Pool {
-	return &Pool{dial: dial, p: p, idle: map[string][]*conn{}}
+	return &Pool{dial: dial, params: p, idle: map[string][]*conn{}}
 }
 
 type conn struct {
-	c     net.Conn
-	br    *bufio.Reader
-	until time.Time // idle no longer than this
-	fresh bool      // never answered on yet
+	c      net.Conn
+	br     *bufio.Reader
+	until  time.Time // idle no longer than this
+	unused bool      // never answered on yet
 }
 
 // errDial: nothing was sent.
@@ -57,8 +57,8 @@
 func key(r *endpoints.Runner) string { return r.ID + "@" + r.Addr }
 
 // get gives an idle connection that is still clean, or a new one.
-func (p *Pool) get(ctx context.Context, r *endpoints.Runner, fresh bool) (*conn, error) {
-	for !fresh {
+func (p *Pool) get(ctx context.Context, r *endpoints.Runner, dialNew bool) (*conn, error) {
+	for !dialNew {
 		c := p.take(key(r))
 		if c == nil {
 			break
@@ -68,7 +68,7 @@
 		}
 		c.c.Close()
 	}
-	ctx, stop := context.WithTimeout(ctx, p.p.Dial)
+	ctx, stop := context.WithTimeout(ctx, p.params.DialTimeout)
 	defer stop()
 	n, err := p.dial(ctx, r.Addr)
 	if err != nil {
@@ -77,7 +77,7 @@
 	p.mu.Lock()
 	p.made++
 	p.mu.Unlock()
-	return &conn{c: n, br: bufio.NewReaderSize(n, 4096), fresh: true}, nil
+	return &conn{c: n, br: bufio.NewReaderSize(n, 4096), unused: true}, nil
 }
 
 func (p *Pool) take(k string) *conn {
@@ -98,10 +98,10 @@
 		c.c.Close()
 		return
 	}
-	c.until, c.fresh = time.Now().Add(rest), false
+	c.until, c.unused = time.Now().Add(rest), false
 	p.mu.Lock()
 	l := p.idle[key(r)]
-	full := len(l) >= p.p.Idle
+	full := len(l) >= p.params.MaxIdle
 	if !full {
 		p.idle[key(r)] = append(l, c)
 	}
@@ -111,9 +111,9 @@
 	}
 }
 
-// Sweep lets go of connections past their rest, and of all to runners that are
+// Retain lets go of connections past their rest, and of all to runners that are
 // not on the list any more.
-func (p *Pool) Sweep(on func(id string) bool) {
+func (p *Pool) Retain(on func(id string) bool) {
 	now := time.Now()
 	var shut []*conn
 	p.mu.Lock()
@@ -180,8 +180,8 @@
 				return 0
 			}
 			// Used before the runner closes it, not at the same moment.
-			return min(time.Duration(s)*time.Second-500*time.Millisecond, p.p.Rest)
+			return min(time.Duration(s)*time.Second-500*time.Millisecond, p.params.IdleTimeout)
 		}
 	}
-	return p.p.Rest
+	return p.params.IdleTimeout
 }
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -26,8 +26,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestPickShare: every service gets its weight, one lot always the same.
-func TestPickShare(t *testing.T) {
+// TestPickByWeight: every service gets its weight, one lot always the same.
+func TestPickByWeight(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var to []spec.Share
 		sum := int64(0)
@@ -36,9 +36,9 @@
 			sum += w
 		}
 		got := map[string]int64{}
-		for lot := range uint64(sum) {
-			s := pickShare(to, lot)
-			if s != pickShare(to, lot+uint64(sum)) {
+		for draw := range uint64(sum) {
+			s := pickByWeight(to, draw)
+			if s != pickByWeight(to, draw+uint64(sum)) {
 				rt.Fatal("not by the lot alone")
 			}
 			got[s]++
@@ -48,17 +48,17 @@
 				rt.Fatalf("%s: %d of %d", s.Service, got[s.Service], s.Weight)
 			}
 		}
-		if sum == 0 && pickShare(to, 5) != "" {
+		if sum == 0 && pickByWeight(to, 5) != "" {
 			rt.Fatal("somebody got a lot of nothing")
 		}
 	})
 }
 
 // feed passes a stream through Out and gives what the caller saw.
-func feed(o *Out, body io.Reader) (string, error) {
+func feed(response *Response, body io.Reader) (string, error) {
 	w := httptest.NewRecorder()
-	o.w = w
-	err := o.stream(&http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(body)})
+	response.w = w
+	err := response.stream(&http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(body)})
 	return w.Body.String(), err
 }
 
@@ -100,30 +100,30 @@
 		{"long line", "id: 1\ndata: " + strings.Repeat("x", 9000) + "\n\n", strings.Repeat("x", 9000) + "\n", "1", 1},
 	} {
 		for _, n := range []int{1, 7, 1 << 20} {
-			o := &Out{collect: true}
-			got, err := feed(o, &dribble{strings.NewReader(tc.in), n, nil})
+			response := &Response{collect: true}
+			got, err := feed(response, &dribble{strings.NewReader(tc.in), n, nil})
 			if err != nil || got != tc.in {
 				t.Errorf("%s: passed %q, %v", tc.what, got, err)
 			}
-			if string(o.Text()) != tc.text || o.last != tc.last || o.events != tc.events {
-				t.Errorf("%s: text %q, last %q, %d events", tc.what, o.Text(), o.last, o.events)
+			if string(response.Text()) != tc.text || response.last != tc.last || response.events != tc.events {
+				t.Errorf("%s: text %q, last %q, %d events", tc.what, response.Text(), response.last, response.events)
 			}
 		}
 	}
 }
 
-// TestEventCut: of an event that is cut nothing is passed, and no cut looks like an
+// TestTruncatedEvent: of an event that is cut nothing is passed, and no cut looks like an
 // end.
-func TestEventCut(t *testing.T) {
-	whole := "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata: d\n\n"
-	for n := range len(whole) {
-		o := &Out{}
-		got, err := feed(o, &dribble{strings.NewReader(whole[:n]), 5, io.ErrUnexpectedEOF})
+func TestTruncatedEvent(t *testing.T) {
+	complete := "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata: d\n\n"
+	for n := range len(complete) {
+		response := &Response{}
+		got, err := feed(response, &dribble{strings.NewReader(complete[:n]), 5, io.ErrUnexpectedEOF})
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("cut after %d: %v", n, err)
 		}
-		if !strings.HasPrefix(whole, got) || got != "" && !strings.HasSuffix(got, "\n\n") || o.events != strings.Count(got, "\n\n") {
-			t.Errorf("cut after %d: passed %q, %d events", n, got, o.events)
+		if !strings.HasPrefix(complete, got) || got != "" && !strings.HasSuffix(got, "\n\n") || response.events != strings.Count(got, "\n\n") {
+			t.Errorf("cut after %d: passed %q, %d events", n, got, response.events)
 		}
 	}
 }
@@ -143,12 +143,12 @@
 // line or of many.
 func TestEventHuge(t *testing.T) {
 	for _, s := range []string{"x", "data: x\n"} {
-		if got, err := feed(&Out{}, endless(s)); code.Of(err) != code.Incomplete || got != "" {
+		if got, err := feed(&Response{}, endless(s)); code.Of(err) != code.Incomplete || got != "" {
 			t.Errorf("%q: %d bytes passed, %v", s, len(got), err)
 		}
 	}
 	big := "id: 1\ndata: " + strings.Repeat("x", maxEvent/2) + "\n\n"
-	if got, err := feed(&Out{}, strings.NewReader(big)); err != nil || got != big {
+	if got, err := feed(&Response{}, strings.NewReader(big)); err != nil || got != big {
 		t.Errorf("a big event: %d of %d bytes, %v", len(got), len(big), err)
 	}
 }
@@ -156,13 +156,13 @@
 // TestHop: what concerns one connection stays there, all else goes on unchanged.
 func TestHop(t *testing.T) {
 	from, to := http.Header{}, http.Header{}
-	for k := range hop {
+	for k := range hopByHopHeaders {
 		from[k] = []string{"x"}
 	}
 	from["Connection"] = []string{"close, x-one", " X-TWO ,"}
 	from["X-One"], from["X-Two"], from["Content-Length"] = []string{"1"}, []string{"2"}, []string{"3"}
 	from["X-Three"], from["Set-Cookie"], from["Etag"] = []string{""}, []string{"a", "b"}, []string{"x"}
-	pass(to, from)
+	copyHeaders(to, from)
 	if len(to) != 3 || len(to["Set-Cookie"]) != 2 || to["X-Three"][0] != "" {
 		t.Errorf("%v", to)
 	}
@@ -176,9 +176,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	var d net.Dialer
-	p := NewPool(DefaultPool, func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) })
-	t.Cleanup(func() { p.Sweep(func(string) bool { return false }) })
+	var dialer net.Dialer
+	p := NewPool(DefaultPool, func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) })
+	t.Cleanup(func() { p.Retain(func(string) bool { return false }) })
 	return p, &endpoints.Runner{ID: "i-1", Addr: ln.Addr().String()}, func() net.Conn {
 		c, err := ln.Accept()
 		if err != nil {
@@ -193,10 +193,10 @@
 // runner has closed it or said something unasked meanwhile, nor past its rest.
 func TestPoolClean(t *testing.T) {
 	for _, tc := range []struct {
-		what  string
-		rest  time.Duration
-		spoil func(c *conn, r net.Conn)
-		again bool
+		what   string
+		rest   time.Duration
+		spoil  func(c *conn, r net.Conn)
+		reused bool
 	}{
 		{"clean", time.Minute, func(*conn, net.Conn) {}, true},
 		{"closed", time.Minute, func(_ *conn, r net.Conn) { r.Close() }, false},
@@ -218,22 +218,22 @@
 		}
 		p.put(r, c, tc.rest)
 		if tc.spoil == nil {
-			p.Sweep(func(id string) bool { return id != r.ID })
+			p.Retain(func(id string) bool { return id != r.ID })
 		} else {
-			p.Sweep(func(id string) bool { return id == r.ID })
+			p.Retain(func(id string) bool { return id == r.ID })
 		}
 		// What the far side did takes a moment to arrive: the poller sees when.
-		if !tc.again && tc.rest == time.Minute && tc.spoil != nil && c.br.Buffered() == 0 {
+		if !tc.reused && tc.rest == time.Minute && tc.spoil != nil && c.br.Buffered() == 0 {
 			arrived(t, c.c)
 		}
-		d, err := p.get(t.Context(), r, false)
+		second, err := p.get(t.Context(), r, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if (c == d) != tc.again || p.Made() != map[bool]uint64{true: 1, false: 2}[tc.again] {
-			t.Errorf("%s: used again %v, %d made", tc.what, c == d, p.Made())
+		if (c == second) != tc.reused || p.Made() != map[bool]uint64{true: 1, false: 2}[tc.reused] {
+			t.Errorf("%s: used again %v, %d made", tc.what, c == second, p.Made())
 		}
-		d.c.Close()
+		second.c.Close()
 		c.c.Close()
 	}
 }
@@ -260,22 +260,22 @@
 	}
 	accept()
 	p.put(r, c, time.Minute)
-	d, err := p.get(t.Context(), &endpoints.Runner{ID: "i-2", Addr: r.Addr}, false)
-	if err != nil || d == c {
+	second, err := p.get(t.Context(), &endpoints.Runner{ID: "i-2", Addr: r.Addr}, false)
+	if err != nil || second == c {
 		t.Errorf("another process at the address got the connection, %v", err)
 	}
 	accept()
-	d.c.Close()
-	if d, err = p.get(t.Context(), r, true); err != nil || d == c {
+	second.c.Close()
+	if second, err = p.get(t.Context(), r, true); err != nil || second == c {
 		t.Errorf("a fresh one was asked for, %v", err)
 	}
-	d.c.Close()
+	second.c.Close()
 }
 
 // TestPoolBound: no more connections rest than are allowed.
 func TestPoolBound(t *testing.T) {
 	p, r, accept := pair(t)
-	p.p.Idle = 2
+	p.params.MaxIdle = 2
 	var cs []*conn
 	for range 4 {
 		c, err := p.get(t.Context(), r, false)
@@ -301,8 +301,8 @@
 		shut bool
 		want time.Duration
 	}{
-		{"", false, DefaultPool.Rest}, {"timeout=5", false, 4500 * time.Millisecond}, {"max=3, Timeout=5", false, 4500 * time.Millisecond},
-		{"timeout=600", false, DefaultPool.Rest}, {"timeout=0", false, -500 * time.Millisecond}, {"timeout=x", false, 0}, {"timeout=5", true, 0}, {"", true, 0},
+		{"", false, DefaultPool.IdleTimeout}, {"timeout=5", false, 4500 * time.Millisecond}, {"max=3, Timeout=5", false, 4500 * time.Millisecond},
+		{"timeout=600", false, DefaultPool.IdleTimeout}, {"timeout=0", false, -500 * time.Millisecond}, {"timeout=x", false, 0}, {"timeout=5", true, 0}, {"", true, 0},
 	} {
 		r := &http.Response{Header: http.Header{}, Close: tc.shut}
 		if tc.keep != "" {
@@ -340,7 +340,7 @@
 		{"", false, false},
 	} {
 		c := &conn{br: bufio.NewReader(strings.NewReader(tc.in))}
-		r, err := c.answer(&http.Request{Method: "GET"}, "a", func(r *http.Response) Word { return Word{Try: r.Header.Get("Try")} })
+		r, err := c.answer(&http.Request{Method: "GET"}, "a", func(r *http.Response) ResponseInfo { return ResponseInfo{Attempt: r.Header.Get("Try")} })
 		if (err == nil) != tc.good || tc.good && r.surplus != tc.surplus {
 			t.Errorf("%.60q: %v, %+v", tc.in, err, r)
 		}
@@ -363,8 +363,8 @@
 		"HTTP/1.0 200 OK\r\n\r\nok":                                      false,
 	} {
 		r, err := http.ReadResponse(bufio.NewReader(strings.NewReader(s)), &http.Request{Method: "GET"})
-		if err != nil || proven(r) != want {
-			t.Errorf("%q: %v, want %v, %v", s, err == nil && proven(r), want, err)
+		if err != nil || hasKnownEnd(r) != want {
+			t.Errorf("%q: %v, want %v, %v", s, err == nil && hasKnownEnd(r), want, err)
 		}
 	}
 }
@@ -372,8 +372,8 @@
 // TestWrite: a target goes out as it came in.
 func TestWrite(t *testing.T) {
 	for _, uri := range []string{"/", "/a//b/?", "//", "///x//y?//z", "//h.test/x?", "/%2F%2f"} {
-		d := &Door{pt: Parts{Dialect: nothing{}}}
-		q := d.request(&Job{Context: t.Context(), Path: &spec.Path{}, Body: []byte("body"), Req: &http.Request{Method: "POST", RequestURI: uri, Host: "h.test", Header: http.Header{}}}, &Out{}, &endpoints.Runner{Addr: "10.0.0.1:1"})
+		handler := &Handler{parts: Dependencies{Headers: nothing{}}}
+		q := handler.request(&Job{Context: t.Context(), Path: &spec.Path{}, Body: []byte("body"), Req: &http.Request{Method: "POST", RequestURI: uri, Host: "h.test", Header: http.Header{}}}, &Response{}, &endpoints.Runner{Addr: "10.0.0.1:1"})
 		var b bytes.Buffer
 		if err := write(&b, q); err != nil {
 			t.Fatal(err)
@@ -387,20 +387,20 @@
 
 type nothing struct{}
 
-func (nothing) Read(*http.Request, *Job) error                                { return nil }
-func (nothing) Send(http.Header, *Job, *endpoints.Runner, time.Duration, int) {}
-func (nothing) Resume(http.Header, string)                                    {}
-func (nothing) Heard(*http.Response) Word                                     { return Word{} }
+func (nothing) ReadRequest(*http.Request, *Job) error                                 { return nil }
+func (nothing) WriteRequest(http.Header, *Job, *endpoints.Runner, time.Duration, int) {}
+func (nothing) WriteResume(http.Header, string)                                       {}
+func (nothing) ReadResponse(*http.Response) ResponseInfo                              { return ResponseInfo{} }
 
 func any(*endpoints.Runner) bool  { return true }
 func none(*endpoints.Runner) bool { return false }
 
 // runners are n in each of the zones.
-func runners(room, n int, zones ...string) *endpoints.List {
+func runners(hasCapacity, n int, zones ...string) *endpoints.List {
 	var all []endpoints.Runner
 	for _, z := range zones {
 		for i := range n {
-			all = append(all, endpoints.Runner{ID: fmt.Sprintf("i-%s%d", z, i), Service: "s", Zone: z, Room: room})
+			all = append(all, endpoints.Runner{ID: fmt.Sprintf("i-%s%d", z, i), Service: "s", Zone: z, Capacity: hasCapacity})
 		}
 	}
 	return endpoints.NewList(time.Now(), all)
@@ -411,20 +411,20 @@
 func TestPickHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, list := NewLoad(), runners(8, 3, "a", "b")
-		ask := Ask{Service: &spec.Service{Name: "s"}, List: list, Zone: "b", Key: "k", May: any, Cold: none}
-		first, room := l.Pick(ask)
-		if first.Zone != "b" || !room {
+		ask := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "b", Key: "k", Allowed: any, WarmingUp: none}
+		first, hasCapacity := l.Pick(ask)
+		if first.Zone != "b" || !hasCapacity {
 			t.Fatalf("%+v", first)
 		}
 		var done []func()
 		seen := map[string]int{}
 		for range 6 * 8 {
-			r, room := l.Pick(ask)
-			if !room {
+			r, hasCapacity := l.Pick(ask)
+			if !hasCapacity {
 				t.Fatal("no room")
 			}
 			seen[r.ID]++
-			_, out := l.Enter(r.ID, 0)
+			_, out := l.Begin(r.ID, 0)
 			done = append(done, out)
 		}
 		for id, n := range seen {
@@ -432,8 +432,8 @@
 				t.Errorf("%s bears 8 and got %d", id, n)
 			}
 		}
-		if r, room := l.Pick(ask); r == nil || room {
-			t.Errorf("all are full: %v %v", r, room)
+		if r, hasCapacity := l.Pick(ask); r == nil || hasCapacity {
+			t.Errorf("all are full: %v %v", r, hasCapacity)
 		}
 		for _, f := range done {
 			f()
@@ -442,8 +442,8 @@
 			t.Errorf("the key went to %s, before to %s", r.ID, first.ID)
 		}
 		ask.Key = ""
-		l.Enter("i-b0", 0)
-		l.Enter("i-b1", 0)
+		l.Begin("i-b0", 0)
+		l.Begin("i-b1", 0)
 		if r, _ := l.Pick(ask); r.ID != "i-b2" {
 			t.Errorf("least busy at home is i-b2, picked %s", r.ID)
 		}
@@ -457,10 +457,10 @@
 		var all []endpoints.Runner
 		not := map[string]bool{}
 		for i := range rapid.IntRange(0, 8).Draw(rt, "runners") {
-			r := endpoints.Runner{ID: fmt.Sprint(i), Service: "s", Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"), Room: rapid.IntRange(0, 3).Draw(rt, "room")}
+			r := endpoints.Runner{ID: fmt.Sprint(i), Service: "s", Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"), Capacity: rapid.IntRange(0, 3).Draw(rt, "room")}
 			switch rapid.IntRange(0, 5).Draw(rt, "state") {
 			case 0:
-				r.Leaving, not[r.ID] = true, true
+				r.Draining, not[r.ID] = true, true
 			case 1:
 				l.Avoid(r.ID, time.Second)
 				not[r.ID] = true
@@ -470,34 +470,34 @@
 				r.Service, not[r.ID] = "other", true
 			}
 			for range rapid.IntRange(0, 4).Draw(rt, "busy") {
-				l.Enter(r.ID, 10)
+				l.Begin(r.ID, 10)
 			}
 			all = append(all, r)
 		}
-		ask := Ask{Service: &spec.Service{Name: "s"}, List: endpoints.NewList(time.Now(), all), Zone: "a", Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
-			May: func(r *endpoints.Runner) bool { return !not[r.ID] }, Cold: none}
-		r, room := l.Pick(ask)
+		ask := Selection{Service: &spec.Service{Name: "s"}, List: endpoints.NewList(time.Now(), all), Zone: "a", Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
+			Allowed: func(r *endpoints.Runner) bool { return !not[r.ID] }, WarmingUp: none}
+		r, hasCapacity := l.Pick(ask)
 		switch {
 		case r == nil && len(not) < len(all):
 			rt.Fatal("nobody was picked")
 		case r != nil && not[r.ID]:
 			rt.Fatalf("%s was picked", r.ID)
-		case r != nil && room && l.Own()[r.ID].N >= max(r.Room, 1):
+		case r != nil && hasCapacity && l.Own()[r.ID].Requests >= max(r.Capacity, 1):
 			rt.Fatalf("%s has no room", r.ID)
 		}
 	})
 }
 
-// TestCold: in no second do all nodes together send a fresh runner more than half
+// TestWarmupRate: in no second do all nodes together send a fresh runner more than half
 // again its rate and five: of six nodes and more also while their views of who is
 // there differ by two, of fewer while all see the same who come and go.
-func TestCold(t *testing.T) {
+func TestWarmupRate(t *testing.T) {
 	// Of many nodes a few plans are enough: most have no part.
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		rps := []float64{0.5, 4, 8.1, 22}[seed%4]
 		synctest.Test(t, func(t *testing.T) {
-			if err := coldRun(64, rps, rnd); err != nil {
+			if err := warmupRun(64, rps, rnd); err != nil {
 				t.Error(err)
 			}
 		})
@@ -507,7 +507,7 @@
 			rps := rapid.OneOf(rapid.SampledFrom([]float64{0.5, 1, 4, 8, 8.1, 22, 40}), rapid.Float64Range(0.2, 60)).Draw(rt, "rate")
 			rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 			var err error
-			synctest.Test(t, func(*testing.T) { err = coldRun(n, rps, rnd) })
+			synctest.Test(t, func(*testing.T) { err = warmupRun(n, rps, rnd) })
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -515,17 +515,17 @@
 	}
 }
 
-// coldRun plays three seconds.
-func coldRun(n int, rps float64, rnd *rand.Rand) error {
+// warmupRun plays three seconds.
+func warmupRun(n int, rps float64, rnd *rand.Rand) error {
 	var all []*wire.Member
 	for i := range n {
 		all = append(all, &wire.Member{Id: fmt.Sprintf("e%d", i+1), Role: "edge", Live: true})
 	}
 	list := runners(100, 1, "a")
-	service := &spec.Service{Name: "s", ColdRate: rps}
+	service := &spec.Service{Name: "s", WarmupRate: rps}
 	type edge struct {
-		l *Load
-		d *Door
+		l       *Load
+		handler *Handler
 	}
 	var edges []edge
 	views := make([][]*wire.Member, n)
@@ -550,7 +550,7 @@
 	}
 	mix()
 	for i := range n {
-		edges = append(edges, edge{NewLoad(), &Door{pt: Parts{Self: all[i], Members: func() []*wire.Member { return views[i] }}}})
+		edges = append(edges, edge{NewLoad(), &Handler{parts: Dependencies{Self: all[i], Members: func() []*wire.Member { return views[i] }}}})
 	}
 	var at []time.Time
 	for range 300 {
@@ -563,7 +563,7 @@
 				continue
 			}
 			for range rnd.IntN(3) {
-				if r, _ := e.l.Pick(Ask{Service: service, List: list, Zone: "a", May: any, Cold: any, Shares: func(r *endpoints.Runner) int { return e.d.shares(r, rps) }}); r != nil {
+				if r, _ := e.l.Pick(Selection{Service: service, List: list, Zone: "a", Allowed: any, WarmingUp: any, WarmupShares: func(r *endpoints.Runner) int { return e.handler.shares(r, rps) }}); r != nil {
 					at = append(at, time.Now())
 				}
 			}
@@ -585,15 +585,15 @@
 	return nil
 }
 
-// TestPart: six nodes that each take a part, where four should, stay within the bound
+// TestRateShare: six nodes that each take a part, where four should, stay within the bound
 // at every rate.
-func TestPart(t *testing.T) {
+func TestRateShare(t *testing.T) {
 	for r := 0.05; r < 200; r += 0.01 {
-		nodes, all := Shares, Shares+2
+		nodes, all := WarmupNodes, WarmupNodes+2
 		if r < 1 {
 			nodes, all = nodes-1, all-1
 		}
-		if n := math.Ceil(part(r, nodes)); float64(all)*n > 1.5*r+5+1e-9 {
+		if n := math.Ceil(rateShare(r, nodes)); float64(all)*n > 1.5*r+5+1e-9 {
 			t.Errorf("rate %.2f: %d nodes send %g each", r, all, n)
 		}
 	}
@@ -602,17 +602,17 @@
 // TestRefills: a zone in use again is told from one that always was.
 func TestRefills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var z refills
-		if !z.see(nil, "a").IsZero() || !z.see([]string{"a"}, "a").IsZero() {
+		var z refillTimes
+		if !z.observe(nil, "a").IsZero() || !z.observe([]string{"a"}, "a").IsZero() {
 			t.Error("nobody refilled it")
 		}
 		time.Sleep(time.Second)
 		at := time.Now()
-		if got := z.see(nil, "a"); !got.Equal(at) || !z.see(nil, "b").IsZero() {
+		if got := z.observe(nil, "a"); !got.Equal(at) || !z.observe(nil, "b").IsZero() {
 			t.Errorf("refilled at %s, want %s", got, at)
 		}
 		time.Sleep(time.Second)
-		if got := z.see([]string{"b"}, "a"); !got.Equal(at) {
+		if got := z.observe([]string{"b"}, "a"); !got.Equal(at) {
 			t.Errorf("refilled at %s, want %s", got, at)
 		}
 	})
@@ -664,8 +664,8 @@
 			ctx, stop := context.WithTimeout(t.Context(), tc.callers)
 			defer stop()
 			arrived := time.Now()
-			d := &Door{p: DefaultParams, pt: Parts{Ready: ready}}
-			if err := d.open(&Job{Context: ctx, Arrived: arrived}); code.Of(err) != tc.want {
+			handler := &Handler{params: DefaultParams, parts: Dependencies{Ready: ready}}
+			if err := handler.open(&Job{Context: ctx, Arrived: arrived}); code.Of(err) != tc.want {
 				t.Errorf("%s: %v", tc.name, err)
 			}
 			if took := time.Since(arrived); took > tc.took {
@@ -680,18 +680,18 @@
 func TestMayGoOn(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		out        Out
+		out        Response
 		once, goOn bool
 	}{
-		{"nothing yet", Out{}, true, true},
-		{"the head", Out{begun: true}, false, true},
-		{"a named event", Out{begun: true, wrote: true, last: "3"}, false, true},
-		{"an event without a name", Out{begun: true, wrote: true}, false, false},
+		{"nothing yet", Response{}, true, true},
+		{"the head", Response{begun: true}, false, true},
+		{"a named event", Response{begun: true, wrote: true, last: "3"}, false, true},
+		{"an event without a name", Response{begun: true, wrote: true}, false, false},
 	} {
-		if got := c.out.mayGoOn(false); got != c.once {
+		if got := c.out.canResume(false); got != c.once {
 			t.Errorf("%s, not resumable: %v", c.name, got)
 		}
-		if got := c.out.mayGoOn(true); got != c.goOn {
+		if got := c.out.canResume(true); got != c.goOn {
 			t.Errorf("%s, resumable: %v", c.name, got)
 		}
 	}
@@ -716,7 +716,7 @@
 			ctx, stop := context.WithTimeout(t.Context(), time.Second)
 			defer stop()
 			tries := 0
-			err := again(ctx, func() error {
+			err := retryAtStores(ctx, func() error {
 				tries++
 				if len(tc.fails) == 0 || tc.fails[min(tries, len(tc.fails))-1] == code.OK {
 					return nil
--- a/internal/dataplane/proxy/reply.go
+++ b/internal/dataplane/proxy/reply.go
@@ -9,7 +9,7 @@
 // reply is a runner's answer that names the job it was asked.
 type reply struct {
 	*http.Response
-	word    Word
+	info    ResponseInfo
 	surplus bool // answers to other jobs came before it
 }
 
@@ -26,22 +26,22 @@
 // answer reads the head of the answer to a try, past provisional ones and past answers
 // that name another. One that names none proves nothing: it may be a second answer to an
 // earlier job, or have been sent before the runner had read this one.
-func (c *conn) answer(req *http.Request, try string, heard func(*http.Response) Word) (*reply, error) {
+func (c *conn) answer(req *http.Request, try string, heard func(*http.Response) ResponseInfo) (*reply, error) {
 	for surplus := 0; ; {
 		r, err := c.final(req)
 		if err != nil {
 			return nil, err
 		}
-		switch word := heard(r); word.Try {
+		switch info := heard(r); info.Attempt {
 		case "":
 			return nil, errUnnamed
 		case try:
-			return &reply{r, word, surplus > 0}, nil
+			return &reply{r, info, surplus > 0}, nil
 		}
 		if surplus++; surplus > maxSurplus || r.Close {
 			return nil, errSurplus
 		}
-		if n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxWhole)); err != nil || n == maxWhole {
+		if n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBuffered)); err != nil || n == maxBuffered {
 			return nil, errors.Join(errSurplus, err)
 		}
 	}
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -12,19 +12,19 @@
 
 // request is the job as it goes to a runner: as it came, under the same name, to
 // that runner only.
-func (d *Door) request(j *Job, w *Out, r *endpoints.Runner) *http.Request {
+func (handler *Handler) request(j *Job, w *Response, r *endpoints.Runner) *http.Request {
 	p, query, some := strings.Cut(j.Req.RequestURI, "?")
 	q := &http.Request{Method: j.Req.Method, URL: &url.URL{Scheme: "http", Host: r.Addr, Opaque: p, RawQuery: query, ForceQuery: some},
 		Host: j.Req.Host, Header: http.Header{}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
-	pass(q.Header, j.Req.Header)
+	copyHeaders(q.Header, j.Req.Header)
 	delete(q.Header, "Expect")
 	if _, ok := q.Header["User-Agent"]; !ok {
 		// Without an entry the library would add its own name.
 		q.Header["User-Agent"] = []string{""}
 	}
-	d.pt.Dialect.Send(q.Header, j, r, j.Left(), min(j.Path.Rank, 9))
+	handler.parts.Headers.WriteRequest(q.Header, j, r, j.Left(), min(j.Path.Rank, 9))
 	if w.begun && w.last != "" {
-		d.pt.Dialect.Resume(q.Header, w.last)
+		handler.parts.Headers.WriteResume(q.Header, w.last)
 	}
 	if len(j.Body) > 0 {
 		q.ContentLength = int64(len(j.Body))
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -27,31 +27,31 @@
 func Refuse(err error, wait time.Duration) Answer { return Answer{Err: err, Wait: wait} }
 
 // Next is the rest of a job's way, Policy one decision on it.
-type Next func(*Job, *Out) Answer
+type Next func(*Job, *Response) Answer
 
 // Policy may answer by itself, or call next and do something before and after.
 type Policy interface {
-	Do(j *Job, w *Out, next Next) Answer
+	Do(j *Job, w *Response, next Next) Answer
 }
 
 // Chain joins policies in order before the last step.
 func Chain(last Next, ps ...Policy) Next {
 	for i := len(ps) - 1; i >= 0; i-- {
 		p, next := ps[i], last
-		last = func(j *Job, w *Out) Answer { return p.Do(j, w, next) }
+		last = func(j *Job, w *Response) Answer { return p.Do(j, w, next) }
 	}
 	return last
 }
 
-// Out is the way back to the caller. Once it has begun, the answer can only end
+// Response is the way back to the caller. Once it has begun, the answer can only end
 // whole or be broken off.
-type Out struct {
+type Response struct {
 	w       http.ResponseWriter
 	begun   bool
 	collect bool
 	text    bytes.Buffer
 	events  int
-	ran     string    // the runner whose answer is passed on
+	runner  string    // the runner whose answer is passed on
 	first   func()    // called at the first event
 	wrote   bool      // more than the head
 	moved   time.Time // when the job was sent or the last event came
@@ -59,27 +59,27 @@
 }
 
 // Begun tells whether the caller has seen the head.
-func (o *Out) Begun() bool { return o.begun }
+func (response *Response) Begun() bool { return response.begun }
 
-// mayGoOn tells whether another run can go on from what the caller was handed: nothing,
+// canResume tells whether another run can go on from what the caller was handed: nothing,
 // only the head, or a resumable stream whose last event has a name.
-func (o *Out) mayGoOn(resumable bool) bool {
-	return !o.begun || resumable && (o.last != "" || !o.wrote)
+func (response *Response) canResume(resumable bool) bool {
+	return !response.begun || resumable && (response.last != "" || !response.wrote)
 }
 
 // Events counts the events passed on.
-func (o *Out) Events() int { return o.events }
+func (response *Response) Events() int { return response.events }
 
 // Collect keeps the data of what is passed on; Text gives it.
-func (o *Out) Collect()     { o.collect = true }
-func (o *Out) Text() []byte { return o.text.Bytes() }
+func (response *Response) Collect()     { response.collect = true }
+func (response *Response) Text() []byte { return response.text.Bytes() }
 
 // Headers that concern one connection only.
-var hop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
+var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
 
-// pass copies headers, less those of one connection.
-func pass(to, from http.Header) {
+// copyHeaders copies headers, less those of one connection.
+func copyHeaders(to, from http.Header) {
 	named := map[string]bool{}
 	for _, v := range from["Connection"] {
 		for _, f := range strings.Split(v, ",") {
@@ -87,25 +87,25 @@
 		}
 	}
 	for k, vs := range from {
-		if !hop[k] && !named[k] && k != "Content-Length" {
+		if !hopByHopHeaders[k] && !named[k] && k != "Content-Length" {
 			to[k] = vs
 		}
 	}
 }
 
 // head passes a runner's head on.
-func (o *Out) head(r *http.Response) {
-	if o.begun {
+func (response *Response) head(r *http.Response) {
+	if response.begun {
 		return
 	}
-	o.begun = true
-	h := o.w.Header()
-	pass(h, r.Header)
+	response.begun = true
+	h := response.w.Header()
+	copyHeaders(h, r.Header)
 	if _, ok := h["Content-Type"]; !ok {
 		// Nothing is guessed about the runner's bytes.
 		h["Content-Type"] = nil
 	}
-	o.w.WriteHeader(r.StatusCode)
+	response.w.WriteHeader(r.StatusCode)
 }
 
 // errCaller: the caller can't be written to any more.
@@ -113,10 +113,10 @@
 
 // stream passes events on as they come, whole ones only, so that another run can
 // go on after the last. It ends without a failure only where the runner ended.
-func (o *Out) stream(r *http.Response) error {
+func (response *Response) stream(r *http.Response) error {
 	br := bufio.NewReaderSize(r.Body, 2048)
-	rc := http.NewResponseController(o.w)
-	o.head(r)
+	rc := http.NewResponseController(response.w)
+	response.head(r)
 	if err := rc.Flush(); err != nil {
 		return errCaller
 	}
@@ -134,13 +134,13 @@
 			return err
 		}
 		// What ends without a blank line is passed on and is no event.
-		whole := err == nil && blank(l) && len(ev) > len(l)
-		if whole || err != nil && len(ev) > 0 {
+		complete := err == nil && blank(l) && len(ev) > len(l)
+		if complete || err != nil && len(ev) > 0 {
 			// Counted first: of a write that fails the caller may still get all.
-			if o.wrote = true; whole {
-				o.note(ev)
+			if response.wrote = true; complete {
+				response.recordEvent(ev)
 			}
-			if _, werr := o.w.Write(ev); werr != nil {
+			if _, werr := response.w.Write(ev); werr != nil {
 				return errCaller
 			}
 			if err == nil && br.Buffered() == 0 {
@@ -161,64 +161,64 @@
 
 func blank(l []byte) bool { return len(bytes.TrimRight(l, "\r\n")) == 0 }
 
-// note remembers an event's id and, if asked, its data.
-func (o *Out) note(ev []byte) {
+// recordEvent remembers an event's id and, if asked, its data.
+func (response *Response) recordEvent(ev []byte) {
 	some, named := false, false
 	for l := range bytes.Lines(ev) {
 		k, v, _ := bytes.Cut(bytes.TrimRight(l, "\r\n"), []byte(":"))
 		v = bytes.TrimPrefix(v, []byte(" "))
 		switch string(k) {
 		case "id":
-			o.last, named = string(v), true
+			response.last, named = string(v), true
 		case "data":
-			if o.collect {
-				o.text.Write(v)
-				o.text.WriteByte('\n')
+			if response.collect {
+				response.text.Write(v)
+				response.text.WriteByte('\n')
 			}
 			some = true
 		}
 	}
 	if some {
-		o.moved = time.Now()
-		if o.events++; o.events == 1 && o.first != nil {
-			o.first()
+		response.moved = time.Now()
+		if response.events++; response.events == 1 && response.first != nil {
+			response.first()
 		}
 		if !named {
-			o.last = ""
+			response.last = ""
 		}
 	}
 }
 
-// maxWhole is what of an answer is held to prove that it is whole before its head
+// maxBuffered is what of an answer is held to prove that it is whole before its head
 // is passed on; a longer one is passed as it comes and broken off if it breaks off.
-const maxWhole = 256 << 10
+const maxBuffered = 256 << 10
 
-// whole passes an answer on that is no stream.
-func (o *Out) whole(r *http.Response) error {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxWhole))
+// complete passes an answer on that is no stream.
+func (response *Response) complete(r *http.Response) error {
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxBuffered))
 	if err != nil {
 		return err
 	}
-	if len(b) < maxWhole || r.ContentLength == int64(len(b)) {
+	if len(b) < maxBuffered || r.ContentLength == int64(len(b)) {
 		if r.ContentLength >= 0 || r.Request.Method != http.MethodHead {
-			o.w.Header()["Content-Length"] = []string{itoa(max(r.ContentLength, int64(len(b))))}
+			response.w.Header()["Content-Length"] = []string{itoa(max(r.ContentLength, int64(len(b))))}
 		}
-		o.head(r)
+		response.head(r)
 		if len(b) > 0 {
-			if _, err := o.w.Write(b); err != nil {
+			if _, err := response.w.Write(b); err != nil {
 				return errCaller
 			}
 		}
 		return nil
 	}
 	if r.ContentLength >= 0 {
-		o.w.Header()["Content-Length"] = []string{itoa(r.ContentLength)}
+		response.w.Header()["Content-Length"] = []string{itoa(r.ContentLength)}
 	}
-	o.head(r)
-	if _, err := o.w.Write(b); err != nil {
+	response.head(r)
+	if _, err := response.w.Write(b); err != nil {
 		return errCaller
 	}
-	_, err = io.Copy(toCaller{o.w}, r.Body)
+	_, err = io.Copy(toCaller{response.w}, r.Body)
 	return err
 }
 
--- a/internal/dataplane/proxy/selection.go
+++ b/internal/dataplane/proxy/selection.go
@@ -12,8 +12,8 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// pickShare is the service that a lot falls to.
-func pickShare(to []spec.Share, lot uint64) string {
+// pickByWeight is the service that a lot falls to.
+func pickByWeight(to []spec.Share, draw uint64) string {
 	sum := int64(0)
 	for _, s := range to {
 		sum += s.Weight
@@ -21,7 +21,7 @@
 	if sum <= 0 {
 		return ""
 	}
-	at := int64(lot % uint64(sum))
+	at := int64(draw % uint64(sum))
 	for _, s := range to {
 		if at -= s.Weight; at < 0 {
 			return s.Service
@@ -51,16 +51,16 @@
 	b.ch = make(chan struct{})
 }
 
-// refills remembers since when zones are in use again: their runners may have
+// refillTimes remembers since when zones are in use again: their runners may have
 // gone cold while they were not.
-type refills struct {
+type refillTimes struct {
 	mu    sync.Mutex
 	empty map[string]bool
 	since map[string]time.Time
 }
 
-// see compares with the zones emptied now, and gives since when one is in use.
-func (z *refills) see(emptied []string, zone string) time.Time {
+// observe compares with the zones emptied now, and gives since when one is in use.
+func (z *refillTimes) observe(emptied []string, zone string) time.Time {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.empty == nil {
@@ -80,56 +80,56 @@
 }
 
 // pick finds a runner that may be sent this job now.
-func (d *Door) pick(j *Job, tried map[string]bool) (*endpoints.Runner, bool) {
-	v := d.pt.View()
-	l := d.pt.Roll.Now()
+func (handler *Handler) pick(j *Job, tried map[string]bool) (*endpoints.Runner, bool) {
+	v := handler.parts.View()
+	l := handler.parts.Endpoints.Current()
 	k, part := "", ""
 	switch {
 	case j.Service.Engine != nil && j.Homed:
-		if len(j.Parts) > 0 {
-			part = j.Parts[0].ID
+		if len(j.PromptParts) > 0 {
+			part = j.PromptParts[0].ID
 		}
 	case j.Service.Engine != nil && j.Program != "":
 		k = j.Program
 	case j.Path.Affine:
 		k = j.Subject
 	}
-	return d.pt.Load.Pick(Ask{Service: j.Service, List: l, Zone: d.pt.Self.Zone, Key: k, Home: j.Home, Part: part,
-		May: func(r *endpoints.Runner) bool {
-			return !tried[r.ID] && !v.Spec.Empty(r.Zone) && (d.pt.Cool.Calm() || d.pt.Cool.Open(coolKey(r)))
+	return handler.parts.Load.Pick(Selection{Service: j.Service, List: l, Zone: handler.parts.Self.Zone, Key: k, PreviousRunner: j.Home, Prefix: part,
+		Allowed: func(r *endpoints.Runner) bool {
+			return !tried[r.ID] && !v.Spec.Empty(r.Zone) && (handler.parts.Cooldowns.Idle() || handler.parts.Cooldowns.GateOpen(cooldownKey(r)))
 		},
-		Cold: func(r *endpoints.Runner) bool {
-			if j.Service.ColdRate <= 0 {
+		WarmingUp: func(r *endpoints.Runner) bool {
+			if j.Service.WarmupRate <= 0 {
 				return false
 			}
-			cold := time.Duration(r.ColdMs) * time.Millisecond
-			if time.Since(l.At) < cold {
+			warmingUp := time.Duration(r.WarmupRemainingMs) * time.Millisecond
+			if time.Since(l.ReadAt) < warmingUp {
 				return true
 			}
 			// Since its zone is in use again it may be cold, until a list read well
 			// after says that it is not.
-			s := d.zone.see(v.Spec.EmptyZones, r.Zone)
-			return !s.IsZero() && l.At.Before(s.Add(d.p.List)) && time.Since(s) < time.Duration(j.Service.ColdMs)*time.Millisecond+d.p.List
+			s := handler.zoneRefills.observe(v.Spec.EmptyZones, r.Zone)
+			return !s.IsZero() && l.ReadAt.Before(s.Add(handler.params.ListMaxAge)) && time.Since(s) < time.Duration(j.Service.WarmupMs)*time.Millisecond+handler.params.ListMaxAge
 		},
-		Shares:     func(r *endpoints.Runner) int { return d.shares(r, j.Service.ColdRate) },
-		Repeatable: j.Repeatable(),
+		WarmupShares: func(r *endpoints.Runner) int { return handler.shares(r, j.Service.WarmupRate) },
+		Repeatable:   j.Repeatable(),
 	})
 }
 
-func coolKey(r *endpoints.Runner) string { return "runner/" + r.ID }
+func cooldownKey(r *endpoints.Runner) string { return "runner/" + r.ID }
 
 // shares is among how many nodes a fresh runner's rate is dealt, 0 where this one
 // has no part: the few edges that the runner's id points to.
-func (d *Door) shares(r *endpoints.Runner, perS float64) int {
-	most := Shares
+func (handler *Handler) shares(r *endpoints.Runner, perS float64) int {
+	most := WarmupNodes
 	if perS < 1 {
 		// Each may send one at once, which is most of what so slow a runner bears.
 		most--
 	}
-	mine := weigh(d.pt.Self.Id, r.ID)
+	mine := weigh(handler.parts.Self.Id, r.ID)
 	n, above := 1, 0 // this one counts, whatever the others think of it
-	for _, m := range d.pt.Members() {
-		if m.Role != "edge" || !m.Live || m.Id == d.pt.Self.Id {
+	for _, m := range handler.parts.Members() {
+		if m.Role != "edge" || !m.Live || m.Id == handler.parts.Self.Id {
 			continue
 		}
 		n++
@@ -143,33 +143,33 @@
 	return min(n, most)
 }
 
-// place waits for a runner with a free place, as long as a part of the job's aim,
+// selectRunner waits for a runner with a free place, as long as a part of the job's aim,
 // and then gives whichever may be sent more than its room.
-func (d *Door) place(j *Job, tried map[string]bool) (*endpoints.Runner, Answer) {
-	aim := time.Duration(j.Path.AimMs) * time.Millisecond
-	if aim == 0 {
-		aim = j.Left()
+func (handler *Handler) selectRunner(j *Job, tried map[string]bool) (*endpoints.Runner, Answer) {
+	latencyTarget := time.Duration(j.Path.LatencyTargetMs) * time.Millisecond
+	if latencyTarget == 0 {
+		latencyTarget = j.Left()
 	}
-	until := j.Arrived.Add(time.Duration(float64(aim) * d.p.Hold))
+	until := j.Arrived.Add(time.Duration(float64(latencyTarget) * handler.params.HoldShare))
 	for {
-		free := d.free.wait()
-		r, room := d.pick(j, tried)
-		if r != nil && room {
+		free := handler.freeSlots.wait()
+		r, hasCapacity := handler.pick(j, tried)
+		if r != nil && hasCapacity {
 			return r, Answer{}
 		}
 		left := min(time.Until(until), j.Left())
 		if r == nil {
 			// Where a cooldown is all that stands in the way, a job is held as long as
 			// for a place and no longer: else it hears at once when to come back.
-			if soon, all := d.cooling(j, tried); all > 0 && (soon <= 0 || soon > left) {
-				return nil, Refuse(code.New(code.Cooling, "all runners of %s are cooling down for %d ms", j.Service.Name, cooldown.Ceil(all)), all)
+			if soon, all := handler.cooling(j, tried); all > 0 && (soon <= 0 || soon > left) {
+				return nil, Refuse(code.New(code.Cooling, "all runners of %s are cooling down for %d ms", j.Service.Name, cooldown.WaitMs(all)), all)
 			}
 		}
 		if left <= 0 {
 			if r == nil {
 				return nil, noRunner(j, "none may be sent a job now")
 			}
-			if !d.pt.Load.Under(r, j.Service, d.p.Over) {
+			if !handler.parts.Load.BelowCapacity(r, j.Service, handler.params.Overload) {
 				return nil, Refuse(code.New(code.BacklogFull, "all runners of %s are full", j.Service.Name), 200*time.Millisecond)
 			}
 			return r, Answer{}
@@ -190,16 +190,16 @@
 // cooling tells when the first of a service's runners is clear again, 0 where not
 // all are cooling down: soon of those not tried yet, all of any. Runners that leave
 // or stand in an emptied zone count for nothing.
-func (d *Door) cooling(j *Job, tried map[string]bool) (soon, all time.Duration) {
-	if d.pt.Cool.Calm() {
+func (handler *Handler) cooling(j *Job, tried map[string]bool) (soon, all time.Duration) {
+	if handler.parts.Cooldowns.Idle() {
 		return 0, 0
 	}
-	v := d.pt.View()
-	for _, r := range d.pt.Roll.Now().Of(j.Service.Name) {
-		if r.Leaving || v.Spec.Empty(r.Zone) {
+	v := handler.parts.View()
+	for _, r := range handler.parts.Endpoints.Current().Of(j.Service.Name) {
+		if r.Draining || v.Spec.Empty(r.Zone) {
 			continue
 		}
-		w := d.pt.Cool.Seen(coolKey(r))
+		w := handler.parts.Cooldowns.KnownWait(cooldownKey(r))
 		switch {
 		case w <= 0 && !tried[r.ID]:
 			return 0, 0
--- a/internal/dataplane/proxy/verdict.go
+++ b/internal/dataplane/proxy/verdict.go
@@ -9,18 +9,18 @@
 	"damsontiller/internal/transport/code"
 )
 
-// promise are the statuses by which callers hear that a job did not run.
-var promise = map[int]bool{http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
+// notRunStatuses are the statuses by which callers hear that a job did not run.
+var notRunStatuses = map[int]bool{http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
 
 // unusable tells why an answer that names the job may not be handed on, before anything
 // of it is.
 func (x *exchange) unusable(a *reply) error {
 	switch {
-	case a.success() && !a.word.Sealed:
+	case a.success() && !a.info.Sealed:
 		return code.New(code.Incomplete, "a success from %s without its mark", x.r.ID)
-	case !proven(a.Response):
+	case !hasKnownEnd(a.Response):
 		return code.New(code.Incomplete, "an answer from %s that does not say where it ends", x.r.ID)
-	case promise[a.StatusCode]:
+	case notRunStatuses[a.StatusCode]:
 		// It does not say that it did not run the job, so neither may we.
 		return code.New(code.RunnerFailure, "runner %s answered %d", x.r.ID, a.StatusCode)
 	case x.w.begun && !a.success():
@@ -29,50 +29,50 @@
 	return nil
 }
 
-// proven tells whether an answer says where it ends; one that ends with its
+// hasKnownEnd tells whether an answer says where it ends; one that ends with its
 // connection can't be told from one that was cut off.
-func proven(r *http.Response) bool {
+func hasKnownEnd(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 || r.Request.Method == http.MethodHead
 }
 
-// ill tells whether an answer is one that a runner in order does not give.
-func (x *exchange) ill(a *reply) bool {
+// isUnhealthy tells whether an answer is one that a runner in order does not give.
+func (x *exchange) isUnhealthy(a *reply) bool {
 	switch s := a.StatusCode; {
 	case a.success():
-		return !a.word.Sealed || !proven(a.Response)
+		return !a.info.Sealed || !hasKnownEnd(a.Response)
 	case x.j.View.Spec.Cooldown.Refusal(s):
 		return false
 	case s == http.StatusGatewayTimeout:
 		// The time was over: whose fault that is tells how long it took.
 		return x.hung()
 	default:
-		return s/100 == 5 || promise[s]
+		return s/100 == 5 || notRunStatuses[s]
 	}
 }
 
 // hung tells whether nothing has been heard of the job for far longer than is usual.
 func (x *exchange) hung() bool {
-	return x.d.pt.Load.Watch.Hung(x.j.Path.Name, time.Since(x.w.moved))
+	return x.handler.parts.Load.Watch.Hung(x.j.Path.Name, time.Since(x.w.moved))
 }
 
-// lost sorts out a send without a whole answer: it may have run.
-func (x *exchange) lost(err error) sending {
-	load := x.d.pt.Load
-	ended := x.j.Err() == nil && !broken(err)
+// outcomeOfLoss sorts out a send without a whole answer: it may have run.
+func (x *exchange) outcomeOfLoss(err error) attemptResult {
+	load := x.handler.parts.Load
+	ended := x.j.Err() == nil && !isBroken(err)
 	if ended || x.hung() {
 		// Who hears nothing for very long hears it from a runner that hangs.
 		load.Watch.Failure(x.r.ID)
 	}
 	if ended {
 		// A reset may be a runner that goes; a timeout is the job's own.
-		load.Avoid(x.r.ID, x.d.p.Avoid/4)
-		if errors.Is(err, syscall.ECONNRESET) && x.c.fresh {
-			load.Avoid(x.r.ID, x.d.p.Avoid)
+		load.Avoid(x.r.ID, x.handler.params.Avoid/4)
+		if errors.Is(err, syscall.ECONNRESET) && x.c.unused {
+			load.Avoid(x.r.ID, x.handler.params.Avoid)
 		}
 	}
 	n := code.OutcomeUnknown
 	if x.j.Left() <= 0 {
 		n = code.TimedOut
 	}
-	return sending{sent: true, err: code.New(n, "runner %s: %w", x.r.ID, err)}
+	return attemptResult{sent: true, err: code.New(n, "runner %s: %w", x.r.ID, err)}
 }
--- a/internal/dataplane/runnerapi/runnerapi.go
+++ b/internal/dataplane/runnerapi/runnerapi.go
@@ -7,42 +7,42 @@
 	Ready    = "ready"
 	Draining = "draining"
 	Other    = "other" // refused: meant for another process
-	Gone     = "gone"
+	Departed = "gone"
 )
 
 // Report is a runner's answer to GET /v1/report.
 type Report struct {
-	Name     string   `json:"name"`
-	State    string   `json:"state"`
-	Mark     string   `json:"mark,omitempty"` // of this start of the process
-	Bears    int      `json:"bears"`          // jobs at once, at present
-	Busy     int      `json:"busy"`
-	UpMs     int64    `json:"up_ms"`
-	Refused  int64    `json:"refused"` // jobs refused since it came up
-	Prefixes []string `json:"prefixes,omitempty"`
+	Name        string   `json:"name"`
+	State       string   `json:"state"`
+	Incarnation string   `json:"mark,omitempty"` // of this start of the process
+	Concurrency int      `json:"bears"`          // jobs at once, at present
+	Load        int      `json:"busy"`
+	UpMs        int64    `json:"up_ms"`
+	Refused     int64    `json:"refused"` // jobs refused since it came up
+	Prefixes    []string `json:"prefixes,omitempty"`
 }
 
-// Run is the body of POST /v1/run.
-type Run struct {
-	Job        string   `json:"job"`
-	Route      string   `json:"route"`
-	Mark       string   `json:"mark,omitempty"` // of the process it is meant for
-	Program    string   `json:"program"`
-	Class      string   `json:"class"`
-	Parts      []string `json:"parts,omitempty"`
-	History    any      `json:"history,omitempty"`
-	Words      string   `json:"words"`
-	MaxOutput  int64    `json:"max_output,omitempty"`
-	DeadlineMs int64    `json:"cutoff_ms"`
+// Request is the body of POST /v1/run.
+type Request struct {
+	Job         string   `json:"job"`
+	Route       string   `json:"route"`
+	Incarnation string   `json:"mark,omitempty"` // of the process it is meant for
+	Program     string   `json:"program"`
+	Class       string   `json:"class"`
+	Parts       []string `json:"parts,omitempty"`
+	History     any      `json:"history,omitempty"`
+	Prompt      string   `json:"words"`
+	MaxOutput   int64    `json:"max_output,omitempty"`
+	DeadlineMs  int64    `json:"cutoff_ms"`
 }
 
-// Ran is a runner's whole answer to a job.
-type Ran struct {
-	Job      string   `json:"job"`
-	Text     string   `json:"text"`
-	Output   int64    `json:"output"`
-	Held     bool     `json:"held"` // the prefix was held, prefill was skipped
-	Prefixes []string `json:"prefixes,omitempty"`
+// Response is a runner's whole answer to a job.
+type Response struct {
+	Job       string   `json:"job"`
+	Text      string   `json:"text"`
+	Output    int64    `json:"output"`
+	PrefixHit bool     `json:"held"` // the prefix was held, prefill was skipped
+	Prefixes  []string `json:"prefixes,omitempty"`
 }
 
 // Failure is the body of a runner's refusal or failure.
--- a/internal/dataplane/store/cooldowns.go
+++ b/internal/dataplane/store/cooldowns.go
@@ -40,7 +40,7 @@
 		if r.AtMs > 0 {
 			age = max(v.Age(r), 0)
 		}
-		c.note(k, r, now.Add(-age))
+		c.remember(k, r, now.Add(-age))
 	})
 	return c, err
 }
@@ -51,12 +51,12 @@
 		return err
 	}
 	if strings.HasPrefix(key, cooldown.Prefix) {
-		c.note(key, r, time.Now())
+		c.remember(key, r, time.Now())
 	}
 	return nil
 }
 
-func (c *cooldowns) note(key string, r *wire.Rec, at time.Time) {
+func (c *cooldowns) remember(key string, r *wire.Rec, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !r.Cell.GetTimed() {
@@ -92,7 +92,7 @@
 			delete(c.force, k)
 			continue
 		}
-		out = append(out, &wire.Cool{Key: k, Ver: d.ver, Op: d.op, LeftMs: cooldown.Ceil(left)})
+		out = append(out, &wire.Cool{Key: k, Ver: d.ver, Op: d.op, LeftMs: cooldown.WaitMs(left)})
 	}
 	return out
 }
--- a/internal/dataplane/store/fill.go
+++ b/internal/dataplane/store/fill.go
@@ -35,8 +35,8 @@
 	pageWait = 2 * time.Second
 	// stragglerWait is how long a store is waited for once the others are enough.
 	stragglerWait = 500 * time.Millisecond
-	// fillHold is how long an order is held before it is told how far it is.
-	fillHold = 2 * time.Second
+	// transferHold is how long an order is held before it is told how far it is.
+	transferHold = 2 * time.Second
 )
 
 // fills is the filling under way, or the last.
@@ -125,7 +125,7 @@
 		})
 	}
 	s.fills.mu.Unlock()
-	t := time.NewTimer(fillHold)
+	t := time.NewTimer(transferHold)
 	defer t.Stop()
 	a := &wire.FillAck{}
 	select {
@@ -255,18 +255,18 @@
 		if err != nil {
 			return err
 		}
-		whole := cs.Copies[:0:0]
+		withValue := cs.Copies[:0:0]
 		for _, c := range cs.Copies {
 			if c.Rec == nil && c.Got == nil {
 				lacks.add(kind, c, m)
 			} else {
-				whole = append(whole, c)
+				withValue = append(withValue, c)
 			}
 		}
-		if err := s.takeAll(f, kind, whole); err != nil {
+		if err := s.takeAll(f, kind, withValue); err != nil {
 			return err
 		}
-		if rate > 0 && !loop.Wait(ctx, time.Duration(len(whole))*time.Second/time.Duration(rate)) {
+		if rate > 0 && !loop.Wait(ctx, time.Duration(len(withValue))*time.Second/time.Duration(rate)) {
 			return ctx.Err()
 		}
 		if q.After = cs.Last; q.After == "" {
@@ -398,7 +398,7 @@
 	}
 	for k, r := range recs {
 		if strings.HasPrefix(k, cooldown.Prefix) {
-			c.note(k, r, time.Now())
+			c.remember(k, r, time.Now())
 		}
 	}
 	return nil
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -164,7 +164,7 @@
 		}
 		l.After = rows[len(rows)-1].Key
 	}
-	s.mended.Add(int64(n))
+	s.repaired.Add(int64(n))
 	return n, nil
 }
 
--- a/internal/dataplane/store/store.go
+++ b/internal/dataplane/store/store.go
@@ -22,11 +22,11 @@
 // Store is one store process.
 type Store struct {
 	*node.Node
-	v      *storage.Engine
-	acc    *register.Acceptor
-	cool   *cooldowns
-	mended atomic.Int64 // keys taken from other stores
-	fills  fills
+	v        *storage.Engine
+	acc      *register.Acceptor
+	cool     *cooldowns
+	repaired atomic.Int64 // keys taken from other stores
+	fills    fills
 }
 
 // New makes a store over its engine.
@@ -61,8 +61,8 @@
 // RepairEvery is the time between two comparisons with another store.
 const RepairEvery = 3 * time.Second
 
-// Mended counts the keys taken from other stores.
-func (s *Store) Mended() int64 { return s.mended.Load() }
+// Repaired counts the keys taken from other stores.
+func (s *Store) Repaired() int64 { return s.repaired.Load() }
 
 // MaxKey bounds a key; longer ones are refused before the disk sees them.
 const MaxKey = 512
@@ -120,33 +120,33 @@
 	s.Go(ctx, func(ctx context.Context) {
 		loop.Every(ctx, time.Second, nil, func(context.Context) { s.v.MeasureDisk() })
 	})
-	s.Go(ctx, func(ctx context.Context) { loop.Every(ctx, time.Minute, nil, s.sweep) })
+	s.Go(ctx, func(ctx context.Context) { loop.Every(ctx, time.Minute, nil, s.expireBlobs) })
 	s.Go(ctx, func(ctx context.Context) { loop.Every(ctx, RepairEvery, nil, s.repair) })
 	return nil
 }
 
-func (s *Store) sweep(context.Context) {
+func (s *Store) expireBlobs(context.Context) {
 	e, f, err := s.v.ExpireBlobs()
 	if err != nil {
 		s.Log.Error("sweep failed", "err", err)
 	} else if e+f > 0 {
 		s.Log.Info("turns past their time", "emptied", e, "forgotten", f)
 	}
-	s.letGo()
+	s.expire()
 }
 
-// letGoMost bounds what one sweep lets go, so that traffic goes first.
-const letGoMost = 5000
+// maxExpired bounds what one sweep lets go, so that traffic goes first.
+const maxExpired = 5000
 
-// letGo empties registers past their keeping times, and forgets those that have
+// expire empties registers past their keeping times, and forgets those that have
 // been empty for long.
-func (s *Store) letGo() {
+func (s *Store) expire() {
 	sp := &s.Cluster.Now().Spec
-	keys, err := s.v.OlderThan(letGoMost, sp.StateKeep)
+	keys, err := s.v.OlderThan(maxExpired, sp.StateKeep)
 	n := 0
 	for _, k := range keys {
 		keep := sp.StateKeep(k)
-		did, ferr := s.acc.Expire(k, func(r *wire.Rec) (past, whole bool) {
+		did, ferr := s.acc.Expire(k, func(r *wire.Rec) (past, withValue bool) {
 			if r.AtMs == 0 {
 				// Dated by being written again, as it is.
 				if err == nil {
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -26,8 +26,8 @@
 	Failure string    `json:"problem,omitempty"`
 }
 
-// Book is the memory of the last rows.
-type Book struct {
+// Journal is the memory of the last rows.
+type Journal struct {
 	mu   sync.Mutex
 	rows map[string]Row
 	ids  []string // oldest first, as a ring
@@ -35,10 +35,10 @@
 }
 
 // New remembers so many rows.
-func New(most int) *Book { return &Book{rows: map[string]Row{}, ids: make([]string, most)} }
+func New(most int) *Journal { return &Journal{rows: map[string]Row{}, ids: make([]string, most)} }
 
 // Add remembers an answered job.
-func (b *Book) Add(c *job.Ctx, a job.Answer, took time.Duration) {
+func (b *Journal) Add(c *job.Ctx, a job.Answer, took time.Duration) {
 	n := code.Of(a.Err)
 	r := Row{Job: c.ID, Program: c.Program, Class: c.Class, Route: c.Route, Spec: c.View.Version, Order: c.Order, Tries: c.Whys, Took: took.Milliseconds(), Code: int(n), Name: n.Name()}
 	if a.Err != nil {
@@ -55,7 +55,7 @@
 }
 
 // Get finds a job.
-func (b *Book) Get(id string) (Row, error) {
+func (b *Journal) Get(id string) (Row, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r, ok := b.rows[id]; ok {
--- a/internal/dataplane/traffic/client.go
+++ b/internal/dataplane/traffic/client.go
@@ -31,10 +31,10 @@
 	Refused                                      bool // nobody listened: the request was never taken
 	Wrong                                        string
 	Forgot                                       bool
-	Held                                         bool
+	PrefixHit                                    bool
 	Runner                                       string
 	Output                                       int64
-	Told                                         time.Duration // when to come back, as the body says it
+	BodyRetryAfter                               time.Duration // when to come back, as the body says it
 	TurnID                                       string
 	Hist                                         string // digest of the conversation up to and with this turn
 	Path                                         string
@@ -66,8 +66,8 @@
 type Client struct {
 	Web *http.Client
 
-	mu     sync.Mutex
-	ledger []Ask
+	mu  sync.Mutex
+	log []Ask
 }
 
 // NewClient makes a client over web; nil means the ordinary way.
@@ -78,11 +78,11 @@
 	return &Client{Web: &http.Client{Transport: web}}
 }
 
-// Ledger is a copy of all that was asked.
-func (c *Client) Ledger() []Ask {
+// Log is a copy of all that was asked.
+func (c *Client) Log() []Ask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Ask(nil), c.ledger...)
+	return append([]Ask(nil), c.log...)
 }
 
 // Ask asks, and asks again as such callers do: another edge where nobody
@@ -108,7 +108,7 @@
 		one.Edge, one.Wait = edges[i%len(edges)], left
 		ans := c.Once(ctx, &one, path, b, end, check)
 		c.mu.Lock()
-		c.ledger = append(c.ledger, one)
+		c.log = append(c.log, one)
 		c.mu.Unlock()
 		switch {
 		case one.Status == http.StatusOK:
@@ -141,11 +141,11 @@
 	}
 	q.ContentLength = int64(len(b))
 	q.Header.Set("Content-Type", "application/json")
-	q.Header.Set(turnapi.HProgram, a.Program)
-	q.Header.Set(turnapi.HLeft, fmt.Sprintf("%.3f", time.Until(end).Seconds()))
-	q.Header.Set(turnapi.HWait, fmt.Sprintf("%.3f", a.Wait.Seconds()))
+	q.Header.Set(turnapi.HeaderProgram, a.Program)
+	q.Header.Set(turnapi.HeaderTimeRemaining, fmt.Sprintf("%.3f", time.Until(end).Seconds()))
+	q.Header.Set(turnapi.HeaderWait, fmt.Sprintf("%.3f", a.Wait.Seconds()))
 	if a.Key != "" {
-		q.Header.Set(turnapi.HKey, a.Key)
+		q.Header.Set(turnapi.HeaderIdempotencyKey, a.Key)
 	}
 	a.Path, a.Body = path, b
 	a.Sent = time.Now()
@@ -164,8 +164,8 @@
 		return ans
 	}
 	a.Status, a.Code, a.Name, a.Ran, a.Job, a.Failure = r.StatusCode, ans.Code, ans.Name, ans.Ran, ans.Job, ans.Failure
-	a.Held, a.Runner, a.Output, a.TurnID = ans.Held, ans.Runner, ans.Output, ans.Turn
-	a.Told = time.Duration(ans.WaitMillis) * time.Millisecond
+	a.PrefixHit, a.Runner, a.Output, a.TurnID = ans.Held, ans.Runner, ans.Output, ans.Turn
+	a.BodyRetryAfter = time.Duration(ans.WaitMillis) * time.Millisecond
 	if n, err := strconv.Atoi(r.Header.Get("Retry-After")); err == nil {
 		a.RetryAfter = time.Duration(n) * time.Second
 	}
--- a/internal/dataplane/traffic/play.go
+++ b/internal/dataplane/traffic/play.go
@@ -23,10 +23,10 @@
 	// Edges gives the edges that the platform would hand to a client of a zone.
 	Edges  func(zone string) []string
 	Client *Client
-	// Words makes the words of a row; nil makes filler of the same length.
-	Words func(r Row, work string) string
-	// Look sees each success, and the words that led to it; it may be nil.
-	Look func(a *Ask, ans Answer, past []Line)
+	// Prompt makes the words of a row; nil makes filler of the same length.
+	Prompt func(r Row, work string) string
+	// Inspect sees each success, and the words that led to it; it may be nil.
+	Inspect func(a *Ask, ans Answer, past []Line)
 
 	done map[string]*turn
 }
@@ -67,8 +67,8 @@
 		work = p.Run + "-" + r.Key
 	}
 	words := strings.Repeat("w", max(r.Words, 1))
-	if p.Words != nil {
-		words = p.Words(r, work)
+	if p.Prompt != nil {
+		words = p.Prompt(r, work)
 	}
 	class, name, _ := strings.Cut(r.Program, "/")
 	wait := time.Duration(max(r.Wait, 200)) * time.Millisecond
@@ -107,8 +107,8 @@
 		body["args"] = map[string]string{"words": words}
 	}
 	ans, ok := p.Client.Ask(ctx, a, path, body, time.Now().Add(10*wait), p.Edges(r.Zone), i%2, func(a *Ask, ans Answer) {
-		if p.Look != nil {
-			p.Look(a, ans, past)
+		if p.Inspect != nil {
+			p.Inspect(a, ans, past)
 		}
 	})
 	if r.Turn && ok {
@@ -122,16 +122,16 @@
 	a.Sent = time.Now()
 	a.Done = a.Sent
 	p.Client.mu.Lock()
-	p.Client.ledger = append(p.Client.ledger, a)
+	p.Client.log = append(p.Client.log, a)
 	p.Client.mu.Unlock()
 }
 
 // Class is what a report says of one class.
 type Class struct {
-	Asks, OK       int
-	Median, P99    time.Duration
-	Held, Parted   int // prefixes held, of good turns that named parts
-	Late, Cooldown int
+	Asks, OK           int
+	Median, P99        time.Duration
+	PrefixHits, Parted int // prefixes held, of good turns that named parts
+	Late, Cooldown     int
 }
 
 // Report sums a ledger up.
@@ -158,8 +158,8 @@
 			if a.Turn {
 				c.Parted++
 			}
-			if a.Held {
-				c.Held++
+			if a.PrefixHit {
+				c.PrefixHits++
 			}
 		case a.Refused:
 			name = "port refused"
@@ -191,6 +191,6 @@
 	fmt.Fprintf(w, "\n%-12s %6s %6s %9s %9s %8s %6s %8s\n", "class", "asks", "ok", "median", "p99", "prefix", "late", "cooldown")
 	for _, k := range slices.Sorted(maps.Keys(r.Classes)) {
 		c := r.Classes[k]
-		fmt.Fprintf(w, "%-12s %6d %6d %9s %9s %4d/%-4d %5d %8d\n", k, c.Asks, c.OK, c.Median.Round(time.Millisecond), c.P99.Round(time.Millisecond), c.Held, c.Parted, c.Late, c.Cooldown)
+		fmt.Fprintf(w, "%-12s %6d %6d %9s %9s %4d/%-4d %5d %8d\n", k, c.Asks, c.OK, c.Median.Round(time.Millisecond), c.P99.Round(time.Millisecond), c.PrefixHits, c.Parted, c.Late, c.Cooldown)
 	}
 }
--- a/internal/dataplane/traffic/record.go
+++ b/internal/dataplane/traffic/record.go
@@ -76,7 +76,7 @@
 			return
 		}
 		for _, e := range edges {
-			var p Piece
+			var p Chunk
 			if err := Get(ctx, web, fmt.Sprintf("http://%s/v1/traffic?after=%d", e.HTTP, next[e.ID]), &p); err != nil {
 				continue
 			}
@@ -131,7 +131,7 @@
 		at := time.Unix(0, 0).Add(time.Duration(r.T) * time.Millisecond)
 		c := code.Code(r.Code)
 		out = append(out, Ask{Program: r.Program, Class: r.Class, Route: r.Route, Turn: r.Turn, Sent: at, Done: at.Add(time.Duration(r.Took) * time.Millisecond),
-			Status: c.Status(), Code: r.Code, Name: c.Name(), Held: r.Held, Runner: r.Runner, Output: r.Output})
+			Status: c.Status(), Code: r.Code, Name: c.Name(), PrefixHit: r.PrefixHit, Runner: r.Runner, Output: r.Output})
 	}
 	return out
 }
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -25,48 +25,48 @@
 
 // Row is one job. Times are milliseconds; T is from the start of the day.
 type Row struct {
-	T       int64    `json:"t"`
-	AgeMs   int64    `json:"age,omitempty"` // since its arrival, where an edge hands it out
-	Edge    string   `json:"edge"`
-	Zone    string   `json:"zone"`
-	Job     string   `json:"job"`
-	Turn    bool     `json:"turn,omitempty"`
-	Follows string   `json:"follows,omitempty"` // job of the turn followed
-	Route   string   `json:"route"`
-	Program string   `json:"program"`
-	Class   string   `json:"class,omitempty"`
-	Conv    string   `json:"conv,omitempty"`
-	Key     string   `json:"key,omitempty"` // a digest of the caller's key
-	Parts   []string `json:"parts,omitempty"`
-	Words   int      `json:"words"`
-	Most    int64    `json:"most,omitempty"`
-	Wait    int64    `json:"wait"` // time allowed at arrival
-	Code    int      `json:"code"`
-	Took    int64    `json:"took"`
-	Queued  int64    `json:"queued"` // until it was passed
-	Output  int64    `json:"output,omitempty"`
-	Held    bool     `json:"held,omitempty"`
-	Runner  string   `json:"runner,omitempty"`
+	T         int64    `json:"t"`
+	AgeMs     int64    `json:"age,omitempty"` // since its arrival, where an edge hands it out
+	Edge      string   `json:"edge"`
+	Zone      string   `json:"zone"`
+	Job       string   `json:"job"`
+	Turn      bool     `json:"turn,omitempty"`
+	Follows   string   `json:"follows,omitempty"` // job of the turn followed
+	Route     string   `json:"route"`
+	Program   string   `json:"program"`
+	Class     string   `json:"class,omitempty"`
+	Conv      string   `json:"conv,omitempty"`
+	Key       string   `json:"key,omitempty"` // a digest of the caller's key
+	Parts     []string `json:"parts,omitempty"`
+	Words     int      `json:"words"`
+	Most      int64    `json:"most,omitempty"`
+	Wait      int64    `json:"wait"` // time allowed at arrival
+	Code      int      `json:"code"`
+	Took      int64    `json:"took"`
+	Queued    int64    `json:"queued"` // until it was passed
+	Output    int64    `json:"output,omitempty"`
+	PrefixHit bool     `json:"held,omitempty"`
+	Runner    string   `json:"runner,omitempty"`
 }
 
-// Tape is an edge's bounded memory of its last rows.
-type Tape struct {
-	mu   sync.Mutex
-	rows []Row
-	at   []time.Time // arrival of each
-	next int         // number of the next row
-	most int
+// Recorder is an edge's bounded memory of its last rows.
+type Recorder struct {
+	mu       sync.Mutex
+	rows     []Row
+	at       []time.Time // arrival of each
+	next     int         // number of the next row
+	capacity int
 }
 
-// NewTape remembers up to most rows.
-func NewTape(most int) *Tape { return &Tape{most: most} }
+// NewRecorder remembers up to most rows.
+func NewRecorder(most int) *Recorder { return &Recorder{capacity: most} }
 
 // Add remembers one answered job.
-func (t *Tape) Add(edge, zone string, c *job.Ctx, a job.Answer, took time.Duration) {
+func (recorder *Recorder) Add(edge, zone string, c *job.Ctx, a job.Answer, took time.Duration) {
 	now := time.Now()
 	r := Row{Edge: edge, Zone: zone, Job: c.ID, Turn: c.Conv != "", Follows: c.Follows, Route: c.Route, Program: c.Program, Class: c.Class, Conv: c.Conv,
-		Parts: c.Parts, Words: len(c.Words), Most: c.Asked, Wait: (c.Left() + took).Milliseconds(), Code: int(code.Of(a.Err)), Took: took.Milliseconds(),
-		Output: c.Spent, Held: c.Held, Runner: c.Runner.Name}
+		Parts: c.Parts, Words: len(c.Prompt), Most: c.Asked, Wait: (c.Left() + took).Milliseconds(), Code: int(code.Of(a.Err)), Took: took.Milliseconds(),
+		Output: c.Spent, PrefixHit: c.PrefixHit, Runner: c.Runner.Name}
 	if c.Key != "" {
 		sum := sha256.Sum256([]byte(c.Key))
 		r.Key = hex.EncodeToString(sum[:8])
@@ -74,17 +74,17 @@
 	if !c.Passed.IsZero() {
 		r.Queued = (took - now.Sub(c.Passed)).Milliseconds()
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.rows, t.at = append(t.rows, r), append(t.at, now.Add(-took))
-	t.next++
-	if n := len(t.rows) - t.most; n > 0 {
-		t.rows, t.at = append([]Row(nil), t.rows[n:]...), append([]time.Time(nil), t.at[n:]...)
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.rows, recorder.at = append(recorder.rows, r), append(recorder.at, now.Add(-took))
+	recorder.next++
+	if n := len(recorder.rows) - recorder.capacity; n > 0 {
+		recorder.rows, recorder.at = append([]Row(nil), recorder.rows[n:]...), append([]time.Time(nil), recorder.at[n:]...)
 	}
 }
 
-// Piece is what an edge hands out of its tape.
-type Piece struct {
+// Chunk is what an edge hands out of its tape.
+type Chunk struct {
 	Next int   `json:"next"`
 	Lost int   `json:"lost"` // rows that were forgotten before they were asked for
 	Rows []Row `json:"rows"`
@@ -92,21 +92,21 @@
 
 // After gives the rows from number n on, with their ages: no clock of one
 // machine is compared with another's.
-func (t *Tape) After(n int) Piece {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	first := t.next - len(t.rows)
-	p := Piece{Next: t.next}
+func (recorder *Recorder) After(n int) Chunk {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	first := recorder.next - len(recorder.rows)
+	p := Chunk{Next: recorder.next}
 	// A number from an earlier start of the edge means all there is.
-	if n > t.next {
+	if n > recorder.next {
 		n = first
 	}
 	if n < first {
 		p.Lost, n = first-n, first
 	}
-	for i := n - first; i < len(t.rows); i++ {
-		r := t.rows[i]
-		r.AgeMs = time.Since(t.at[i]).Milliseconds()
+	for i := n - first; i < len(recorder.rows); i++ {
+		r := recorder.rows[i]
+		r.AgeMs = time.Since(recorder.at[i]).Milliseconds()
 		p.Rows = append(p.Rows, r)
 	}
 	return p
@@ -139,10 +139,10 @@
 func NewWriter(w io.Writer, h Head) (*Writer, error) {
 	d := &Writer{w: bufio.NewWriter(w), sum: sha256.New()}
 	h.Format = Format
-	return d, d.line(h)
+	return d, d.writeLine(h)
 }
 
-func (d *Writer) line(v any) error {
+func (d *Writer) writeLine(v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 // Add writes a row.
 func (d *Writer) Add(r Row) error {
 	d.rows++
-	return d.line(r)
+	return d.writeLine(r)
 }
 
 // Close ends the file.
--- a/internal/dataplane/traffic/traffic_test.go
+++ b/internal/dataplane/traffic/traffic_test.go
@@ -64,32 +64,32 @@
 	}
 }
 
-// TestTape: bounded, says what it has forgotten, and holds no words.
-func TestTape(t *testing.T) {
+// TestRecorder: bounded, says what it has forgotten, and holds no words.
+func TestRecorder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tape := traffic.NewTape(5)
+		recorder := traffic.NewRecorder(5)
 		add := func() {
-			c := &job.Ctx{ID: "j", Program: "p/1", Route: "model", Conv: "reel", Key: "secret-key", Words: "secret words", AnswerBy: time.Now().Add(time.Second), View: &cluster.View{}}
-			tape.Add("e1", "a", c, job.Bad(code.Cooling, "secret"), 20*time.Millisecond)
+			c := &job.Ctx{ID: "j", Program: "p/1", Route: "model", Conv: "reel", Key: "secret-key", Prompt: "secret words", AnswerBy: time.Now().Add(time.Second), View: &cluster.View{}}
+			recorder.Add("e1", "a", c, job.Bad(code.Cooling, "secret"), 20*time.Millisecond)
 		}
 		for range 3 {
 			add()
 		}
 		time.Sleep(time.Second)
-		p := tape.After(0)
+		p := recorder.After(0)
 		if p.Next != 3 || p.Lost != 0 || len(p.Rows) != 3 || p.Rows[0].AgeMs != 1020 || p.Rows[0].Words != 12 || p.Rows[0].Wait != 1020 {
 			t.Errorf("%+v", p)
 		}
 		for range 7 {
 			add()
 		}
-		if p = tape.After(3); p.Next != 10 || p.Lost != 2 || len(p.Rows) != 5 {
+		if p = recorder.After(3); p.Next != 10 || p.Lost != 2 || len(p.Rows) != 5 {
 			t.Errorf("next %d, lost %d, rows %d", p.Next, p.Lost, len(p.Rows))
 		}
-		if p = tape.After(10); len(p.Rows) != 0 {
+		if p = recorder.After(10); len(p.Rows) != 0 {
 			t.Errorf("%d rows where none is new", len(p.Rows))
 		}
-		if p = tape.After(500); len(p.Rows) != 5 {
+		if p = recorder.After(500); len(p.Rows) != 5 {
 			t.Errorf("after a restart %d rows", len(p.Rows))
 		}
 		var b bytes.Buffer
@@ -97,7 +97,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := w.Add(tape.After(9).Rows[0]); err != nil {
+		if err := w.Add(recorder.After(9).Rows[0]); err != nil {
 			t.Fatal(err)
 		}
 		if err := w.Close(0); err != nil {
@@ -129,7 +129,7 @@
 	row := traffic.Row{Job: "j", Route: "r", Program: "p", Key: "k", Words: 80, Wait: 5000}
 	p := &traffic.Player{Day: &traffic.Day{Rows: []traffic.Row{row, row, {Job: "j", Route: "r", Program: "p", Key: "other", Words: 80, Wait: 5000}}}, Speed: 1, Run: "run",
 		Client: traffic.NewClient(nil), Edges: func(string) []string { return []string{strings.TrimPrefix(srv.URL, "http://")} },
-		Words: func(_ traffic.Row, work string) string { return "work:" + work }}
+		Prompt: func(_ traffic.Row, work string) string { return "work:" + work }}
 	p.Play(t.Context())
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/dataplane/turnapi/handler.go
+++ b/internal/dataplane/turnapi/handler.go
@@ -27,11 +27,11 @@
 
 // Headers that callers send.
 const (
-	HProgram = "X-Damsontiller-Program"
-	HLeft    = "X-Damsontiller-Program-Time-Remaining"
-	HWait    = "X-Damsontiller-Wait"
-	HKey     = "Idempotency-Key"
-	HStarted = "X-Damsontiller-Started-By"
+	HeaderProgram        = "X-Damsontiller-Program"
+	HeaderTimeRemaining  = "X-Damsontiller-Program-Time-Remaining"
+	HeaderWait           = "X-Damsontiller-Wait"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderStartedBy      = "X-Damsontiller-Started-By"
 )
 
 // Params bound what is taken.
@@ -53,7 +53,7 @@
 	Follows      string   `json:"follows"`
 	Model        string   `json:"model"`
 	Class        string   `json:"class"`
-	Words        string   `json:"words"`
+	Prompt       string   `json:"words"`
 	Parts        []string `json:"parts"`
 	MaxOutput    int64    `json:"max_output"`
 }
@@ -65,46 +65,46 @@
 	Parts []string        `json:"parts"`
 }
 
-// Door makes jobs of requests.
-type Door struct {
-	P     Params
-	ID    string // of this node and start; job ids begin with it
-	Log   hclog.Logger
-	View  func() *cluster.View
-	Ready func() error
-	Turn  job.Next
-	Call  job.Next
+// Handler makes jobs of requests.
+type Handler struct {
+	Params Params
+	ID     string // of this node and start; job ids begin with it
+	Log    hclog.Logger
+	View   func() *cluster.View
+	Ready  func() error
+	Turn   job.Next
+	Call   job.Next
 	// Point goes with each job; see job.Point.
 	Point func(job.Point, *job.Ctx)
-	// Seen hears of every job answered, for records of the traffic.
-	Seen func(c *job.Ctx, a job.Answer, took time.Duration)
+	// OnAnswer hears of every job answered, for records of the traffic.
+	OnAnswer func(c *job.Ctx, a job.Answer, took time.Duration)
 
-	n      atomic.Uint64
+	jobs   atomic.Uint64
 	mu     sync.Mutex
 	counts map[string]int64
 }
 
 // Routes puts the callers' interface on e.
-func (d *Door) Routes(e *echo.Echo) {
-	d.counts = map[string]int64{}
-	e.POST("/v1/turns", func(x echo.Context) error { return d.serve(x, "") })
-	e.POST("/v1/calls/:route", func(x echo.Context) error { return d.serve(x, x.Param("route")) })
+func (handler *Handler) Routes(e *echo.Echo) {
+	handler.counts = map[string]int64{}
+	e.POST("/v1/turns", func(x echo.Context) error { return handler.serve(x, "") })
+	e.POST("/v1/calls/:route", func(x echo.Context) error { return handler.serve(x, x.Param("route")) })
 }
 
 // Counts is how many jobs ended with each code.
-func (d *Door) Counts() map[string]int64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (handler *Handler) Counts() map[string]int64 {
+	handler.mu.Lock()
+	defer handler.mu.Unlock()
 	out := map[string]int64{}
-	for k, v := range d.counts {
+	for k, v := range handler.counts {
 		out[k] = v
 	}
 	return out
 }
 
-func (d *Door) serve(x echo.Context, route string) error {
+func (handler *Handler) serve(x echo.Context, route string) error {
 	at := time.Now()
-	c, err := d.job(x, at, route)
+	c, err := handler.job(x, at, route)
 	var a job.Answer
 	switch {
 	case err != nil:
@@ -113,38 +113,38 @@
 		a = job.Bad(code.DeadlinePassed, "no time is left")
 	default:
 		c.At(job.Taken)
-		a = d.way(c)
+		a = handler.execute(c)
 	}
 	n := code.Of(a.Err)
-	d.mu.Lock()
-	d.counts[n.Name()]++
-	d.mu.Unlock()
-	if c != nil && d.Seen != nil {
-		d.Seen(c, a, time.Since(at))
+	handler.mu.Lock()
+	handler.counts[n.Name()]++
+	handler.mu.Unlock()
+	if c != nil && handler.OnAnswer != nil {
+		handler.OnAnswer(c, a, time.Since(at))
 	}
-	return d.answer(x, c, a)
+	return handler.answer(x, c, a)
 }
 
-func (d *Door) way(c *job.Ctx) job.Answer {
+func (handler *Handler) execute(c *job.Ctx) job.Answer {
 	if c.Conv != "" {
-		return d.Turn(c)
+		return handler.Turn(c)
 	}
-	return d.Call(c)
+	return handler.Call(c)
 }
 
 // answer writes the one final answer.
-func (d *Door) answer(x echo.Context, c *job.Ctx, a job.Answer) error {
+func (handler *Handler) answer(x echo.Context, c *job.Ctx, a job.Answer) error {
 	if a.Err == nil {
 		return x.JSONBlob(http.StatusOK, a.Body)
 	}
 	p := web.Of(a.Err)
 	if c == nil {
 		// Refused before it was read: of a keyed one nothing is known here.
-		c = &job.Ctx{Key: x.Request().Header.Get(HKey)}
+		c = &job.Ctx{Key: x.Request().Header.Get(HeaderIdempotencyKey)}
 	}
 	p.Job, p.Ran = c.ID, c.Word(a)
 	if code.Code(p.Code) == code.Unknown {
-		d.Log.Error("failure without a number", "err", a.Err)
+		handler.Log.Error("failure without a number", "err", a.Err)
 	}
 	status := code.Code(p.Code).Status()
 	if a.Wait == 0 && status == http.StatusServiceUnavailable {
@@ -162,89 +162,89 @@
 }
 
 // job checks a request and makes a job of it.
-func (d *Door) job(x echo.Context, at time.Time, route string) (*job.Ctx, error) {
-	if err := d.Ready(); err != nil {
+func (handler *Handler) job(x echo.Context, at time.Time, route string) (*job.Ctx, error) {
+	if err := handler.Ready(); err != nil {
 		return nil, err
 	}
 	q := x.Request()
-	v := d.View()
-	c := &job.Ctx{Context: q.Context(), ID: fmt.Sprintf("%s-%d", d.ID, d.n.Add(1)), Origin: q.RemoteAddr, View: v, Route: route, Point: d.Point, Log: d.Log}
-	if err := d.headers(q.Header, c, at); err != nil {
+	v := handler.View()
+	c := &job.Ctx{Context: q.Context(), ID: fmt.Sprintf("%s-%d", handler.ID, handler.jobs.Add(1)), Origin: q.RemoteAddr, View: v, Route: route, Point: handler.Point, Log: handler.Log}
+	if err := handler.headers(q.Header, c, at); err != nil {
 		return nil, err
 	}
-	b, err := web.Body(x, d.P.MaxBody)
+	b, err := web.Body(x, handler.Params.MaxBody)
 	if err != nil {
 		return nil, err
 	}
 	sum := sha256.Sum256(append([]byte(q.URL.Path+"\n"), b...))
 	c.Hash = hex.EncodeToString(sum[:16])
 	if route == "" {
-		err = d.turn(c, b)
+		err = handler.turn(c, b)
 	} else {
-		err = d.call(c, b)
+		err = handler.call(c, b)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return c, d.class(c)
+	return c, handler.class(c)
 }
 
-func (d *Door) headers(h http.Header, c *job.Ctx, at time.Time) error {
-	c.Program = h.Get(HProgram)
+func (handler *Handler) headers(h http.Header, c *job.Ctx, at time.Time) error {
+	c.Program = h.Get(HeaderProgram)
 	if c.Program == "" {
-		return code.New(code.NoHeader, "%s is missing", HProgram)
+		return code.New(code.NoHeader, "%s is missing", HeaderProgram)
 	}
-	c.StartedBy = h.Get(HStarted)
-	for _, p := range []struct{ head, name string }{{HProgram, c.Program}, {HStarted, c.StartedBy}} {
+	c.StartedBy = h.Get(HeaderStartedBy)
+	for _, p := range []struct{ head, name string }{{HeaderProgram, c.Program}, {HeaderStartedBy, c.StartedBy}} {
 		for _, part := range strings.SplitN(p.name, "/", 2) {
-			if !spec.Name(part) && (p.head != HStarted || p.name != "") {
+			if !spec.Name(part) && (p.head != HeaderStartedBy || p.name != "") {
 				return code.New(code.BadHeader, "%s: %q is not a name, nor a class and a name", p.head, p.name)
 			}
 		}
 	}
 	if c.StartedBy == c.Program {
-		return code.New(code.BadProgram, "%s: %q can't have started itself", HStarted, c.Program)
+		return code.New(code.BadProgram, "%s: %q can't have started itself", HeaderStartedBy, c.Program)
 	}
-	if h.Get(HLeft) == "" {
-		return code.New(code.NoHeader, "%s is missing", HLeft)
+	if h.Get(HeaderTimeRemaining) == "" {
+		return code.New(code.NoHeader, "%s is missing", HeaderTimeRemaining)
 	}
-	left, err := d.seconds(h, HLeft)
+	left, err := handler.seconds(h, HeaderTimeRemaining)
 	if err != nil {
 		return err
 	}
-	wait := d.P.Wait
-	if h.Get(HWait) != "" {
-		if wait, err = d.seconds(h, HWait); err != nil {
+	wait := handler.Params.Wait
+	if h.Get(HeaderWait) != "" {
+		if wait, err = handler.seconds(h, HeaderWait); err != nil {
 			return err
 		}
 	}
 	c.Ends = at.Add(left)
-	c.AnswerBy = at.Add(min(left, wait) - d.P.Margin)
-	if c.Key = h.Get(HKey); c.Key == "" {
+	c.AnswerBy = at.Add(min(left, wait) - handler.Params.Margin)
+	if c.Key = h.Get(HeaderIdempotencyKey); c.Key == "" {
 		// An empty key is no key, and must not be taken for 'may be repeated'.
-		if _, ok := h[HKey]; ok {
-			return code.New(code.BadHeader, "%s is empty", HKey)
+		if _, ok := h[HeaderIdempotencyKey]; ok {
+			return code.New(code.BadHeader, "%s is empty", HeaderIdempotencyKey)
 		}
 		return nil
 	}
 	if len(c.Key) > 128 || strings.ContainsFunc(c.Key, func(r rune) bool { return r <= ' ' || r > '~' }) {
-		return code.New(code.BadHeader, "%s: want up to 128 visible characters", HKey)
+		return code.New(code.BadHeader, "%s: want up to 128 visible characters", HeaderIdempotencyKey)
 	}
 	return nil
 }
 
-func (d *Door) seconds(h http.Header, name string) (time.Duration, error) {
+func (handler *Handler) seconds(h http.Header, name string) (time.Duration, error) {
 	f, err := strconv.ParseFloat(h.Get(name), 64)
 	if err != nil || math.IsNaN(f) {
 		return 0, code.New(code.BadTime, "%s: %q is not a number of seconds", name, h.Get(name))
 	}
-	if most := d.View().Spec.LongestWait().Seconds(); f < 0 || f > most {
+	if most := handler.View().Spec.LongestWait().Seconds(); f < 0 || f > most {
 		return 0, code.New(code.BadTime, "%s: %v is not within 0 and %v", name, f, most)
 	}
 	return time.Duration(f * float64(time.Second)), nil
 }
 
-func (d *Door) turn(c *job.Ctx, b []byte) error {
+func (handler *Handler) turn(c *job.Ctx, b []byte) error {
 	var t Turn
 	if err := web.Strict(b, &t); err != nil {
 		return err
@@ -252,44 +252,44 @@
 	if !spec.Name(t.Conversation) {
 		return code.New(code.BadField, "conversation: %q is not a name", t.Conversation)
 	}
-	if t.Words == "" {
+	if t.Prompt == "" {
 		return code.New(code.BadField, "words: missing")
 	}
-	if t.MaxOutput < 1 || t.MaxOutput > d.P.MaxOutput {
-		return code.New(code.BadField, "max_output: %d is not within 1 and %d", t.MaxOutput, d.P.MaxOutput)
+	if t.MaxOutput < 1 || t.MaxOutput > handler.Params.MaxOutput {
+		return code.New(code.BadField, "max_output: %d is not within 1 and %d", t.MaxOutput, handler.Params.MaxOutput)
 	}
 	if len(t.Follows) > 128 {
 		return code.New(code.BadField, "follows: not a turn")
 	}
-	c.Conv, c.Follows, c.Words, c.Class = t.Conversation, t.Follows, t.Words, t.Class
+	c.Conv, c.Follows, c.Prompt, c.Class = t.Conversation, t.Follows, t.Prompt, t.Class
 	c.Asked, c.Most = t.MaxOutput, t.MaxOutput
 	c.Route = t.Model
 	for _, r := range c.View.Spec.Routes {
 		if r.Model && (t.Model == "" || t.Model == r.Name) {
 			c.Route = r.Name
-			return d.parts(c, t.Parts)
+			return handler.parts(c, t.Parts)
 		}
 	}
 	return code.New(code.NoRoute, "model: %q is not a model route", t.Model)
 }
 
-func (d *Door) call(c *job.Ctx, b []byte) error {
+func (handler *Handler) call(c *job.Ctx, b []byte) error {
 	var t Call
 	if err := web.Strict(b, &t); err != nil {
 		return err
 	}
-	c.Words, c.Class = string(t.Args), t.Class
+	c.Prompt, c.Class = string(t.Args), t.Class
 	for _, r := range c.View.Spec.Routes {
 		if !r.Model && r.Name == c.Route {
-			return d.parts(c, t.Parts)
+			return handler.parts(c, t.Parts)
 		}
 	}
 	return code.New(code.NoRoute, "%q is not a tool's route", c.Route)
 }
 
-func (d *Door) parts(c *job.Ctx, parts []string) error {
-	if len(parts) > d.P.MaxParts {
-		return code.New(code.BadField, "parts: %d, limit %d", len(parts), d.P.MaxParts)
+func (handler *Handler) parts(c *job.Ctx, parts []string) error {
+	if len(parts) > handler.Params.MaxParts {
+		return code.New(code.BadField, "parts: %d, limit %d", len(parts), handler.Params.MaxParts)
 	}
 	for i, p := range parts {
 		if !spec.Name(p) {
@@ -301,15 +301,15 @@
 }
 
 // class finds the job's place in the order; a class not named goes last.
-func (d *Door) class(c *job.Ctx) error {
+func (handler *Handler) class(c *job.Ctx) error {
 	cs := c.View.Spec.Classes
 	if c.Class == "" {
-		c.Rank = len(cs)
+		c.Priority = len(cs)
 		return nil
 	}
 	for i, k := range cs {
 		if k.Name == c.Class {
-			c.Rank, c.Urgent = i, k.Urgent
+			c.Priority, c.Urgent = i, k.Urgent
 			return nil
 		}
 	}
--- a/internal/dataplane/turnapi/handler_test.go
+++ b/internal/dataplane/turnapi/handler_test.go
@@ -25,16 +25,16 @@
 
 func good() ask {
 	return ask{"/v1/turns", `{"conversation":"reel","class":"live","words":"w","parts":["a","b"],"max_output":5}`,
-		map[string]string{turnapi.HProgram: "reel/1", turnapi.HLeft: "60", turnapi.HWait: "5", turnapi.HKey: "k"}}
+		map[string]string{turnapi.HeaderProgram: "reel/1", turnapi.HeaderTimeRemaining: "60", turnapi.HeaderWait: "5", turnapi.HeaderIdempotencyKey: "k"}}
 }
 
 func serve(t *testing.T, q ask, do job.Next) (*httptest.ResponseRecorder, web.Failure) {
 	t.Helper()
 	view := &cluster.View{Version: 1}
 	view.Spec = spec.Spec{Routes: []spec.Route{{Name: "model", Model: true}, {Name: "assets"}}, Classes: []spec.Class{{Name: "live", Urgent: true}, {Name: "reel"}}}
-	d := &turnapi.Door{P: turnapi.DefaultParams, ID: "e1", Log: hclog.NewNullLogger(), View: func() *cluster.View { return view }, Ready: func() error { return nil }, Turn: do, Call: do}
+	handler := &turnapi.Handler{Params: turnapi.DefaultParams, ID: "e1", Log: hclog.NewNullLogger(), View: func() *cluster.View { return view }, Ready: func() error { return nil }, Turn: do, Call: do}
 	e := web.New(hclog.NewNullLogger())
-	d.Routes(e)
+	handler.Routes(e)
 	r := httptest.NewRequest(http.MethodPost, q.path, strings.NewReader(q.body))
 	for k, v := range q.head {
 		r.Header.Set(k, v)
@@ -62,19 +62,19 @@
 		{"wrong type", code.BadJSON, func(q *ask) { q.body = `{"words":1}` }},
 		{"oversized", code.TooLarge, func(q *ask) { q.body = `{"words":"` + strings.Repeat("x", 1<<20) + `"}` }},
 		{"unknown field", code.UnknownField, func(q *ask) { q.body = `{"words":"w","wurds":""}` }},
-		{"no program", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HProgram) }},
-		{"bad program", code.BadHeader, func(q *ask) { q.head[turnapi.HProgram] = "a b" }},
-		{"bad program class", code.BadHeader, func(q *ask) { q.head[turnapi.HProgram] = "/x" }},
-		{"no time", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HLeft) }},
-		{"negative time", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "-1" }},
-		{"huge time", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "1e300" }},
-		{"time that is no number", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "soon" }},
-		{"time NaN", code.BadTime, func(q *ask) { q.head[turnapi.HLeft] = "NaN" }},
-		{"negative wait", code.BadTime, func(q *ask) { q.head[turnapi.HWait] = "-0.1" }},
-		{"no time left", code.DeadlinePassed, func(q *ask) { q.head[turnapi.HLeft] = "0" }},
-		{"empty key", code.BadHeader, func(q *ask) { q.head[turnapi.HKey] = "" }},
-		{"key with spaces", code.BadHeader, func(q *ask) { q.head[turnapi.HKey] = "a b" }},
-		{"long key", code.BadHeader, func(q *ask) { q.head[turnapi.HKey] = strings.Repeat("k", 129) }},
+		{"no program", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HeaderProgram) }},
+		{"bad program", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderProgram] = "a b" }},
+		{"bad program class", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderProgram] = "/x" }},
+		{"no time", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HeaderTimeRemaining) }},
+		{"negative time", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "-1" }},
+		{"huge time", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "1e300" }},
+		{"time that is no number", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "soon" }},
+		{"time NaN", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "NaN" }},
+		{"negative wait", code.BadTime, func(q *ask) { q.head[turnapi.HeaderWait] = "-0.1" }},
+		{"no time left", code.DeadlinePassed, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "0" }},
+		{"empty key", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderIdempotencyKey] = "" }},
+		{"key with spaces", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderIdempotencyKey] = "a b" }},
+		{"long key", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderIdempotencyKey] = strings.Repeat("k", 129) }},
 		{"unknown route", code.NoRoute, func(q *ask) { q.path = "/v1/calls/nope"; q.body = "{}" }},
 		{"the model as a tool", code.NoRoute, func(q *ask) { q.path = "/v1/calls/model"; q.body = "{}" }},
 		{"a tool as a model", code.NoRoute, func(q *ask) { q.body = strings.Replace(q.body, "{", `{"model":"assets",`, 1) }},
@@ -105,7 +105,7 @@
 	if w.Code != http.StatusOK || got == nil {
 		t.Fatalf("status %d", w.Code)
 	}
-	if !got.Urgent || got.Rank != 0 || got.Program != "reel/1" || got.Key != "k" || got.Route != "model" || got.Most != 5 || len(got.Parts) != 2 || got.Hash == "" {
+	if !got.Urgent || got.Priority != 0 || got.Program != "reel/1" || got.Key != "k" || got.Route != "model" || got.Most != 5 || len(got.Parts) != 2 || got.Hash == "" {
 		t.Errorf("%+v", got)
 	}
 	// The earlier of the caller's wait and the program's end counts.
--- a/internal/kit/checker/checker.go
+++ b/internal/kit/checker/checker.go
@@ -16,20 +16,20 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Line numbers the brief's list, in its order.
-type Line int
+// Row numbers the brief's list, in its order.
+type Row int
 
 // The lines of "What must never happen".
 const (
-	Twice Line = iota + 1
+	Twice Row = iota + 1
 	NotRun
 	Forgot
 	Budget
-	NotWhole
-	Leaving
+	Incomplete
+	Draining
 	Emptied
 	Spec
-	Fresh
+	WarmingUp
 	Planned
 	Early
 	Recovery
@@ -40,9 +40,9 @@
 )
 
 // Names say each line in short.
-var Names = map[Line]string{
-	Twice: "ran twice", NotRun: "told not run, ran", Forgot: "conversation forgot", Budget: "budget passed", NotWhole: "not its whole answer",
-	Leaving: "work to a leaving runner", Emptied: "work in an emptied zone", Spec: "spec late, back or missing", Fresh: "fresh runner overborne",
+var Names = map[Row]string{
+	Twice: "ran twice", NotRun: "told not run, ran", Forgot: "conversation forgot", Budget: "budget passed", Incomplete: "not its whole answer",
+	Draining: "work to a leaving runner", Emptied: "work in an emptied zone", Spec: "spec late, back or missing", WarmingUp: "fresh runner overborne",
 	Planned: "dropped in planned work", Early: "called early or left sleeping", Recovery: "service back too late",
 	Urgent: "urgent late", Excused: "urgent late, explained",
 }
@@ -57,7 +57,7 @@
 func Runs(rs []*runner.Runner) []Run {
 	var out []Run
 	for _, r := range rs {
-		for _, e := range r.Ledger() {
+		for _, e := range r.Log() {
 			out = append(out, Run{Entry: e, Runner: r.P.Runner})
 		}
 	}
@@ -107,17 +107,17 @@
 	Most    int64   // largest output of a turn
 	Audit   Verdict // what was read back at the end and was not as promised
 
-	waits map[string][]wait // what binds everybody, by key
-	heard map[string][]wait // what callers were told, by key; it excuses only
-	sched map[string][]wait
-	ps    []*piece
+	waits    map[string][]wait // what binds everybody, by key
+	received map[string][]wait // what callers were told, by key; it excuses only
+	sched    map[string][]wait
+	ps       []*chunk
 }
 
 // wait is a cooldown as somebody was told of it, of one key.
 type wait struct{ from, to time.Time }
 
 // Verdict lists the breaches by line.
-type Verdict map[Line][]string
+type Verdict map[Row][]string
 
 // Audited puts what was read back at the end on the list's lines.
 func Audited(ls []client.Lapse) Verdict {
@@ -164,7 +164,7 @@
 // Tolerances. The brief's own figures, and the time in which a call may
 // already be on its way while a refusal is being written.
 const (
-	leavingMost  = 3 * time.Second
+	maxDraining  = 3 * time.Second
 	emptiedMost  = 5 * time.Second
 	specMost     = 2 * time.Second
 	plannedMost  = 200 * time.Millisecond
@@ -177,7 +177,7 @@
 // clock is how a time of day is written in a verdict.
 const clock = "15:04:05.000"
 
-func (v Verdict) add(l Line, f string, a ...any) { v[l] = append(v[l], fmt.Sprintf(f, a...)) }
+func (v Verdict) add(l Row, f string, a ...any) { v[l] = append(v[l], fmt.Sprintf(f, a...)) }
 
 // Judge counts.
 func Judge(c Case) Verdict {
@@ -194,9 +194,9 @@
 	c.specs(v)
 	c.planned(v)
 	c.sched = c.schedule()
-	c.waits = c.waitsTold()
+	c.waits = c.reportedWaits()
 	c.cooldowns(v)
-	c.ps = c.pieces()
+	c.ps = c.chunks()
 	c.recovery(v)
 	c.urgent(v)
 	return v
@@ -262,7 +262,7 @@
 func (c *Case) told(v Verdict) {
 	for _, a := range c.Asks {
 		if a.Wrong != "" {
-			v.add(NotWhole, "%s: %s", a.Work, a.Wrong)
+			v.add(Incomplete, "%s: %s", a.Work, a.Wrong)
 		}
 		if a.Forgot {
 			v.add(Forgot, "%s: the runner was not given the whole history", a.Work)
@@ -288,11 +288,11 @@
 // runners: leaving ones, emptied zones, fresh ones.
 func (c *Case) runners(v Verdict) {
 	for _, r := range c.Runs {
-		if r.Fresh && r.Over {
-			v.add(Fresh, "%s got %s beyond what it bears while coming up", r.Runner.Name, r.Job)
+		if r.WarmingUp && r.Over {
+			v.add(WarmingUp, "%s got %s beyond what it bears while coming up", r.Runner.Name, r.Job)
 		}
-		if e, ok := c.latest(r.Arrived, r.Runner.Name, Drained, Back); ok && e.Kind == Drained && r.Arrived.Sub(e.At) > leavingMost {
-			v.add(Leaving, "%s got %s %s after it left", r.Runner.Name, r.Job, r.Arrived.Sub(e.At).Round(time.Millisecond))
+		if e, ok := c.latest(r.Arrived, r.Runner.Name, Drained, Back); ok && e.Kind == Drained && r.Arrived.Sub(e.At) > maxDraining {
+			v.add(Draining, "%s got %s %s after it left", r.Runner.Name, r.Job, r.Arrived.Sub(e.At).Round(time.Millisecond))
 		}
 		if e, ok := c.latest(r.Arrived, r.Runner.Zone, Empty, Refill); ok && e.Kind == Empty && r.Arrived.Sub(e.At) > emptiedMost {
 			v.add(Emptied, "%s in %s got %s %s after the acknowledgement", r.Runner.Name, r.Runner.Zone, r.Job, r.Arrived.Sub(e.At).Round(time.Millisecond))
@@ -375,11 +375,11 @@
 	}
 }
 
-// waitsTold gathers every wait that a node was told or told a caller, by key: a
+// reportedWaits gathers every wait that a node was told or told a caller, by key: a
 // runner's own word with each refusal, at least the schedule's first; and for a
 // tool, whose key is one, the wait that a caller was given.
-func (c *Case) waitsTold() map[string][]wait {
-	c.heard = map[string][]wait{}
+func (c *Case) reportedWaits() map[string][]wait {
+	c.received = map[string][]wait{}
 	out := map[string][]wait{}
 	for _, r := range c.Runs {
 		if r.Refused {
@@ -388,13 +388,13 @@
 		}
 	}
 	for _, a := range c.Asks {
-		if a.Told == 0 || a.Code != int(code.Cooling) && a.Code != int(code.RunnerDrop) {
+		if a.BodyRetryAfter == 0 || a.Code != int(code.Cooling) && a.Code != int(code.RunnerDrop) {
 			continue
 		}
 		if ks := c.keys(a.Route); len(ks) == 1 {
 			// It was worked out before it was heard.
-			end := a.Done.Add(a.Told - noise)
-			c.heard[ks[0]] = append(c.heard[ks[0]], wait{a.Done, end})
+			end := a.Done.Add(a.BodyRetryAfter - noise)
+			c.received[ks[0]] = append(c.received[ks[0]], wait{a.Done, end})
 			if c.lengthened(ks[0], a.Done) {
 				end = earlier(end, c.longest(ks[0], a.Done))
 			}
@@ -538,7 +538,7 @@
 		return true
 	case 429:
 		for _, k := range c.keys(a.Route) {
-			if slices.ContainsFunc(slices.Concat(c.waits[k], c.heard[k], c.sched[k]), func(w wait) bool { return w.from.Before(a.Done) && w.to.After(a.Sent) }) {
+			if slices.ContainsFunc(slices.Concat(c.waits[k], c.received[k], c.sched[k]), func(w wait) bool { return w.from.Before(a.Done) && w.to.After(a.Sent) }) {
 				return true
 			}
 		}
@@ -555,8 +555,8 @@
 	return false
 }
 
-// piece is one work with all its asks.
-type piece struct {
+// chunk is one work with all its asks.
+type chunk struct {
 	sent, done time.Time // first asked; answered well, if it was
 	ok, urgent bool
 	asks       []client.Ask
@@ -564,7 +564,7 @@
 
 // counts is the time by which a piece belongs to one failure or the next: when it
 // was first asked, or, if it was not served, when it was given up.
-func (p *piece) counts() time.Time {
+func (p *chunk) counts() time.Time {
 	if p.ok {
 		return p.sent
 	}
@@ -577,14 +577,14 @@
 	return at
 }
 
-// pieces are in the order in which they were first asked.
-func (c *Case) pieces() []*piece {
-	all := map[string]*piece{}
-	var ps []*piece
+// chunks are in the order in which they were first asked.
+func (c *Case) chunks() []*chunk {
+	all := map[string]*chunk{}
+	var ps []*chunk
 	for _, a := range c.Asks {
 		p := all[a.Work]
 		if p == nil {
-			p = &piece{sent: a.Sent, urgent: a.Urgent}
+			p = &chunk{sent: a.Sent, urgent: a.Urgent}
 			all[a.Work] = p
 			ps = append(ps, p)
 		}
@@ -609,7 +609,7 @@
 func (c *Case) BackAfter(at time.Time) (time.Duration, bool) {
 	if c.waits == nil {
 		c.sched = c.schedule()
-		c.waits = c.waitsTold()
+		c.waits = c.reportedWaits()
 	}
 	var until time.Time
 	for _, e := range c.Events {
@@ -618,9 +618,9 @@
 		}
 	}
 	if c.ps == nil {
-		c.ps = c.pieces()
+		c.ps = c.chunks()
 	}
-	var ps []*piece
+	var ps []*chunk
 	for _, p := range c.ps {
 		// A work that was under way when a failure came and was not served in the
 		// end is that failure's, not the one's before.
@@ -632,7 +632,7 @@
 		return 0, true
 	}
 	back, end := time.Duration(0), ps[len(ps)-1].sent
-	whole := true
+	complete := true
 	for i := range ps {
 		ok, n, last := 0, 0, time.Time{}
 		for _, p := range ps[i:] {
@@ -654,10 +654,10 @@
 			back = last.Sub(at)
 		}
 		if end.Sub(ps[i].sent) >= window || i == 0 {
-			whole = !bad
+			complete = !bad
 		}
 	}
-	return back, whole || !until.IsZero()
+	return back, complete || !until.IsZero()
 }
 
 func (c *Case) recovery(v Verdict) {
@@ -684,20 +684,20 @@
 		if !p.urgent || p.done.IsZero() || p.done.Sub(p.sent) <= UrgentMost {
 			continue
 		}
-		line := Urgent
+		row := Urgent
 		for _, a := range p.asks {
 			if a.Lost || a.Refused || slow[a.Work] || c.stoodStill(a) || c.allDown(a) {
-				line = Excused
+				row = Excused
 			}
 			for _, k := range c.keys(a.Route) {
-				for _, w := range slices.Concat(c.waits[k], c.heard[k], c.sched[k]) {
+				for _, w := range slices.Concat(c.waits[k], c.received[k], c.sched[k]) {
 					if w.from.Before(p.done) && w.to.After(p.sent) {
-						line = Excused
+						row = Excused
 					}
 				}
 			}
 		}
-		v.add(line, "%s took %s%s%s", p.asks[0].Work, p.done.Sub(p.sent).Round(time.Millisecond), c.since(p.sent), tries(p))
+		v.add(row, "%s took %s%s%s", p.asks[0].Work, p.done.Sub(p.sent).Round(time.Millisecond), c.since(p.sent), tries(p))
 	}
 }
 
@@ -729,7 +729,7 @@
 }
 
 // tries says how each ask of a piece went.
-func tries(p *piece) string {
+func tries(p *chunk) string {
 	out := ""
 	for _, a := range p.asks {
 		what := a.Name
--- a/internal/kit/checker/checker_test.go
+++ b/internal/kit/checker/checker_test.go
@@ -38,7 +38,7 @@
 // and nothing else with it.
 func TestEachBreach(t *testing.T) {
 	cases := []struct {
-		line checker.Line
+		row  checker.Row
 		what string
 		do   func(*checker.Case)
 	}{
@@ -68,8 +68,8 @@
 		{checker.Budget, "more than a turn over", func(c *checker.Case) {
 			c.Runs = append(c.Runs, checker.Run{Runner: c.Spec.Runners[1], Entry: runner.Entry{Job: "j9", Work: "w9", Program: "p/1", Arrived: at(30), Ran: true, Output: 51}})
 		}},
-		{checker.NotWhole, "another's answer", func(c *checker.Case) { c.Asks[2].Wrong = "work:other" }},
-		{checker.Leaving, "work after 3 s", func(c *checker.Case) {
+		{checker.Incomplete, "another's answer", func(c *checker.Case) { c.Asks[2].Wrong = "work:other" }},
+		{checker.Draining, "work after 3 s", func(c *checker.Case) {
 			c.Events = append(c.Events, checker.Event{At: at(36500), Kind: checker.Drained, ID: "a1"})
 			c.Runs = c.Runs[:40] // the last arrives at 39010
 			c.Runs[39].Arrived = at(39600)
@@ -87,7 +87,7 @@
 		{checker.Spec, "missing at the end", func(c *checker.Case) {
 			c.Events = append(c.Events, checker.Event{At: at(1000), Kind: checker.Acked, Ver: 7}, checker.Event{At: at(9000), Kind: checker.FinalRead, Ver: 6})
 		}},
-		{checker.Fresh, "more than it bears while coming up", func(c *checker.Case) { c.Runs[5].Fresh, c.Runs[5].Over = true, true }},
+		{checker.WarmingUp, "more than it bears while coming up", func(c *checker.Case) { c.Runs[5].WarmingUp, c.Runs[5].Over = true, true }},
 		{checker.Planned, "taken and never answered", func(c *checker.Case) {
 			c.Events = append(c.Events, checker.Event{At: at(1990), Kind: checker.Stopping, ID: "e1"}, checker.Event{At: at(2900), Kind: checker.Stopped, ID: "e1"})
 			c.Asks[2].Lost, c.Asks[2].Status = true, 0
@@ -107,15 +107,15 @@
 			c.Runs = append(c.Runs, checker.Run{Runner: c.Spec.Runners[0], Entry: runner.Entry{Job: "j9", Work: "w9", Arrived: at(38100), Refused: true, Answered: at(38110)}})
 		}},
 		{checker.Early, "called within the wait that a caller was told of", func(c *checker.Case) {
-			c.Asks = append(c.Asks, client.Ask{Program: "p/2", Work: "w9", Key: "w9", Route: "assets", Edge: "e2", Sent: at(38100), Done: at(38110), Wait: 5 * time.Second, Status: 429, Code: int(code.Cooling), Told: 8 * time.Second})
+			c.Asks = append(c.Asks, client.Ask{Program: "p/2", Work: "w9", Key: "w9", Route: "assets", Edge: "e2", Sent: at(38100), Done: at(38110), Wait: 5 * time.Second, Status: 429, Code: int(code.Cooling), BodyRetryAfter: 8 * time.Second})
 		}},
-		{checker.Early, "told more than the refusal installed, no store restarted", func(c *checker.Case) { toldLonger(c, 29985) }},
+		{checker.Early, "told more than the refusal installed, no store restarted", func(c *checker.Case) { longerWait(c, 29985) }},
 		{0, "told more than the refusal installed, by a restarted store", func(c *checker.Case) {
-			toldLonger(c, 2985)
+			longerWait(c, 2985)
 			c.Events = append(c.Events, checker.Event{At: at(4500), Kind: checker.Hard, ID: checker.StoreKilled + "1"})
 		}},
 		{checker.Early, "told more than the refusal installed, a store restarted before it", func(c *checker.Case) {
-			toldLonger(c, 29985)
+			longerWait(c, 29985)
 			c.Events = append(c.Events, checker.Event{At: at(4500), Kind: checker.Hard, ID: checker.StoreKilled + "1"})
 		}},
 		{checker.Early, "left sleeping for a second of its five", func(c *checker.Case) {
@@ -180,18 +180,18 @@
 	if v := checker.Judge(clean()); len(v) != 0 {
 		t.Fatalf("the clean case has breaches:\n%s", v)
 	}
-	seen := map[checker.Line]bool{}
+	seen := map[checker.Row]bool{}
 	for _, tc := range cases {
 		c := clean()
 		tc.do(&c)
 		v := checker.Judge(c)
-		if tc.line == 0 && len(v) == 0 {
+		if tc.row == 0 && len(v) == 0 {
 			continue // no breach, though it looks like one
 		}
-		if len(v[tc.line]) == 0 || len(v) != 1 {
-			t.Errorf("%s: want only line %d (%s):\n%s", tc.what, tc.line, checker.Names[tc.line], v)
+		if len(v[tc.row]) == 0 || len(v) != 1 {
+			t.Errorf("%s: want only line %d (%s):\n%s", tc.what, tc.row, checker.Names[tc.row], v)
 		}
-		seen[tc.line] = true
+		seen[tc.row] = true
 	}
 	for l := checker.Twice; l <= checker.Excused; l++ {
 		if !seen[l] {
@@ -200,10 +200,10 @@
 	}
 }
 
-// toldLonger is a refusal at a time, in milliseconds, that installs a second, and a
+// longerWait is a refusal at a time, in milliseconds, that installs a second, and a
 // caller who is told eight of it at 38 s.
-func toldLonger(c *checker.Case, refused int) {
+func longerWait(c *checker.Case, refused int) {
 	c.Runs = append(c.Runs, checker.Run{Runner: c.Spec.Runners[0], Entry: runner.Entry{Job: "j9", Work: "w9", Arrived: at(refused - 5), Refused: true, Wait: time.Second, Answered: at(refused)}})
-	c.Asks = append(c.Asks, client.Ask{Program: "p/2", Work: "w8", Key: "w8", Route: "assets", Edge: "e2", Sent: at(38100), Done: at(38110), Wait: 5 * time.Second, Status: 429, Code: int(code.Cooling), Told: 8 * time.Second})
+	c.Asks = append(c.Asks, client.Ask{Program: "p/2", Work: "w8", Key: "w8", Route: "assets", Edge: "e2", Sent: at(38100), Done: at(38110), Wait: 5 * time.Second, Status: 429, Code: int(code.Cooling), BodyRetryAfter: 8 * time.Second})
 	c.Asks = append(c.Asks, client.Ask{Program: "p/2", Work: "w8", Key: "w8", Route: "assets", Edge: "e2", Sent: at(39200), Done: at(39250), Wait: 5 * time.Second, Status: 200, Job: "j8"})
 }
--- a/internal/kit/client/audit.go
+++ b/internal/kit/client/audit.go
@@ -25,7 +25,7 @@
 func (c *Crowd) Audit(ctx context.Context, edges []string, most int) []Lapse {
 	last := map[string]int{}
 	var turns, claims []Ask
-	for _, a := range c.Ledger() {
+	for _, a := range c.Log() {
 		if a.Status != http.StatusOK || a.Wrong != "" {
 			continue
 		}
@@ -85,8 +85,8 @@
 	return out
 }
 
-// hear asks one edge until it gives more than 'later'.
-func (c *Crowd) hear(ctx context.Context, a *Ask, body []byte) traffic.Answer {
+// receive asks one edge until it gives more than 'later'.
+func (c *Crowd) receive(ctx context.Context, a *Ask, body []byte) traffic.Answer {
 	a.Wait = 10 * time.Second
 	for range 8 {
 		ans := c.Once(ctx, a, a.Path, body, time.Now().Add(time.Minute), nil)
@@ -109,7 +109,7 @@
 		return &Lapse{true, err.Error()}
 	}
 	q := Ask{Program: a.Program, Work: work, Route: a.Route, Turn: true, Edge: edge, Path: "/v1/turns"}
-	ans := c.hear(ctx, &q, body)
+	ans := c.receive(ctx, &q, body)
 	switch {
 	case q.Status == http.StatusPaymentRequired:
 		// Its history was found, or the budget would not have been asked.
@@ -125,7 +125,7 @@
 // again asks a keyed job a second time.
 func (c *Crowd) again(ctx context.Context, a Ask, edge string) *Lapse {
 	q := Ask{Program: a.Program, Work: a.Work, Key: a.Key, Route: a.Route, Turn: a.Turn, Edge: edge, Path: a.Path}
-	c.hear(ctx, &q, a.Body)
+	c.receive(ctx, &q, a.Body)
 	if q.Status != http.StatusOK || q.Job != a.Job {
 		return &Lapse{false, fmt.Sprintf("%s was answered by job %s, and asked again at %s: %d %s, job %s", a.Work, a.Job, edge, q.Status, q.Name, q.Job)}
 	}
--- a/internal/kit/client/client.go
+++ b/internal/kit/client/client.go
@@ -23,29 +23,29 @@
 
 // Kind shapes the sessions of one kind.
 type Kind struct {
-	Name   string // program class, conversation class
-	Class  string // work class of its turns
-	Rate   float64
-	Turns  int
-	Tool   string
-	Calls  int // tool calls after each turn
-	Urgent string
-	Share  float64 // of the calls that are urgent
-	Parts  []string
-	Wait   time.Duration
+	Name     string // program class, conversation class
+	Class    string // work class of its turns
+	Rate     float64
+	Turns    int
+	Tool     string
+	Calls    int // tool calls after each turn
+	Urgent   string
+	Fraction float64 // of the calls that are urgent
+	Parts    []string
+	Wait     time.Duration
 }
 
 // Kinds are a deployment's sessions a second, as its users state them.
 func Kinds(deploy string) []Kind {
 	if strings.Contains(deploy, "tsehay") {
 		return []Kind{
-			{Name: "triage", Class: "triage", Rate: 14, Turns: 1, Tool: "sms", Calls: 1, Urgent: "notice", Share: 0.2, Parts: []string{"system", "triage-guide"}, Wait: 8 * time.Second},
-			{Name: "clinic", Class: "clinic", Rate: 2, Turns: 4, Tool: "sms", Calls: 1, Urgent: "notice", Share: 0.1, Parts: []string{"system", "clinic-guide", "forms"}, Wait: 10 * time.Second},
+			{Name: "triage", Class: "triage", Rate: 14, Turns: 1, Tool: "sms", Calls: 1, Urgent: "notice", Fraction: 0.2, Parts: []string{"system", "triage-guide"}, Wait: 8 * time.Second},
+			{Name: "clinic", Class: "clinic", Rate: 2, Turns: 4, Tool: "sms", Calls: 1, Urgent: "notice", Fraction: 0.1, Parts: []string{"system", "clinic-guide", "forms"}, Wait: 10 * time.Second},
 		}
 	}
 	return []Kind{
-		{Name: "tagging", Class: "tagging", Rate: 9, Turns: 1, Tool: "assets", Calls: 2, Urgent: "live", Share: 0.05, Parts: []string{"system", "tags"}, Wait: 8 * time.Second},
-		{Name: "reel", Class: "reel", Rate: 3, Turns: 4, Tool: "assets", Calls: 1, Urgent: "live", Share: 0.1, Parts: []string{"system", "reels", "club"}, Wait: 10 * time.Second},
+		{Name: "tagging", Class: "tagging", Rate: 9, Turns: 1, Tool: "assets", Calls: 2, Urgent: "live", Fraction: 0.05, Parts: []string{"system", "tags"}, Wait: 8 * time.Second},
+		{Name: "reel", Class: "reel", Rate: 3, Turns: 4, Tool: "assets", Calls: 1, Urgent: "live", Fraction: 0.1, Parts: []string{"system", "reels", "club"}, Wait: 10 * time.Second},
 	}
 }
 
@@ -123,7 +123,7 @@
 		past = append(past, Said{words, ans.Text})
 		for i := range k.Calls {
 			class, urgent := k.Class, false
-			if rnd.Float64() < k.Share {
+			if rnd.Float64() < k.Fraction {
 				class, urgent = k.Urgent, true
 			}
 			w := fmt.Sprintf("%s-c%d", work, i)
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -326,9 +326,9 @@
 	return 0, last
 }
 
-// Cut cuts machines off from others, both ways; also are told of no cut of
+// Partition cuts machines off from others, both ways; also are told of no cut of
 // theirs, which joins them again.
-func (f *Fleet) Cut(of []*Machine, from []*Machine, also ...*Machine) error {
+func (f *Fleet) Partition(of []*Machine, from []*Machine, also ...*Machine) error {
 	set := func(m *Machine, others []*Machine) error {
 		var addrs []string
 		for _, o := range others {
--- a/internal/kit/harness/harness.go
+++ b/internal/kit/harness/harness.go
@@ -80,8 +80,8 @@
 
 func (r *Rig) say(f string, a ...any) { fmt.Fprintf(r.P.Out, f+"\n", a...) }
 
-// Note writes an event down.
-func (r *Rig) Note(k checker.EventKind, id string, ver uint64) {
+// Record writes an event down.
+func (r *Rig) Record(k checker.EventKind, id string, ver uint64) {
 	r.mu.Lock()
 	r.events = append(r.events, checker.Event{At: time.Now(), Kind: k, ID: id, Ver: ver})
 	r.mu.Unlock()
@@ -99,7 +99,7 @@
 	defer stop()
 	r := &Rig{P: p, F: f}
 	r.Crowd = client.New(client.Kinds(p.Fleet.Deploy), p.Fleet.Seed, r.edges, nil)
-	r.asks = r.Crowd.Ledger
+	r.asks = r.Crowd.Log
 	r.say("%s: %s (seed %d, net 127.%d)", s.Name, s.What, p.Fleet.Seed, f.P.Net)
 	if err := f.Start(ctx); err != nil {
 		return nil, err
@@ -146,9 +146,9 @@
 		return
 	}
 	p := &traffic.Player{Day: r.P.Day, Speed: r.P.Scale, Run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: traffic.NewClient(nil), Edges: r.edges,
-		Words: client.Filler, Look: client.Look}
+		Prompt: client.Filler, Inspect: client.Look}
 	r.mu.Lock()
-	r.asks = p.Client.Ledger
+	r.asks = p.Client.Log
 	r.mu.Unlock()
 	p.Play(ctx)
 }
@@ -209,7 +209,7 @@
 	var a ack
 	st, err := r.F.Operate(method, path, body, &a)
 	if err == nil && st == http.StatusOK {
-		r.Note(checker.Acked, path, a.Version)
+		r.Record(checker.Acked, path, a.Version)
 	}
 	return st, a, err
 }
@@ -221,7 +221,7 @@
 		path, kind = "/v1/zones/"+zone+"/empty", checker.Empty
 	} else {
 		// From here on work may come, whenever the change is in force.
-		r.Note(kind, zone, 0)
+		r.Record(kind, zone, 0)
 	}
 	st, a, err := r.Change(http.MethodPost, path, nil)
 	if err != nil {
@@ -231,14 +231,14 @@
 		return fmt.Errorf("%s: status %d, %d %s, waiting for %v", path, st, a.Code, a.Failure, a.Waiting)
 	}
 	if empty {
-		r.Note(kind, zone, 0)
+		r.Record(kind, zone, 0)
 	}
 	return nil
 }
 
 // Kill ends a machine's process as a crash would.
 func (r *Rig) Kill(id string) error {
-	r.Note(checker.Hard, "kill "+id, 0)
+	r.Record(checker.Hard, "kill "+id, 0)
 	if !r.F.Get(id).Kill() {
 		return fmt.Errorf("%s did not run", id)
 	}
@@ -254,17 +254,17 @@
 // Quit stops a machine in an orderly way.
 func (r *Rig) Quit(id string) error {
 	m := r.F.Get(id)
-	r.Note(checker.Stopping, m.HTTP(), 0)
+	r.Record(checker.Stopping, m.HTTP(), 0)
 	if !m.Quit() {
 		return fmt.Errorf("%s did not run", id)
 	}
-	r.Note(checker.Stopped, m.HTTP(), 0)
+	r.Record(checker.Stopped, m.HTTP(), 0)
 	return nil
 }
 
 // Freeze stops a machine's process where it stands; Thaw lets it go on.
 func (r *Rig) Freeze(id string) error {
-	r.Note(checker.Hard, "freeze "+id, 0)
+	r.Record(checker.Hard, "freeze "+id, 0)
 	if !r.F.Get(id).Signal(syscall.SIGSTOP) {
 		return fmt.Errorf("%s does not run", id)
 	}
@@ -284,7 +284,7 @@
 func (r *Rig) Drain(name string) *runner.Runner {
 	n := r.Runner(name)
 	n.Drain()
-	r.Note(checker.Drained, name, 0)
+	r.Record(checker.Drained, name, 0)
 	return n
 }
 
@@ -292,7 +292,7 @@
 func (r *Rig) Return(name string) error {
 	n := r.Runner(name)
 	n.Stop()
-	r.Note(checker.Back, name, 0)
+	r.Record(checker.Back, name, 0)
 	return n.Start()
 }
 
@@ -320,7 +320,7 @@
 	if st != http.StatusOK {
 		return fmt.Errorf("status %d", st)
 	}
-	r.Note(checker.FinalRead, "", s.Version)
+	r.Record(checker.FinalRead, "", s.Version)
 	return nil
 }
 
@@ -339,7 +339,7 @@
 			res.Codes["port refused"]++
 		case a.Status == http.StatusOK:
 			res.Codes["ok"]++
-			if a.Held {
+			if a.PrefixHit {
 				res.Held++
 			}
 			if a.Urgent {
