--- a/internal/kit/harness/scenarios.go
+++ b/internal/kit/harness/scenarios.go
@@ -28,8 +28,8 @@
 	{Name: "crowd", What: "six times the usual traffic for a while, urgent work among it", Seconds: 16, Do: crowd},
 	{Name: "runners", What: "runners are replaced one by one by fresh ones, and some crash", Seconds: 24, Do: runners},
 	{Name: "freeze", What: "the dealing edge, a store and a core machine freeze and wake", Seconds: 40, Do: freeze},
-	{Name: "cutcore", What: "the core is cut in two, then cut off whole", Seconds: 36, Do: cutCore},
-	{Name: "cutstore", What: "a store is cut off, then joins again", Seconds: 22, Do: cutStore},
+	{Name: "cutcore", What: "the core is cut in two, then cut off whole", Seconds: 36, Do: partitionCore},
+	{Name: "cutstore", What: "a store is cut off, then joins again", Seconds: 22, Do: partitionStore},
 	{Name: "loststore", What: "a store loses its disk and is admitted anew", Seconds: 30, Do: lostStore},
 	{Name: "sets", What: "a store is added, another retired, a core replaced at a new address", Seconds: 50, Do: sets},
 	{Name: "disk", What: "a store's disk turns slow, another's fills up", Seconds: 26, Do: disk},
@@ -51,7 +51,7 @@
 }
 
 func refusals(ctx context.Context, r *Rig) error {
-	all := []runner.Order{runner.Refuse, runner.Raise, runner.Lose, runner.Cut, runner.Mix, runner.RefuseSecs, runner.RefuseDate, runner.Slow}
+	all := []runner.Order{runner.Refuse, runner.Raise, runner.Lose, runner.Truncate, runner.Mix, runner.RefuseSecs, runner.RefuseDate, runner.Slow}
 	for i, o := range all {
 		for j, n := range r.F.Runners {
 			// One runner in three each time; each order meets every kind.
@@ -217,7 +217,7 @@
 	return nil
 }
 
-func (r *Rig) cut(ctx context.Context, d time.Duration, ids ...string) error {
+func (r *Rig) partition(ctx context.Context, d time.Duration, ids ...string) error {
 	var of, rest []*fleet.Machine
 	for _, m := range r.F.Machines {
 		if slices.Contains(ids, m.ID) {
@@ -226,21 +226,21 @@
 			rest = append(rest, m)
 		}
 	}
-	r.Note(checker.Hard, fmt.Sprintf("cut %v", ids), 0)
-	if err := r.F.Cut(of, rest); err != nil {
+	r.Record(checker.Hard, fmt.Sprintf("cut %v", ids), 0)
+	if err := r.F.Partition(of, rest); err != nil {
 		return err
 	}
 	r.Wait(ctx, d)
 	r.say("  joined %v", ids)
-	return r.F.Cut(of, nil, rest...)
+	return r.F.Partition(of, nil, rest...)
 }
 
-func cutCore(ctx context.Context, r *Rig) error {
-	if err := r.cut(ctx, 8*time.Second, "c1"); err != nil {
+func partitionCore(ctx context.Context, r *Rig) error {
+	if err := r.partition(ctx, 8*time.Second, "c1"); err != nil {
 		return err
 	}
 	r.Wait(ctx, 3*time.Second)
-	if err := r.cut(ctx, 12*time.Second, "c1", "c2", "c3"); err != nil {
+	if err := r.partition(ctx, 12*time.Second, "c1", "c2", "c3"); err != nil {
 		return err
 	}
 	r.Wait(ctx, 3*time.Second)
@@ -250,13 +250,13 @@
 	return r.Zone("b", false)
 }
 
-func cutStore(ctx context.Context, r *Rig) error {
-	return r.cut(ctx, 8*time.Second, "s3")
+func partitionStore(ctx context.Context, r *Rig) error {
+	return r.partition(ctx, 8*time.Second, "s3")
 }
 
 // admit orders a machine into a set and waits until the set stands.
-func (r *Rig) admit(ctx context.Context, set, id, place string) error {
-	return r.order(ctx, "/v1/sets/"+set+"/admit", map[string]string{"id": id, "for": place})
+func (r *Rig) admit(ctx context.Context, set, id, replaced string) error {
+	return r.order(ctx, "/v1/sets/"+set+"/admit", map[string]string{"id": id, "for": replaced})
 }
 
 func (r *Rig) order(ctx context.Context, path string, body map[string]string) error {
@@ -342,19 +342,19 @@
 }
 
 func disk(ctx context.Context, r *Rig) error {
-	pretend := func(id string, free, delay int) error { return r.F.Disk(r.F.Get(id), free, delay) }
-	if err := pretend("s3", -1, 800); err != nil {
+	simulateDisk := func(id string, free, delay int) error { return r.F.Disk(r.F.Get(id), free, delay) }
+	if err := simulateDisk("s3", -1, 800); err != nil {
 		return err
 	}
 	r.Wait(ctx, 6*time.Second)
-	if err := pretend("s3", -1, 0); err != nil {
+	if err := simulateDisk("s3", -1, 0); err != nil {
 		return err
 	}
-	if err := pretend("s1", 1000, 0); err != nil {
+	if err := simulateDisk("s1", 1000, 0); err != nil {
 		return err
 	}
 	r.Wait(ctx, 6*time.Second)
-	return pretend("s1", -1, 0)
+	return simulateDisk("s1", -1, 0)
 }
 
 func bursts(ctx context.Context, r *Rig) error {
@@ -378,14 +378,14 @@
 }
 
 func zoneLoss(ctx context.Context, r *Rig) error {
-	var gone []*fleet.Machine
+	var departed []*fleet.Machine
 	for _, m := range r.F.Machines {
 		if m.Zone == "a" {
-			gone = append(gone, m)
+			departed = append(departed, m)
 		}
 	}
-	r.Note(checker.Hard, "zone a lost", 0)
-	for _, m := range gone {
+	r.Record(checker.Hard, "zone a lost", 0)
+	for _, m := range departed {
 		if !m.Kill() {
 			return fmt.Errorf("%s did not run", m.ID)
 		}
@@ -403,7 +403,7 @@
 			}
 		}
 	}
-	for _, m := range gone {
+	for _, m := range departed {
 		if err := r.Start(m.ID); err != nil {
 			return err
 		}
@@ -425,7 +425,7 @@
 		}
 	}
 	// The time of the failure is when all that is needed runs again.
-	r.Note(checker.Hard, checker.Everything+" down, started again", 0)
+	r.Record(checker.Hard, checker.Everything+" down, started again", 0)
 	if err := r.healthy(ctx, 30*time.Second); err != nil {
 		return err
 	}
@@ -450,7 +450,7 @@
 		}
 		return err
 	}
-	live := func(share int) any { return map[string]any{"policy": "hold", "share": share} }
+	live := func(fraction int) any { return map[string]any{"policy": "hold", "share": fraction} }
 	steps := []func() error{
 		func() error { return send(http.StatusOK, http.MethodPut, "/v1/policies/hold", "hold.json", nil) },
 		// Not without an approval, nor with another text's.
@@ -486,7 +486,7 @@
 
 func ci(ctx context.Context, r *Rig) error {
 	for i, n := range r.F.Runners {
-		n.Give([]runner.Order{runner.Refuse, runner.Raise, runner.Lose, runner.Cut, runner.Mix, runner.RefuseSecs}[i%6])
+		n.Give([]runner.Order{runner.Refuse, runner.Raise, runner.Lose, runner.Truncate, runner.Mix, runner.RefuseSecs}[i%6])
 	}
 	if err := r.Zone("c", true); err != nil {
 		return err
--- a/internal/kit/proxytest/backend.go
+++ b/internal/kit/proxytest/backend.go
@@ -23,23 +23,23 @@
 
 // The faults, by number.
 const (
-	None      Fault = iota
-	Drop            // 1: refuses without running
-	LoseWord        // 2: runs, and its answer is lost
-	Cut             // 3: runs, and its answer is cut midway, of a stream before its first event
-	NoAnswer        // 4: runs, and sends bytes that are no answer
-	Surplus         // 5: a whole answer, and bytes after it
-	LateWord        // 6: a late answer to an earlier job before the due one
-	NoSeal          // 7: a success without its mark
-	Other           // 8: another runner has the address
-	RateLimit       // 9: refuses by a rate limit, and says when to come back
-	CutStream       // 10: a stream is cut midway of an event, after Params.Before of them
-	ShutIdle        // 11: a whole answer; the connection is closed without a word afterwards
-	Slow            // 12: runs, and its first byte is later than anybody waits
-	Own500          // 13: runs, and answers 500
-	Bare503         // 14: runs, and answers 503 without the word that it did not
-	NoDial          // 15: refuses the connection
-	Faults    = int(NoDial)
+	None           Fault = iota
+	Drop                 // 1: refuses without running
+	LoseAnswer           // 2: runs, and its answer is lost
+	Truncate             // 3: runs, and its answer is cut midway, of a stream before its first event
+	NoAnswer             // 4: runs, and sends bytes that are no answer
+	Surplus              // 5: a whole answer, and bytes after it
+	LateAnswer           // 6: a late answer to an earlier job before the due one
+	NoSeal               // 7: a success without its mark
+	Other                // 8: another runner has the address
+	RateLimit            // 9: refuses by a rate limit, and says when to come back
+	TruncateStream       // 10: a stream is cut midway of an event, after Params.Before of them
+	ShutIdle             // 11: a whole answer; the connection is closed without a word afterwards
+	Slow                 // 12: runs, and its first byte is later than anybody waits
+	Own500               // 13: runs, and answers 500
+	Bare503              // 14: runs, and answers 503 without the word that it did not
+	NoDial               // 15: refuses the connection
+	Faults         = int(NoDial)
 )
 
 // The troubles that last until another is set, by number.
@@ -125,19 +125,19 @@
 	P  Params
 	ln *Listener
 
-	mu    sync.Mutex
-	came  map[string]int // jobs that arrived, by try
-	runs  []Run
-	conns map[net.Conn]bool
-	made  int
-	asked int // for its health
-	wg    sync.WaitGroup
-
-	trouble Fault
-	x       float64
-	since   time.Time
-	share   float64 // of a job that is due to fail
-	cut     bool    // the last that failed was cut
+	mu       sync.Mutex
+	received map[string]int // jobs that arrived, by try
+	runs     []Run
+	conns    map[net.Conn]bool
+	made     int
+	asked    int // for its health
+	wg       sync.WaitGroup
+
+	fault     Fault
+	x         float64
+	since     time.Time
+	fraction  float64 // of a job that is due to fail
+	truncated bool    // the last that failed was cut
 }
 
 // New makes a stand-in and lets it listen.
@@ -151,7 +151,7 @@
 	if p.Plan == nil {
 		p.Plan = &Plan{}
 	}
-	b := &Backend{P: p, ln: NewListener(p.Addr), came: map[string]int{}, conns: map[net.Conn]bool{}}
+	b := &Backend{P: p, ln: NewListener(p.Addr), received: map[string]int{}, conns: map[net.Conn]bool{}}
 	b.wg.Go(func() {
 		for {
 			c, err := b.ln.Accept()
@@ -188,11 +188,11 @@
 // Next sets the faults of the next jobs, in order.
 func (b *Backend) Next(fs ...Fault) { b.P.Plan.Set(fs...) }
 
-// Trouble sets what it has from now on, None for nothing.
-func (b *Backend) Trouble(f Fault, x float64) {
+// InjectFault sets what it has from now on, None for nothing.
+func (b *Backend) InjectFault(f Fault, x float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.trouble, b.x, b.since, b.share = f, x, time.Now(), 0
+	b.fault, b.x, b.since, b.fraction = f, x, time.Now(), 0
 	if f == Flaps {
 		for c := range b.conns {
 			c.Close()
@@ -205,7 +205,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := time.Duration(b.x * float64(time.Second))
-	return b.trouble == Flaps && time.Since(b.since)%p < p/2
+	return b.fault == Flaps && time.Since(b.since)%p < p/2
 }
 
 // lasting is the fault that its trouble brings about for one job, and how many times
@@ -213,14 +213,14 @@
 func (b *Backend) lasting() (Fault, float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	switch b.trouble {
+	switch b.fault {
 	case SlowBy:
 		return None, b.x
 	case Grey:
-		if b.share += b.x; b.share >= 1 {
-			b.share--
-			if b.cut = !b.cut; b.cut {
-				return Cut, 1
+		if b.fraction += b.x; b.fraction >= 1 {
+			b.fraction--
+			if b.truncated = !b.truncated; b.truncated {
+				return Truncate, 1
 			}
 			return Own500, 1
 		}
@@ -236,13 +236,13 @@
 func (b *Backend) health(c net.Conn) {
 	b.mu.Lock()
 	b.asked++
-	good := b.trouble != Lies || b.x > 0
+	good := b.fault != Lies || b.x > 0
 	b.mu.Unlock()
 	a := answer{http.StatusOK, http.Header{}}
 	if !good {
 		a.status = http.StatusServiceUnavailable
 	}
-	a.whole(c, "")
+	a.complete(c, "")
 }
 
 // Asked counts the questions for its health.
@@ -259,11 +259,11 @@
 	return append([]Run(nil), b.runs...)
 }
 
-// Came counts how often a try arrived, run or not.
-func (b *Backend) Came(try string) int {
+// Received counts how often a try arrived, run or not.
+func (b *Backend) Received(try string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.came[try]
+	return b.received[try]
 }
 
 // Made counts the connections taken.
@@ -319,7 +319,7 @@
 	io.WriteString(w, more+"\r\n")
 }
 
-func (a answer) whole(w io.Writer, body string) {
+func (a answer) complete(w io.Writer, body string) {
 	var x bytes.Buffer
 	a.begin(&x, "Content-Length: "+strconv.Itoa(len(body))+"\r\n")
 	x.WriteString(body)
@@ -329,8 +329,8 @@
 // Seal is the mark of one run at one runner.
 func Seal(runner, try string) string { return runner + "." + try }
 
-// Whole is the body of a whole answer.
-func Whole(runner, try string, n int) string {
+// Complete is the body of a whole answer.
+func Complete(runner, try string, n int) string {
 	s := runner + "/" + try + "/"
 	return (s + strings.Repeat("0123456789", n/10+1))[:max(n, len(s))]
 }
@@ -365,14 +365,14 @@
 		f, times = b.lasting()
 	}
 	b.mu.Lock()
-	b.came[try]++
+	b.received[try]++
 	b.mu.Unlock()
 	a := answer{http.StatusOK, http.Header{}}
 	a.head.Set(p.Try, try)
 	no := func(status int) bool {
 		a.status = status
 		a.head.Set(p.NotRun, "1")
-		a.whole(c, "not run")
+		a.complete(c, "not run")
 		return true
 	}
 	if to := q.Header.Get(p.Target); f == Other || to != "" && to != p.ID {
@@ -401,7 +401,7 @@
 		return p.Answer(c, q, run)
 	}
 	switch f {
-	case LoseWord:
+	case LoseAnswer:
 		return false
 	case NoAnswer:
 		io.WriteString(c, "\x15\x03 this is no answer\r\n\r\n")
@@ -415,21 +415,21 @@
 		if f == Bare503 {
 			a.status = http.StatusServiceUnavailable
 		}
-		a.whole(c, "its own trouble")
+		a.complete(c, "its own trouble")
 		return true
 	case NoSeal:
 		a.head.Del(p.Seal)
-	case LateWord:
+	case LateAnswer:
 		o := answer{http.StatusOK, http.Header{}}
 		o.head.Set(p.Try, "earlier")
 		o.head.Set(p.Seal, Seal(p.ID, "earlier"))
-		o.whole(c, "an answer to an earlier job")
+		o.complete(c, "an answer to an earlier job")
 	}
 	on := false
 	if p.Streams(q) {
 		on = b.stream(c, q, a, try, f, times)
 	} else {
-		on = b.whole(c, a, Whole(p.ID, try, p.Bytes), f)
+		on = b.complete(c, a, Complete(p.ID, try, p.Bytes), f)
 	}
 	if f == Surplus {
 		io.WriteString(c, "bytes of nobody")
@@ -437,7 +437,7 @@
 	return on && f != ShutIdle
 }
 
-func (b *Backend) whole(c net.Conn, a answer, body string, f Fault) bool {
+func (b *Backend) complete(c net.Conn, a answer, body string, f Fault) bool {
 	var x bytes.Buffer
 	if b.P.NoEnd {
 		a.begin(&x, "Connection: close\r\n")
@@ -453,9 +453,9 @@
 		}
 		x.WriteString("0\r\n\r\n")
 	} else {
-		a.whole(&x, body)
+		a.complete(&x, body)
 	}
-	if f == Cut || f == CutStream {
+	if f == Truncate || f == TruncateStream {
 		_, _ = c.Write(x.Bytes()[:x.Len()-7])
 		return false
 	}
@@ -475,7 +475,7 @@
 	sent := 0
 	for i := after + 1; i <= p.Events; i++ {
 		ev := p.event(try, i)
-		if f == Cut || f == CutStream && sent == p.Before {
+		if f == Truncate || f == TruncateStream && sent == p.Before {
 			fmt.Fprintf(c, "%x\r\n%s", len(ev), ev[:len(ev)/2])
 			return false
 		}
--- a/internal/kit/proxytest/callers_test.go
+++ b/internal/kit/proxytest/callers_test.go
@@ -36,10 +36,10 @@
 	return r.r.IntN(n)
 }
 
-func (r *lockedRand) below(share float64) bool {
+func (r *lockedRand) below(fraction float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.r.Float64() < share
+	return r.r.Float64() < fraction
 }
 
 func (c lossy) Write(b []byte) (int, error) {
@@ -50,7 +50,7 @@
 	switch proxytest.Loss(c.rnd.intN(proxytest.Losses)) {
 	case proxytest.Reset:
 		_ = c.Conn.(interface{ Reset() error }).Reset()
-	case proxytest.Silent:
+	case proxytest.Unresponsive:
 		_, _ = io.Copy(io.Discard, c.Conn)
 	}
 	_ = c.Conn.Close()
@@ -88,23 +88,23 @@
 		fmt.Fprintf(&s, "POST %sx HTTP/1.1\r\nHost: host.test\r\n%s: %s\r\nX-Test-Wait: 2000\r\nContent-Length: 4\r\n\r\nbody", kind, names.Try, q.try)
 	}
 	text := s.String()
-	gone := c.rnd.below(0.1)
-	if gone {
+	departed := c.rnd.below(0.1)
+	if departed {
 		text = text[:c.rnd.intN(len(text)+1)]
 	}
-	if _, err := io.WriteString(c.c, text); err != nil || gone {
+	if _, err := io.WriteString(c.c, text); err != nil || departed {
 		c.hangUp()
 		return 0, c.judgeUnheard(jobs)
 	}
 	for i, q := range jobs {
-		x := c.hear(q.try)
+		x := c.receive(q.try)
 		if err := c.r.judge(q.kind, x); err != nil {
 			return served, fmt.Errorf("%s %s: %w", q.kind, q.try, err)
 		}
-		if x.status == 200 && !x.cut {
+		if x.status == 200 && !x.truncated {
 			served++
 		}
-		if x.cut || x.head.Get("Connection") == "close" {
+		if x.truncated || x.head.Get("Connection") == "close" {
 			c.hangUp()
 			return served, c.judgeUnheard(jobs[i+1:])
 		}
@@ -117,20 +117,20 @@
 	return served, c.c.SetReadDeadline(time.Time{})
 }
 
-// hear reads one answer.
-func (c *caller) hear(try string) heard {
+// receive reads one answer.
+func (c *caller) receive(try string) received {
 	res, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		return heard{try: try, cut: true}
+		return received{try: try, truncated: true}
 	}
 	b, err := io.ReadAll(res.Body)
-	return heard{try: try, status: res.StatusCode, head: res.Header, body: string(b), cut: err != nil}
+	return received{try: try, status: res.StatusCode, head: res.Header, body: string(b), truncated: err != nil}
 }
 
 // judgeUnheard holds jobs whose answers were not heard against what ran.
 func (c *caller) judgeUnheard(jobs []asked) error {
 	for _, q := range jobs {
-		if err := c.r.judge(q.kind, heard{try: q.try, cut: true}); err != nil {
+		if err := c.r.judge(q.kind, received{try: q.try, truncated: true}); err != nil {
 			return fmt.Errorf("%s %s, unheard: %w", q.kind, q.try, err)
 		}
 	}
@@ -157,7 +157,7 @@
 func manyCallers(t *testing.T, seed uint64) {
 	rnd := &lockedRand{r: rand.New(rand.NewPCG(seed, 7))}
 	pool := proxy.DefaultPool
-	pool.Idle = 2
+	pool.MaxIdle = 2
 	r := newRigOf(t, pool, farm(3, func(p *proxytest.Params) {
 		p.Bytes, p.Events, p.Before, p.Work, p.Pace, p.Chunks = 300, 5, 2, 3*time.Millisecond, time.Millisecond, seed%2 == 1
 		p.Wrap = func(c net.Conn) net.Conn { return lossy{c, rnd, 0.01} }
@@ -189,7 +189,7 @@
 	}
 	wg.Wait()
 	time.Sleep(5 * time.Second)
-	judgeLedger(t, r)
+	checkLog(t, r)
 
 	if served < 100 {
 		t.Errorf("only %d jobs were served: nothing is proved", served)
@@ -204,7 +204,7 @@
 		if rnd.below(0.1) {
 			// A refused dial would hold up the plan, a rate limit all callers.
 			if f = proxytest.Fault(rnd.intN(proxytest.Faults)); f == proxytest.RateLimit {
-				f = proxytest.LoseWord
+				f = proxytest.LoseAnswer
 			}
 		}
 		fs = append(fs, f)
@@ -212,8 +212,8 @@
 	return fs
 }
 
-// judgeLedger looks through all that ran, in the end: also what a caller gave up on.
-func judgeLedger(t *testing.T, r *rig) {
+// checkLog looks through all that ran, in the end: also what a caller gave up on.
+func checkLog(t *testing.T, r *rig) {
 	runs := map[string]int{}
 	kind := map[string]string{}
 	for _, b := range r.backends {
@@ -268,14 +268,14 @@
 			loss := proxytest.Loss(at % proxytest.Losses)
 			time.Sleep(5 * time.Second)
 			cutter.Arm(true, at, loss)
-			x := r.askCut(kept)
+			x := r.requestTruncated(kept)
 			cutter.Disarm()
-			if err := r.judge(kept, x); err != nil || r.came(x.try) > 1 || x.status != 200 && x.status != 502 && x.status != 504 {
-				t.Errorf("byte %d of %d, loss %d: status %d, came %d times: %v", at, size, loss, x.status, r.came(x.try), err)
+			if err := r.judge(kept, x); err != nil || r.received(x.try) > 1 || x.status != 200 && x.status != 502 && x.status != 504 {
+				t.Errorf("byte %d of %d, loss %d: status %d, came %d times: %v", at, size, loss, x.status, r.received(x.try), err)
 			}
 			y := f.at("e2").ask(kept+"x", "more", try(fmt.Sprintf("after-%d", at), head("X-Test-Follows", x.try)))
-			if whole := x.status == 200 && !x.cut; whole != (y.status == 200) || !whole && y.status != 404 {
-				t.Errorf("byte %d of %d, loss %d: answered %d cut %v, the turn after it %d", at, size, loss, x.status, x.cut, y.status)
+			if complete := x.status == 200 && !x.truncated; complete != (y.status == 200) || !complete && y.status != 404 {
+				t.Errorf("byte %d of %d, loss %d: answered %d cut %v, the turn after it %d", at, size, loss, x.status, x.truncated, y.status)
 			}
 		}
 	})
--- a/internal/kit/proxytest/fleet_test.go
+++ b/internal/kit/proxytest/fleet_test.go
@@ -28,7 +28,7 @@
 	s    *sim.Sim
 	bs   []*proxytest.Backend
 	rigs map[string]*rig
-	bgs  []job.Bg
+	bgs  []job.Background
 	turn proxy.TurnParams
 }
 
@@ -139,14 +139,14 @@
 				t.Errorf("fault %d: %v", w.f, err)
 			}
 			switch {
-			case w.stream == 0 && (x.status != 200 || !x.cut), w.stream != 0 && (x.status != w.stream || x.cut):
-				t.Errorf("fault %d: status %d cut %v, want %d: %s", w.f, x.status, x.cut, w.stream, x.body)
+			case w.stream == 0 && (x.status != 200 || !x.truncated), w.stream != 0 && (x.status != w.stream || x.truncated):
+				t.Errorf("fault %d: status %d cut %v, want %d: %s", w.f, x.status, x.truncated, w.stream, x.body)
 			}
 			plan.Set()
 			time.Sleep(15 * time.Second)
 			y := f.at("e2").ask(kept+"x", "more", try(fmt.Sprintf("after%d", w.f), head("X-Test-Follows", x.try)))
-			if whole := x.status == 200 && !x.cut; whole != (y.status == 200) || !whole && y.status != 404 {
-				t.Errorf("fault %d: answered %d cut %v, the turn after it %d", w.f, x.status, x.cut, y.status)
+			if complete := x.status == 200 && !x.truncated; complete != (y.status == 200) || !complete && y.status != 404 {
+				t.Errorf("fault %d: answered %d cut %v, the turn after it %d", w.f, x.status, x.truncated, y.status)
 			}
 		}
 	})
@@ -162,8 +162,8 @@
 			in := fmt.Sprintf("{\"in\":%d}\n\x00", i)
 			r := f.at(fmt.Sprintf("e%d", i%3+1))
 			x := r.ask(kept+"c", in, try(id, head("X-Test-Follows", last)))
-			if x.status != 200 || x.cut {
-				t.Fatalf("turn %d: status %d cut %v %s", i, x.status, x.cut, x.body)
+			if x.status != 200 || x.truncated {
+				t.Fatalf("turn %d: status %d cut %v %s", i, x.status, x.truncated, x.body)
 			}
 			if runs := r.runs(id); len(runs) != 1 || runs[0].Body != body+in {
 				t.Fatalf("turn %d: %d runs, got\n%q\nwant\n%q", i, len(runs), runs[0].Body, body+in)
@@ -236,26 +236,26 @@
 // events have gone out.
 func TestNotKept(t *testing.T) {
 	var f *fleet
-	cut := func(string, int) {}
+	truncated := func(string, int) {}
 	inBubble(t, func(p *proxytest.Params) {
-		p.Passed = func(try string, n int) { cut(try, n) }
+		p.Passed = func(try string, n int) { truncated(try, n) }
 	}, func(t *testing.T, fl *fleet) {
 		f = fl
 		r := f.at("e1")
-		cut = func(_ string, n int) {
+		truncated = func(_ string, n int) {
 			if n == f.bs[0].P.Events {
-				f.s.Cut([]string{"e1"}, f.s.Rest("e1"), true)
+				f.s.Partition([]string{"e1"}, f.s.Rest("e1"), true)
 			}
 		}
 		x := r.ask(kept+"x", "a", try("lost"))
-		if x.status != 200 || !x.cut {
-			t.Errorf("status %d, cut %v", x.status, x.cut)
+		if x.status != 200 || !x.truncated {
+			t.Errorf("status %d, cut %v", x.status, x.truncated)
 		}
-		cut = func(string, int) {}
-		f.s.Cut([]string{"e1"}, f.s.Rest("e1"), false)
+		truncated = func(string, int) {}
+		f.s.Partition([]string{"e1"}, f.s.Rest("e1"), false)
 		time.Sleep(10 * time.Second)
-		if x := r.ask(kept+"x", "a", try("found")); x.status != 200 || x.cut {
-			t.Errorf("later: status %d, cut %v", x.status, x.cut)
+		if x := r.ask(kept+"x", "a", try("found")); x.status != 200 || x.truncated {
+			t.Errorf("later: status %d, cut %v", x.status, x.truncated)
 		}
 	})
 }
@@ -264,7 +264,7 @@
 // before are renewed, also by an edge that could not renew them at its first try.
 func TestRenewed(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, f *fleet) {
-		f.turn.Slack = 10 * time.Second
+		f.turn.ExtraRetention = 10 * time.Second
 		body, last := "", ""
 		for i := range 8 {
 			id := fmt.Sprintf("slow-%d", i)
@@ -275,18 +275,18 @@
 				f.bs[0].P.Plan.Set()
 				go func() {
 					defer close(pace)
-					f.s.Cut([]string{"s1", "s2"}, f.s.Rest("s1", "s2"), true)
+					f.s.Partition([]string{"s1", "s2"}, f.s.Rest("s1", "s2"), true)
 				}()
 				<-pace
-				if x := r.ask(kept+"c", "i", try(id+"-fails", head("X-Test-Follows", last))); x.status == 200 && !x.cut {
+				if x := r.ask(kept+"c", "i", try(id+"-fails", head("X-Test-Follows", last))); x.status == 200 && !x.truncated {
 					t.Errorf("%d: kept without a majority", i)
 				}
-				f.s.Cut([]string{"s1", "s2"}, f.s.Rest("s1", "s2"), false)
+				f.s.Partition([]string{"s1", "s2"}, f.s.Rest("s1", "s2"), false)
 				time.Sleep(3 * time.Second)
 			}
 			x := r.ask(kept+"c", "i", try(id, head("X-Test-Follows", last)))
-			if x.status != 200 || x.cut {
-				t.Fatalf("turn %d: status %d cut %v %s", i, x.status, x.cut, x.body)
+			if x.status != 200 || x.truncated {
+				t.Fatalf("turn %d: status %d cut %v %s", i, x.status, x.truncated, x.body)
 			}
 			if got := r.runs(id)[0].Body; got != body+"i" {
 				t.Fatalf("turn %d: got\n%q\nwant\n%q", i, got, body+"i")
@@ -306,27 +306,27 @@
 // TestRenewedLater: where a turn could not be kept, the next one renews what that one
 // could not.
 func TestRenewedLater(t *testing.T) {
-	cut := func(int) {}
-	inBubble(t, func(p *proxytest.Params) { p.Passed = func(_ string, n int) { cut(n) } }, func(t *testing.T, f *fleet) {
-		f.turn.Slack = 10 * time.Second
+	truncated := func(int) {}
+	inBubble(t, func(p *proxytest.Params) { p.Passed = func(_ string, n int) { truncated(n) } }, func(t *testing.T, f *fleet) {
+		f.turn.ExtraRetention = 10 * time.Second
 		r := f.at("e1")
-		if x := r.ask(kept+"c", "i", try("a")); x.status != 200 || x.cut {
-			t.Fatal(x.status, x.cut)
+		if x := r.ask(kept+"c", "i", try("a")); x.status != 200 || x.truncated {
+			t.Fatal(x.status, x.truncated)
 		}
 		time.Sleep(50 * time.Second)
-		cut = func(n int) {
+		truncated = func(n int) {
 			if n == f.bs[0].P.Events {
-				f.s.Cut([]string{"e1"}, f.s.Rest("e1"), true)
+				f.s.Partition([]string{"e1"}, f.s.Rest("e1"), true)
 			}
 		}
-		if x := r.ask(kept+"c", "i", try("b-fails", head("X-Test-Follows", "a"))); x.status != 200 || !x.cut {
-			t.Fatal(x.status, x.cut)
+		if x := r.ask(kept+"c", "i", try("b-fails", head("X-Test-Follows", "a"))); x.status != 200 || !x.truncated {
+			t.Fatal(x.status, x.truncated)
 		}
-		cut = func(int) {}
-		f.s.Cut([]string{"e1"}, f.s.Rest("e1"), false)
+		truncated = func(int) {}
+		f.s.Partition([]string{"e1"}, f.s.Rest("e1"), false)
 		time.Sleep(3 * time.Second)
-		if x := r.ask(kept+"c", "i", try("b", head("X-Test-Follows", "a"))); x.status != 200 || x.cut {
-			t.Fatal(x.status, x.cut, x.body)
+		if x := r.ask(kept+"c", "i", try("b", head("X-Test-Follows", "a"))); x.status != 200 || x.truncated {
+			t.Fatal(x.status, x.truncated, x.body)
 		}
 		time.Sleep(58 * time.Second)
 		if x := f.at("e3").ask(kept+"c", "i", try("c", head("X-Test-Follows", "b"))); x.status != 200 {
@@ -336,7 +336,7 @@
 }
 
 // handed is what a caller was handed, counted as the engine counts.
-func handed(x heard) int64 { return 4 * int64(strings.Count(x.body, "\ndata: ")) }
+func handed(x received) int64 { return 4 * int64(strings.Count(x.body, "\ndata: ")) }
 
 // TestBudget: turns of one program at all edges at once, with stores and an edge
 // lost on the way: callers are never handed more than the budget and the most of
@@ -363,7 +363,7 @@
 					if len(r.runs(x.try)) > 0 {
 						t.Errorf("402, and it ran")
 					}
-				case x.status == 200 && !x.cut:
+				case x.status == 200 && !x.truncated:
 					good++
 				}
 			}
@@ -376,7 +376,7 @@
 				}
 				wg.Wait()
 			}
-			wave(proxytest.CutStream, proxytest.LoseWord)
+			wave(proxytest.TruncateStream, proxytest.LoseAnswer)
 			f.s.Kill(fmt.Sprintf("s%d", seed+1))
 			wave()
 			f.up(fmt.Sprintf("s%d", seed+1))
@@ -407,9 +407,9 @@
 func TestBudgetStoresAway(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, f *fleet) {
 		r := f.at("e1")
-		f.s.Cut([]string{"e1"}, f.s.Rest("e1"), true)
+		f.s.Partition([]string{"e1"}, f.s.Rest("e1"), true)
 		var wg sync.WaitGroup
-		ask := func(name string, wait time.Duration) heard {
+		ask := func(name string, wait time.Duration) received {
 			return r.ask(stream+"x", "a", try(name, head("X-Test-Wait", fmt.Sprint(wait.Milliseconds())), head("X-Test-Program", "prog"), head("X-Test-Budget", "64"), head("X-Test-Most", "32")))
 		}
 		var mu sync.Mutex
@@ -433,7 +433,7 @@
 			})
 		}
 		wg.Wait()
-		f.s.Cut([]string{"e1"}, f.s.Rest("e1"), false)
+		f.s.Partition([]string{"e1"}, f.s.Rest("e1"), false)
 		time.Sleep(20 * time.Second)
 		for i := range 2 {
 			if x := ask(fmt.Sprintf("x%d", i), 2*time.Second); x.status != 200 {
@@ -471,8 +471,8 @@
 				}
 				id := fmt.Sprintf("during-%d", n)
 				x := f.at("e1").ask(kept+"m", "in", try(id, head("X-Test-Follows", last), head("X-Test-Program", "p"), head("X-Test-Budget", "100000"), head("X-Test-Most", "10")))
-				if x.status != 200 || x.cut {
-					t.Errorf("turn %d: status %d cut %v %s", n, x.status, x.cut, x.body)
+				if x.status != 200 || x.truncated {
+					t.Errorf("turn %d: status %d cut %v %s", n, x.status, x.truncated, x.body)
 				}
 				if n++; n%20 == 0 {
 					last = ""
@@ -525,11 +525,11 @@
 		x := r.ask(kept+"x", "a", try("through"))
 		fault = func(string, int) {}
 		wg.Wait()
-		if x.status != 200 || x.cut {
-			t.Errorf("status %d, cut %v", x.status, x.cut)
+		if x.status != 200 || x.truncated {
+			t.Errorf("status %d, cut %v", x.status, x.truncated)
 		}
-		if y := f.at("e2").ask(kept+"x", "b", try("after"), head("X-Test-Follows", "through")); y.status != 200 || y.cut {
-			t.Errorf("the turn after it: status %d, cut %v %s", y.status, y.cut, y.body)
+		if y := f.at("e2").ask(kept+"x", "b", try("after"), head("X-Test-Follows", "through")); y.status != 200 || y.truncated {
+			t.Errorf("the turn after it: status %d, cut %v %s", y.status, y.truncated, y.body)
 		}
 	})
 }
--- a/internal/kit/proxytest/harness_test.go
+++ b/internal/kit/proxytest/harness_test.go
@@ -40,9 +40,9 @@
 // dialect is the tests' own.
 type dialect struct{}
 
-func (dialect) Read(r *http.Request, j *proxy.Job) error {
+func (dialect) ReadRequest(r *http.Request, j *proxy.Job) error {
 	h := r.Header
-	if j.Try = h.Get(names.Try); j.Try == "" {
+	if j.Attempt = h.Get(names.Try); j.Attempt == "" {
 		return code.New(code.NoHeader, "no try")
 	}
 	j.Program, j.Follows, j.Subject = h.Get("X-Test-Program"), h.Get("X-Test-Follows"), h.Get("X-Test-Subject")
@@ -53,16 +53,16 @@
 	return nil
 }
 
-func (dialect) Send(h http.Header, j *proxy.Job, to *endpoints.Runner, left time.Duration, _ int) {
-	h.Set(names.Try, j.Try)
+func (dialect) WriteRequest(h http.Header, j *proxy.Job, to *endpoints.Runner, left time.Duration, _ int) {
+	h.Set(names.Try, j.Attempt)
 	h.Set(names.Target, to.ID)
 	h.Set("X-Test-Wait", strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-func (dialect) Resume(h http.Header, after string) { h.Set("Last-Event-Id", after) }
+func (dialect) WriteResume(h http.Header, after string) { h.Set("Last-Event-Id", after) }
 
-func (dialect) Heard(r *http.Response) proxy.Word {
-	return proxy.Word{Try: r.Header.Get(names.Try), Sealed: r.Header.Get(names.Seal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest,
+func (dialect) ReadResponse(r *http.Response) proxy.ResponseInfo {
+	return proxy.ResponseInfo{Attempt: r.Header.Get(names.Try), Sealed: r.Header.Get(names.Seal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest,
 		NotRun: r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != ""}
 }
 
@@ -88,7 +88,7 @@
 	t := spec.Table{Revision: 1, Services: []spec.Service{{Name: "svc", Engine: &spec.Engine{Batch: 8, CacheTokens: 1 << 20, TokensPerEvent: 4}}},
 		Limits: spec.Limits{BodyBytes: 100 << 10}}
 	for _, k := range []string{repeatable, once, stream, resumable, kept} {
-		p := spec.Path{Name: k, Authority: "host.test", Prefix: k, Kind: spec.Stream, To: []spec.Share{{Service: "svc", Weight: 1}}, GuardMs: 4000, AimMs: 200, Tries: tries}
+		p := spec.Path{Name: k, Authority: "host.test", Prefix: k, Kind: spec.Stream, To: []spec.Share{{Service: "svc", Weight: 1}}, GuardMs: 4000, LatencyTargetMs: 200, Tries: tries}
 		switch k {
 		case repeatable:
 			p.Kind = spec.Repeatable
@@ -106,18 +106,18 @@
 
 // rig is one door before some stand-ins.
 type rig struct {
-	t        testing.TB
-	door     *proxy.Door
-	roll     *endpoints.Roll
-	pool     *proxy.Pool
-	load     *proxy.Load
-	table    spec.Table
-	view     *cluster.View
-	backends []*proxytest.Backend
-	front    *proxytest.Listener
-	http     *http.Server
-	n        atomic.Int64
-	dial     func() // called at each dial
+	t         testing.TB
+	handler   *proxy.Handler
+	endpoints *endpoints.Store
+	pool      *proxy.Pool
+	load      *proxy.Load
+	table     spec.Table
+	view      *cluster.View
+	backends  []*proxytest.Backend
+	front     *proxytest.Listener
+	http      *http.Server
+	n         atomic.Int64
+	dial      func() // called at each dial
 }
 
 // farm makes stand-ins.
@@ -147,51 +147,53 @@
 // newRigOf is newRig with a pool of its own size.
 func newRigOf(t testing.TB, pool proxy.PoolParams, bs []*proxytest.Backend, way ...proxy.Policy) *rig {
 	n := alone("e1")
-	r := &rig{t: t, roll: endpoints.New(), load: proxy.NewLoad(), backends: bs, table: table(), front: proxytest.NewListener("10.0.0.1:80")}
+	r := &rig{t: t, endpoints: endpoints.New(), load: proxy.NewLoad(), backends: bs, table: table(), front: proxytest.NewListener("10.0.0.1:80")}
 	r.view = &cluster.View{Version: 1, Cluster: spec.Cluster{Table: r.table}}
 	at := map[string]*proxytest.Backend{}
 	var all []endpoints.Runner
 	for _, b := range bs {
 		at[b.P.Addr] = b
-		all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Room: 8})
+		all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Capacity: 8})
 	}
-	r.roll.Take(endpoints.NewList(time.Now(), all))
+	r.endpoints.Replace(endpoints.NewList(time.Now(), all))
 	r.pool = proxy.NewPool(pool, func(ctx context.Context, addr string) (net.Conn, error) {
 		if r.dial != nil {
 			r.dial()
 		}
 		return at[addr].Dial(ctx)
 	})
-	r.door = proxy.New(proxy.DefaultParams, proxy.Parts{Self: n.Params.Self, View: func() *cluster.View { return r.view }, Members: func() []*wire.Member { return []*wire.Member{n.Params.Self} },
-		Ready: func() error { return nil }, Roll: r.roll, Load: r.load, Pool: r.pool, Cool: cooldown.New(cooldown.Params{Alone: true}, n, nil), Dialect: dialect{},
-		Log: hclog.NewNullLogger(), Way: way})
-	r.http = &http.Server{Handler: r.door, ErrorLog: log.New(io.Discard, "", 0)}
+	r.handler = proxy.New(proxy.DefaultParams, proxy.Dependencies{Self: n.Params.Self, View: func() *cluster.View { return r.view }, Members: func() []*wire.Member { return []*wire.Member{n.Params.Self} },
+		Ready: func() error { return nil }, Endpoints: r.endpoints, Load: r.load, Pool: r.pool, Cooldowns: cooldown.New(cooldown.Params{Local: true}, n, nil), Headers: dialect{},
+		Log: hclog.NewNullLogger(), Policies: way})
+	r.http = &http.Server{Handler: r.handler, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = r.http.Serve(r.front) }()
 	return r
 }
 
-// setRoll puts another list in force.
-func (r *rig) setRoll(all []endpoints.Runner) { r.roll.Take(endpoints.NewList(time.Now(), all)) }
+// setEndpoints puts another list in force.
+func (r *rig) setEndpoints(all []endpoints.Runner) {
+	r.endpoints.Replace(endpoints.NewList(time.Now(), all))
+}
 
 // stop ends the door, then its stand-ins if they are its own.
 func (r *rig) stop() {
 	_ = r.http.Close()
-	r.pool.Sweep(func(string) bool { return false })
+	r.pool.Retain(func(string) bool { return false })
 	for _, b := range r.backends {
 		b.Stop()
 	}
 	synctest.Wait()
 }
 
-// heard is what a caller got.
-type heard struct {
-	try    string
-	status int
-	head   http.Header
-	body   string
-	cut    bool // no answer, or it ended before its end
-	more   bool // something came after it that nobody asked for
-	took   time.Duration
+// received is what a caller got.
+type received struct {
+	try       string
+	status    int
+	head      http.Header
+	body      string
+	truncated bool // no answer, or it ended before its end
+	more      bool // something came after it that nobody asked for
+	took      time.Duration
 }
 
 type option func(h http.Header)
@@ -199,7 +201,7 @@
 func head(k, v string) option { return func(h http.Header) { h.Set(k, v) } }
 
 // ask sends one job on a connection of its own.
-func (r *rig) ask(uri, body string, os ...option) heard {
+func (r *rig) ask(uri, body string, os ...option) received {
 	r.t.Helper()
 	h := http.Header{}
 	h.Set(names.Try, fmt.Sprintf("try-%d", r.n.Add(1)))
@@ -217,7 +219,7 @@
 }
 
 // say sends bytes and reads one answer.
-func (r *rig) say(s string) heard {
+func (r *rig) say(s string) received {
 	r.t.Helper()
 	c, err := r.front.Dial(r.t.Context())
 	if err != nil {
@@ -231,14 +233,14 @@
 	return x
 }
 
-func read(c net.Conn) heard {
+func read(c net.Conn) received {
 	br := bufio.NewReader(c)
 	res, err := http.ReadResponse(br, nil)
 	if err != nil {
-		return heard{cut: true}
+		return received{truncated: true}
 	}
 	b, err := io.ReadAll(res.Body)
-	x := heard{status: res.StatusCode, head: res.Header, body: string(b), cut: err != nil}
+	x := received{status: res.StatusCode, head: res.Header, body: string(b), truncated: err != nil}
 	// Whatever else is on its way comes within a moment.
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err = br.Peek(1)
@@ -259,10 +261,10 @@
 	return out
 }
 
-func (r *rig) came(try string) int {
+func (r *rig) received(try string) int {
 	n := 0
 	for _, b := range r.backends {
-		n += b.Came(try)
+		n += b.Received(try)
 	}
 	return n
 }
@@ -287,12 +289,12 @@
 }
 
 // judge holds an answer against what ran; it gives what is wrong.
-func (r *rig) judge(kind string, x heard) error {
+func (r *rig) judge(kind string, x received) error {
 	runs := r.runs(x.try)
 	if !mayRepeat(kind) && len(runs) > 1 {
 		return fmt.Errorf("ran %d times", len(runs))
 	}
-	if n := r.came(x.try); n > tries {
+	if n := r.received(x.try); n > tries {
 		return fmt.Errorf("was sent to %d runners, %d are allowed", n, tries)
 	}
 	if promises(x.status) && len(runs) > 0 {
@@ -316,14 +318,14 @@
 	if by == nil || x.head.Get(names.Try) != x.try {
 		return fmt.Errorf("a success with the seal %q of %q, runs are %v", x.head.Get(names.Seal), x.head.Get(names.Try), runs)
 	}
-	want := proxytest.Whole(by.Runner, x.try, r.backends[0].P.Bytes)
+	want := proxytest.Complete(by.Runner, x.try, r.backends[0].P.Bytes)
 	if streams(kind) {
 		want = r.backends[0].P.Text(x.try, 0)
 	}
-	if !x.cut && x.body != want {
+	if !x.truncated && x.body != want {
 		return fmt.Errorf("a success that is not the runner's whole:\n%s\nwant\n%s", x.body, want)
 	}
-	if x.cut && !strings.HasPrefix(want, x.body) {
+	if x.truncated && !strings.HasPrefix(want, x.body) {
 		return fmt.Errorf("a cut answer that is not a part of the runner's:\n%s\nof\n%s", x.body, want)
 	}
 	return nil
--- a/internal/kit/proxytest/ingress_test.go
+++ b/internal/kit/proxytest/ingress_test.go
@@ -22,15 +22,15 @@
 }{
 	{proxytest.None, 200, 200, 200, 200, 1},
 	{proxytest.Drop, 200, 200, 200, 200, 1},
-	{proxytest.LoseWord, 200, 502, 502, 200, 2},
-	{proxytest.Cut, 200, 502, 0, 200, 2},
+	{proxytest.LoseAnswer, 200, 502, 502, 200, 2},
+	{proxytest.Truncate, 200, 502, 0, 200, 2},
 	{proxytest.NoAnswer, 200, 502, 502, 200, 2},
 	{proxytest.Surplus, 200, 200, 200, 200, 1},
-	{proxytest.LateWord, 200, 200, 200, 200, 1},
+	{proxytest.LateAnswer, 200, 200, 200, 200, 1},
 	{proxytest.NoSeal, 200, 502, 502, 200, 2},
 	{proxytest.Other, 200, 200, 200, 200, 1},
 	{proxytest.RateLimit, 200, 200, 200, 200, 1},
-	{proxytest.CutStream, 200, 502, 0, 200, 2},
+	{proxytest.TruncateStream, 200, 502, 0, 200, 2},
 	{proxytest.ShutIdle, 200, 200, 200, 200, 1},
 	{proxytest.Slow, 504, 504, 504, 504, 1},
 	{proxytest.Own500, 500, 500, 500, 500, 1},
@@ -71,10 +71,10 @@
 		t.Error(err)
 	}
 	switch {
-	case status == 0 && (x.status != 200 || !x.cut):
-		t.Errorf("status %d, cut %v: want an answer that breaks off", x.status, x.cut)
-	case status != 0 && (x.status != status || x.cut):
-		t.Errorf("status %d, cut %v, want %d: %s", x.status, x.cut, status, x.body)
+	case status == 0 && (x.status != 200 || !x.truncated):
+		t.Errorf("status %d, cut %v: want an answer that breaks off", x.status, x.truncated)
+	case status != 0 && (x.status != status || x.truncated):
+		t.Errorf("status %d, cut %v, want %d: %s", x.status, x.truncated, status, x.body)
 	}
 	if n := len(r.runs(x.try)); kind == repeatable && n != runs {
 		t.Errorf("ran %d times, want %d", n, runs)
@@ -89,7 +89,7 @@
 	if made := r.made(); !used && f != proxytest.NoDial {
 		// One connection a runner that was sent to; those without a clean end are gone.
 		clean := f == proxytest.None || f == proxytest.Drop || f == proxytest.Other || f == proxytest.RateLimit || f == proxytest.Own500
-		first := r.came(x.try)
+		first := r.received(x.try)
 		if !clean && x.status != 200 {
 			first = 1
 		}
@@ -104,8 +104,8 @@
 	time.Sleep(2 * time.Second)
 	for range 6 {
 		y := r.ask(kind+"y", "")
-		if err := r.judge(kind, y); err != nil || y.status != 200 || y.cut {
-			t.Errorf("after it: status %d cut %v: %v %s", y.status, y.cut, err, y.body)
+		if err := r.judge(kind, y); err != nil || y.status != 200 || y.truncated {
+			t.Errorf("after it: status %d cut %v: %v %s", y.status, y.truncated, err, y.body)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 		for _, second := range []proxytest.Fault{proxytest.Drop, proxytest.RateLimit, proxytest.NoDial, proxytest.Other} {
 			plan := &proxytest.Plan{}
 			r := newRig(t, farm(2, func(p *proxytest.Params) { p.Plan = plan }))
-			plan.Set(proxytest.LoseWord, second)
+			plan.Set(proxytest.LoseAnswer, second)
 			x := r.ask(repeatable+"x", "")
 			if err := r.judge(repeatable, x); err != nil || x.status != 502 || len(r.runs(x.try)) != 1 {
 				t.Errorf("fault %d: status %d, %v", second, x.status, err)
@@ -213,7 +213,7 @@
 					try := fmt.Sprintf("t%d%s%d", i, method, len(body))
 					x := r.say(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: Host.Test\r\nX-Test-Try: %s\r\nX-Many: a\r\nx-many: b\r\nX-Empty:\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nTE: trailers\r\nProxy-Connection: x\r\nUpgrade: h2c\r\nContent-Length: %d\r\n\r\n%s",
 						method, uri, try, len(body), body))
-					if x.status != 200 || x.cut {
+					if x.status != 200 || x.truncated {
 						t.Fatalf("%s %s %d: status %d %s", method, uri, len(body), x.status, x.body)
 					}
 					q := r.runs(try)[0]
@@ -276,7 +276,7 @@
 		for i, tc := range []struct {
 			name, head, body string
 			status           int
-			came             string
+			received         string
 		}{
 			{"length", fmt.Sprintf("Content-Length: %d", most), full, 200, full},
 			{"chunks", "Transfer-Encoding: chunked", chunked(full), 200, full},
@@ -290,7 +290,7 @@
 			runs := r.runs(try)
 			if tc.status == 0 {
 				// The first answer is 100.
-				if len(runs) != 1 || runs[0].Body != tc.came || runs[0].Head.Get("Expect") != "" {
+				if len(runs) != 1 || runs[0].Body != tc.received || runs[0].Head.Get("Expect") != "" {
 					t.Errorf("%s: %v", tc.name, runs)
 				}
 				continue
@@ -298,7 +298,7 @@
 			if x.status != tc.status {
 				t.Errorf("%s: status %d, want %d", tc.name, x.status, tc.status)
 			}
-			if tc.status == 200 && (len(runs) != 1 || runs[0].Body != tc.came) || tc.status != 200 && len(runs) > 0 {
+			if tc.status == 200 && (len(runs) != 1 || runs[0].Body != tc.received) || tc.status != 200 && len(runs) > 0 {
 				t.Errorf("%s: %d runs", tc.name, len(runs))
 			}
 		}
@@ -362,11 +362,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, farm(1, func(p *proxytest.Params) { p.Bytes, p.Chunks = 600<<10, chunks }))
 			defer r.stop()
-			if x := r.ask(repeatable+"x", ""); x.cut || len(x.body) != 600<<10 {
-				t.Errorf("chunks %v: %d bytes, cut %v", chunks, len(x.body), x.cut)
+			if x := r.ask(repeatable+"x", ""); x.truncated || len(x.body) != 600<<10 {
+				t.Errorf("chunks %v: %d bytes, cut %v", chunks, len(x.body), x.truncated)
 			}
-			r.backends[0].Next(proxytest.Cut)
-			if x := r.ask(repeatable+"x", ""); !x.cut {
+			r.backends[0].Next(proxytest.Truncate)
+			if x := r.ask(repeatable+"x", ""); !x.truncated {
 				t.Errorf("chunks %v: status %d, %d bytes look whole", chunks, x.status, len(x.body))
 			}
 		})
@@ -379,7 +379,7 @@
 		r := newRig(t, farm(1, func(p *proxytest.Params) { p.NoEnd = true }))
 		defer r.stop()
 		if x := r.ask(once+"x", ""); x.status != 502 {
-			t.Errorf("status %d, cut %v", x.status, x.cut)
+			t.Errorf("status %d, cut %v", x.status, x.truncated)
 		}
 	})
 }
@@ -434,19 +434,19 @@
 		r := newRig(t, farm(3, nil))
 		defer r.stop()
 		for _, b := range r.backends {
-			b.Next(proxytest.CutStream)
+			b.Next(proxytest.TruncateStream)
 		}
 		x := r.ask(resumable+"x", "", head("Last-Event-Id", "2"))
 		// Events 3 to 8, of which each runner gives three before it breaks off.
-		if want := r.backends[0].P.Text(x.try, 2); x.cut || x.body != want {
-			t.Errorf("cut %v:\n%s\nwant\n%s", x.cut, x.body, want)
+		if want := r.backends[0].P.Text(x.try, 2); x.truncated || x.body != want {
+			t.Errorf("cut %v:\n%s\nwant\n%s", x.truncated, x.body, want)
 		}
 	})
 }
 
-// TestCallerGone: a runner's connection ends with its caller's, and no other runner
+// TestCallerDisconnects: a runner's connection ends with its caller's, and no other runner
 // is tried.
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, farm(3, func(p *proxytest.Params) { p.Pace = 500 * time.Millisecond }))
 		defer r.stop()
@@ -467,24 +467,24 @@
 	})
 }
 
-// TestGone: a job is not sent to a runner that left, or whose zone was emptied,
+// TestDisconnectedCaller: a job is not sent to a runner that left, or whose zone was emptied,
 // while the connection to it came up.
-func TestGone(t *testing.T) {
+func TestDisconnectedCaller(t *testing.T) {
 	for _, how := range []string{"leaves", "is off the list", "zone emptied"} {
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, farm(1, nil))
 			defer r.stop()
-			d := r.roll.Now().All
+			d := r.endpoints.Current().Runners
 			r.dial = func() {
 				switch how {
 				case "leaves":
-					d[0].Leaving = true
+					d[0].Draining = true
 					fallthrough
 				case "is off the list":
 					if how != "leaves" {
 						d = nil
 					}
-					r.setRoll(d)
+					r.setEndpoints(d)
 				default:
 					v := *r.view
 					v.Version, v.Spec.EmptyZones = 2, []string{"a"}
@@ -528,4 +528,4 @@
 	})
 }
 
-var _ proxy.Dialect = dialect{}
+var _ proxy.Headers = dialect{}
--- a/internal/kit/proxytest/outlier_test.go
+++ b/internal/kit/proxytest/outlier_test.go
@@ -43,7 +43,7 @@
 		var tallies []*loadreport.LoadReport
 		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Edge: func(_ string, x *edge.Edge) {
 			r := newRig(t, e.bs)
-			e.rigs, tallies = append(e.rigs, r), append(tallies, loadreport.New(loadreport.DefaultParams, x.Node, r.roll, r.load))
+			e.rigs, tallies = append(e.rigs, r), append(tallies, loadreport.New(loadreport.DefaultParams, x.Node, r.endpoints, r.load))
 		}})
 		if err != nil {
 			t.Fatal(err)
@@ -53,7 +53,7 @@
 		}
 		var all []endpoints.Runner
 		for _, b := range e.bs {
-			all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Room: 8})
+			all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: "a", Capacity: 8})
 		}
 		var wg sync.WaitGroup
 		for _, x := range tallies {
@@ -98,7 +98,7 @@
 					defer e.mu.Unlock()
 					e.all++
 					e.took += x.took
-					if x.status != 200 || x.cut {
+					if x.status != 200 || x.truncated {
 						e.bad++
 					}
 				})
@@ -128,8 +128,8 @@
 	return n
 }
 
-// part is what one runner got in times of its even share.
-func (e *evening) part(i int) float64 {
+// portion is what one runner got in times of its even share.
+func (e *evening) portion(i int) float64 {
 	return float64(e.sent[e.bs[i].P.ID]) * runners / float64(max(e.all, 1))
 }
 
@@ -137,12 +137,12 @@
 // soon, by what becomes of jobs alone, and is used again once it is well.
 func TestOutliers(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		f    proxytest.Fault
-		x    float64
-		kind string
-		bad  float64 // the most that may fail in the second half
-		part float64 // of its share that it gets then
+		name    string
+		f       proxytest.Fault
+		x       float64
+		kind    string
+		bad     float64 // the most that may fail in the second half
+		portion float64 // of its share that it gets then
 	}{
 		{"slow", proxytest.SlowBy, 6, once, 0, 0.25},
 		{"slow-stream", proxytest.SlowBy, 6, stream, 0, 0.25},
@@ -159,16 +159,16 @@
 				if e.bad > 0 || e.ejected() > 0 {
 					t.Errorf("a healthy fleet: %d of %d failed, %d ejected", e.bad, e.all, e.ejected())
 				}
-				e.bs[4].Trouble(tc.f, tc.x)
+				e.bs[4].InjectFault(tc.f, tc.x)
 				e.play(tc.kind, 3*time.Second)
 				first := float64(e.bad) / float64(e.all)
 				e.play(tc.kind, 10*time.Second)
-				bad, part := float64(e.bad)/float64(e.all), e.part(4)
-				t.Logf("%.2f%% failed in the first 3 s, %.2f%% later, it got %.2f of its share", 100*first, 100*bad, part)
-				if bad > tc.bad || part > tc.part {
-					t.Errorf("%.2f%% failed, it got %.2f of its share", 100*bad, part)
+				bad, portion := float64(e.bad)/float64(e.all), e.portion(4)
+				t.Logf("%.2f%% failed in the first 3 s, %.2f%% later, it got %.2f of its share", 100*first, 100*bad, portion)
+				if bad > tc.bad || portion > tc.portion {
+					t.Errorf("%.2f%% failed, it got %.2f of its share", 100*bad, portion)
 				}
-				e.bs[4].Trouble(proxytest.None, 0)
+				e.bs[4].InjectFault(proxytest.None, 0)
 				well := time.Now()
 				for e.play(tc.kind, 100*time.Millisecond); e.ejected() > 0; {
 					e.play(tc.kind, 100*time.Millisecond)
@@ -180,8 +180,8 @@
 				// A slow one comes back as the seconds in which it was slow go by.
 				e.play(tc.kind, 10*time.Second)
 				e.play(tc.kind, 10*time.Second)
-				if part := e.part(4); e.ejected() > 0 || part < 0.6 || e.bad > 0 {
-					t.Errorf("after it is well: %d ejected, it gets %.2f of its share, %d failed", e.ejected(), part, e.bad)
+				if portion := e.portion(4); e.ejected() > 0 || portion < 0.6 || e.bad > 0 {
+					t.Errorf("after it is well: %d ejected, it gets %.2f of its share, %d failed", e.ejected(), portion, e.bad)
 				}
 			})
 		})
@@ -191,10 +191,10 @@
 // TestHealthUnheard: a runner in order that says it is ill is used as any other.
 func TestHealthUnheard(t *testing.T) {
 	inEvening(t, func(t *testing.T, e *evening) {
-		e.bs[4].Trouble(proxytest.Lies, 0)
+		e.bs[4].InjectFault(proxytest.Lies, 0)
 		e.play(once, 5*time.Second)
-		if e.bad > 0 || e.ejected() > 0 || e.part(4) < 0.6 {
-			t.Errorf("%d failed, %d ejected, it got %.2f of its share", e.bad, e.ejected(), e.part(4))
+		if e.bad > 0 || e.ejected() > 0 || e.portion(4) < 0.6 {
+			t.Errorf("%d failed, %d ejected, it got %.2f of its share", e.bad, e.ejected(), e.portion(4))
 		}
 	})
 }
@@ -203,18 +203,18 @@
 func TestAllAlike(t *testing.T) {
 	inEvening(t, func(t *testing.T, e *evening) {
 		for _, b := range e.bs[:8] {
-			b.Trouble(proxytest.Grey, 0.054)
+			b.InjectFault(proxytest.Grey, 0.054)
 		}
 		e.play(once, 10*time.Second)
 		if e.ejected() > 0 {
 			t.Errorf("%d ejected", e.ejected())
 		}
 		for _, b := range e.bs {
-			b.Trouble(proxytest.Lies, 1)
+			b.InjectFault(proxytest.Lies, 1)
 		}
 		e.play(once, 5*time.Second)
 		for _, b := range e.bs {
-			b.Trouble(proxytest.None, 0)
+			b.InjectFault(proxytest.None, 0)
 		}
 		e.play(once, 5*time.Second)
 		e.play(once, 2*time.Second)
--- a/internal/kit/proxytest/pipe.go
+++ b/internal/kit/proxytest/pipe.go
@@ -22,10 +22,10 @@
 }
 
 type way struct {
-	buf    []byte
-	shut   bool // no more will come
-	broken bool // reset
-	gone   bool // nobody will read
+	buf      []byte
+	shut     bool // no more will come
+	broken   bool // reset
+	departed bool // nobody will read
 }
 
 // roomy is what may wait on one way of a connection.
@@ -90,7 +90,7 @@
 		switch {
 		case c.closed:
 			return n, c.op("write", net.ErrClosed)
-		case w.broken || w.gone:
+		case w.broken || w.departed:
 			return n, c.op("write", syscall.EPIPE)
 		case past(c.wr):
 			return n, c.op("write", os.ErrDeadlineExceeded)
@@ -115,7 +115,7 @@
 	}
 	c.closed = true
 	out, in := &c.p.way[1-c.me], &c.p.way[c.me]
-	out.shut, in.gone = true, true
+	out.shut, in.departed = true, true
 	if reset {
 		out.broken, out.buf = true, nil
 	}
@@ -163,8 +163,8 @@
 	return c.SetWriteDeadline(t)
 }
 
-func (c *conn) LocalAddr() net.Addr  { return place(c.addr) }
-func (c *conn) RemoteAddr() net.Addr { return place(c.addr) }
+func (c *conn) LocalAddr() net.Addr  { return position(c.addr) }
+func (c *conn) RemoteAddr() net.Addr { return position(c.addr) }
 
 // SyscallConn lets others look at the connection as at a socket, without waiting.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return raw{c}, nil }
@@ -201,10 +201,10 @@
 	return err
 }
 
-type place string
+type position string
 
-func (place) Network() string  { return "mem" }
-func (p place) String() string { return string(p) }
+func (position) Network() string  { return "mem" }
+func (p position) String() string { return string(p) }
 
 // Listener takes connections that Dial makes.
 type Listener struct {
@@ -254,8 +254,8 @@
 }
 
 // Addr is where it listens.
-func (l *Listener) Addr() net.Addr { return place(l.addr) }
+func (l *Listener) Addr() net.Addr { return position(l.addr) }
 
 func refused(addr string) error {
-	return &net.OpError{Op: "dial", Net: "mem", Addr: place(addr), Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
+	return &net.OpError{Op: "dial", Net: "mem", Addr: position(addr), Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 }
--- a/internal/kit/proxytest/shape_test.go
+++ b/internal/kit/proxytest/shape_test.go
@@ -26,7 +26,7 @@
 
 // good is the whole answer to a run.
 func good(run proxytest.Run) string {
-	return message(200, map[string]string{names.Try: run.Try, names.Seal: run.Seal}, proxytest.Whole(run.Runner, run.Try, 40))
+	return message(200, map[string]string{names.Try: run.Try, names.Seal: run.Seal}, proxytest.Complete(run.Runner, run.Try, 40))
 }
 
 // refusal says that a job did not run; try may be empty.
@@ -51,10 +51,10 @@
 	}, 200},
 	{"another protocol", func(proxytest.Run) string { return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" }, 502},
 	{"a success without a name", func(r proxytest.Run) string {
-		return message(200, map[string]string{names.Seal: r.Seal}, proxytest.Whole(r.Runner, r.Try, 40))
+		return message(200, map[string]string{names.Seal: r.Seal}, proxytest.Complete(r.Runner, r.Try, 40))
 	}, 502},
 	{"a success without a seal", func(r proxytest.Run) string {
-		return message(200, map[string]string{names.Try: r.Try}, proxytest.Whole(r.Runner, r.Try, 40))
+		return message(200, map[string]string{names.Try: r.Try}, proxytest.Complete(r.Runner, r.Try, 40))
 	}, 502},
 	{"a failure without a name", func(r proxytest.Run) string {
 		return message(500, map[string]string{names.Seal: "somebody's"}, "another's trouble")
@@ -121,13 +121,13 @@
 	}
 	odd = true
 	x := r.ask(once+"x", "the body")
-	if err := r.judge(once, x); err != nil || x.status != status || x.cut {
-		t.Errorf("status %d, want %d, cut %v: %v: %s", x.status, status, x.cut, err, x.body)
+	if err := r.judge(once, x); err != nil || x.status != status || x.truncated {
+		t.Errorf("status %d, want %d, cut %v: %v: %s", x.status, status, x.truncated, err, x.body)
 	}
 	time.Sleep(2 * time.Second)
 	for range 4 {
-		if y := r.ask(once+"y", ""); y.status != 200 || y.cut || r.judge(once, y) != nil {
-			t.Errorf("after it: status %d, cut %v: %v", y.status, y.cut, r.judge(once, y))
+		if y := r.ask(once+"y", ""); y.status != 200 || y.truncated || r.judge(once, y) != nil {
+			t.Errorf("after it: status %d, cut %v: %v", y.status, y.truncated, r.judge(once, y))
 		}
 	}
 }
@@ -149,8 +149,8 @@
 			defer r.stop()
 			for _, kind := range []string{once, stream, repeatable} {
 				x := r.ask(kind+"x", "")
-				if err := r.judge(kind, x); err != nil || !mayRepeat(kind) && r.came(x.try) > 1 {
-					t.Errorf("%s, %s: status %d, came %d times: %v", name, kind, x.status, r.came(x.try), err)
+				if err := r.judge(kind, x); err != nil || !mayRepeat(kind) && r.received(x.try) > 1 {
+					t.Errorf("%s, %s: status %d, came %d times: %v", name, kind, x.status, r.received(x.try), err)
 				}
 				time.Sleep(5 * time.Second)
 			}
@@ -165,19 +165,19 @@
 		for _, runs := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				cutter := &proxytest.Cutter{}
-				r := cutRig(t, cutter, false)
+				r := truncationRig(t, cutter, false)
 				defer r.stop()
-				settle(r, kind, true)
+				finish(r, kind, true)
 				// Reset at its first byte, or once all of it has come and it runs.
 				cutter.Arm(runs, 0, proxytest.Reset)
-				x := r.askCut(kind)
+				x := r.requestTruncated(kind)
 				cutter.Disarm()
 				if err := r.judge(kind, x); err != nil {
 					t.Errorf("%s: %v", kind, err)
 				}
 				want := map[bool]int{true: 200, false: 502}[mayRepeat(kind)]
-				if x.status != want || !mayRepeat(kind) && r.came(x.try) > 1 {
-					t.Errorf("%s, runs %v: status %d, came %d times", kind, runs, x.status, r.came(x.try))
+				if x.status != want || !mayRepeat(kind) && r.received(x.try) > 1 {
+					t.Errorf("%s, runs %v: status %d, came %d times", kind, runs, x.status, r.received(x.try))
 				}
 			})
 		}
--- a/internal/kit/proxytest/truncate.go
+++ b/internal/kit/proxytest/truncate.go
@@ -11,10 +11,10 @@
 
 // The ways a connection goes bad.
 const (
-	Closed Loss = iota // ended in good order
-	Reset              // what is on its way is lost as well
-	Silent             // nothing more is heard, and it stays open
-	Losses = int(Silent) + 1
+	Closed       Loss = iota // ended in good order
+	Reset                    // what is on its way is lost as well
+	Unresponsive             // nothing more is heard, and it stays open
+	Losses       = int(Unresponsive) + 1
 )
 
 // Cutter spoils one exchange on a runner's connections: the next one after Arm, at one
@@ -25,7 +25,7 @@
 	loss   Loss
 	answer bool // the byte is one of the answer
 	left   int  // bytes until then
-	victim *cutConn
+	victim *truncatedConn
 	in     int // bytes of the request that came
 	out    int // bytes of the answer that went
 }
@@ -48,19 +48,19 @@
 }
 
 // Wrap stands around a connection of a runner.
-func (k *Cutter) Wrap(c net.Conn) net.Conn { return &cutConn{Conn: c, k: k} }
+func (k *Cutter) Wrap(c net.Conn) net.Conn { return &truncatedConn{Conn: c, k: k} }
 
-// cutConn is a runner's side of a connection.
-type cutConn struct {
+// truncatedConn is a runner's side of a connection.
+type truncatedConn struct {
 	net.Conn
 	k *Cutter
 }
 
 // Read takes bytes of a request.
-func (c *cutConn) Read(b []byte) (int, error) {
+func (c *truncatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	through, cut := c.k.count(c, n, false)
-	if cut {
+	through, truncated := c.k.count(c, n, false)
+	if truncated {
 		c.lose()
 		err = net.ErrClosed
 	}
@@ -72,10 +72,10 @@
 }
 
 // Write sends bytes of an answer.
-func (c *cutConn) Write(b []byte) (int, error) {
-	through, cut := c.k.count(c, len(b), true)
+func (c *truncatedConn) Write(b []byte) (int, error) {
+	through, truncated := c.k.count(c, len(b), true)
 	n, err := c.Conn.Write(b[:through])
-	if cut {
+	if truncated {
 		c.lose()
 		return n, net.ErrClosed
 	}
@@ -84,7 +84,7 @@
 
 // count gives how many of n bytes go through, and whether the connection is lost after
 // them.
-func (k *Cutter) count(c *cutConn, n int, answer bool) (through int, cut bool) {
+func (k *Cutter) count(c *truncatedConn, n int, answer bool) (through int, truncated bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.armed || k.victim != nil && k.victim != c {
@@ -111,13 +111,13 @@
 
 // lose makes the connection go bad. One that falls silent is heard on until the other
 // side gives up.
-func (c *cutConn) lose() {
+func (c *truncatedConn) lose() {
 	switch c.k.how() {
 	case Closed:
 		_ = c.Conn.Close()
 	case Reset:
 		_ = c.Conn.(*conn).Reset()
-	case Silent:
+	case Unresponsive:
 		_, _ = io.Copy(io.Discard, c.Conn)
 		_ = c.Conn.Close()
 	}
--- a/internal/kit/rehearsal/rehearsal.go
+++ b/internal/kit/rehearsal/rehearsal.go
@@ -93,7 +93,7 @@
 	}
 	// A day is not replayed on runners that are still warming up.
 	time.Sleep(10 * time.Second)
-	pl := &traffic.Player{Day: p.Day, Speed: p.Speed, Run: "r", Client: s.Crowd.Client, Edges: s.Edges, Words: client.Filler, Look: client.Look}
+	pl := &traffic.Player{Day: p.Day, Speed: p.Speed, Run: "r", Client: s.Crowd.Client, Edges: s.Edges, Prompt: client.Filler, Inspect: client.Look}
 	pl.Play(ctx)
 	for _, m := range s.Machines {
 		if e := s.Edge(m.ID); e != nil {
@@ -120,7 +120,7 @@
 			}
 			if a.Turn {
 				f.Parted++
-				if a.Held {
+				if a.PrefixHit {
 					f.Held++
 				}
 			}
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -30,7 +30,7 @@
 	RefuseDate Order = "refuse-date" // 429 with a date, by a clock an hour wrong
 	Raise      Order = "raise"       // 503 with one of the six strings
 	Lose       Order = "lose"        // run, then drop the connection
-	Cut        Order = "cut"         // run, then break the answer off halfway
+	Truncate   Order = "cut"         // run, then break the answer off halfway
 	Mix        Order = "mix"         // run, then answer for another job
 	Slow       Order = "slow"        // run for two seconds longer
 	Garble     Order = "garble"      // run, then answer what is no JSON
@@ -51,7 +51,7 @@
 	Wait               time.Duration // named, or the least a cooldown may be
 	Answered           time.Time
 	Over               bool // came in while all that it bears was taken
-	Fresh              bool // at that time it was still coming up
+	WarmingUp          bool // at that time it was still coming up
 	Left               bool // came in after it had said that it drains
 	Other              bool // meant for a process before this one, and refused
 }
@@ -76,11 +76,11 @@
 	mu       sync.Mutex
 	rnd      *rand.Rand
 	start    time.Time
-	busy     int
+	inFlight int
 	refused  int64
 	orders   []Order
 	strikes  int
-	ledger   []Entry
+	log      []Entry
 	prefixes []string
 	drained  time.Time
 	shut     time.Time
@@ -110,7 +110,7 @@
 func (r *Runner) Handler() http.Handler {
 	r.mu.Lock()
 	r.gen++
-	r.start, r.drained, r.busy, r.prefixes = time.Now(), time.Time{}, 0, nil
+	r.start, r.drained, r.inFlight, r.prefixes = time.Now(), time.Time{}, 0, nil
 	r.mu.Unlock()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/report", r.report)
@@ -157,11 +157,11 @@
 	return len(r.orders)
 }
 
-// Ledger is a copy of all that was written down.
-func (r *Runner) Ledger() []Entry {
+// Log is a copy of all that was written down.
+func (r *Runner) Log() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Entry(nil), r.ledger...)
+	return append([]Entry(nil), r.log...)
 }
 
 // Drained is when it said that it leaves.
@@ -179,12 +179,12 @@
 	return min(b, r.P.Bears)
 }
 
-// mark names the process this stands for now.
-func (r *Runner) mark() string { return fmt.Sprintf("%s-%d", r.P.Name, r.gen) }
+// incarnation names the process this stands for now.
+func (r *Runner) incarnation() string { return fmt.Sprintf("%s-%d", r.P.Name, r.gen) }
 
 func (r *Runner) report(w http.ResponseWriter, _ *http.Request) {
 	r.mu.Lock()
-	rep := runnerapi.Report{Name: r.P.Name, State: runnerapi.Ready, Mark: r.mark(), Bears: r.bears(), Busy: r.busy, UpMs: time.Since(r.start).Milliseconds(), Refused: r.refused, Prefixes: append([]string(nil), r.prefixes...)}
+	rep := runnerapi.Report{Name: r.P.Name, State: runnerapi.Ready, Incarnation: r.incarnation(), Concurrency: r.bears(), Load: r.inFlight, UpMs: time.Since(r.start).Milliseconds(), Refused: r.refused, Prefixes: append([]string(nil), r.prefixes...)}
 	if !r.drained.IsZero() {
 		rep.State = runnerapi.Draining
 	}
@@ -222,27 +222,27 @@
 }
 
 func (r *Runner) run(w http.ResponseWriter, q *http.Request) {
-	var j runnerapi.Run
+	var j runnerapi.Request
 	if err := json.NewDecoder(q.Body).Decode(&j); err != nil {
 		http.Error(w, "{}", http.StatusBadRequest)
 		return
 	}
 	now := time.Now()
-	e := Entry{Job: j.Job, Work: Work(j.Words), Program: j.Program, Arrived: now}
+	e := Entry{Job: j.Job, Work: Work(j.Prompt), Program: j.Program, Arrived: now}
 	r.mu.Lock()
 	var o Order
-	full := r.busy >= r.bears()
-	e.Over, e.Fresh = full, r.P.Up && r.bears() < r.P.Bears
+	full := r.inFlight >= r.bears()
+	e.Over, e.WarmingUp = full, r.P.Up && r.bears() < r.P.Bears
 	switch {
-	case j.Mark != "" && j.Mark != r.mark():
+	case j.Incarnation != "" && j.Incarnation != r.incarnation():
 		e.Other, e.Over = true, false
-		r.ledger = append(r.ledger, e)
+		r.log = append(r.log, e)
 		r.mu.Unlock()
 		failure(w, http.StatusPreconditionFailed, "Other", "meant for another process", runnerapi.Other)
 		return
 	case !r.drained.IsZero():
 		e.Left, e.Refused, e.Over = true, false, false
-		r.ledger = append(r.ledger, e)
+		r.log = append(r.log, e)
 		r.mu.Unlock()
 		failure(w, http.StatusServiceUnavailable, "Draining", "going away", runnerapi.Draining)
 		return
@@ -268,7 +268,7 @@
 			w.Header().Set("Retry-After", wrong.Add(3*time.Second).Format(http.TimeFormat))
 		}
 		e.Answered = time.Now()
-		r.ledger = append(r.ledger, e)
+		r.log = append(r.log, e)
 		r.mu.Unlock()
 		if o == Raise {
 			failure(w, http.StatusServiceUnavailable, "UpstreamError", raised[n%len(raised)], "")
@@ -277,11 +277,11 @@
 		failure(w, http.StatusTooManyRequests, "Busy", "later", "")
 		return
 	}
-	r.busy++
+	r.inFlight++
 	gen := r.gen
-	held := r.hold(j.Parts)
+	prefixHit := r.cached(j.Parts)
 	take := r.P.Take/2 + time.Duration(r.rnd.Int64N(int64(r.P.Take)))
-	if r.P.Model && !held {
+	if r.P.Model && !prefixHit {
 		take += r.P.Take / 2
 	}
 	out := int64(0)
@@ -296,17 +296,17 @@
 	t := time.NewTimer(take)
 	<-t.C
 	e.Ran, e.Output = true, out
-	ans := runnerapi.Ran{Job: j.Job, Text: fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)), Output: out, Held: held}
+	ans := runnerapi.Response{Job: j.Job, Text: fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)), Output: out, PrefixHit: prefixHit}
 	r.mu.Lock()
 	if gen != r.gen {
 		// The process died with this work half done.
 		r.mu.Unlock()
 		return
 	}
-	r.busy--
+	r.inFlight--
 	ans.Prefixes = append([]string(nil), r.prefixes...)
 	e.Answered = time.Now()
-	r.ledger = append(r.ledger, e)
+	r.log = append(r.log, e)
 	r.mu.Unlock()
 	if o == Mix {
 		ans.Job = "someone-else"
@@ -322,7 +322,7 @@
 	b = bend(o, ans, b)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	if o == Cut {
+	if o == Truncate {
 		_, _ = w.Write(b[:len(b)/2])
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
@@ -334,7 +334,7 @@
 }
 
 // bend spoils a whole answer b as ordered.
-func bend(o Order, ans runnerapi.Ran, b []byte) []byte {
+func bend(o Order, ans runnerapi.Response, b []byte) []byte {
 	switch o {
 	case Garble:
 		return []byte(strings.ReplaceAll(string(b), ":", "="))
@@ -379,16 +379,16 @@
 	panic(http.ErrAbortHandler)
 }
 
-// hold tells whether the whole prefix is held, and takes in every run of
+// cached tells whether the whole prefix is held, and takes in every run of
 // leading parts.
-func (r *Runner) hold(parts []string) bool {
-	held := len(parts) > 0
+func (r *Runner) cached(parts []string) bool {
+	prefixHit := len(parts) > 0
 	for i := range parts {
 		key := strings.Join(parts[:i+1], "+")
 		if slices.Contains(r.prefixes, key) {
 			continue
 		}
-		held = false
+		prefixHit = false
 		r.prefixes = append(r.prefixes, key)
 	}
 	n := r.P.Prefix
@@ -398,7 +398,7 @@
 	if len(r.prefixes) > n {
 		r.prefixes = r.prefixes[len(r.prefixes)-n:]
 	}
-	return held
+	return prefixHit
 }
 
 // Platform is the platform's lagging list.
--- a/internal/kit/scale/hollow.go
+++ b/internal/kit/scale/hollow.go
@@ -32,8 +32,8 @@
 	Edge = "edge"
 )
 
-// place is where a hollow node stands.
-type place struct {
+// position is where a hollow node stands.
+type position struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 	Zone string `json:"zone"`
@@ -41,9 +41,9 @@
 
 // setup is the first line that a hollow process reads.
 type setup struct {
-	Kind  string   `json:"kind"`
-	Seeds []string `json:"seeds"`
-	Nodes []place  `json:"nodes"`
+	Kind  string     `json:"kind"`
+	Seeds []string   `json:"seeds"`
+	Nodes []position `json:"nodes"`
 }
 
 // order is every further line; each is answered with one line.
@@ -61,20 +61,20 @@
 	Out   uint64 `json:"out"`
 }
 
-// word is a hollow process's answer.
-type word struct {
-	Failure string  `json:"problem,omitempty"`
-	Joined  int     `json:"joined"`
-	Whole   int     `json:"whole"` // nodes whose list has as many live members as wanted
-	CPU     int64   `json:"cpu"`   // ns of the process
-	Loads   []load  `json:"loads"`
-	Conns   int64   `json:"conns"` // open, both ends
-	At      []int64 `json:"at"`    // unix ns: of each node that has seen what was asked for
+// report is a hollow process's answer.
+type report struct {
+	Failure  string  `json:"problem,omitempty"`
+	Joined   int     `json:"joined"`
+	Complete int     `json:"whole"` // nodes whose list has as many live members as wanted
+	CPU      int64   `json:"cpu"`   // ns of the process
+	Loads    []load  `json:"loads"`
+	Conns    int64   `json:"conns"` // open, both ends
+	At       []int64 `json:"at"`    // unix ns: of each node that has seen what was asked for
 }
 
 // hollow is one node without traffic.
 type hollow struct {
-	place
+	position
 	seeds []string
 	kind  string
 	calls uint64 // of its former starts
@@ -179,13 +179,13 @@
 			return nil
 		}
 	}
-	kick := n.Cluster.Watch()
+	wakeup := n.Cluster.Watch()
 	ended := make(chan struct{})
 	h.mu.Lock()
 	h.node, h.stop, h.ended, h.joined = n, stop, ended, false
 	h.mu.Unlock()
 	go func() {
-		loop.Every(ctx, time.Second, kick, func(context.Context) { h.see(n.Cluster.Now().Version) })
+		loop.Every(ctx, time.Second, wakeup, func(context.Context) { h.see(n.Cluster.Now().Version) })
 	}()
 	go func() {
 		defer close(ended)
@@ -270,7 +270,7 @@
 	}
 	c := &crowd{seen: map[string][]int64{}}
 	for _, p := range s.Nodes {
-		h := &hollow{place: p, seeds: s.Seeds, kind: s.Kind, conns: &c.conns, force: map[uint64]int64{}}
+		h := &hollow{position: p, seeds: s.Seeds, kind: s.Kind, conns: &c.conns, force: map[uint64]int64{}}
 		c.all = append(c.all, h)
 		h.start()
 	}
@@ -299,8 +299,8 @@
 	return nil
 }
 
-func (c *crowd) answer(o order) word {
-	var w word
+func (c *crowd) answer(o order) report {
+	var w report
 	switch o.Do {
 	case "stat":
 		var u syscall.Rusage
@@ -315,7 +315,7 @@
 				l.Calls += n.Peer.Sent()
 				if o.Want > 0 {
 					if live, _ := members(n, ""); live == o.Want {
-						w.Whole++
+						w.Complete++
 					}
 				}
 			}
--- a/internal/kit/scale/scale.go
+++ b/internal/kit/scale/scale.go
@@ -27,23 +27,23 @@
 
 // Params shape a run.
 type Params struct {
-	Nodes    int // in all: 3 cores, 3 stores, the real edges, and hollow ones
-	Edges    int // real ones
-	Runners  int
-	Routes   int           // that the runners are spread over
-	Tenants  int           // each has a budget of its own in the spec
-	Changes  int           // of the spec an hour, in the second half
-	Failures int           // of hollow nodes an hour, in the second half
-	Settle   time.Duration // after forming, before anything is measured
-	Time     time.Duration
-	Seed     uint64
-	Kind     string // of hollow nodes
-	Share    int    // hollow nodes to a process
-	Bin, Dir string
-	Net      int
-	Self     []string // the command that runs Hollow
-	Out      io.Writer
-	File     string
+	Nodes      int // in all: 3 cores, 3 stores, the real edges, and hollow ones
+	Edges      int // real ones
+	Runners    int
+	Routes     int           // that the runners are spread over
+	Tenants    int           // each has a budget of its own in the spec
+	Changes    int           // of the spec an hour, in the second half
+	Failures   int           // of hollow nodes an hour, in the second half
+	SettleTime time.Duration // after forming, before anything is measured
+	Time       time.Duration
+	Seed       uint64
+	Kind       string // of hollow nodes
+	Portion    int    // hollow nodes to a process
+	Bin, Dir   string
+	Net        int
+	Self       []string // the command that runs Hollow
+	Out        io.Writer
+	File       string
 }
 
 // What a run is known to need at the most; see docs/CAPACITY.md for the runs.
@@ -73,14 +73,14 @@
 		return errors.New("a negative number of tenants, changes or failures")
 	case p.Runners+p.Tenants+p.Routes+16 > spec.MaxNames:
 		return fmt.Errorf("%d runners, tenants and routes; a spec has at most %d entries", p.Runners+p.Tenants+p.Routes, spec.MaxNames-16)
-	case p.Settle < 0:
-		return fmt.Errorf("-settle: %s is negative", p.Settle)
+	case p.SettleTime < 0:
+		return fmt.Errorf("-settle: %s is negative", p.SettleTime)
 	case p.Time < 4*time.Second:
 		return fmt.Errorf("-time: %s is less than 4s", p.Time)
 	case p.Kind != Member && p.Kind != Edge:
 		return fmt.Errorf("-kind: %q is neither %s nor %s", p.Kind, Member, Edge)
-	case p.Share < 1 || uint64(p.Share)*nodeFiles > m.Files:
-		return fmt.Errorf("-share: %d nodes to a process want %d descriptors, %d may be open; %d would fit", p.Share, p.Share*nodeFiles, m.Files, m.Files/nodeFiles)
+	case p.Portion < 1 || uint64(p.Portion)*nodeFiles > m.Files:
+		return fmt.Errorf("-share: %d nodes to a process want %d descriptors, %d may be open; %d would fit", p.Portion, p.Portion*nodeFiles, m.Files, m.Files/nodeFiles)
 	case p.processes() > maxProcesses:
 		return fmt.Errorf("-nodes: %d processes, at most %d; -share %d would fit", p.processes(), maxProcesses, (p.Nodes+maxProcesses/2-1)/(maxProcesses/2))
 	}
@@ -100,7 +100,7 @@
 func (p *Params) hollows() int { return p.Nodes - core3store3 - p.Edges }
 
 func (p *Params) processes() int {
-	return core3store3 + p.Edges + (p.hollows()+p.Share-1)/p.Share
+	return core3store3 + p.Edges + (p.hollows()+p.Portion-1)/p.Portion
 }
 
 func (p *Params) memory() uint64 {
@@ -109,7 +109,7 @@
 		node = edgeBytes
 	}
 	h := uint64(p.hollows())
-	return uint64(core3store3+p.Edges)*realBytes + (h+uint64(p.Share)-1)/uint64(p.Share)*hollowBytes + h*node + h*uint64(p.Nodes)*pairBytes + uint64(p.Runners)*runnerBytes
+	return uint64(core3store3+p.Edges)*realBytes + (h+uint64(p.Portion)-1)/uint64(p.Portion)*hollowBytes + h*node + h*uint64(p.Nodes)*pairBytes + uint64(p.Runners)*runnerBytes
 }
 
 // Figure is one line of a run.
@@ -130,20 +130,20 @@
 	ids []string
 }
 
-func (c *process) ask(o order) (word, error) {
+func (c *process) ask(o order) (report, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b, err := json.Marshal(o)
 	if err != nil {
-		return word{}, err
+		return report{}, err
 	}
 	if _, err := c.in.Write(append(b, '\n')); err != nil {
-		return word{}, err
+		return report{}, err
 	}
 	if !c.out.Scan() {
-		return word{}, fmt.Errorf("hollow process %d ended: %w", c.cmd.Process.Pid, errors.Join(c.out.Err(), io.ErrUnexpectedEOF))
+		return report{}, fmt.Errorf("hollow process %d ended: %w", c.cmd.Process.Pid, errors.Join(c.out.Err(), io.ErrUnexpectedEOF))
 	}
-	var w word
+	var w report
 	if err := json.Unmarshal(c.out.Bytes(), &w); err != nil {
 		return w, err
 	}
@@ -204,8 +204,8 @@
 		}
 		defer func() { err = errors.Join(err, r.keep.Close()) }()
 	}
-	r.line("# nodes %d (real: 3 cores, 3 stores, %d edges; hollow: %d %ss, %d to a process), runners %d, routes %d, tenants %d, changes %d/h, failures %d/h, time %s, seed %d",
-		p.Nodes, p.Edges, p.hollows(), p.Kind, p.Share, p.Runners, p.Routes, p.Tenants, p.Changes, p.Failures, p.Time, p.Seed)
+	r.row("# nodes %d (real: 3 cores, 3 stores, %d edges; hollow: %d %ss, %d to a process), runners %d, routes %d, tenants %d, changes %d/h, failures %d/h, time %s, seed %d",
+		p.Nodes, p.Edges, p.hollows(), p.Kind, p.Portion, p.Runners, p.Routes, p.Tenants, p.Changes, p.Failures, p.Time, p.Seed)
 	r.say("spec.size", float64(size), "B")
 	r.load("start")
 	defer r.load("end")
@@ -214,14 +214,14 @@
 		return nil, err
 	}
 	// What forming has set off is let go by first.
-	if !loop.Wait(ctx, p.Settle) {
+	if !loop.Wait(ctx, p.SettleTime) {
 		return nil, ctx.Err()
 	}
 	if err := r.window(ctx, "quiet", nil); err != nil {
 		return nil, err
 	}
 	if p.Changes+p.Failures > 0 {
-		if err := r.window(ctx, "busy", r.trouble); err != nil {
+		if err := r.window(ctx, "busy", r.fault); err != nil {
 			return nil, err
 		}
 		r.tell()
@@ -229,7 +229,7 @@
 	return r.figures, r.rest(ctx)
 }
 
-func (r *run) line(f string, a ...any) {
+func (r *run) row(f string, a ...any) {
 	fmt.Fprintf(r.Out, f+"\n", a...)
 	if r.keep != nil {
 		fmt.Fprintf(r.keep, f+"\n", a...)
@@ -239,7 +239,7 @@
 func (r *run) say(name string, v float64, unit string) {
 	f := Figure{name, v, unit}
 	r.figures = append(r.figures, f)
-	r.line("%s", f)
+	r.row("%s", f)
 }
 
 // load says how busy the whole machine is: others may use it as well.
@@ -292,10 +292,10 @@
 	for _, m := range r.f.Of("core") {
 		seeds = append(seeds, m.Addr())
 	}
-	var all []place
+	var all []position
 	for i := range r.hollows() {
 		z := []string{"a", "b", "c"}[i%3]
-		all = append(all, place{ID: fmt.Sprintf("h%04d", i), Zone: z, Addr: fmt.Sprintf("127.%d.%d.%d:7100", r.f.P.Net, 10+i/200, 1+i%200)})
+		all = append(all, position{ID: fmt.Sprintf("h%04d", i), Zone: z, Addr: fmt.Sprintf("127.%d.%d.%d:7100", r.f.P.Net, 10+i/200, 1+i%200)})
 	}
 	at := time.Now()
 	for _, m := range r.f.Machines {
@@ -303,8 +303,8 @@
 			return err
 		}
 	}
-	for part := range slices.Chunk(all, r.Share) {
-		if err := r.hollow(setup{Kind: r.Kind, Seeds: seeds, Nodes: part}); err != nil {
+	for portion := range slices.Chunk(all, r.Portion) {
+		if err := r.hollow(setup{Kind: r.Kind, Seeds: seeds, Nodes: portion}); err != nil {
 			return err
 		}
 	}
@@ -359,8 +359,8 @@
 }
 
 // each asks every hollow process the same.
-func (r *run) each(o order) ([]word, error) {
-	out := make([]word, len(r.crowd))
+func (r *run) each(o order) ([]report, error) {
+	out := make([]report, len(r.crowd))
 	errs := make([]error, len(r.crowd))
 	var wg sync.WaitGroup
 	for i, c := range r.crowd {
@@ -370,13 +370,13 @@
 	return out, errors.Join(errs...)
 }
 
-func (r *run) formed() (joined, whole int, err error) {
+func (r *run) formed() (joined, complete int, err error) {
 	ws, err := r.each(order{Do: "stat", Want: r.Nodes})
 	for _, w := range ws {
 		joined += w.Joined
-		whole += w.Whole
+		complete += w.Complete
 	}
-	return joined, whole, err
+	return joined, complete, err
 }
 
 // stop ends what was started, by id.
@@ -399,7 +399,7 @@
 	at     time.Time
 	real   map[string]use
 	calls  map[string]float64 // made by a real process, by its own count
-	hollow []word
+	hollow []report
 	rss    []use // of the hollow processes
 }
 
@@ -536,10 +536,10 @@
 	return s / float64(max(len(vs), 1))
 }
 
-// trouble changes the spec and kills hollow nodes at their rates until ctx ends.
-func (r *run) trouble(ctx context.Context) {
+// fault changes the spec and kills hollow nodes at their rates until ctx ends.
+func (r *run) fault(ctx context.Context) {
 	var wg sync.WaitGroup
-	beat := func(hourly int, do func(context.Context, int)) {
+	every := func(hourly int, do func(context.Context, int)) {
 		if hourly == 0 {
 			return
 		}
@@ -550,8 +550,8 @@
 			}
 		})
 	}
-	beat(r.Changes, r.change)
-	beat(r.Failures, r.fail)
+	every(r.Changes, r.change)
+	every(r.Failures, r.fail)
 	wg.Wait()
 }
 
@@ -568,7 +568,7 @@
 		r.mu.Lock()
 		r.late++
 		r.mu.Unlock()
-		r.line("# change: status %d, in force %v, %v", st, a.InForce, err)
+		r.row("# change: status %d, in force %v, %v", st, a.InForce, err)
 		return
 	}
 	// All live nodes, but one that has just been killed or started anew.
--- a/internal/kit/scale/scale_test.go
+++ b/internal/kit/scale/scale_test.go
@@ -12,7 +12,7 @@
 )
 
 func good() Params {
-	return Params{Nodes: 50, Edges: 2, Runners: 12, Routes: 2, Time: 4 * time.Second, Kind: Member, Share: 50}
+	return Params{Nodes: 50, Edges: 2, Runners: 12, Routes: 2, Time: 4 * time.Second, Kind: Member, Portion: 50}
 }
 
 // TestCheck: what the machine can't hold is refused, naming the flag and what would
@@ -34,12 +34,12 @@
 		{"a spec too long", func(p *Params) { p.Tenants = 5000 }, big, "4080 entries"},
 		{"no time", func(p *Params) { p.Time = time.Second }, big, "-time"},
 		{"an unknown kind", func(p *Params) { p.Kind = "ghost" }, big, "-kind"},
-		{"nobody to a process", func(p *Params) { p.Share = 0 }, big, "-share"},
-		{"descriptors of nodes", func(p *Params) { p.Share = 50 }, Machine{Memory: 24 << 30, Files: 1024}, "10 would fit"},
-		{"descriptors of runners", func(p *Params) { p.Runners, p.Share = 1300, 10 }, Machine{Memory: 24 << 30, Files: 1024}, "256 would fit"},
-		{"processes", func(p *Params) { p.Nodes, p.Share = 1000, 2 }, big, "-share 10 would fit"},
+		{"nobody to a process", func(p *Params) { p.Portion = 0 }, big, "-share"},
+		{"descriptors of nodes", func(p *Params) { p.Portion = 50 }, Machine{Memory: 24 << 30, Files: 1024}, "10 would fit"},
+		{"descriptors of runners", func(p *Params) { p.Runners, p.Portion = 1300, 10 }, Machine{Memory: 24 << 30, Files: 1024}, "256 would fit"},
+		{"processes", func(p *Params) { p.Nodes, p.Portion = 1000, 2 }, big, "-share 10 would fit"},
 		{"memory", func(p *Params) { p.Nodes = 450 }, Machine{Memory: 2 << 30, Files: 20000}, "would fit"},
-		{"a petabyte", func(p *Params) { p.Nodes, p.Share = 100000, 1000 }, Machine{Memory: 24 << 30, Files: 1 << 20}, "would fit"},
+		{"a petabyte", func(p *Params) { p.Nodes, p.Portion = 100000, 1000 }, Machine{Memory: 24 << 30, Files: 1 << 20}, "would fit"},
 	} {
 		p := good()
 		tc.p(&p)
--- a/internal/kit/sim/audit.go
+++ b/internal/kit/sim/audit.go
@@ -13,8 +13,8 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Note writes an event down.
-func (s *Sim) Note(k checker.EventKind, id string, ver uint64) {
+// Record writes an event down.
+func (s *Sim) Record(k checker.EventKind, id string, ver uint64) {
 	s.mu.Lock()
 	s.events = append(s.events, checker.Event{At: time.Now(), Kind: k, ID: id, Ver: ver})
 	s.mu.Unlock()
@@ -26,7 +26,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, m := range s.Machines {
-			if s.apart[m.ID] || time.Since(s.away[m.ID]) < 2*time.Second {
+			if s.isolated[m.ID] || time.Since(s.away[m.ID]) < 2*time.Second {
 				continue
 			}
 			if m.live != nil && m.live.edge != nil {
@@ -57,7 +57,7 @@
 	v := checker.Audited(s.Crowd.Audit(ctx, edges, most))
 	t := &storeclient.Client{Peer: e.Peer, Cluster: e.Cluster, Proposer: e.Proposer}
 	got := map[string]int64{}
-	for _, a := range s.Crowd.Ledger() {
+	for _, a := range s.Crowd.Log() {
 		if a.Turn && a.Status == http.StatusOK {
 			got[a.Program] += a.Output
 		}
@@ -77,7 +77,7 @@
 	if st, err := s.Operate(http.MethodGet, "/v1/spec", nil, &now); err != nil || st != http.StatusOK {
 		v[checker.Spec] = append(v[checker.Spec], fmt.Sprintf("can't be read at the end: %d %v", st, err))
 	}
-	s.Note(checker.FinalRead, "", now.Version)
+	s.Record(checker.FinalRead, "", now.Version)
 	s.mu.Lock()
 	s.audit = v
 	s.mu.Unlock()
@@ -85,7 +85,7 @@
 
 // Judge reads the ledgers.
 func (s *Sim) Judge() (checker.Verdict, *checker.Case) {
-	c := &checker.Case{Spec: &s.Spec, Asks: s.Crowd.Ledger(), Runs: checker.Runs(s.Runners), Most: s.Crowd.Most, Audit: s.audit}
+	c := &checker.Case{Spec: &s.Spec, Asks: s.Crowd.Log(), Runs: checker.Runs(s.Runners), Most: s.Crowd.Most, Audit: s.audit}
 	s.mu.Lock()
 	c.Events = append(c.Events, s.events...)
 	c.Samples = append(c.Samples, s.samples...)
--- a/internal/kit/sim/brief_test.go
+++ b/internal/kit/sim/brief_test.go
@@ -93,7 +93,7 @@
 	f := &fate{sent: time.Now()}
 	wg.Go(func() {
 		// Whoever is killed with it gives no answer.
-		f.said, _ = try(s, edge, "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{turnapi.HKey: key, turnapi.HWait: wait})
+		f.said, _ = try(s, edge, "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{turnapi.HeaderIdempotencyKey: key, turnapi.HeaderWait: wait})
 		f.done = time.Now()
 	})
 	return f
@@ -105,7 +105,7 @@
 	t.Helper()
 	var ran []runner.Entry
 	for _, r := range s.Runners {
-		for _, e := range r.Ledger() {
+		for _, e := range r.Log() {
 			if e.Work == key && e.Ran {
 				ran = append(ran, e)
 			}
@@ -172,9 +172,9 @@
 	})
 }
 
-// TestNever01CallerGone: the caller of a passed job leaves; the job's result is
+// TestNever01CallerDisconnects: the caller of a passed job leaves; the job's result is
 // kept, and is what the next asking gets.
-func TestNever01CallerGone(t *testing.T) {
+func TestNever01CallerDisconnects(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(_ context.Context, s *sim.Sim, _ *stops) {
 		for _, r := range s.Runners {
@@ -186,14 +186,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		q.Header.Set(turnapi.HProgram, "reel/1")
-		q.Header.Set(turnapi.HLeft, "60")
-		q.Header.Set(turnapi.HKey, "gone")
+		q.Header.Set(turnapi.HeaderProgram, "reel/1")
+		q.Header.Set(turnapi.HeaderTimeRemaining, "60")
+		q.Header.Set(turnapi.HeaderIdempotencyKey, "gone")
 		if _, err := s.RoundTrip(q); err == nil {
 			t.Error("the caller did not leave")
 		}
 		time.Sleep(4 * time.Second)
-		g := ask(t, s, "e4", "/v1/calls/assets", `{"args":{"do":"work:gone;"}}`, map[string]string{turnapi.HKey: "gone"})
+		g := ask(t, s, "e4", "/v1/calls/assets", `{"args":{"do":"work:gone;"}}`, map[string]string{turnapi.HeaderIdempotencyKey: "gone"})
 		if ran, _ := runs(s); g.status != http.StatusOK || ran != 1 {
 			t.Errorf("asked again: %+v, ran %d times", g, ran)
 		}
@@ -230,14 +230,14 @@
 		// A runner refuses clearly, and the stores are gone before the claim is
 		// freed: an ask that is still under way elsewhere must not be betrayed.
 		tools(runner.Raise, runner.Raise)
-		p.set("e1", job.Heard, func(*job.Ctx) {
-			s.Cut([]string{"e1"}, []string{"s1", "s2", "s3"}, true)
+		p.set("e1", job.ResponseReceived, func(*job.Ctx) {
+			s.Partition([]string{"e1"}, []string{"s1", "s2", "s3"}, true)
 		})
 		c := asker(t, s, &wg, "e1", "nofree", "1")
 		time.Sleep(500 * time.Millisecond)
 		d := asker(t, s, &wg, "e5", "nofree", "5")
 		wg.Wait()
-		s.Cut([]string{"e1"}, []string{"s1", "s2", "s3"}, false)
+		s.Partition([]string{"e1"}, []string{"s1", "s2", "s3"}, false)
 		once(t, s, "free that fails", "nofree", c, d)
 		time.Sleep(31 * time.Second)
 		// An ask that has read its claim is held up, and a later one is told that
@@ -274,7 +274,7 @@
 			}) {
 				t.Errorf("%s was not admitted", id)
 			}
-			settled(t, s)
+			converged(t, s)
 		}
 	})
 }
@@ -283,8 +283,8 @@
 func TestNever03OneCopy(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(_ context.Context, s *sim.Sim, p *stops) {
-		p.set("e1", job.Heard, func(*job.Ctx) { s.Cut([]string{"e1"}, []string{"s2", "s3"}, true) })
-		g := ask(t, s, "e1", "/v1/turns", `{"conversation":"reel","words":"work:x;","max_output":1}`, map[string]string{turnapi.HWait: "3"})
+		p.set("e1", job.ResponseReceived, func(*job.Ctx) { s.Partition([]string{"e1"}, []string{"s2", "s3"}, true) })
+		g := ask(t, s, "e1", "/v1/turns", `{"conversation":"reel","words":"work:x;","max_output":1}`, map[string]string{turnapi.HeaderWait: "3"})
 		if g.status == http.StatusOK || g.Ran != "unknown" {
 			t.Errorf("with two of three stores out of reach: %+v", g)
 		}
@@ -321,12 +321,12 @@
 func TestNever04Budget(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(ctx context.Context, s *sim.Sim, p *stops) {
-		head := map[string]string{turnapi.HProgram: "tagging/x"} // 600
-		for i, pt := range []job.Point{job.Reserved, job.Passing, job.Heard} {
+		head := map[string]string{turnapi.HeaderProgram: "tagging/x"} // 600
+		for i, pt := range []job.Point{job.Reserved, job.Passing, job.ResponseReceived} {
 			e := fmt.Sprintf("e%d", i+2)
 			p.set(e, pt, func(*job.Ctx) { go s.Kill(e); time.Sleep(time.Second) })
 		}
-		p.set("e5", job.Heard, func(*job.Ctx) { s.Cut([]string{"e5"}, s.Rest("e5"), true) })
+		p.set("e5", job.ResponseReceived, func(*job.Ctx) { s.Partition([]string{"e5"}, s.Rest("e5"), true) })
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Go(func() {
@@ -335,7 +335,7 @@
 			})
 		}
 		wg.Wait()
-		s.Cut([]string{"e5"}, s.Rest("e5"), false)
+		s.Partition([]string{"e5"}, s.Rest("e5"), false)
 		time.Sleep(3 * time.Second)
 		for range 20 {
 			if g := ask(t, s, "e1", "/v1/turns", `{"conversation":"tagging","words":"work:x;","max_output":600}`, head); g.Code == int(code.BudgetSpent) {
@@ -344,7 +344,7 @@
 		}
 		spent := int64(0)
 		for _, r := range s.Runners {
-			for _, e := range r.Ledger() {
+			for _, e := range r.Log() {
 				spent += e.Output
 			}
 		}
@@ -354,19 +354,19 @@
 	})
 }
 
-// TestNever05Whole: every way in which a runner's 200 may not be its whole
+// TestNever05Complete: every way in which a runner's 200 may not be its whole
 // answer; none is passed on as a success.
-func TestNever05Whole(t *testing.T) {
+func TestNever05Complete(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(_ context.Context, s *sim.Sim, _ *stops) {
-		for _, o := range []runner.Order{runner.Lose, runner.Cut, runner.Mix, runner.Garble, runner.Shape, runner.NoJob, runner.NoText, runner.Twin, runner.Long} {
+		for _, o := range []runner.Order{runner.Lose, runner.Truncate, runner.Mix, runner.Garble, runner.Shape, runner.NoJob, runner.NoText, runner.Twin, runner.Long} {
 			for _, path := range []string{"/v1/turns", "/v1/calls/assets"} {
 				for _, r := range s.Runners {
 					r.Forget()
 					r.Give(o)
 				}
 				body := map[string]string{"/v1/turns": `{"conversation":"reel","words":"work:x;","max_output":9}`, "/v1/calls/assets": `{"args":{"do":"work:x;"}}`}[path]
-				g := ask(t, s, "e1", path, body, map[string]string{turnapi.HKey: string(o) + path[4:6], turnapi.HWait: "5"})
+				g := ask(t, s, "e1", path, body, map[string]string{turnapi.HeaderIdempotencyKey: string(o) + path[4:6], turnapi.HeaderWait: "5"})
 				if g.status == http.StatusOK || g.Ran != "unknown" {
 					t.Errorf("%s %s: %+v", o, path, g)
 				}
@@ -375,9 +375,9 @@
 	})
 }
 
-// TestNever06Leaving: edges are frozen or cut off at the moment of the news, and
+// TestNever06Draining: edges are frozen or cut off at the moment of the news, and
 // jobs wait across it.
-func TestNever06Leaving(t *testing.T) {
+func TestNever06Draining(t *testing.T) {
 	t.Parallel()
 	run(t, "andina", 6, 40*time.Second, func(ctx context.Context, s *sim.Sim) {
 		go s.Crowd.Run(ctx, 20*time.Second, 2)
@@ -385,13 +385,13 @@
 			if i%2 == 0 {
 				s.Freeze("e5")
 			} else {
-				s.Cut([]string{"e5"}, s.Rest("e5"), true)
+				s.Partition([]string{"e5"}, s.Rest("e5"), true)
 			}
 			r.Drain()
-			s.Note(checker.Drained, r.P.Name, 0)
+			s.Record(checker.Drained, r.P.Name, 0)
 			time.Sleep(4 * time.Second)
 			s.Thaw("e5")
-			s.Cut([]string{"e5"}, s.Rest("e5"), false)
+			s.Partition([]string{"e5"}, s.Rest("e5"), false)
 			time.Sleep(2 * time.Second)
 			s.RunnerDown(r.P.Name)
 			s.RunnerUp(r.P.Name)
@@ -408,7 +408,7 @@
 		go s.Crowd.Run(ctx, 12*time.Second, 3)
 		for _, z := range []string{"b", "c"} {
 			s.Freeze("e5")
-			s.Cut([]string{"e6"}, []string{"c1", "c2", "c3"}, true)
+			s.Partition([]string{"e6"}, []string{"c1", "c2", "c3"}, true)
 			at := time.Now()
 			if st, a, err := s.Zone(z, true); err != nil || st != http.StatusOK || time.Since(at) > 2*time.Second {
 				t.Errorf("%s: %d %+v %v after %s", z, st, a, err, time.Since(at))
@@ -416,7 +416,7 @@
 			time.Sleep(6 * time.Second)
 			s.Thaw("e5")
 			time.Sleep(2 * time.Second)
-			s.Cut([]string{"e6"}, []string{"c1", "c2", "c3"}, false)
+			s.Partition([]string{"e6"}, []string{"c1", "c2", "c3"}, false)
 			if st, a, err := s.Zone(z, false); err != nil || st != http.StatusOK {
 				t.Errorf("refill %s: %d %+v %v", z, st, a, err)
 			}
@@ -454,17 +454,17 @@
 		up(t, ctx, s, "s3")
 		change("s3 just back")
 		time.Sleep(4 * time.Second)
-		s.CutOne([]string{"e4"}, s.Rest("e4"), true)
+		s.PartitionOneWay([]string{"e4"}, s.Rest("e4"), true)
 		time.Sleep(time.Second)
 		change("e4 can't send")
-		s.CutOne([]string{"e4"}, s.Rest("e4"), false)
+		s.PartitionOneWay([]string{"e4"}, s.Rest("e4"), false)
 		time.Sleep(2 * time.Second)
 		both := []string{"s1", "s2", "e5"}
-		s.Cut(both, s.Rest(both...), true)
+		s.Partition(both, s.Rest(both...), true)
 		if st, a, _ := s.Zone("c", true); st == http.StatusOK {
 			t.Errorf("acknowledged with two stores beyond a cut: %+v", a)
 		}
-		s.Cut(both, s.Rest(both...), false)
+		s.Partition(both, s.Rest(both...), false)
 		time.Sleep(2 * time.Second)
 		if st, a, err := s.Zone("c", false); err != nil || st != http.StatusOK {
 			t.Errorf("refill: %d %+v %v", st, a, err)
@@ -472,9 +472,9 @@
 	})
 }
 
-// TestNever08Fence: a sender with an old spec is refused by the stores, takes the
+// TestNever08Fencing: a sender with an old spec is refused by the stores, takes the
 // new one from them though it hears of nobody else, and goes on under that.
-func TestNever08Fence(t *testing.T) {
+func TestNever08Fencing(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(ctx context.Context, s *sim.Sim, _ *stops) {
 		e := s.Edge("e6")
@@ -509,13 +509,13 @@
 		if err := b.PutBlob(ctx, "turn/y", []byte("y"), time.Minute); err != nil || b.Cluster.Now().Version <= now {
 			t.Errorf("put under version %d to a set that has changed: %v", b.Cluster.Now().Version, err)
 		}
-		settled(t, s)
+		converged(t, s)
 	})
 }
 
-// TestNever09Fresh: runners are replaced in place within one report interval,
+// TestNever09WarmingUp: runners are replaced in place within one report interval,
 // many at once, under a crowd, and the dealer dies meanwhile.
-func TestNever09Fresh(t *testing.T) {
+func TestNever09WarmingUp(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		run(t, "tsehay", 90+seed, 40*time.Second, func(ctx context.Context, s *sim.Sim) {
@@ -572,9 +572,9 @@
 				}
 				p.set("e2", pt, func(*job.Ctx) { time.Sleep(1500 * time.Millisecond) })
 				var wg sync.WaitGroup
-				head := map[string]string{turnapi.HWait: "9"}
+				head := map[string]string{turnapi.HeaderWait: "9"}
 				if key != "" {
-					head[turnapi.HKey] = key
+					head[turnapi.HeaderIdempotencyKey] = key
 				}
 				wg.Go(func() { ask(t, s, "e2", "/v1/calls/assets", `{"args":{"do":"work:x;"}}`, head) })
 				time.Sleep(500 * time.Millisecond)
@@ -593,7 +593,7 @@
 					t.Errorf("%+v", refused)
 				}
 				for _, r := range s.Runners {
-					for _, e := range r.Ledger() {
+					for _, e := range r.Log() {
 						if e.Arrived.After(at) && e.Arrived.Sub(at) < 3*time.Second-50*time.Millisecond {
 							t.Errorf("frozen at point %d (key %q): called %s into a wait of 3 s", pt, key, e.Arrived.Sub(at))
 						}
@@ -623,9 +623,9 @@
 				time.Sleep(time.Second)
 				up(t, ctx, s, id)
 			case 1:
-				s.Cut([]string{id}, s.Rest(id), true)
+				s.Partition([]string{id}, s.Rest(id), true)
 				time.Sleep(2 * time.Second)
-				s.Cut([]string{id}, s.Rest(id), false)
+				s.Partition([]string{id}, s.Rest(id), false)
 			case 2:
 				s.Freeze(id)
 				time.Sleep(2 * time.Second)
@@ -649,7 +649,7 @@
 	run(t, "andina", 12, away+25*time.Second, func(ctx context.Context, s *sim.Sim) {
 		time.Sleep(4 * time.Second)
 		cores := []string{"c1", "c2", "c3"}
-		s.Cut(cores, s.Rest(cores...), true)
+		s.Partition(cores, s.Rest(cores...), true)
 		time.Sleep(away / 2)
 		s.Kill("e1")
 		time.Sleep(4 * time.Second)
@@ -658,27 +658,27 @@
 			s.RunnerUp(r.P.Name)
 		}
 		time.Sleep(away/2 - 4*time.Second)
-		s.Cut(cores, s.Rest(cores...), false)
+		s.Partition(cores, s.Rest(cores...), false)
 		up(t, ctx, s, "e1")
 	})
 }
 
-// TestStateLetGo: claims, budgets and cooldowns past their keeping times are let go,
+// TestStateExpired: claims, budgets and cooldowns past their keeping times are let go,
 // and said to be past; no repair by a store that was away brings them back to be
 // run again, and nothing within its time goes.
-func TestStateLetGo(t *testing.T) {
+func TestStateExpired(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(ctx context.Context, s *sim.Sim, _ *stops) {
 		if st, a, err := s.Change(http.MethodPatch, "/v1/spec", map[string]any{"state_keeping": map[string]int{"longest_wait_s": 60, "claims_s": 120, "purses_s": 400, "cooldowns_s": 100}}); err != nil || st != http.StatusOK {
 			t.Fatalf("%d %+v %v", st, a, err)
 		}
 		call := func(key string) said {
-			return ask(t, s, "e2", "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{turnapi.HKey: key, turnapi.HLeft: "20"})
+			return ask(t, s, "e2", "/v1/calls/assets", fmt.Sprintf(`{"args":{"do":"work:%s;"}}`, key), map[string]string{turnapi.HeaderIdempotencyKey: key, turnapi.HeaderTimeRemaining: "20"})
 		}
 		turn := func() said {
-			return ask(t, s, "e3", "/v1/turns", `{"conversation":"tagging","words":"work:x;","max_output":9}`, map[string]string{turnapi.HProgram: "tagging/p", turnapi.HLeft: "20"})
+			return ask(t, s, "e3", "/v1/turns", `{"conversation":"tagging","words":"work:x;","max_output":9}`, map[string]string{turnapi.HeaderProgram: "tagging/p", turnapi.HeaderTimeRemaining: "20"})
 		}
-		if g := ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HLeft: "61"}); g.Code != int(code.BadTime) {
+		if g := ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HeaderTimeRemaining: "61"}); g.Code != int(code.BadTime) {
 			t.Errorf("longer than the longest wait: %+v", g)
 		}
 		first := call("old")
@@ -700,7 +700,7 @@
 		up(t, ctx, s, "s2")
 		time.Sleep(15 * time.Second)
 		for i := range 6 {
-			if g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", `{"args":{"do":"work:old;"}}`, map[string]string{turnapi.HKey: "old", turnapi.HLeft: "20"}); g.status == http.StatusOK && g.Job != first.Job {
+			if g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", `{"args":{"do":"work:old;"}}`, map[string]string{turnapi.HeaderIdempotencyKey: "old", turnapi.HeaderTimeRemaining: "20"}); g.status == http.StatusOK && g.Job != first.Job {
 				t.Errorf("run anew at e%d: %+v", i+1, g)
 			}
 		}
@@ -716,7 +716,7 @@
 		}
 		ran := map[string]int{}
 		for _, r := range s.Runners {
-			for _, e := range r.Ledger() {
+			for _, e := range r.Log() {
 				ran[e.Work]++
 			}
 		}
@@ -733,9 +733,9 @@
 	t.Parallel()
 	still(t, "andina", func(_ context.Context, s *sim.Sim, _ *stops) {
 		turn := func(edge, program, by, left string, most int) said {
-			h := map[string]string{turnapi.HProgram: program, turnapi.HLeft: left}
+			h := map[string]string{turnapi.HeaderProgram: program, turnapi.HeaderTimeRemaining: left}
 			if by != "" {
-				h[turnapi.HStarted] = by
+				h[turnapi.HeaderStartedBy] = by
 			}
 			return ask(t, s, edge, "/v1/turns", fmt.Sprintf(`{"conversation":"tagging","words":"work:x;","max_output":%d}`, most), h)
 		}
@@ -774,13 +774,13 @@
 		for i := range 60 {
 			wg.Go(func() {
 				_, _ = try(s, fmt.Sprintf("e%d", i%6+1), "/v1/turns", `{"conversation":"tagging","words":"work:x;","max_output":70}`,
-					map[string]string{turnapi.HProgram: fmt.Sprintf("reel/h%d", i%7), turnapi.HStarted: []string{"tagging/r", "tagging/h", "reel/hh"}[i%7%3], turnapi.HLeft: "20"})
+					map[string]string{turnapi.HeaderProgram: fmt.Sprintf("reel/h%d", i%7), turnapi.HeaderStartedBy: []string{"tagging/r", "tagging/h", "reel/hh"}[i%7%3], turnapi.HeaderTimeRemaining: "20"})
 			})
 		}
 		wg.Wait()
 		spent := int64(0)
 		for _, r := range s.Runners {
-			for _, e := range r.Ledger() {
+			for _, e := range r.Log() {
 				spent += e.Output
 			}
 		}
@@ -790,7 +790,7 @@
 		// Nobody outlives the root, which had 30 s.
 		time.Sleep(28 * time.Second)
 		refuse("a turn after the root's end", turn("e1", "tagging/h", "tagging/r", "300", 1), code.BadProgram)
-		refuse("a call after the root's end", ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HProgram: "tagging/h", turnapi.HStarted: "tagging/r"}), code.BadProgram)
+		refuse("a call after the root's end", ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HeaderProgram: "tagging/h", turnapi.HeaderStartedBy: "tagging/r"}), code.BadProgram)
 		// The root itself may go on, as with a conversation kept for days; its output
 		// budget goes on with it.
 		if g := turn("e1", "tagging/r", "", "5", 600); g.status != http.StatusOK && g.Code != int(code.BudgetSpent) {
--- a/internal/kit/sim/chaos_test.go
+++ b/internal/kit/sim/chaos_test.go
@@ -88,7 +88,7 @@
 			fired["kill "+role]++
 		case 3:
 			r := s.Runners[rnd.IntN(len(s.Runners))]
-			all := []runner.Order{runner.Refuse, runner.RefuseSecs, runner.RefuseDate, runner.Raise, runner.Lose, runner.Cut, runner.Mix, runner.Slow}
+			all := []runner.Order{runner.Refuse, runner.RefuseSecs, runner.RefuseDate, runner.Raise, runner.Lose, runner.Truncate, runner.Mix, runner.Slow}
 			o := all[rnd.IntN(len(all))]
 			r.Give(o)
 			fired["order"]++
@@ -96,7 +96,7 @@
 			r := s.Runners[rnd.IntN(len(s.Runners))]
 			if r.Drained().IsZero() {
 				r.Drain()
-				s.Note(checker.Drained, r.P.Name, 0)
+				s.Record(checker.Drained, r.P.Name, 0)
 				fired["drain"]++
 				pause(4000)
 			}
@@ -118,9 +118,9 @@
 			role := []string{"edge", "store", "core"}[rnd.IntN(3)]
 			back(role)
 			id := pick(role)
-			s.Cut([]string{id}, s.Rest(id), true)
+			s.Partition([]string{id}, s.Rest(id), true)
 			pause(5000)
-			s.Cut([]string{id}, s.Rest(id), false)
+			s.Partition([]string{id}, s.Rest(id), false)
 			fired["cut "+role]++
 			time.Sleep(4 * time.Second)
 		case 7:
@@ -145,9 +145,9 @@
 			role := []string{"edge", "store", "core"}[rnd.IntN(3)]
 			back(role)
 			id := pick(role)
-			s.CutOne([]string{id}, s.Rest(id), true)
+			s.PartitionOneWay([]string{id}, s.Rest(id), true)
 			pause(4000)
-			s.CutOne([]string{id}, s.Rest(id), false)
+			s.PartitionOneWay([]string{id}, s.Rest(id), false)
 			fired["one way "+role]++
 			time.Sleep(4 * time.Second)
 		case 11:
@@ -176,7 +176,7 @@
 			}) {
 				t.Errorf("%s was not admitted", id)
 			}
-			settled(t, s)
+			converged(t, s)
 			fired["wipe"]++
 		case 13:
 			if rnd.IntN(3) > 0 {
@@ -188,7 +188,7 @@
 				}
 			}
 			pause(2000)
-			s.Note(checker.Hard, checker.Everything+" down, started again", 0)
+			s.Record(checker.Hard, checker.Everything+" down, started again", 0)
 			for _, m := range s.Machines {
 				if !m.Spare {
 					up(t, ctx, s, m.ID)
@@ -199,7 +199,7 @@
 			time.Sleep(10 * time.Second)
 		case 14:
 			// A job stands still at a numbered point, as its process might.
-			s.Hold(pick("edge"), job.Point(1+rnd.IntN(job.Points)), time.Duration(200+rnd.IntN(6000))*time.Millisecond)
+			s.Pause(pick("edge"), job.Point(1+rnd.IntN(job.Points)), time.Duration(200+rnd.IntN(6000))*time.Millisecond)
 			fired["point"]++
 		}
 		pause(2500)
--- a/internal/kit/sim/config.go
+++ b/internal/kit/sim/config.go
@@ -284,7 +284,7 @@
 	r, core := c.Submit(op, o)
 	if r != Taken {
 		c.fail("order %d on %d, the only one, ended as %d", o.Revision, o.Base, r)
-		c.doubt()
+		c.uncertain()
 	}
 	return core
 }
@@ -300,7 +300,7 @@
 		c.fail("%s refuses %d on %d, the only order on the newest", core, o.Revision, o.Base)
 	}
 	if r == Unclear {
-		c.doubt()
+		c.uncertain()
 	}
 	return r
 }
@@ -329,8 +329,8 @@
 	c.fail("an invalid order (%s) had no clear answer", bad.how)
 }
 
-// doubt notes that something newer than the newest acknowledged may be in force.
-func (c *ConfigLog) doubt() {
+// uncertain notes that something newer than the newest acknowledged may be in force.
+func (c *ConfigLog) uncertain() {
 	c.mu.Lock()
 	c.known = false
 	c.mu.Unlock()
@@ -379,7 +379,7 @@
 	case replies[0] == Conflict && replies[1] == Conflict:
 		c.fail("both of a race are refused: %d and %d on %d", first.Revision, second.Revision, first.Base)
 	case replies[0] != Taken && replies[1] != Taken:
-		c.doubt()
+		c.uncertain()
 	}
 }
 
@@ -449,7 +449,7 @@
 		verb, kind = "initiate", checker.Empty
 	}
 	if !empty {
-		c.sim.Note(kind, zone, 0)
+		c.sim.Record(kind, zone, 0)
 	}
 	for end := time.Now().Add(operatorGivesUp); time.Now().Before(end); time.Sleep(operatorPause) {
 		for _, core := range c.cores(op) {
@@ -461,7 +461,7 @@
 			switch r {
 			case Taken:
 				if empty {
-					c.sim.Note(kind, zone, 0)
+					c.sim.Record(kind, zone, 0)
 				}
 				c.mu.Lock()
 				c.empty[zone] = empty
--- a/internal/kit/sim/cooldown_test.go
+++ b/internal/kit/sim/cooldown_test.go
@@ -27,8 +27,8 @@
 // plain spells raw jobs in a few headers of its own, for tests.
 type plain struct{ edge string }
 
-func (plain) Read(r *http.Request, j *proxy.Job) error {
-	j.Try = r.Header.Get("Try")
+func (plain) ReadRequest(r *http.Request, j *proxy.Job) error {
+	j.Attempt = r.Header.Get("Try")
 	if v := r.Header.Get("Left-Ms"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil {
@@ -38,23 +38,23 @@
 	}
 	return nil
 }
-func (p plain) Send(h http.Header, j *proxy.Job, to *endpoints.Runner, _ time.Duration, _ int) {
+func (p plain) WriteRequest(h http.Header, j *proxy.Job, to *endpoints.Runner, _ time.Duration, _ int) {
 	h.Set("Edge", p.edge)
 	h.Set("To", to.ID)
 }
-func (plain) Resume(http.Header, string) {}
-func (plain) Heard(r *http.Response) proxy.Word {
-	return proxy.Word{Try: r.Header.Get("Try"), Sealed: r.Header.Get("Seal") != "", NotRun: r.Header.Get("Not-Run") != ""}
+func (plain) WriteResume(http.Header, string) {}
+func (plain) ReadResponse(r *http.Response) proxy.ResponseInfo {
+	return proxy.ResponseInfo{Attempt: r.Header.Get("Try"), Sealed: r.Header.Get("Seal") != "", NotRun: r.Header.Get("Not-Run") != ""}
 }
 
 // stand is a runner process that refuses on order.
 type stand struct {
-	id, addr string
-	mu       sync.Mutex
-	refuse   func(edge string) (bool, string) // and the Retry-After
-	cut      bool                             // runs jobs and answers none
-	mute     bool                             // refuses without saying that nothing ran
-	calls    []hit
+	id, addr    string
+	mu          sync.Mutex
+	refuse      func(edge string) (bool, string) // and the Retry-After
+	partitioned bool                             // runs jobs and answers none
+	mute        bool                             // refuses without saying that nothing ran
+	calls       []hit
 }
 
 type hit struct {
@@ -71,9 +71,9 @@
 		no, after = r.refuse(e)
 	}
 	r.calls = append(r.calls, hit{e, time.Now(), no})
-	cut, mute := r.cut, r.mute
+	partitioned, mute := r.partitioned, r.mute
 	r.mu.Unlock()
-	if cut {
+	if partitioned {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Try", q.Header.Get("Try"))
@@ -130,7 +130,7 @@
 	*sim.Sim
 	t     *testing.T
 	mu    sync.Mutex
-	doors map[string]*edge.Raw
+	doors map[string]*edge.Proxy
 	list  []endpoints.Runner
 	tries int
 	ends  []func()
@@ -142,10 +142,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		f := &rawFleet{t: t, doors: map[string]*edge.Raw{}}
+		f := &rawFleet{t: t, doors: map[string]*edge.Proxy{}}
 		var err error
 		f.Sim, err = sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 6, Log: os.Getenv("SIMLOG") != "", Edge: func(id string, e *edge.Edge) {
-			d := e.Raw(edge.DefaultRaw, plain{id})
+			d := e.NewProxy(edge.DefaultProxy, plain{id})
 			f.mu.Lock()
 			f.doors[id] = d
 			f.mu.Unlock()
@@ -160,7 +160,7 @@
 		}
 		var rs []*stand
 		for i := range runners {
-			rs = append(rs, f.life(fmt.Sprintf("r%d", i+1), fmt.Sprintf("10.5.0.%d:80", i+1)))
+			rs = append(rs, f.incarnation(fmt.Sprintf("r%d", i+1), fmt.Sprintf("10.5.0.%d:80", i+1)))
 		}
 		if err := f.Start(ctx); err != nil {
 			t.Fatal(err)
@@ -190,9 +190,9 @@
 	})
 }
 
-// life starts a runner process at an address and puts it on the list, in the place
+// incarnation starts a runner process at an address and puts it on the list, in the place
 // of whichever was there.
-func (f *rawFleet) life(id, addr string) *stand {
+func (f *rawFleet) incarnation(id, addr string) *stand {
 	r := &stand{id: id, addr: addr}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,7 +202,7 @@
 			break
 		}
 	}
-	f.list = append(f.list, endpoints.Runner{ID: id, Service: "tools", Addr: addr, Zone: "a", Room: 64})
+	f.list = append(f.list, endpoints.Runner{ID: id, Service: "tools", Addr: addr, Zone: "a", Capacity: 64})
 	ln, err := f.Net.Host(addr).Listen(addr)
 	if err != nil {
 		f.t.Fatal(err)
@@ -245,7 +245,7 @@
 var edges = []string{"e1", "e2", "e3", "e4", "e5", "e6"}
 
 // bound is how soon after a cooldown is written every node keeps to it.
-var bound = cooldown.DefaultWord.Old + 20*time.Millisecond
+var bound = cooldown.DefaultSnapshot.MaxAge + 20*time.Millisecond
 
 // warm passes some jobs at every edge, so that each has a fresh word.
 func (f *rawFleet) warm(of ...string) {
@@ -259,14 +259,14 @@
 	}
 }
 
-// TestCoolWord: a refusal that one edge sees is kept to by all others within the
+// TestCooldownSnapshot: a refusal that one edge sees is kept to by all others within the
 // bound, though no news reaches them; the one who saw it stops at once. What is
 // left goes back with each refusal, which is not held.
-func TestCoolWord(t *testing.T) {
+func TestCooldownSnapshot(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 1, spec.Path{GuardMs: 8000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 8000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
-		f.Cut([]string{"e1"}, f.Rest("e1", "s1", "s2", "s3"), true)
+		f.Partition([]string{"e1"}, f.Rest("e1", "s1", "s2", "s3"), true)
 		rs[0].set(oneRefusal("5.5"))
 		g := f.job("e1", 4*time.Second)
 		at := time.Now()
@@ -309,7 +309,7 @@
 // job goes to the one that cools, and within the path's tries only.
 func TestCoolElsewhere(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 3, spec.Path{GuardMs: 8000, AimMs: 400, Tries: 2}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 3, spec.Path{GuardMs: 8000, LatencyTargetMs: 400, Tries: 2}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		rs[0].set(func(string) (bool, string) { return true, "4" })
 		at := time.Now()
@@ -337,11 +337,11 @@
 	})
 }
 
-// TestCoolHeld: a job waits for a cooldown only as far as its hold allows, never
+// TestCooldownHonoured: a job waits for a cooldown only as far as its hold allows, never
 // past its own time; it is refused at once where the wait does not fit.
-func TestCoolHeld(t *testing.T) {
+func TestCooldownHonoured(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 1, spec.Path{GuardMs: 8000, AimMs: 2000}, spec.Cooldown{FirstMs: 300}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 8000, LatencyTargetMs: 2000}, spec.Cooldown{FirstMs: 300}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		rs[0].set(oneRefusal(""))
 		f.job("e1", 4*time.Second)
@@ -391,7 +391,7 @@
 // is the second.
 func TestCoolDispatcher(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 1, spec.Path{GuardMs: 8000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 8000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		rounds := func() (n uint64) {
 			for _, e := range edges {
@@ -434,7 +434,7 @@
 // TestCoolGate: right after a cooldown each edge lets few through first.
 func TestCoolGate(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 1, spec.Path{GuardMs: 8000, AimMs: 4000}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 8000, LatencyTargetMs: 4000}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		rs[0].set(oneRefusal(""))
 		f.job("e1", 4*time.Second)
@@ -471,20 +471,20 @@
 // jobs go on, none of them late, and what other nodes tell is kept to.
 func TestCoolStoreAway(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 1, spec.Path{GuardMs: 8000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 8000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
-		desk := f.Edge("e2").Desk
+		cooldowns := f.Edge("e2").Cooldowns
 		f.Freeze("s2")
 		time.Sleep(time.Second)
 		f.warm(edges...)
-		before := desk.Figures()
+		before := cooldowns.Stats()
 		for range 50 {
 			f.warm("e2")
 		}
-		if a := desk.Figures(); a.Looks != before.Looks || a.Blind != before.Blind {
+		if a := cooldowns.Stats(); a.Reads != before.Reads || a.Unverified != before.Unverified {
 			t.Errorf("one store frozen: %+v, then %+v", before, a)
 		}
-		f.Cut([]string{"e2"}, []string{"s1", "s3"}, true)
+		f.Partition([]string{"e2"}, []string{"s1", "s3"}, true)
 		at := time.Now()
 		slow := 0
 		for time.Since(at) < 3*time.Second {
@@ -497,9 +497,9 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		a := desk.Figures()
-		t.Logf("no stores for 3 s: %d of %d jobs waited for a look, %d looks, %d went on without", slow, rs[0].since("e2", at), a.Looks-before.Looks, a.Blind-before.Blind)
-		if slow > 4 || a.Blind == before.Blind {
+		a := cooldowns.Stats()
+		t.Logf("no stores for 3 s: %d of %d jobs waited for a look, %d looks, %d went on without", slow, rs[0].since("e2", at), a.Reads-before.Reads, a.Unverified-before.Unverified)
+		if slow > 4 || a.Unverified == before.Unverified {
 			t.Errorf("%d slow jobs, %+v", slow, a)
 		}
 		// The others' refusal reaches it by news.
@@ -511,12 +511,12 @@
 		}
 		// Its own refusal holds here at once, and at all once the stores are back.
 		time.Sleep(3 * time.Second)
-		f.Cut([]string{"e2"}, []string{"e1", "e3", "e4", "e5", "e6", "c1", "c2", "c3"}, true)
+		f.Partition([]string{"e2"}, []string{"e1", "e3", "e4", "e5", "e6", "c1", "c2", "c3"}, true)
 		rs[0].set(oneRefusal("6"))
 		if g := f.job("e2", 4*time.Second); g.status != http.StatusTooManyRequests || g.took > 200*time.Millisecond || g.retry < 5700*time.Millisecond {
 			t.Errorf("seen by the one cut off: %+v", g)
 		}
-		f.Cut([]string{"e2"}, []string{"s1", "s3"}, false)
+		f.Partition([]string{"e2"}, []string{"s1", "s3"}, false)
 		at = time.Now()
 		if !sim.Until(4*time.Second, func() bool { return f.job("e3", 4*time.Second).Code == int(code.Cooling) }) {
 			t.Error("never told to the others")
@@ -530,10 +530,10 @@
 // it had, nor does a job that stood right before its send.
 func TestCoolFrozenEdge(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 1, spec.Path{GuardMs: 60000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 60000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		// No news reaches it before it has to decide.
-		f.Cut([]string{"e2"}, f.Rest("e2", "s1", "s2", "s3"), true)
+		f.Partition([]string{"e2"}, f.Rest("e2", "s1", "s2", "s3"), true)
 		time.Sleep(200 * time.Millisecond)
 		f.warm("e2")
 		f.Freeze("e2")
@@ -556,9 +556,9 @@
 		}
 	})
 	// Held in its dial: its leave is old when it wakes.
-	rawRun(t, 1, spec.Path{GuardMs: 60000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 60000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm("e1", "e3")
-		f.Cut([]string{"e2"}, f.Rest("e2", "s1", "s2", "s3"), true)
+		f.Partition([]string{"e2"}, f.Rest("e2", "s1", "s2", "s3"), true)
 		time.Sleep(2500 * time.Millisecond)
 		f.job("e2", 4*time.Second)
 		f.mu.Lock()
@@ -581,10 +581,10 @@
 	})
 }
 
-// TestCoolNewLife: a cooldown is a process's, not an address's.
-func TestCoolNewLife(t *testing.T) {
+// TestCooldownNewIncarnation: a cooldown is a process's, not an address's.
+func TestCooldownNewIncarnation(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 1, spec.Path{GuardMs: 8000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 8000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		rs[0].set(oneRefusal("40"))
 		f.job("e1", 4*time.Second)
@@ -593,7 +593,7 @@
 			t.Errorf("the old life: %+v", g)
 		}
 		f.ends[0]()
-		next := f.life("r1-next", rs[0].addr)
+		next := f.incarnation("r1-next", rs[0].addr)
 		time.Sleep(2 * time.Second)
 		at := time.Now()
 		f.warm(edges...)
@@ -603,14 +603,14 @@
 	})
 }
 
-// TestCoolPromise: what may have run at one runner is never promised not to have,
+// TestCooldownGuarantee: what may have run at one runner is never promised not to have,
 // whichever refuses it afterwards; a rate limit without that word cools all the same.
-func TestCoolPromise(t *testing.T) {
+func TestCooldownGuarantee(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 2, spec.Path{Kind: spec.Repeatable, GuardMs: 8000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 2, spec.Path{Kind: spec.Repeatable, GuardMs: 8000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		rs[0].mu.Lock()
-		rs[0].cut = true
+		rs[0].partitioned = true
 		rs[0].mu.Unlock()
 		rs[1].set(func(string) (bool, string) { return true, "1.2" })
 		for range 20 {
@@ -622,7 +622,7 @@
 			time.Sleep(700 * time.Millisecond)
 		}
 	})
-	rawRun(t, 1, spec.Path{GuardMs: 8000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 1, spec.Path{GuardMs: 8000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
 		rs[0].mute = true
 		rs[0].set(oneRefusal("3"))
@@ -639,12 +639,12 @@
 // TestCoolCost: what the word costs, and that a job costs no message.
 func TestCoolCost(t *testing.T) {
 	t.Parallel()
-	rawRun(t, 4, spec.Path{GuardMs: 8000, AimMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
+	rawRun(t, 4, spec.Path{GuardMs: 8000, LatencyTargetMs: 400}, spec.Cooldown{}, func(_ context.Context, f *rawFleet, rs []*stand) {
 		f.warm(edges...)
-		sum := func() (x cooldown.Figures, rounds, sent uint64) {
+		sum := func() (x cooldown.Stats, rounds, sent uint64) {
 			for _, e := range edges {
-				g := f.Edge(e).Desk.Figures()
-				x.Words, x.Looks, x.Blind = x.Words+g.Words, x.Looks+g.Looks, x.Blind+g.Blind
+				g := f.Edge(e).Cooldowns.Stats()
+				x.Polls, x.Reads, x.Unverified = x.Polls+g.Polls, x.Reads+g.Reads, x.Unverified+g.Unverified
 				rounds += f.Edge(e).Proposer.Rounds.Load()
 				sent += f.Edge(e).Peer.Sent()
 			}
@@ -667,16 +667,16 @@
 		wg.Wait()
 		a, ra, sa := sum()
 		s := time.Since(at).Seconds()
-		t.Logf("6 edges, 3 stores, %d jobs in %.1f s: %.1f words/s, %d looks, %d blind, %.1f register rounds/s, %.1f messages sent/s of all kinds", jobs, s, float64(a.Words-b.Words)/s, a.Looks-b.Looks, a.Blind-b.Blind, float64(ra-rb)/s, float64(sa-sb)/s)
-		if w := float64(a.Words-b.Words) / s; w < 60 || w > 75 || a.Looks != b.Looks || a.Blind != b.Blind {
+		t.Logf("6 edges, 3 stores, %d jobs in %.1f s: %.1f words/s, %d looks, %d blind, %.1f register rounds/s, %.1f messages sent/s of all kinds", jobs, s, float64(a.Polls-b.Polls)/s, a.Reads-b.Reads, a.Unverified-b.Unverified, float64(ra-rb)/s, float64(sa-sb)/s)
+		if w := float64(a.Polls-b.Polls) / s; w < 60 || w > 75 || a.Reads != b.Reads || a.Unverified != b.Unverified {
 			t.Errorf("%.1f words a second, %+v, %+v", w, b, a)
 		}
 		// Nobody asks where there are no jobs.
 		time.Sleep(3 * time.Second)
 		b, _, _ = sum()
 		time.Sleep(10 * time.Second)
-		if a, _, _ := sum(); a.Words != b.Words {
-			t.Errorf("%d words without a job", a.Words-b.Words)
+		if a, _, _ := sum(); a.Polls != b.Polls {
+			t.Errorf("%d words without a job", a.Polls-b.Polls)
 		}
 	})
 }
--- a/internal/kit/sim/disk.go
+++ b/internal/kit/sim/disk.go
@@ -41,9 +41,9 @@
 	d.fs.Slow(d.delay)
 }
 
-// trouble changes what a machine's disk does wrong.
-func (s *Sim) trouble(id, what string, change func(*faultyDisk)) {
-	s.Note(checker.Hard, fmt.Sprintf("%s of %s", what, id), 0)
+// fault changes what a machine's disk does wrong.
+func (s *Sim) fault(id, what string, change func(*faultyDisk)) {
+	s.Record(checker.Hard, fmt.Sprintf("%s of %s", what, id), 0)
 	m := s.Get(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,22 +53,22 @@
 
 // DiskFull sets whether a machine's disk takes no more bytes.
 func (s *Sim) DiskFull(id string, on bool) {
-	s.trouble(id, "full disk", func(d *faultyDisk) { d.full = on })
+	s.fault(id, "full disk", func(d *faultyDisk) { d.full = on })
 }
 
 // DiskStall sets whether a machine's disk answers nothing.
 func (s *Sim) DiskStall(id string, on bool) {
-	s.trouble(id, "stalled disk", func(d *faultyDisk) { d.stalled = on })
+	s.fault(id, "stalled disk", func(d *faultyDisk) { d.stalled = on })
 }
 
 // DiskSlow lets each call to a machine's disk take longer.
 func (s *Sim) DiskSlow(id string, delay time.Duration) {
-	s.trouble(id, "slow disk", func(d *faultyDisk) { d.delay = delay })
+	s.fault(id, "slow disk", func(d *faultyDisk) { d.delay = delay })
 }
 
 // DiskFails lets the next write or sync of a machine's disk fail with err.
 func (s *Sim) DiskFails(id string, kind faultfs.Kind, err error) {
-	s.trouble(id, "failing disk", func(d *faultyDisk) {
+	s.fault(id, "failing disk", func(d *faultyDisk) {
 		if d.fs != nil {
 			d.fs.FailNext(kind, 1, err)
 		}
--- a/internal/kit/sim/disk_test.go
+++ b/internal/kit/sim/disk_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// settledAgain waits until machines' disks are well and they have the spec of the others.
-func settledAgain(t *testing.T, s *sim.Sim, ids ...string) {
+// convergedAgain waits until machines' disks are well and they have the spec of the others.
+func convergedAgain(t *testing.T, s *sim.Sim, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
 		ok := func() bool {
@@ -52,7 +52,7 @@
 // going on. The fleet goes on, no process ends, and the machines are back by themselves.
 // Without DISK_SEARCHES only full and stalled disks of both are gone through.
 func TestDisks(t *testing.T) {
-	troubles := map[string]func(s *sim.Sim, id string, on bool){
+	faults := map[string]func(s *sim.Sim, id string, on bool){
 		"full":  func(s *sim.Sim, id string, on bool) { s.DiskFull(id, on) },
 		"stall": func(s *sim.Sim, id string, on bool) { s.DiskStall(id, on) },
 		"slow": func(s *sim.Sim, id string, on bool) {
@@ -66,7 +66,7 @@
 	if all {
 		cycles, traffic = 2, 22*time.Second
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		for _, ids := range [][]string{{"c2"}, {"s1"}, {"c1", "s2"}} {
 			n++
 			if !all && (len(ids) < 2 || name != "full" && name != "stall") {
@@ -77,15 +77,15 @@
 				run(t, "tsehay", n, traffic, func(_ context.Context, s *sim.Sim) {
 					for range cycles {
 						for _, id := range ids {
-							trouble(s, id, true)
+							fault(s, id, true)
 						}
 						changing(t, s, 3*time.Second)
 						for _, id := range ids {
-							trouble(s, id, false)
+							fault(s, id, false)
 						}
 						changing(t, s, 2*time.Second)
 					}
-					settledAgain(t, s, ids...)
+					convergedAgain(t, s, ids...)
 				})
 			})
 		}
--- a/internal/kit/sim/faults_disk.go
+++ b/internal/kit/sim/faults_disk.go
@@ -4,13 +4,13 @@
 
 // diskFaults trouble one counted machine's disk.
 var diskFaults = []Fault{
-	{"disk_slow", Counted, func(d *Draw) { d.troubleDisk(slowDisk) }},
-	{"disk_full", Counted, func(d *Draw) { d.troubleDisk(fullDisk) }},
-	{"disk_stall", Counted, func(d *Draw) { d.troubleDisk(stalledDisk) }},
+	{"disk_slow", Counted, func(d *Draw) { d.faultDisk(slowDisk) }},
+	{"disk_full", Counted, func(d *Draw) { d.faultDisk(fullDisk) }},
+	{"disk_stall", Counted, func(d *Draw) { d.faultDisk(stalledDisk) }},
 }
 
-// diskTrouble troubles a machine's disk for a time.
-type diskTrouble func(s *Sim, id string, length time.Duration)
+// diskFault troubles a machine's disk for a time.
+type diskFault func(s *Sim, id string, length time.Duration)
 
 // slowSync is the time that each call to a slow disk takes.
 const slowSync = 30 * time.Millisecond
@@ -33,9 +33,9 @@
 	s.DiskStall(id, false)
 }
 
-func (d *Draw) troubleDisk(trouble diskTrouble) {
+func (d *Draw) faultDisk(fault diskFault) {
 	id := d.counted()
 	defer d.claim(id)()
-	d.note("disk of %s", id)
-	trouble(d.Sim, id, d.between(time.Second, 6*time.Second))
+	d.record("disk of %s", id)
+	fault(d.Sim, id, d.between(time.Second, 6*time.Second))
 }
--- a/internal/kit/sim/faults_edge.go
+++ b/internal/kit/sim/faults_edge.go
@@ -8,7 +8,7 @@
 	{"node_kill/edge+power", Edges, func(d *Draw) { d.crashEdges(d.powerOff) }},
 	{"node_freeze/edge", Edges, freezeEdge},
 	{"node_slow/edge", Edges, slowEdge},
-	{"roll_term", Edges, rollEdge},
+	{"roll_term", Edges, rollingRestartEdges},
 }
 
 // crashEdges ends up to half of the edges at once.
@@ -17,7 +17,7 @@
 	d.Rand.Shuffle(len(edges), func(i, j int) { edges[i], edges[j] = edges[j], edges[i] })
 	edges = edges[:1+d.Rand.IntN(len(edges)/2)]
 	defer d.claim(edges...)()
-	d.note("%v go", edges)
+	d.record("%v go", edges)
 	for _, id := range edges {
 		crash(id)
 	}
@@ -39,11 +39,11 @@
 	d.Sim.Slow(id, 5, d.between(2*time.Second, 6*time.Second))
 }
 
-// rollEdge stops an edge in an orderly way and starts it again.
-func rollEdge(d *Draw) {
+// rollingRestartEdges stops an edge in an orderly way and starts it again.
+func rollingRestartEdges(d *Draw) {
 	id := d.member("edge")
 	defer d.claim(id)()
-	d.note("%s stops as planned", id)
+	d.record("%s stops as planned", id)
 	d.Sim.Quit(id)
 	d.wait(100*time.Millisecond, time.Second)
 	d.up(id)
--- a/internal/kit/sim/faults_machine.go
+++ b/internal/kit/sim/faults_machine.go
@@ -24,7 +24,7 @@
 	{"herd_kill/core+power", Counted, func(d *Draw) { d.crashAllCounted(d.powerOff) }},
 	{"herd_kill/core+taken", Counted, crashAllAfterWork},
 	{"zone_loss", Counted, loseZone},
-	{"roll_term/core", Counted, rollCounted},
+	{"roll_term/core", Counted, rollingRestartCounted},
 	{"clock_step/back", Counted, func(d *Draw) { d.stepClocks(-2 * time.Second) }},
 	{"clock_step/ahead", Counted, func(d *Draw) { d.stepClocks(2 * time.Second) }},
 }
@@ -35,7 +35,7 @@
 func (d *Draw) crashOne(crash func(string), wipe bool) {
 	id := d.counted()
 	defer d.claim(id)()
-	d.note("%s goes, wipe %t", id, wipe)
+	d.record("%s goes, wipe %t", id, wipe)
 	d.crash(crash, id, wipe)
 	d.wait(100*time.Millisecond, 6*time.Second)
 	d.up(id)
@@ -51,7 +51,7 @@
 func freezeCounted(d *Draw) {
 	id := d.counted()
 	defer d.claim(id)()
-	d.note("%s freezes", id)
+	d.record("%s freezes", id)
 	d.Sim.Freeze(id)
 	time.Sleep(d.long())
 	d.Sim.Thaw(id)
@@ -60,7 +60,7 @@
 func slowCounted(d *Draw) {
 	id := d.counted()
 	defer d.claim(id)()
-	d.note("%s is slow", id)
+	d.record("%s is slow", id)
 	d.Sim.Slow(id, 5, d.between(2*time.Second, 6*time.Second))
 }
 
@@ -75,7 +75,7 @@
 	}
 	defer d.claim(core)()
 	d.wait(0, 4*time.Millisecond)
-	d.note("%s acknowledged and goes", core)
+	d.record("%s acknowledged and goes", core)
 	crash(core)
 	d.wait(100*time.Millisecond, 5*time.Second)
 	d.up(core)
@@ -101,7 +101,7 @@
 	after := d.between(100*time.Millisecond, 5*time.Second)
 	rnd := d.fork()
 	d.duringChange(func() {
-		d.note("%s goes during a change", id)
+		d.record("%s goes during a change", id)
 		d.Sim.PowerOff(id, rnd)
 		time.Sleep(after)
 		d.up(id)
@@ -114,7 +114,7 @@
 	after := d.between(100*time.Millisecond, 5*time.Second)
 	rnd := d.fork()
 	d.duringChange(func() {
-		d.note("%s loses its disk during a change", id)
+		d.record("%s loses its disk during a change", id)
 		d.Sim.PowerOff(id, rnd)
 		d.Sim.Wipe(id)
 		time.Sleep(after)
@@ -132,7 +132,7 @@
 		ids = []string{wiped}
 	}
 	defer d.claim(ids...)()
-	d.note("%s loses its disk, others power: %t", wiped, others)
+	d.record("%s loses its disk, others power: %t", wiped, others)
 	for _, id := range ids {
 		d.crash(d.powerOff, id, id == wiped)
 	}
@@ -143,7 +143,7 @@
 func (d *Draw) restart(ids []string) {
 	d.wait(100*time.Millisecond, 3*time.Second)
 	if len(ids) > 1 {
-		d.Sim.Note(checker.Hard, checker.Everything+" that counts down, started again", 0)
+		d.Sim.Record(checker.Hard, checker.Everything+" that counts down, started again", 0)
 	}
 	for _, i := range d.Rand.Perm(len(ids)) {
 		d.up(ids[i])
@@ -154,7 +154,7 @@
 func (d *Draw) crashAllCounted(crash func(string)) {
 	ids := d.countedMembers()
 	defer d.claim(ids...)()
-	d.note("all counted machines go")
+	d.record("all counted machines go")
 	for _, id := range ids {
 		crash(id)
 	}
@@ -188,7 +188,7 @@
 	zone := string(rune('a' + d.Rand.IntN(3)))
 	ids := d.ofZone(zone)
 	defer d.claim(ids...)()
-	d.note("zone %s loses power", zone)
+	d.record("zone %s loses power", zone)
 	for _, id := range ids {
 		d.powerOff(id)
 	}
@@ -217,11 +217,11 @@
 	return out
 }
 
-// rollCounted stops the counted machines one after another and starts them again.
-func rollCounted(d *Draw) {
+// rollingRestartCounted stops the counted machines one after another and starts them again.
+func rollingRestartCounted(d *Draw) {
 	for _, id := range d.countedMembers() {
 		release := d.claim(id)
-		d.note("%s stops as planned", id)
+		d.record("%s stops as planned", id)
 		d.Sim.KillProcess(id)
 		d.wait(100*time.Millisecond, time.Second)
 		d.up(id)
@@ -239,7 +239,7 @@
 			stepped = append(stepped, id)
 		}
 	}
-	d.note("clocks step by %s on %v", by, stepped)
+	d.record("clocks step by %s on %v", by, stepped)
 	for _, id := range stepped {
 		d.Sim.StepClock(id, by)
 	}
--- a/internal/kit/sim/faults_membership.go
+++ b/internal/kit/sim/faults_membership.go
@@ -28,17 +28,17 @@
 func (d *Draw) replace(role string, planned bool) {
 	old := d.member(role)
 	defer d.claim(old)()
-	fresh, ok := d.spare(role)
+	newcomer, ok := d.spare(role)
 	if !ok {
 		return
 	}
-	d.note("%s comes for %s, planned %t", fresh, old, planned)
+	d.record("%s comes for %s, planned %t", newcomer, old, planned)
 	if !planned {
 		d.powerOff(old)
 		d.retireFromUse(old)
 		d.wait(100*time.Millisecond, 3*time.Second)
 	}
-	d.up(fresh)
+	d.up(newcomer)
 	if planned {
 		time.Sleep(SyncTime)
 		d.Sim.KillProcess(old)
@@ -58,7 +58,7 @@
 		return
 	}
 	if id, ok := d.spare(role); ok {
-		d.note("%s is added", id)
+		d.record("%s is added", id)
 		d.up(id)
 		d.nameSeeds()
 	}
@@ -75,7 +75,7 @@
 	}
 	id := d.member("store")
 	defer d.claim(id)()
-	d.note("%s is to go", id)
+	d.record("%s is to go", id)
 	if !d.orderRetire(id) {
 		return
 	}
@@ -87,7 +87,7 @@
 	time.Sleep(d.between(0, 50*time.Millisecond))
 	other := d.member("store")
 	defer d.claim(other)()
-	d.note("%s loses its disk right after", other)
+	d.record("%s loses its disk right after", other)
 	d.crash(d.powerOff, other, true)
 	d.wait(100*time.Millisecond, 2*time.Second)
 	d.up(other)
--- a/internal/kit/sim/faults_network.go
+++ b/internal/kit/sim/faults_network.go
@@ -7,38 +7,38 @@
 
 // networkFaults cut, reset and rename.
 var networkFaults = []Fault{
-	{"core_cut", Counted, cutCounted},
-	{"core_cut/one_way", Counted, cutCountedOneWay},
-	{"core_cut/seeds", Counted, cutCountedSeeds},
-	{"core_cut/both", Counted, cutCountedBoth},
-	{"core_cut/meet", Counted, cutCountedMeet},
-	{"zone_cut", Counted, cutZone},
+	{"core_cut", Counted, partitionCounted},
+	{"core_cut/one_way", Counted, partitionCountedOneWay},
+	{"core_cut/seeds", Counted, partitionCountedSeeds},
+	{"core_cut/both", Counted, partitionCountedBoth},
+	{"core_cut/meet", Counted, partitionCountedMeet},
+	{"zone_cut", Counted, partitionZone},
 	{"seed_turnover", Operators, turnSeeds},
 	{"hup", Operators, rereadSettings},
 	{"reset_conns", Operators, resetConnections},
-	{"node_cut", Edges, cutEdge},
-	{"node_cut/servers", Edges, cutEdgeFromRunners},
+	{"node_cut", Edges, partitionEdge},
+	{"node_cut/servers", Edges, partitionEdgeFromRunners},
 }
 
 func without(ids []string, but ...string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return slices.Contains(but, id) })
 }
 
-// cutOff cuts one counted machine off from the other counted ones while do runs.
-func (d *Draw) cutOff(do func(id string, others []string)) {
+// partitionRandom cuts one counted machine off from the other counted ones while do runs.
+func (d *Draw) partitionRandom(do func(id string, others []string)) {
 	id := d.counted()
 	defer d.claim(id)()
 	others := without(d.countedMembers(), id)
-	d.note("%s is cut off from %v", id, others)
-	d.Sim.Cut([]string{id}, others, true)
+	d.record("%s is cut off from %v", id, others)
+	d.Sim.Partition([]string{id}, others, true)
 	do(id, others)
-	d.Sim.Cut([]string{id}, others, false)
-	d.note("%s is joined again", id)
+	d.Sim.Partition([]string{id}, others, false)
+	d.record("%s is joined again", id)
 }
 
-func cutCounted(d *Draw) { d.cutOff(func(string, []string) { time.Sleep(d.long()) }) }
+func partitionCounted(d *Draw) { d.partitionRandom(func(string, []string) { time.Sleep(d.long()) }) }
 
-func cutCountedOneWay(d *Draw) {
+func partitionCountedOneWay(d *Draw) {
 	id := d.counted()
 	defer d.claim(id)()
 	others := without(d.countedMembers(), id)
@@ -46,16 +46,16 @@
 	if d.Rand.IntN(2) == 0 {
 		from, to = to, from
 	}
-	d.note("nothing goes from %v to %v", from, to)
-	d.Sim.CutOne(from, to, true)
+	d.record("nothing goes from %v to %v", from, to)
+	d.Sim.PartitionOneWay(from, to, true)
 	time.Sleep(d.long())
-	d.Sim.CutOne(from, to, false)
+	d.Sim.PartitionOneWay(from, to, false)
 }
 
-// cutCountedSeeds has new seeds begin with the one that is cut off while some other
+// partitionCountedSeeds has new seeds begin with the one that is cut off while some other
 // machines are started anew.
-func cutCountedSeeds(d *Draw) {
-	d.cutOff(func(id string, _ []string) {
+func partitionCountedSeeds(d *Draw) {
+	d.partitionRandom(func(id string, _ []string) {
 		cores := d.members("core")
 		if slices.Contains(cores, id) {
 			cores = append([]string{id}, without(cores, id)...)
@@ -73,10 +73,10 @@
 	d.nameSeeds()
 }
 
-// cutCountedBoth starts the one that is cut off anew, then the others that count, one
+// partitionCountedBoth starts the one that is cut off anew, then the others that count, one
 // by one.
-func cutCountedBoth(d *Draw) {
-	d.cutOff(func(id string, others []string) {
+func partitionCountedBoth(d *Draw) {
+	d.partitionRandom(func(id string, others []string) {
 		d.wait(500*time.Millisecond, 2*time.Second)
 		d.Sim.KillProcess(id)
 		d.wait(100*time.Millisecond, time.Second)
@@ -93,24 +93,24 @@
 	})
 }
 
-// cutCountedMeet sends changes to the core machine that is cut off, during the cut
+// partitionCountedMeet sends changes to the core machine that is cut off, during the cut
 // and as it returns.
-func cutCountedMeet(d *Draw) {
+func partitionCountedMeet(d *Draw) {
 	id := d.member("core")
 	defer d.claim(id)()
 	others := without(d.countedMembers(), id)
-	d.note("%s is cut off and asked", id)
-	d.Sim.Cut([]string{id}, others, true)
+	d.record("%s is cut off and asked", id)
+	d.Sim.Partition([]string{id}, others, true)
 	end := time.Now().Add(d.long())
 	for time.Now().Before(end) {
 		d.Config.Try(d.operator(), id)
 		d.wait(100*time.Millisecond, 900*time.Millisecond)
 	}
-	d.Sim.Cut([]string{id}, others, false)
+	d.Sim.Partition([]string{id}, others, false)
 	d.Config.Try(d.operator(), id)
 }
 
-func cutZone(d *Draw) {
+func partitionZone(d *Draw) {
 	zone := string(rune('a' + d.Rand.IntN(3)))
 	ids := d.ofZone(zone)
 	defer d.claim(ids...)()
@@ -126,12 +126,12 @@
 			foreign = append(foreign, r.P.Addr)
 		}
 	}
-	d.note("zone %s is cut off", zone)
-	d.Sim.Cut(ids, rest, true)
-	d.Sim.CutWeb(edges, foreign, true)
+	d.record("zone %s is cut off", zone)
+	d.Sim.Partition(ids, rest, true)
+	d.Sim.PartitionHTTP(edges, foreign, true)
 	time.Sleep(d.long())
-	d.Sim.Cut(ids, rest, false)
-	d.Sim.CutWeb(edges, foreign, false)
+	d.Sim.Partition(ids, rest, false)
+	d.Sim.PartitionHTTP(edges, foreign, false)
 }
 
 // turnSeeds has the settings name other core machines, in another order.
@@ -159,23 +159,23 @@
 	for range 1 + d.Rand.IntN(3) {
 		id := all[d.Rand.IntN(len(all))]
 		n := d.Sim.Reset(id, 0.5, d.Rand)
-		d.note("%d connections of %s are reset", n, id)
+		d.record("%d connections of %s are reset", n, id)
 		d.wait(0, 300*time.Millisecond)
 	}
 }
 
-// cutEdge cuts an edge off from all counted machines.
-func cutEdge(d *Draw) {
+// partitionEdge cuts an edge off from all counted machines.
+func partitionEdge(d *Draw) {
 	id := d.member("edge")
 	defer d.claim(id)()
 	counted := d.countedMembers()
-	d.Sim.Cut([]string{id}, counted, true)
+	d.Sim.Partition([]string{id}, counted, true)
 	time.Sleep(d.long())
-	d.Sim.Cut([]string{id}, counted, false)
+	d.Sim.Partition([]string{id}, counted, false)
 }
 
-// cutEdgeFromRunners cuts an edge off from half of the runners.
-func cutEdgeFromRunners(d *Draw) {
+// partitionEdgeFromRunners cuts an edge off from half of the runners.
+func partitionEdgeFromRunners(d *Draw) {
 	id := d.member("edge")
 	var addrs []string
 	for _, r := range d.Sim.Runners {
@@ -183,7 +183,7 @@
 			addrs = append(addrs, r.P.Addr)
 		}
 	}
-	d.Sim.CutWeb([]string{id}, addrs, true)
+	d.Sim.PartitionHTTP([]string{id}, addrs, true)
 	d.wait(time.Second, 6*time.Second)
-	d.Sim.CutWeb([]string{id}, addrs, false)
+	d.Sim.PartitionHTTP([]string{id}, addrs, false)
 }
--- a/internal/kit/sim/faults_operator.go
+++ b/internal/kit/sim/faults_operator.go
@@ -104,13 +104,13 @@
 	if d.Rand.IntN(2) == 0 {
 		op.LoseAnswers = 0.7
 	}
-	d.note("zone %s is evacuated", zone)
+	d.record("zone %s is evacuated", zone)
 	d.Config.Evacuate(op, zone, true)
 	d.wait(time.Second, 6*time.Second)
 	d.Config.Evacuate(op, zone, false)
 }
 
 func burst(d *Draw) {
-	d.Sim.Note(checker.Hard, "burst", 0)
+	d.Sim.Record(checker.Hard, "burst", 0)
 	d.Sim.Crowd.Run(d.ctx, 2*time.Second, 4)
 }
--- a/internal/kit/sim/faults_runner.go
+++ b/internal/kit/sim/faults_runner.go
@@ -13,7 +13,7 @@
 // runnerFaults trouble back ends.
 var runnerFaults = []Fault{
 	{"srv_crash", Runners, func(d *Draw) { d.downAndUp(d.someRunners(0.15), nil) }},
-	{"srv_crash/dark", Runners, func(d *Draw) { d.downAndUp(d.someRunners(0.15), silent) }},
+	{"srv_crash/dark", Runners, func(d *Draw) { d.downAndUp(d.someRunners(0.15), unresponsive) }},
 	{"srv_crash/gone", Runners, func(d *Draw) { d.leave(d.someRunners(0.15), 0) }},
 	{"srv_slow", Runners, func(d *Draw) { d.order(runner.Slow) }},
 	{"srv_grey/errors", Runners, func(d *Draw) { d.order(runner.Raise) }},
@@ -28,7 +28,7 @@
 	{"srv_lying_health/bad", Runners, func(d *Draw) { d.downAndUp(d.someRunners(0.15), reportsFail) }},
 	{"srv_flap", Runners, flap},
 	{"answer_lost", Runners, func(d *Draw) { d.order(runner.Lose) }},
-	{"garble", Runners, func(d *Draw) { d.order(runner.Cut, runner.Garble, runner.Mix) }},
+	{"garble", Runners, func(d *Draw) { d.order(runner.Truncate, runner.Garble, runner.Mix) }},
 	{"garble/extra", Runners, func(d *Draw) { d.order(runner.Twin) }},
 	{"replace_with_reuse", Runners, func(d *Draw) { d.reuse(d.Sim.RunnerDown) }},
 	{"replace_with_reuse/drain", Runners, func(d *Draw) { d.reuse(d.drain) }},
@@ -36,7 +36,7 @@
 	{"scale_in/spot", Runners, func(d *Draw) { d.leave(d.someRunners(0.15), 2*time.Second) }},
 	{"scale_out", Runners, func(d *Draw) { d.downAndUp(d.someRunners(0.3), nil) }},
 	{"cold_return", Runners, func(d *Draw) { d.downAndUp(d.runnersOf(string(rune('a'+d.Rand.IntN(3)))), nil) }},
-	{"cold_return/dark", Runners, func(d *Draw) { d.downAndUp(d.runnersOf(string(rune('a'+d.Rand.IntN(3)))), silent) }},
+	{"cold_return/dark", Runners, func(d *Draw) { d.downAndUp(d.runnersOf(string(rune('a'+d.Rand.IntN(3)))), unresponsive) }},
 	{"release", Runners, release},
 	{"idle_race", Runners, func(d *Draw) { d.wait(500*time.Millisecond, 2*time.Second) }},
 }
@@ -53,48 +53,48 @@
 }
 
 // someRunners draws a share of all runners, one at least.
-func (d *Draw) someRunners(share float64) []string {
+func (d *Draw) someRunners(fraction float64) []string {
 	all := d.Sim.Runners
 	var out []string
-	for _, i := range d.Rand.Perm(len(all))[:max(1, int(share*float64(len(all))))] {
+	for _, i := range d.Rand.Perm(len(all))[:max(1, int(fraction*float64(len(all))))] {
 		out = append(out, all[i].P.Name)
 	}
 	return out
 }
 
-// backendTrouble is what the stand-ins of raw jobs have meanwhile: the faults of the
+// backendFault is what the stand-ins of raw jobs have meanwhile: the faults of the
 // next jobs, or a trouble that lasts.
-type backendTrouble struct {
+type backendFault struct {
 	next  []proxytest.Fault
 	lasts proxytest.Fault
 	x     float64
 }
 
-// backendTroubles are the same kinds of trouble for the runners of raw jobs.
-var backendTroubles = map[string]backendTrouble{
+// backendFaults are the same kinds of trouble for the runners of raw jobs.
+var backendFaults = map[string]backendFault{
 	"srv_crash":               {lasts: proxytest.Flaps, x: 8},
 	"srv_slow":                {lasts: proxytest.SlowBy, x: 4},
 	"srv_grey/errors":         {lasts: proxytest.Grey, x: 0.4},
 	"srv_grey/shed":           {next: []proxytest.Fault{proxytest.Drop, proxytest.Drop, proxytest.Drop}},
 	"srv_grey/busy":           {next: []proxytest.Fault{proxytest.RateLimit, proxytest.RateLimit}},
 	"srv_grey/hang":           {next: []proxytest.Fault{proxytest.Slow, proxytest.Slow}},
-	"srv_grey/reset":          {next: []proxytest.Fault{proxytest.LoseWord, proxytest.LoseWord, proxytest.LoseWord}},
+	"srv_grey/reset":          {next: []proxytest.Fault{proxytest.LoseAnswer, proxytest.LoseAnswer, proxytest.LoseAnswer}},
 	"srv_grey/mute":           {next: []proxytest.Fault{proxytest.Bare503, proxytest.NoSeal, proxytest.Own500}},
 	"srv_lying_health/errors": {lasts: proxytest.Lies, x: 1},
 	"srv_lying_health/bad":    {lasts: proxytest.Lies, x: 0},
 	"srv_flap":                {lasts: proxytest.Flaps, x: 1},
-	"answer_lost":             {next: []proxytest.Fault{proxytest.LoseWord, proxytest.None, proxytest.LoseWord, proxytest.Cut}},
-	"garble":                  {next: []proxytest.Fault{proxytest.NoAnswer, proxytest.Cut, proxytest.CutStream}},
-	"garble/extra":            {next: []proxytest.Fault{proxytest.Surplus, proxytest.LateWord, proxytest.Surplus}},
+	"answer_lost":             {next: []proxytest.Fault{proxytest.LoseAnswer, proxytest.None, proxytest.LoseAnswer, proxytest.Truncate}},
+	"garble":                  {next: []proxytest.Fault{proxytest.NoAnswer, proxytest.Truncate, proxytest.TruncateStream}},
+	"garble/extra":            {next: []proxytest.Fault{proxytest.Surplus, proxytest.LateAnswer, proxytest.Surplus}},
 	"idle_race":               {next: []proxytest.Fault{proxytest.ShutIdle, proxytest.ShutIdle, proxytest.ShutIdle, proxytest.ShutIdle}},
 	"replace_with_reuse":      {next: []proxytest.Fault{proxytest.Other, proxytest.Other, proxytest.Other}},
 	"cold_return":             {next: []proxytest.Fault{proxytest.NoDial, proxytest.NoDial, proxytest.NoDial}},
 }
 
-// troubleBackends gives two stand-ins of raw jobs the trouble of a fault's name, if
+// faultBackends gives two stand-ins of raw jobs the trouble of a fault's name, if
 // it has any, for some seconds.
-func (d *Draw) troubleBackends(name string) {
-	t, ok := backendTroubles[name]
+func (d *Draw) faultBackends(name string) {
+	t, ok := backendFaults[name]
 	if !ok || len(d.Sim.Backends) < 2 {
 		return
 	}
@@ -105,8 +105,8 @@
 		if t.lasts == proxytest.None {
 			continue
 		}
-		b.Trouble(t.lasts, t.x)
-		time.AfterFunc(length, func() { b.Trouble(proxytest.None, 0) })
+		b.InjectFault(t.lasts, t.x)
+		time.AfterFunc(length, func() { b.InjectFault(proxytest.None, 0) })
 	}
 }
 
@@ -123,13 +123,13 @@
 
 // downAndUp ends runners' processes for a while. With trouble they are replaced by
 // processes that stand there and have it.
-func (d *Draw) downAndUp(names []string, trouble troubled) {
+func (d *Draw) downAndUp(names []string, fault troubled) {
 	done := make(chan struct{})
 	for _, name := range names {
 		r := d.Sim.Runner(name)
 		d.Sim.RunnerDown(name)
-		if trouble != nil {
-			d.Sim.Serve(r.P.Addr, trouble(r.Handler(), done))
+		if fault != nil {
+			d.Sim.Serve(r.P.Addr, fault(r.Handler(), done))
 		}
 	}
 	d.wait(500*time.Millisecond, 5*time.Second)
@@ -139,8 +139,8 @@
 	}
 }
 
-// silent answers nothing.
-func silent(_ http.Handler, done <-chan struct{}) http.Handler {
+// unresponsive answers nothing.
+func unresponsive(_ http.Handler, done <-chan struct{}) http.Handler {
 	return http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		<-done
 		panic(http.ErrAbortHandler)
@@ -158,7 +158,9 @@
 	})
 }
 
-func runsHang(h http.Handler, done <-chan struct{}) http.Handler { return onRuns(h, silent(h, done)) }
+func runsHang(h http.Handler, done <-chan struct{}) http.Handler {
+	return onRuns(h, unresponsive(h, done))
+}
 
 func runsFailMutely(h http.Handler, _ <-chan struct{}) http.Handler {
 	return onRuns(h, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }))
@@ -196,7 +198,7 @@
 // drain has a runner say that it leaves, and ends it some time later.
 func (d *Draw) drain(name string) {
 	d.Sim.Runner(name).Drain()
-	d.Sim.Note(checker.Drained, name, 0)
+	d.Sim.Record(checker.Drained, name, 0)
 	time.Sleep(3500 * time.Millisecond)
 	d.Sim.RunnerDown(name)
 }
@@ -209,7 +211,7 @@
 			continue
 		}
 		d.Sim.Runner(name).Drain()
-		d.Sim.Note(checker.Drained, name, 0)
+		d.Sim.Record(checker.Drained, name, 0)
 	}
 	time.Sleep(notice)
 	for _, name := range names {
--- a/internal/kit/sim/faults_test.go
+++ b/internal/kit/sim/faults_test.go
@@ -41,7 +41,7 @@
 	return a
 }
 
-func settled(t *testing.T, s *sim.Sim) {
+func converged(t *testing.T, s *sim.Sim) {
 	t.Helper()
 	if !sim.Until(30*time.Second, func() bool { r := s.Cluster(); return len(r.NextStores)+len(r.NextCores) == 0 }) {
 		t.Errorf("the set is still changing: %+v", s.Cluster().Cluster)
@@ -68,7 +68,7 @@
 		}
 	}},
 	{3, "answers lost, cut and mixed up", "andina", 16 * time.Second, func(_ *testing.T, _ context.Context, s *sim.Sim) {
-		for _, o := range []runner.Order{runner.Lose, runner.Cut, runner.Mix, runner.Slow} {
+		for _, o := range []runner.Order{runner.Lose, runner.Truncate, runner.Mix, runner.Slow} {
 			for _, r := range s.Runners {
 				r.Give(o)
 			}
@@ -78,7 +78,7 @@
 	{4, "runners replaced one by one", "andina", 30 * time.Second, func(_ *testing.T, _ context.Context, s *sim.Sim) {
 		for _, r := range s.Runners[:6] {
 			r.Drain()
-			s.Note(checker.Drained, r.P.Name, 0)
+			s.Record(checker.Drained, r.P.Name, 0)
 			time.Sleep(3500 * time.Millisecond)
 			s.RunnerDown(r.P.Name)
 			s.RunnerUp(r.P.Name)
@@ -100,31 +100,31 @@
 	}},
 	{7, "the core is cut off whole, then back", "andina", 30 * time.Second, func(t *testing.T, _ context.Context, s *sim.Sim) {
 		cores := []string{"c1", "c2", "c3"}
-		s.Cut(cores, s.Rest(cores...), true)
+		s.Partition(cores, s.Rest(cores...), true)
 		time.Sleep(15 * time.Second)
 		// No change is acknowledged that a cut-off node would betray.
 		if st, a, _ := s.Zone("a", true); st == http.StatusOK {
 			t.Errorf("acknowledged through a cut: %+v", a)
 		}
-		s.Cut(cores, s.Rest(cores...), false)
+		s.Partition(cores, s.Rest(cores...), false)
 		sim.Until(5*time.Second, func() bool { st, _, _ := s.Zone("a", false); return st == http.StatusOK })
 	}},
 	{8, "the core is cut in two", "tsehay", 24 * time.Second, func(t *testing.T, _ context.Context, s *sim.Sim) {
-		s.Cut([]string{"c1"}, s.Rest("c1"), true)
+		s.Partition([]string{"c1"}, s.Rest("c1"), true)
 		time.Sleep(6 * time.Second)
 		// c1 is asked first and has no majority.
 		if st, a, _ := s.Zone("b", true); st == http.StatusOK {
 			t.Errorf("a core machine on its own acknowledged: %+v", a)
 		}
-		s.Cut([]string{"c1"}, s.Rest("c1"), false)
+		s.Partition([]string{"c1"}, s.Rest("c1"), false)
 		time.Sleep(4 * time.Second)
 		if st, a, err := s.Zone("b", true); st != http.StatusOK {
 			t.Errorf("after the cut: %d %+v %v", st, a, err)
 		}
 	}},
 	{9, "an edge is cut off from the core while a zone is emptied", "andina", 60 * time.Second, func(t *testing.T, _ context.Context, s *sim.Sim) {
-		cut := append(s.Rest("e5"), "c1")
-		s.Cut([]string{"e5"}, cut, true)
+		partitioned := append(s.Rest("e5"), "c1")
+		s.Partition([]string{"e5"}, partitioned, true)
 		at := time.Now()
 		// The stores are the fence: nothing that e5 may still want passes them.
 		st, a, err := s.Zone("b", true)
@@ -132,7 +132,7 @@
 			t.Errorf("%d %+v %v after %s, want 200 within 2 s", st, a, err, d)
 		}
 		time.Sleep(20 * time.Second)
-		s.Cut([]string{"e5"}, cut, false)
+		s.Partition([]string{"e5"}, partitioned, false)
 	}},
 	{10, "spec changes in bursts", "andina", 14 * time.Second, func(t *testing.T, _ context.Context, s *sim.Sim) {
 		var wg sync.WaitGroup
@@ -144,7 +144,7 @@
 					t.Errorf("burst: %d %+v %v", st, a, err)
 					return
 				}
-				s.Note(checker.Acked, "burst", a.Version)
+				s.Record(checker.Acked, "burst", a.Version)
 			})
 		}
 		wg.Wait()
@@ -171,15 +171,15 @@
 		}
 		want(t, s, "/v1/sets/stores/admit", map[string]string{"id": "s2", "for": "s2"}, http.StatusOK, 0)
 		want(t, s, "/v1/sets/stores/admit", map[string]string{"id": "s2", "for": "s2"}, http.StatusConflict, code.SetChanging)
-		settled(t, s)
+		converged(t, s)
 		want(t, s, "/v1/sets/stores/admit", map[string]string{"id": "s2", "for": "s2"}, http.StatusConflict, code.InSet)
 		// Now another one may go.
 		s.Kill("s1")
 	}},
 	{13, "a store is cut off", "andina", 24 * time.Second, func(_ *testing.T, _ context.Context, s *sim.Sim) {
-		s.Cut([]string{"s3"}, s.Rest("s3"), true)
+		s.Partition([]string{"s3"}, s.Rest("s3"), true)
 		time.Sleep(8 * time.Second)
-		s.Cut([]string{"s3"}, s.Rest("s3"), false)
+		s.Partition([]string{"s3"}, s.Rest("s3"), false)
 	}},
 	{14, "a store is added, another retired", "tsehay", 50 * time.Second, func(t *testing.T, ctx context.Context, s *sim.Sim) {
 		want(t, s, "/v1/sets/stores/retire", map[string]string{"id": "s1"}, http.StatusConflict, code.BelowCopies)
@@ -189,9 +189,9 @@
 		time.Sleep(3 * time.Second)
 		want(t, s, "/v1/sets/stores/admit", map[string]string{"id": "s4"}, http.StatusOK, 0)
 		want(t, s, "/v1/sets/stores/retire", map[string]string{"id": "s1"}, http.StatusConflict, code.SetChanging)
-		settled(t, s)
+		converged(t, s)
 		want(t, s, "/v1/sets/stores/retire", map[string]string{"id": "s1"}, http.StatusOK, 0)
-		settled(t, s)
+		converged(t, s)
 		s.Kill("s1")
 		// It comes back as it was, and is no longer wanted.
 		time.Sleep(time.Second)
@@ -205,7 +205,7 @@
 		time.Sleep(4 * time.Second)
 		want(t, s, "/v1/sets/cores/admit", map[string]string{"id": "c4"}, http.StatusBadRequest, code.BadField)
 		want(t, s, "/v1/sets/cores/admit", map[string]string{"id": "c4", "for": "c3"}, http.StatusOK, 0)
-		settled(t, s)
+		converged(t, s)
 		// The new set stands without one of the old.
 		s.Kill("c1")
 		time.Sleep(time.Second)
@@ -244,7 +244,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		s.Note(checker.Hard, checker.Everything+" down, started again", 0)
+		s.Record(checker.Hard, checker.Everything+" down, started again", 0)
 		for _, m := range s.Machines {
 			if !m.Spare {
 				up(t, ctx, s, m.ID)
@@ -277,8 +277,8 @@
 		time.Sleep(6 * time.Second)
 		s.Disk("s1", -1, 0)
 		// What it has not taken meanwhile is mended from the others.
-		before := s.Store("s1").Mended()
-		if !sim.Until(12*time.Second, func() bool { return s.Store("s1").Mended() > before }) {
+		before := s.Store("s1").Repaired()
+		if !sim.Until(12*time.Second, func() bool { return s.Store("s1").Repaired() > before }) {
 			t.Error("nothing was mended")
 		}
 	}},
@@ -294,7 +294,7 @@
 		s.Kill("s2")
 		time.Sleep(8 * time.Second)
 		up(t, ctx, s, "s2")
-		if !sim.Until(15*time.Second, func() bool { st := s.Store("s2"); return st != nil && st.Mended() > 50 }) {
+		if !sim.Until(15*time.Second, func() bool { st := s.Store("s2"); return st != nil && st.Repaired() > 50 }) {
 			t.Error("what it missed was not mended")
 		}
 		// Now the other two may go, one after the other: what was written while
--- a/internal/kit/sim/history_test.go
+++ b/internal/kit/sim/history_test.go
@@ -20,11 +20,11 @@
 const (
 	diskOld      diskState = iota // as it was when power went
 	diskTorn                      // its database can't be read any more
-	diskGone                      // empty
+	diskLost                      // empty
 	diskRestored                  // a copy from before anything that followed
 )
 
-var diskNames = map[diskState]string{diskOld: "an old disk", diskTorn: "a torn disk", diskGone: "no disk", diskRestored: "a restored disk"}
+var diskNames = map[diskState]string{diskOld: "an old disk", diskTorn: "a torn disk", diskLost: "no disk", diskRestored: "a restored disk"}
 
 // caughtUp bounds the time in which a machine that is back has in force what is; it
 // does not depend on how much has changed meanwhile.
@@ -116,7 +116,7 @@
 	switch disk {
 	case diskTorn:
 		damage(t, s.FS(id))
-	case diskGone:
+	case diskLost:
 		s.Wipe(id)
 	case diskRestored:
 		s.Restore(id, restored)
@@ -132,10 +132,10 @@
 // large the register's value is, does not depend on the number of changes.
 func TestHistory(t *testing.T) {
 	t.Parallel()
-	for _, disk := range []diskState{diskOld, diskTorn, diskGone, diskRestored} {
+	for _, disk := range []diskState{diskOld, diskTorn, diskLost, diskRestored} {
 		t.Run(diskNames[disk], func(t *testing.T) {
 			t.Parallel()
-			tended(t, 11, func(ctx context.Context, s *sim.Sim) {
+			selfManaged(t, 11, func(ctx context.Context, s *sim.Sim) {
 				turns := talk(t, s, "h", 20)
 				sizes := map[int]int{}
 				for _, count := range []int{0, 500} {
@@ -162,7 +162,7 @@
 // once.
 func TestHistoryFrozen(t *testing.T) {
 	t.Parallel()
-	tended(t, 12, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 12, func(ctx context.Context, s *sim.Sim) {
 		turns := talk(t, s, "f", 20)
 		s.Freeze("c1")
 		changes(t, ctx, s, "c2", 200)
@@ -200,7 +200,7 @@
 // makes it larger.
 func TestHistoryLong(t *testing.T) {
 	t.Parallel()
-	tended(t, 13, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 13, func(ctx context.Context, s *sim.Sim) {
 		change(t, s, "the first")
 		small := len(s.View("c2").Raw())
 		took, size := history(t, ctx, s, "c1", diskOld, 1000)
@@ -229,7 +229,7 @@
 // the register at a majority, whatever the cores that grant its lease have in force.
 func TestHistoryUnspread(t *testing.T) {
 	t.Parallel()
-	tended(t, 14, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 14, func(ctx context.Context, s *sim.Sim) {
 		s.Kill("s2")
 		time.Sleep(time.Second)
 		changes(t, ctx, s, "c2", 1)
--- a/internal/kit/sim/http.go
+++ b/internal/kit/sim/http.go
@@ -36,7 +36,7 @@
 // RoundTrip carries a call from a machine that may be frozen.
 func (f *from) RoundTrip(q *http.Request) (*http.Response, error) {
 	f.s.Net.Stand(f.m.Addr)
-	if f.s.webIsCut(f.m.ID, q.URL.Host) {
+	if f.s.isPartitionedHTTP(f.m.ID, q.URL.Host) {
 		<-q.Context().Done()
 		return nil, q.Context().Err()
 	}
--- a/internal/kit/sim/loadreport_test.go
+++ b/internal/kit/sim/loadreport_test.go
@@ -17,10 +17,10 @@
 
 // clerk is an edge's load report with what it rests on.
 type clerk struct {
-	t     *loadreport.LoadReport
-	roll  *endpoints.Roll
-	load  *proxy.Load
-	reads int
+	t         *loadreport.LoadReport
+	endpoints *endpoints.Store
+	load      *proxy.Load
+	reads     int
 }
 
 // tallied runs a fleet whose every edge has a load report over one list of runners.
@@ -28,11 +28,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		cs := map[string]*clerk{}
-		list := []endpoints.Runner{{ID: "i-1", Service: "m", Addr: "127.0.0.1:1", Zone: "a", Room: 4}, {ID: "i-2", Service: "m", Addr: "127.0.0.1:2", Zone: "b", Room: 4, ColdMs: 2300}}
+		list := []endpoints.Runner{{ID: "i-1", Service: "m", Addr: "127.0.0.1:1", Zone: "a", Capacity: 4}, {ID: "i-2", Service: "m", Addr: "127.0.0.1:2", Zone: "b", Capacity: 4, WarmupRemainingMs: 2300}}
 		fail := false
 		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 3, Edges: 3, Edge: func(id string, e *edge.Edge) {
-			c := &clerk{roll: endpoints.New(), load: proxy.NewLoad()}
-			c.t = loadreport.New(loadreport.DefaultParams, e.Node, c.roll, c.load)
+			c := &clerk{endpoints: endpoints.New(), load: proxy.NewLoad()}
+			c.t = loadreport.New(loadreport.DefaultParams, e.Node, c.endpoints, c.load)
 			mu.Lock()
 			cs[id] = c
 			mu.Unlock()
@@ -77,34 +77,34 @@
 			if c.reads > 2 {
 				readers++
 			}
-			if len(c.roll.Now().All) != 2 {
-				t.Errorf("%s has %d runners", id, len(c.roll.Now().All))
+			if len(c.endpoints.Current().Runners) != 2 {
+				t.Errorf("%s has %d runners", id, len(c.endpoints.Current().Runners))
 			}
 			// A fresh runner is never taken for warm sooner than it says.
-			if r := c.roll.Now().Get("i-2"); r == nil || time.Duration(r.ColdMs)*time.Millisecond < 2300*time.Millisecond {
+			if r := c.endpoints.Current().Get("i-2"); r == nil || time.Duration(r.WarmupRemainingMs)*time.Millisecond < 2300*time.Millisecond {
 				t.Errorf("%s: fresh for %+v", id, r)
 			}
 		}
 		if readers != 1 {
 			t.Errorf("%d edges read the list all the time, want 1", readers)
 		}
-		_, out := cs["e2"].load.Enter("i-1", 10)
-		_, out2 := cs["e3"].load.Enter("i-1", 5)
+		_, out := cs["e2"].load.Begin("i-1", 10)
+		_, out2 := cs["e3"].load.Begin("i-1", 5)
 		time.Sleep(600 * time.Millisecond)
 		for id, want := range map[string]int{"e1": 2, "e2": 2, "e3": 2} {
-			if n := cs[id].load.UnderWay()["i-1"]; n != want {
+			if n := cs[id].load.InFlight()["i-1"]; n != want {
 				t.Errorf("%s counts %d jobs, want %d", id, n, want)
 			}
 		}
 		out()
 		out2()
-		(*list)[0].Leaving = true
+		(*list)[0].Draining = true
 		time.Sleep(1500 * time.Millisecond)
 		for id, c := range cs {
-			if !c.roll.Now().Get("i-1").Leaving {
+			if !c.endpoints.Current().Get("i-1").Draining {
 				t.Errorf("%s does not know after 1.5 s that the runner leaves", id)
 			}
-			if n := c.load.UnderWay()["i-1"]; n != 0 {
+			if n := c.load.InFlight()["i-1"]; n != 0 {
 				t.Errorf("%s still counts %d jobs", id, n)
 			}
 		}
@@ -116,23 +116,23 @@
 func TestLoadReportAlone(t *testing.T) {
 	tallied(t, func(_ context.Context, s *sim.Sim, cs map[string]*clerk, _ *[]endpoints.Runner, _ *bool) {
 		before := cs["e3"].reads
-		s.Cut([]string{"e3"}, s.Rest("e3"), true)
+		s.Partition([]string{"e3"}, s.Rest("e3"), true)
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
-			if age := time.Since(cs["e3"].roll.Now().At); age > 2800*time.Millisecond {
+			if age := time.Since(cs["e3"].endpoints.Current().ReadAt); age > 2800*time.Millisecond {
 				t.Fatalf("its list is %s old", age)
 			}
 		}
 		if cs["e3"].reads == before {
 			t.Error("cut off, it never read the list")
 		}
-		s.Cut([]string{"e3"}, s.Rest("e3"), false)
+		s.Partition([]string{"e3"}, s.Rest("e3"), false)
 		s.Freeze("e1")
 		defer s.Thaw("e1")
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
 			for _, id := range []string{"e2", "e3"} {
-				if age := time.Since(cs[id].roll.Now().At); age > 2800*time.Millisecond {
+				if age := time.Since(cs[id].endpoints.Current().ReadAt); age > 2800*time.Millisecond {
 					t.Fatalf("%s: its list is %s old with the counter frozen", id, age)
 				}
 			}
@@ -146,14 +146,14 @@
 		*fail = true
 		time.Sleep(10 * time.Second)
 		for id, c := range cs {
-			if len(c.roll.Now().All) != 2 {
-				t.Errorf("%s has %d runners left", id, len(c.roll.Now().All))
+			if len(c.endpoints.Current().Runners) != 2 {
+				t.Errorf("%s has %d runners left", id, len(c.endpoints.Current().Runners))
 			}
 		}
 		*fail = false
 		time.Sleep(2 * time.Second)
 		for id, c := range cs {
-			if age := time.Since(c.roll.Now().At); age > 2*time.Second {
+			if age := time.Since(c.endpoints.Current().ReadAt); age > 2*time.Second {
 				t.Errorf("%s: its list is %s old", id, age)
 			}
 		}
--- a/internal/kit/sim/machine.go
+++ b/internal/kit/sim/machine.go
@@ -45,7 +45,7 @@
 	web    *echo.Echo
 	node   *node.Node
 	edge   *edge.Edge
-	raw    *edge.Raw
+	raw    *edge.Proxy
 	core   *core.Core
 	store  *store.Store
 	engine *storage.Engine
@@ -138,7 +138,7 @@
 	}
 	l.core, l.node, l.start = c, c.Node, c.Start
 	c.Routes(l.web)
-	(&control.Door{Core: c, Sets: c}).Routes(l.web)
+	(&control.Handler{Core: c, Sets: c}).Routes(l.web)
 	return nil
 }
 
@@ -153,12 +153,12 @@
 
 func (s *Sim) makeEdge(ctx context.Context, l *live, m *Machine, np node.Params) {
 	p := edge.DefaultParams
-	p.Dispatcher.Web, p.Cool.Alone = &from{s, m}, s.alone
+	p.Assignment.Transport, p.Cooldown.Local = &from{s, m}, s.alone
 	p.Point = func(pt job.Point, c *job.Ctx) {
 		if s.point != nil {
 			s.point(m.ID, pt, c)
 		}
-		if d := s.held(m.ID, pt); d > 0 {
+		if d := s.pending(m.ID, pt); d > 0 {
 			time.Sleep(d)
 		}
 		s.Net.Stand(m.Addr)
@@ -167,7 +167,7 @@
 	l.edge, l.node, l.start = e, e.Node, e.Start
 	e.Routes(l.web)
 	if len(s.Backends) > 0 {
-		l.raw = e.Raw(edge.DefaultRaw, headers.Dialect{})
+		l.raw = e.NewProxy(edge.DefaultProxy, headers.Codec{})
 	}
 	if s.made != nil {
 		s.made(m.ID, e)
@@ -213,12 +213,12 @@
 	s.kill(id, true, vfs.CrashCloneCfg{UnsyncedDataPercent: rnd.IntN(100), RNG: rand.New(rand.NewPCG(rnd.Uint64(), 2))})
 }
 
-func (s *Sim) kill(id string, note bool, loss vfs.CrashCloneCfg) {
+func (s *Sim) kill(id string, record bool, loss vfs.CrashCloneCfg) {
 	m := s.Get(id)
 	s.mu.Lock()
 	l := m.live
 	m.live = nil
-	if note {
+	if record {
 		s.events = append(s.events, checker.Event{At: time.Now(), Kind: checker.Hard, ID: "kill " + id})
 	}
 	s.mu.Unlock()
@@ -241,13 +241,13 @@
 // Quit stops an edge in an orderly way.
 func (s *Sim) Quit(id string) {
 	m := s.Get(id)
-	s.Note(checker.Stopping, m.HTTP, 0)
+	s.Record(checker.Stopping, m.HTTP, 0)
 	m.live.edge.Stop()
 	// Requests under way end; then the process does.
 	time.Sleep(3 * time.Second)
-	m.live.edge.Settle(2 * time.Second)
+	m.live.edge.WaitBackground(2 * time.Second)
 	s.kill(id, false, vfs.CrashCloneCfg{})
-	s.Note(checker.Stopped, m.HTTP, 0)
+	s.Record(checker.Stopped, m.HTTP, 0)
 }
 
 // Wipe gives a machine that does not run an empty disk.
@@ -257,27 +257,27 @@
 // numbered point, and all that it sends and is sent. Thaw lets it go on.
 func (s *Sim) Freeze(id string) {
 	m := s.Get(id)
-	s.Note(checker.Hard, "freeze "+id, 0)
-	s.Note(checker.Frozen, m.HTTP, 0)
+	s.Record(checker.Hard, "freeze "+id, 0)
+	s.Record(checker.Frozen, m.HTTP, 0)
 	s.mu.Lock()
-	s.apart[id] = true
+	s.isolated[id] = true
 	s.mu.Unlock()
 	s.Net.Freeze(m.Addr)
 }
 
-// Hold lets the next job that comes to a point at an edge stand still there.
-func (s *Sim) Hold(edge string, p job.Point, d time.Duration) {
+// Pause lets the next job that comes to a point at an edge stand still there.
+func (s *Sim) Pause(edge string, p job.Point, d time.Duration) {
 	s.mu.Lock()
-	s.holds[fmt.Sprint(edge, p)] = d
+	s.pauses[fmt.Sprint(edge, p)] = d
 	s.mu.Unlock()
 }
 
-func (s *Sim) held(edge string, p job.Point) time.Duration {
+func (s *Sim) pending(edge string, p job.Point) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := fmt.Sprint(edge, p)
-	d := s.holds[k]
-	delete(s.holds, k)
+	d := s.pauses[k]
+	delete(s.pauses, k)
 	return d
 }
 
@@ -285,10 +285,10 @@
 func (s *Sim) Thaw(id string) {
 	m := s.Get(id)
 	s.mu.Lock()
-	s.apart[id], s.away[id] = false, time.Now()
+	s.isolated[id], s.away[id] = false, time.Now()
 	s.mu.Unlock()
 	s.Net.Thaw(m.Addr)
-	s.Note(checker.Thawed, m.HTTP, 0)
+	s.Record(checker.Thawed, m.HTTP, 0)
 }
 
 // Seeds names other machines as seeds of those that are started from now on.
@@ -328,7 +328,7 @@
 func (s *Sim) Slow(id string, times int, d time.Duration) {
 	m := s.Get(id)
 	s.mu.Lock()
-	s.apart[id] = true
+	s.isolated[id] = true
 	s.mu.Unlock()
 	runs := slowRound / time.Duration(times)
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -338,7 +338,7 @@
 		time.Sleep(runs)
 	}
 	s.mu.Lock()
-	s.apart[id], s.away[id] = false, time.Now()
+	s.isolated[id], s.away[id] = false, time.Now()
 	s.mu.Unlock()
 }
 
--- a/internal/kit/sim/measure_test.go
+++ b/internal/kit/sim/measure_test.go
@@ -9,10 +9,10 @@
 	"damsontiller/internal/kit/sim"
 )
 
-// TestCooldownsWorth: what the shared cooldown spares the runners. The tools
+// TestCooldownsValue: what the shared cooldown spares the runners. The tools
 // refuse everything for eight seconds under the usual traffic; the same seeds
 // with each edge left to its own refusals are the other column.
-func TestCooldownsWorth(t *testing.T) {
+func TestCooldownsValue(t *testing.T) {
 	t.Parallel()
 	refused := map[bool]int{}
 	for _, alone := range []bool{false, true} {
@@ -39,7 +39,7 @@
 				stop()
 				s.Stop()
 				for _, r := range s.Runners {
-					for _, e := range r.Ledger() {
+					for _, e := range r.Log() {
 						if e.Refused {
 							refused[alone]++
 						}
@@ -78,15 +78,15 @@
 					return false
 				}
 				sent = st.Peer.Sent()
-				return st.Mended() >= int64(missed)
+				return st.Repaired() >= int64(missed)
 			})
 			time.Sleep(10 * time.Second)
 			st := s.Store("s2")
-			mended, idle := st.Mended(), st.Peer.Sent()
+			repaired, idle := st.Repaired(), st.Peer.Sent()
 			time.Sleep(30 * time.Second)
-			t.Logf("%3d turns missed: %3d keys mended with %d messages; idle afterwards %.1f messages a second", missed, mended, sent, float64(st.Peer.Sent()-idle)/30)
-			if mended < int64(missed) || st.Mended() != mended {
-				t.Errorf("%d mended, then %d more", mended, st.Mended()-mended)
+			t.Logf("%3d turns missed: %3d keys mended with %d messages; idle afterwards %.1f messages a second", missed, repaired, sent, float64(st.Peer.Sent()-idle)/30)
+			if repaired < int64(missed) || st.Repaired() != repaired {
+				t.Errorf("%d mended, then %d more", repaired, st.Repaired()-repaired)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 // many were served.
 func TestHopeless(t *testing.T) {
 	t.Parallel()
-	var held, dropped, served int
+	var pending, dropped, served int
 	var kept time.Duration
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
@@ -113,12 +113,12 @@
 			s.Crowd.Run(ctx, 20*time.Second, 8)
 			stop()
 			s.Stop()
-			for _, a := range s.Crowd.Ledger() {
+			for _, a := range s.Crowd.Log() {
 				switch {
 				case a.Status == 200:
 					served++
 				case a.Name == "cutoff_passed":
-					held++
+					pending++
 					kept += a.Done.Sub(a.Sent)
 				default:
 					dropped++
@@ -127,18 +127,18 @@
 			}
 		})
 	}
-	t.Logf("served %d, held to the deadline %d, told before %d, time held in vain %s", served, held, dropped, kept.Round(time.Second))
-	if held*20 > served {
-		t.Errorf("%d jobs held to their deadline, %d served", held, served)
+	t.Logf("served %d, held to the deadline %d, told before %d, time held in vain %s", served, pending, dropped, kept.Round(time.Second))
+	if pending*20 > served {
+		t.Errorf("%d jobs held to their deadline, %d served", pending, served)
 	}
 }
 
-// TestDoubt measures how much keyed work is left in doubt when edges die under a
+// TestUncertain measures how much keyed work is left in doubt when edges die under a
 // crowd: of the keyed works asked of a dead edge, those whose callers were told
 // elsewhere that the outcome is not known.
-func TestDoubt(t *testing.T) {
+func TestUncertain(t *testing.T) {
 	t.Parallel()
-	asked, doubt := 0, 0
+	asked, uncertain := 0, 0
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
@@ -160,7 +160,7 @@
 			stop()
 			s.Stop()
 			lost, unsure := map[string]bool{}, map[string]bool{}
-			for _, a := range s.Crowd.Ledger() {
+			for _, a := range s.Crowd.Log() {
 				if a.Key != "" && a.Lost {
 					lost[a.Work] = true
 				}
@@ -171,12 +171,12 @@
 			for w := range lost {
 				asked++
 				if unsure[w] {
-					doubt++
+					uncertain++
 				}
 			}
 		})
 	}
-	t.Logf("%d keyed works were at edges that died, %d of them are in doubt", asked, doubt)
+	t.Logf("%d keyed works were at edges that died, %d of them are in doubt", asked, uncertain)
 	if asked == 0 {
 		t.Error("no edge died with a keyed work")
 	}
--- a/internal/kit/sim/membership_test.go
+++ b/internal/kit/sim/membership_test.go
@@ -24,9 +24,9 @@
 // writePause is what a ledger's writer rests between two writes.
 const writePause = 50 * time.Millisecond
 
-// ledger writes registers and blobs through edges all the while, and remembers what was
+// log writes registers and blobs through edges all the while, and remembers what was
 // acknowledged.
-type ledger struct {
+type log struct {
 	tiers    []*storeclient.Client
 	stop     context.CancelFunc
 	wait     sync.WaitGroup
@@ -36,8 +36,8 @@
 	failed   int
 }
 
-func newLedger(ctx context.Context, s *sim.Sim) *ledger {
-	l := &ledger{counters: map[string]uint64{}}
+func newLog(ctx context.Context, s *sim.Sim) *log {
+	l := &log{counters: map[string]uint64{}}
 	ctx, l.stop = context.WithCancel(ctx)
 	for i, id := range []string{"e1", "e4"} {
 		n := s.Edge(id).Node
@@ -49,11 +49,11 @@
 }
 
 // write puts one blob and counts one register up at a time.
-func (l *ledger) write(ctx context.Context, t *storeclient.Client, writer int) {
+func (l *log) write(ctx context.Context, t *storeclient.Client, writer int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		blob := fmt.Sprintf("turn/ledger%d-%d", writer, n)
 		err := within(ctx, func(ctx context.Context) error { return t.PutBlob(ctx, blob, []byte(blob), time.Hour) })
-		l.note(err, func() { l.blobs = append(l.blobs, blob) })
+		l.record(err, func() { l.blobs = append(l.blobs, blob) })
 		counter := fmt.Sprintf("claim/ledger%d-%d", writer, n%7)
 		var last uint64
 		err = within(ctx, func(ctx context.Context) error {
@@ -61,12 +61,12 @@
 			last = counted(st.Value)
 			return err
 		})
-		l.note(err, func() { l.counters[counter] = last })
+		l.record(err, func() { l.counters[counter] = last })
 		time.Sleep(writePause)
 	}
 }
 
-func (l *ledger) note(err error, acknowledged func()) {
+func (l *log) record(err error, acknowledged func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // check stops writing and reads back all that was acknowledged.
-func (l *ledger) check(t *testing.T, ctx context.Context) {
+func (l *log) check(t *testing.T, ctx context.Context) {
 	t.Helper()
 	l.stop()
 	l.wait.Wait()
@@ -125,39 +125,39 @@
 	t.Logf("%s; %s after %s", cores, stores, took)
 }
 
-// trouble is what makes a living machine silent, and what ends it.
-type trouble struct {
+// failureMode is what makes a living machine silent, and what ends it.
+type failureMode struct {
 	name       string
 	begin, end func(s *sim.Sim, id string)
 }
 
-var troubles = []trouble{
+var failureModes = []failureMode{
 	{"frozen", func(s *sim.Sim, id string) { s.Freeze(id) }, func(s *sim.Sim, id string) { s.Thaw(id) }},
-	{"can't send", func(s *sim.Sim, id string) { s.CutOne([]string{id}, s.Rest(id), true) }, func(s *sim.Sim, id string) { s.CutOne([]string{id}, s.Rest(id), false) }},
-	{"cut off", func(s *sim.Sim, id string) { s.Cut([]string{id}, s.Rest(id), true) }, func(s *sim.Sim, id string) { s.Cut([]string{id}, s.Rest(id), false) }},
+	{"can't send", func(s *sim.Sim, id string) { s.PartitionOneWay([]string{id}, s.Rest(id), true) }, func(s *sim.Sim, id string) { s.PartitionOneWay([]string{id}, s.Rest(id), false) }},
+	{"cut off", func(s *sim.Sim, id string) { s.Partition([]string{id}, s.Rest(id), true) }, func(s *sim.Sim, id string) { s.Partition([]string{id}, s.Rest(id), false) }},
 }
 
-// cutTo cuts what all others send to a machine.
-func cutTo(s *sim.Sim, id string, on bool) {
+// partitionFrom cuts what all others send to a machine.
+func partitionFrom(s *sim.Sim, id string, on bool) {
 	for _, other := range s.Rest(id) {
-		s.CutOne([]string{other}, []string{id}, on)
+		s.PartitionOneWay([]string{other}, []string{id}, on)
 	}
 }
 
-// TestSilentStoreReplaced: a store taken in beside the others takes the place of one
+// TestUnresponsiveStoreReplaced: a store taken in beside the others takes the place of one
 // that lives and is silent for 20 s. A second store is lost in that time, and a third
 // once the second is back. The silent one wakes with its half-made writes and its data:
 // it comes back as a stranger, and nothing acknowledged is lost.
-func TestSilentStoreReplaced(t *testing.T) {
+func TestUnresponsiveStoreReplaced(t *testing.T) {
 	t.Parallel()
-	for i, trouble := range troubles {
-		tended(t, uint64(40+i), func(ctx context.Context, s *sim.Sim) {
-			l := newLedger(ctx, s)
+	for i, mode := range failureModes {
+		selfManaged(t, uint64(40+i), func(ctx context.Context, s *sim.Sim) {
+			l := newLog(ctx, s)
 			time.Sleep(7 * time.Second)
 			launch(t, ctx, s, false, "s4")
 			inForce(t, s, 4*time.Second, "c1 c2 c3", "s1 s2 s3 s4")
 			was := s.Ident("s2")
-			trouble.begin(s, "s2")
+			mode.begin(s, "s2")
 			at := time.Now()
 			inForce(t, s, 10*time.Second, "c1 c2 c3", "s1 s3 s4")
 			wipe(t, ctx, s, "s1", 500*time.Millisecond)
@@ -167,10 +167,10 @@
 			time.Sleep(syncTime)
 			sets(t, s, 0, "c1 c2 c3", "s1 s3 s4")
 			time.Sleep(20*time.Second - time.Since(at))
-			trouble.end(s, "s2")
+			mode.end(s, "s2")
 			inForce(t, s, 10*time.Second, "c1 c2 c3", "s1 s2 s3 s4")
 			if s.Ident("s2") == was {
-				t.Errorf("%s: back under the identity that was let go", trouble.name)
+				t.Errorf("%s: back under the identity that was let go", mode.name)
 			}
 			l.check(t, ctx)
 		})
@@ -186,51 +186,51 @@
 	launch(t, ctx, s, false, id)
 }
 
-// TestSilentCoreReplaced is the same for the cores, whose register must stay whole.
-func TestSilentCoreReplaced(t *testing.T) {
+// TestUnresponsiveCoreReplaced is the same for the cores, whose register must stay whole.
+func TestUnresponsiveCoreReplaced(t *testing.T) {
 	t.Parallel()
-	for i, trouble := range troubles {
-		tended(t, uint64(50+i), func(ctx context.Context, s *sim.Sim) {
+	for i, mode := range failureModes {
+		selfManaged(t, uint64(50+i), func(ctx context.Context, s *sim.Sim) {
 			time.Sleep(7 * time.Second)
 			launch(t, ctx, s, false, "c4")
 			inForce(t, s, 4*time.Second, "c1 c2 c3 c4", "s1 s2 s3")
 			was := s.Ident("c2")
-			trouble.begin(s, "c2")
+			mode.begin(s, "c2")
 			at := time.Now()
 			inForce(t, s, 10*time.Second, "c1 c3 c4", "s1 s2 s3")
-			change(t, s, trouble.name+", replaced")
+			change(t, s, mode.name+", replaced")
 			before := s.Cluster().Version
 			wipe(t, ctx, s, "c3", 500*time.Millisecond)
 			time.Sleep(syncTime)
 			sets(t, s, 0, "c1 c3 c4", "s1 s2 s3")
-			change(t, s, trouble.name+", a second loss")
+			change(t, s, mode.name+", a second loss")
 			time.Sleep(20*time.Second - time.Since(at))
-			trouble.end(s, "c2")
+			mode.end(s, "c2")
 			inForce(t, s, 12*time.Second, "c1 c2 c3 c4", "s1 s2 s3")
 			if s.Ident("c2") == was {
-				t.Errorf("%s: back under the identity that was let go", trouble.name)
+				t.Errorf("%s: back under the identity that was let go", mode.name)
 			}
 			if v := s.View("c2").Version; v <= before {
-				t.Errorf("%s: at version %d, before it was %d", trouble.name, v, before)
+				t.Errorf("%s: at version %d, before it was %d", mode.name, v, before)
 			}
-			change(t, s, trouble.name+", back")
+			change(t, s, mode.name+", back")
 		})
 	}
 }
 
-// TestDeafStoreKeepsPlace: a store whose renewals are heard, but that hears nothing
+// TestPartitionedStoreStaysMember: a store whose renewals are heard, but that hears nothing
 // itself, keeps its place though another stands beside. Nothing is lost by it.
-func TestDeafStoreKeepsPlace(t *testing.T) {
+func TestPartitionedStoreStaysMember(t *testing.T) {
 	t.Parallel()
-	tended(t, 61, func(ctx context.Context, s *sim.Sim) {
-		l := newLedger(ctx, s)
+	selfManaged(t, 61, func(ctx context.Context, s *sim.Sim) {
+		l := newLog(ctx, s)
 		time.Sleep(7 * time.Second)
 		launch(t, ctx, s, false, "s4")
 		inForce(t, s, 4*time.Second, "c1 c2 c3", "s1 s2 s3 s4")
-		cutTo(s, "s2", true)
+		partitionFrom(s, "s2", true)
 		time.Sleep(20 * time.Second)
 		sets(t, s, 0, "c1 c2 c3", "s1 s2 s3 s4")
-		cutTo(s, "s2", false)
+		partitionFrom(s, "s2", false)
 		time.Sleep(syncTime)
 		wipe(t, ctx, s, "s1", 500*time.Millisecond)
 		inForce(t, s, syncTime, "c1 c2 c3", "s1 s2 s3 s4")
@@ -238,12 +238,12 @@
 	})
 }
 
-// TestSlowDiskKeepsPlace: a store whose syncs take long renews its lease and so keeps
+// TestSlowDiskStaysMember: a store whose syncs take long renews its lease and so keeps
 // its place, though another stands beside.
-func TestSlowDiskKeepsPlace(t *testing.T) {
+func TestSlowDiskStaysMember(t *testing.T) {
 	t.Parallel()
-	tended(t, 60, func(ctx context.Context, s *sim.Sim) {
-		l := newLedger(ctx, s)
+	selfManaged(t, 60, func(ctx context.Context, s *sim.Sim) {
+		l := newLog(ctx, s)
 		time.Sleep(7 * time.Second)
 		launch(t, ctx, s, false, "s4")
 		inForce(t, s, 4*time.Second, "c1 c2 c3", "s1 s2 s3 s4")
@@ -262,8 +262,8 @@
 	t.Parallel()
 	for i := range 6 {
 		after := time.Duration(i*i) * 15 * time.Millisecond
-		tended(t, uint64(70+i), func(ctx context.Context, s *sim.Sim) {
-			l := newLedger(ctx, s)
+		selfManaged(t, uint64(70+i), func(ctx context.Context, s *sim.Sim) {
+			l := newLog(ctx, s)
 			time.Sleep(2 * time.Second)
 			launch(t, ctx, s, false, "s4")
 			if i%2 == 0 {
@@ -295,7 +295,7 @@
 	t.Parallel()
 	for i := range 5 {
 		after := time.Duration(i*i) * 20 * time.Millisecond
-		tended(t, uint64(120+i), func(ctx context.Context, s *sim.Sim) {
+		selfManaged(t, uint64(120+i), func(ctx context.Context, s *sim.Sim) {
 			time.Sleep(8 * time.Second)
 			launch(t, ctx, s, false, "c4")
 			time.Sleep(after)
@@ -324,8 +324,8 @@
 func TestPowerDuringRepair(t *testing.T) {
 	t.Parallel()
 	for i := range 6 {
-		tended(t, uint64(90+i), func(ctx context.Context, s *sim.Sim) {
-			l := newLedger(ctx, s)
+		selfManaged(t, uint64(90+i), func(ctx context.Context, s *sim.Sim) {
+			l := newLog(ctx, s)
 			time.Sleep(3 * time.Second)
 			wipe(t, ctx, s, "s1", 300*time.Millisecond)
 			time.Sleep(time.Duration(i*i) * 9 * time.Millisecond)
@@ -342,7 +342,7 @@
 // disk, each syncTime after the one before has returned.
 func TestNextLossFullStores(t *testing.T) {
 	t.Parallel()
-	tended(t, 100, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 100, func(ctx context.Context, s *sim.Sim) {
 		const blobs, size = 400, 64 << 10
 		n := s.Edge("e1").Node
 		stores := &storeclient.Client{Peer: n.Peer, Cluster: n.Cluster, Proposer: n.Proposer}
@@ -400,8 +400,8 @@
 // newcomers are taken in.
 func TestForgottenIdentity(t *testing.T) {
 	t.Parallel()
-	tended(t, 110, func(ctx context.Context, s *sim.Sim) {
-		l := newLedger(ctx, s)
+	selfManaged(t, 110, func(ctx context.Context, s *sim.Sim) {
+		l := newLog(ctx, s)
 		was := map[string]string{}
 		for _, id := range []string{"s1", "s2", "s3", "c3"} {
 			was[id] = s.Ident(id)
--- a/internal/kit/sim/mix.go
+++ b/internal/kit/sim/mix.go
@@ -145,8 +145,8 @@
 	return strings.Join(m.history, "\n")
 }
 
-// note writes a step of a fault down.
-func (m *Mix) note(format string, args ...any) {
+// record writes a step of a fault down.
+func (m *Mix) record(format string, args ...any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.history = append(m.history, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
@@ -271,22 +271,22 @@
 }
 
 func (m *Mix) fire(f Fault, rnd *rand.Rand) {
-	m.note("%s begins", f.Name)
+	m.record("%s begins", f.Name)
 	d := &Draw{m, rnd}
-	d.troubleBackends(f.Name)
+	d.faultBackends(f.Name)
 	f.Run(d)
 	m.mu.Lock()
 	m.fired[f.Name]++
 	m.mu.Unlock()
-	m.note("%s ends", f.Name)
+	m.record("%s ends", f.Name)
 	if f.Family == Counted {
 		time.Sleep(SyncTime)
 	}
 }
 
-// Whole tells what keeps the sets from being exactly the machines in use, as they
+// Complete tells what keeps the sets from being exactly the machines in use, as they
 // are, with no change under way; empty: nothing.
-func (m *Mix) Whole() string {
+func (m *Mix) Complete() string {
 	v := m.Sim.Cluster()
 	if n := len(v.NextCores) + len(v.NextStores); n > 0 {
 		return fmt.Sprintf("version %d: a change is under way: cores %v to %v, stores %v to %v", v.Version, v.Cluster.Cores, v.NextCores, v.Cluster.Stores, v.NextStores)
@@ -306,12 +306,12 @@
 	return ""
 }
 
-// Settle checks, once all faults are over, what must hold then: sets as large as
+// WaitBackground checks, once all faults are over, what must hold then: sets as large as
 // before and whole, the newest acknowledged configuration in force, zones as
 // acknowledged, kept turns there.
-func (m *Mix) Settle() {
-	Until(20*time.Second, func() bool { return m.Whole() == "" })
-	if w := m.Whole(); w != "" {
+func (m *Mix) WaitBackground() {
+	Until(20*time.Second, func() bool { return m.Complete() == "" })
+	if w := m.Complete(); w != "" {
 		m.fail("sets are not whole: %s", w)
 	}
 	m.Config.ReadBack()
--- a/internal/kit/sim/mix_test.go
+++ b/internal/kit/sim/mix_test.go
@@ -49,7 +49,7 @@
 		do(m)
 		enough()
 		<-crowd
-		m.Settle()
+		m.WaitBackground()
 		s.Audit(ctx, 100)
 		stop()
 		wg.Wait()
@@ -128,12 +128,12 @@
 func TestEachKind(t *testing.T) {
 	t.Parallel()
 	const parts = 6
-	for part := range parts {
-		t.Run(strconv.Itoa(part), func(t *testing.T) {
+	for portion := range parts {
+		t.Run(strconv.Itoa(portion), func(t *testing.T) {
 			t.Parallel()
-			mixed(t, uint64(part+1), 20*time.Second, func(m *sim.Mix) {
+			mixed(t, uint64(portion+1), 20*time.Second, func(m *sim.Mix) {
 				for i, f := range sim.Faults {
-					if i%parts == part {
+					if i%parts == portion {
 						m.Fire(f.Name)
 					}
 				}
--- a/internal/kit/sim/network.go
+++ b/internal/kit/sim/network.go
@@ -12,20 +12,20 @@
 	"damsontiller/internal/transport"
 )
 
-// CutOne cuts what some machines send to others, one way only.
-func (s *Sim) CutOne(from, to []string, on bool) {
+// PartitionOneWay cuts what some machines send to others, one way only.
+func (s *Sim) PartitionOneWay(from, to []string, on bool) {
 	if on {
-		s.Note(checker.Hard, fmt.Sprintf("cut %v to %v", from, to), 0)
+		s.Record(checker.Hard, fmt.Sprintf("cut %v to %v", from, to), 0)
 	}
-	s.cut(s.Net.CutOne, from, to, on)
+	s.partitioned(s.Net.SetPartitionedOneWay, from, to, on)
 }
 
-// cut cuts or joins each pair by one way of the network's, and keeps note of who
+// partitioned cuts or joins each pair by one way of the network's, and keeps note of who
 // is apart.
-func (s *Sim) cut(way func(a, b string, on bool), of, from []string, on bool) {
+func (s *Sim) partitioned(way func(a, b string, on bool), of, from []string, on bool) {
 	s.mu.Lock()
 	for _, a := range of {
-		s.apart[a], s.away[a] = on, time.Now()
+		s.isolated[a], s.away[a] = on, time.Now()
 	}
 	s.mu.Unlock()
 	for _, a := range of {
@@ -37,12 +37,12 @@
 	}
 }
 
-// Cut cuts machines off from others, both ways, or joins them again.
-func (s *Sim) Cut(of, from []string, on bool) {
+// Partition cuts machines off from others, both ways, or joins them again.
+func (s *Sim) Partition(of, from []string, on bool) {
 	if on {
-		s.Note(checker.Hard, fmt.Sprintf("cut %v", of), 0)
+		s.Record(checker.Hard, fmt.Sprintf("cut %v", of), 0)
 	}
-	s.cut(s.Net.Cut, of, from, on)
+	s.partitioned(s.Net.SetPartitioned, of, from, on)
 }
 
 // Rest is every machine but those named.
@@ -59,21 +59,21 @@
 // webWay is an edge's way to a runner's address.
 type webWay struct{ edge, addr string }
 
-// CutWeb cuts edges off from runners' addresses, or joins them again.
-func (s *Sim) CutWeb(edges, addrs []string, on bool) {
+// PartitionHTTP cuts edges off from runners' addresses, or joins them again.
+func (s *Sim) PartitionHTTP(edges, addrs []string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range edges {
 		for _, a := range addrs {
-			s.webCut[webWay{e, a}] = on
+			s.partitionedHTTP[webWay{e, a}] = on
 		}
 	}
 }
 
-func (s *Sim) webIsCut(edge, addr string) bool {
+func (s *Sim) isPartitionedHTTP(edge, addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.webCut[webWay{edge, addr}]
+	return s.partitionedHTTP[webWay{edge, addr}]
 }
 
 // trackedConn is one end of a connection that the simulation may reset.
@@ -103,11 +103,11 @@
 }
 
 // Reset breaks a share of a machine's connections to others, and tells how many.
-func (s *Sim) Reset(id string, share float64, rnd *rand.Rand) int {
+func (s *Sim) Reset(id string, fraction float64, rnd *rand.Rand) int {
 	var broken []*trackedConn
 	s.mu.Lock()
 	for c := range s.conns[id] {
-		if rnd.Float64() < share {
+		if rnd.Float64() < fraction {
 			broken = append(broken, c)
 		}
 	}
--- a/internal/kit/sim/operator.go
+++ b/internal/kit/sim/operator.go
@@ -61,7 +61,7 @@
 	var a Ack
 	st, err := s.Operate(method, path, body, &a)
 	if err == nil && st == http.StatusOK {
-		s.Note(checker.Acked, path, a.Version)
+		s.Record(checker.Acked, path, a.Version)
 	}
 	return st, a, err
 }
@@ -69,12 +69,12 @@
 // Zone empties or refills a zone.
 func (s *Sim) Zone(zone string, empty bool) (int, Ack, error) {
 	if !empty {
-		s.Note(checker.Refill, zone, 0)
+		s.Record(checker.Refill, zone, 0)
 		return s.Change(http.MethodPost, "/v1/zones/"+zone+"/refill", nil)
 	}
 	st, a, err := s.Change(http.MethodPost, "/v1/zones/"+zone+"/empty", nil)
 	if err == nil && st == http.StatusOK {
-		s.Note(checker.Empty, zone, 0)
+		s.Record(checker.Empty, zone, 0)
 	}
 	return st, a, err
 }
--- a/internal/kit/sim/operators_test.go
+++ b/internal/kit/sim/operators_test.go
@@ -64,8 +64,8 @@
 	if err != nil {
 		return said{}, err
 	}
-	q.Header.Set(turnapi.HProgram, "reel/1")
-	q.Header.Set(turnapi.HLeft, "60")
+	q.Header.Set(turnapi.HeaderProgram, "reel/1")
+	q.Header.Set(turnapi.HeaderTimeRemaining, "60")
 	for k, v := range head {
 		q.Header.Set(k, v)
 	}
@@ -80,7 +80,7 @@
 
 func runs(s *sim.Sim) (ran, calls int) {
 	for _, r := range s.Runners {
-		for _, e := range r.Ledger() {
+		for _, e := range r.Log() {
 			calls++
 			if e.Ran {
 				ran++
@@ -96,7 +96,7 @@
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
 		for round := range 5 {
-			key := map[string]string{turnapi.HKey: fmt.Sprint("k", round)}
+			key := map[string]string{turnapi.HeaderIdempotencyKey: fmt.Sprint("k", round)}
 			got := make([]said, 6)
 			var wg sync.WaitGroup
 			for i := range got {
@@ -133,11 +133,11 @@
 func TestLostKeyed(t *testing.T) {
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
-		for _, o := range []runner.Order{runner.Lose, runner.Cut, runner.Mix} {
+		for _, o := range []runner.Order{runner.Lose, runner.Truncate, runner.Mix} {
 			for _, r := range s.Runners {
 				r.Give(o)
 			}
-			key := map[string]string{turnapi.HKey: "k" + string(o)}
+			key := map[string]string{turnapi.HeaderIdempotencyKey: "k" + string(o)}
 			before, _ := runs(s)
 			for i := range 4 {
 				g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", `{"args":{"do":"work:x;"}}`, key)
@@ -169,7 +169,7 @@
 		}
 		_, calls := runs(s)
 		for i := range 6 {
-			g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", body, map[string]string{turnapi.HWait: "1"})
+			g := ask(t, s, fmt.Sprintf("e%d", i+1), "/v1/calls/assets", body, map[string]string{turnapi.HeaderWait: "1"})
 			if g.Code != int(code.Cooling) || g.head.Get("Retry-After") != "3" || g.NotBefore == "" || g.took > 200*time.Millisecond {
 				t.Errorf("e%d: %+v after %s", i+1, g, g.took)
 			}
@@ -178,13 +178,13 @@
 			t.Errorf("%d calls within the cooldown", n-calls)
 		}
 		// Program time that is shorter than the wait counts like a caller's.
-		if g := ask(t, s, "e3", "/v1/calls/assets", body, map[string]string{turnapi.HLeft: "2", turnapi.HWait: "30"}); g.Code != int(code.Cooling) || g.took > 200*time.Millisecond {
+		if g := ask(t, s, "e3", "/v1/calls/assets", body, map[string]string{turnapi.HeaderTimeRemaining: "2", turnapi.HeaderWait: "30"}); g.Code != int(code.Cooling) || g.took > 200*time.Millisecond {
 			t.Errorf("with 2 s left: %+v after %s", g, g.took)
 		}
 		for _, r := range s.Runners {
 			r.Forget()
 		}
-		if g := ask(t, s, "e4", "/v1/calls/assets", body, map[string]string{turnapi.HWait: "10"}); g.status != http.StatusOK || g.took < 2*time.Second || g.took > 4*time.Second {
+		if g := ask(t, s, "e4", "/v1/calls/assets", body, map[string]string{turnapi.HeaderWait: "10"}); g.status != http.StatusOK || g.took < 2*time.Second || g.took > 4*time.Second {
 			t.Errorf("with time to wait: %+v after %s", g, g.took)
 		}
 	})
@@ -197,9 +197,9 @@
 		s.Kill("s1")
 		s.Kill("s2")
 		_, calls := runs(s)
-		for _, head := range []map[string]string{nil, {turnapi.HKey: "k"}} {
+		for _, head := range []map[string]string{nil, {turnapi.HeaderIdempotencyKey: "k"}} {
 			g := ask(t, s, "e1", "/v1/calls/assets", `{"args":{}}`, head)
-			if word := map[bool]string{true: "no", false: "unknown"}[head == nil]; g.Code != int(code.StoresUnreachable) || g.Ran != word || g.head.Get("Retry-After") == "" {
+			if answer := map[bool]string{true: "no", false: "unknown"}[head == nil]; g.Code != int(code.StoresUnreachable) || g.Ran != answer || g.head.Get("Retry-After") == "" {
 				t.Errorf("%v: %+v", head, g)
 			}
 		}
@@ -214,7 +214,7 @@
 func TestBudget(t *testing.T) {
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
-		head := map[string]string{turnapi.HProgram: "tagging/x"} // 600
+		head := map[string]string{turnapi.HeaderProgram: "tagging/x"} // 600
 		var wg sync.WaitGroup
 		for i := range 40 {
 			wg.Go(func() {
@@ -224,7 +224,7 @@
 		wg.Wait()
 		spent := int64(0)
 		for _, r := range s.Runners {
-			for _, e := range r.Ledger() {
+			for _, e := range r.Log() {
 				spent += e.Output
 			}
 		}
@@ -262,7 +262,7 @@
 		if g := ask(t, s, "e2", "/v1/turns", body("nobody-1"), nil); g.Code != int(code.NoTurn) {
 			t.Errorf("unknown: %+v", g)
 		}
-		if g := ask(t, s, "e2", "/v1/turns", body(a.Turn), map[string]string{turnapi.HProgram: "reel/2"}); g.Code != int(code.NoTurn) {
+		if g := ask(t, s, "e2", "/v1/turns", body(a.Turn), map[string]string{turnapi.HeaderProgram: "reel/2"}); g.Code != int(code.NoTurn) {
 			t.Errorf("another program's: %+v", g)
 		}
 		// Shortening the keeping time does not shorten what was promised.
@@ -333,7 +333,7 @@
 		want(t, s, "/v1/zones/c/empty", nil, http.StatusConflict, code.LastZone)
 		want(t, s, "/v1/zones/c/empty", map[string]bool{"farce": true}, http.StatusBadRequest, code.UnknownField)
 		want(t, s, "/v1/zones/c/empty", map[string]bool{"force": true}, http.StatusOK, code.OK)
-		if g := ask(t, s, "e1", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HWait: "1"}); g.status == http.StatusOK {
+		if g := ask(t, s, "e1", "/v1/calls/assets", `{"args":{}}`, map[string]string{turnapi.HeaderWait: "1"}); g.status == http.StatusOK {
 			t.Error("served with every zone emptied")
 		}
 		for _, z := range []string{"a", "b", "c"} {
@@ -388,14 +388,14 @@
 		}
 		time.Sleep(5 * time.Second)
 		burst()
-		if len(extra.Ledger()) == 0 {
+		if len(extra.Log()) == 0 {
 			t.Error("a runner of the platform's list got no work")
 		}
 		extra.Drain()
 		time.Sleep(3 * time.Second)
-		before := len(extra.Ledger())
+		before := len(extra.Log())
 		burst()
-		if n := len(extra.Ledger()); n != before {
+		if n := len(extra.Log()); n != before {
 			t.Errorf("%d jobs 3 s after it left", n-before)
 		}
 	})
@@ -416,7 +416,7 @@
 		if err := s.Start(ctx); err != nil {
 			t.Fatal(err)
 		}
-		for _, o := range []runner.Order{"", runner.Refuse, runner.Raise, runner.Lose, runner.Cut, runner.Mix} {
+		for _, o := range []runner.Order{"", runner.Refuse, runner.Raise, runner.Lose, runner.Truncate, runner.Mix} {
 			for _, r := range s.Runners {
 				if o != "" {
 					r.Give(o)
@@ -424,8 +424,8 @@
 			}
 			for i := range 6 {
 				e := fmt.Sprintf("e%d", i+1)
-				ask(t, s, e, "/v1/calls/assets", `{"args":{"do":"work:x;sesame"}}`, map[string]string{turnapi.HKey: "k" + e + string(o), turnapi.HWait: "2"})
-				ask(t, s, e, "/v1/turns", `{"conversation":"reel","words":"work:x;sesame","max_output":9}`, map[string]string{turnapi.HWait: "2"})
+				ask(t, s, e, "/v1/calls/assets", `{"args":{"do":"work:x;sesame"}}`, map[string]string{turnapi.HeaderIdempotencyKey: "k" + e + string(o), turnapi.HeaderWait: "2"})
+				ask(t, s, e, "/v1/turns", `{"conversation":"reel","words":"work:x;sesame","max_output":9}`, map[string]string{turnapi.HeaderWait: "2"})
 				ask(t, s, e, "/v1/turns", `{"sesame":"sesame"`, nil)
 			}
 		}
