--- a/internal/kit/sim/orders_test.go
+++ b/internal/kit/sim/orders_test.go
@@ -43,7 +43,7 @@
 		return done
 	}
 	e := web.New(hclog.NewNullLogger())
-	(&control.Door{Core: c, Sets: c}).Routes(e)
+	(&control.Handler{Core: c, Sets: c}).Routes(e)
 	c.Routes(e)
 	q := httptest.NewRequest(method, path, strings.NewReader(body))
 	if base != "" {
@@ -76,42 +76,42 @@
 	}
 }
 
-func routeTable(revision int, mark string) string {
-	return fmt.Sprintf(`{"revision":%d,"route-table":[{"name":%q,"authority":"h.test","path-prefix":"/a/","route-type":"idempotent","guard-timer-ms":4000,"target-service":"s"}],"service-table":[{"name":"s"}]}`, revision, mark)
+func routeTable(revision int, token string) string {
+	return fmt.Sprintf(`{"revision":%d,"route-table":[{"name":%q,"authority":"h.test","path-prefix":"/a/","route-type":"idempotent","guard-timer-ms":4000,"target-service":"s"}],"service-table":[{"name":"s"}]}`, revision, token)
 }
 
-func replaceAt(s *sim.Sim, core string, base, revision int, mark string) reply {
-	return order(s, core, http.MethodPost, "/v1/configuration/replace", strconv.Itoa(base), routeTable(revision, mark))
+func replaceAt(s *sim.Sim, core string, base, revision int, token string) reply {
+	return order(s, core, http.MethodPost, "/v1/configuration/replace", strconv.Itoa(base), routeTable(revision, token))
 }
 
 // lostTouch are the ways in which the core c1 loses touch with the others.
 var lostTouch = []struct {
-	name   string
-	begin  func(*sim.Sim)
-	end    func(*sim.Sim)
-	silent bool // it does not answer while it lasts
+	name         string
+	begin        func(*sim.Sim)
+	end          func(*sim.Sim)
+	unresponsive bool // it does not answer while it lasts
 }{
-	{"both ways", func(s *sim.Sim) { s.Cut([]string{"c1"}, s.Rest("c1"), true) }, func(s *sim.Sim) { s.Cut([]string{"c1"}, s.Rest("c1"), false) }, false},
-	{"sends nothing", func(s *sim.Sim) { s.CutOne([]string{"c1"}, s.Rest("c1"), true) }, func(s *sim.Sim) { s.CutOne([]string{"c1"}, s.Rest("c1"), false) }, false},
-	{"hears nothing", func(s *sim.Sim) { s.CutOne(s.Rest("c1"), []string{"c1"}, true) }, func(s *sim.Sim) { s.CutOne(s.Rest("c1"), []string{"c1"}, false) }, false},
+	{"both ways", func(s *sim.Sim) { s.Partition([]string{"c1"}, s.Rest("c1"), true) }, func(s *sim.Sim) { s.Partition([]string{"c1"}, s.Rest("c1"), false) }, false},
+	{"sends nothing", func(s *sim.Sim) { s.PartitionOneWay([]string{"c1"}, s.Rest("c1"), true) }, func(s *sim.Sim) { s.PartitionOneWay([]string{"c1"}, s.Rest("c1"), false) }, false},
+	{"hears nothing", func(s *sim.Sim) { s.PartitionOneWay(s.Rest("c1"), []string{"c1"}, true) }, func(s *sim.Sim) { s.PartitionOneWay(s.Rest("c1"), []string{"c1"}, false) }, false},
 	{"frozen", func(s *sim.Sim) { s.Freeze("c1") }, func(s *sim.Sim) { s.Thaw("c1") }, true},
 }
 
-// TestOrdersCutOff: a core that is out of touch for 20 s acknowledges nothing, gives
+// TestOrdersPartitioned: a core that is out of touch for 20 s acknowledges nothing, gives
 // no configuration, and refuses nothing for good, not even what is wrong by its own
 // copy; the others go on, and what it held back undoes nothing afterwards.
-func TestOrdersCutOff(t *testing.T) {
+func TestOrdersPartitioned(t *testing.T) {
 	t.Parallel()
 	for _, lost := range lostTouch {
 		t.Run(lost.name, func(t *testing.T) {
 			t.Parallel()
-			tended(t, 11, func(ctx context.Context, s *sim.Sim) {
+			selfManaged(t, 11, func(ctx context.Context, s *sim.Sim) {
 				if r := replaceAt(s, "c2", 0, 1, "m1"); r.status != http.StatusOK {
 					t.Fatalf("the first: %+v", r)
 				}
 				lost.begin(s)
 				for round := range 2 {
-					unclear(t, s, lost.silent)
+					unclear(t, s, lost.unresponsive)
 					base := 1 + 4*round
 					if r := replaceAt(s, "c2", base, base+4, "m"); r.status != http.StatusOK {
 						t.Errorf("round %d at c2: %+v", round, r)
@@ -119,15 +119,15 @@
 					time.Sleep(8 * time.Second)
 				}
 				// An order that c1 holds back, and what was ordered since.
-				held := begin(s, "c1", http.MethodPost, "/v1/evacuation/a/initiate", "", "")
+				pending := begin(s, "c1", http.MethodPost, "/v1/evacuation/a/initiate", "", "")
 				time.Sleep(time.Second)
-				for _, word := range []string{"initiate", "terminate"} {
-					if r := order(s, "c3", http.MethodPost, "/v1/evacuation/a/"+word, "", ""); r.status != http.StatusOK {
-						t.Errorf("%s at c3: %+v", word, r)
+				for _, answer := range []string{"initiate", "terminate"} {
+					if r := order(s, "c3", http.MethodPost, "/v1/evacuation/a/"+answer, "", ""); r.status != http.StatusOK {
+						t.Errorf("%s at c3: %+v", answer, r)
 					}
 				}
 				lost.end(s)
-				if r := <-held; r.status != http.StatusServiceUnavailable {
+				if r := <-pending; r.status != http.StatusServiceUnavailable {
 					t.Errorf("the order that was held back: %+v", r)
 				}
 				time.Sleep(3 * time.Second)
@@ -146,7 +146,7 @@
 }
 
 // unclear asks the core c1 everything at once; nothing may be given, taken or refused.
-func unclear(t *testing.T, s *sim.Sim, silent bool) {
+func unclear(t *testing.T, s *sim.Sim, unresponsive bool) {
 	t.Helper()
 	asked := []struct{ method, path, base, body string }{
 		{http.MethodPost, "/v1/configuration/replace", "1", routeTable(2, "x")},
@@ -177,7 +177,7 @@
 	for _, q := range asked {
 		answers = append(answers, begin(s, "c1", q.method, q.path, q.base, q.body))
 	}
-	if silent {
+	if unresponsive {
 		return
 	}
 	for i, q := range asked {
@@ -196,10 +196,10 @@
 // refused, nor the other of its race taken; each is sent once more at the end.
 func TestOrdersMany(t *testing.T) {
 	t.Parallel()
-	tended(t, 12, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 12, func(ctx context.Context, s *sim.Sim) {
 		type sentOrder struct {
 			base, revision int
-			mark           string
+			token          string
 			taken          bool
 		}
 		var all []sentOrder
@@ -208,9 +208,9 @@
 		for i := range 150 {
 			switch i % 50 {
 			case 10:
-				s.Cut([]string{"c1"}, s.Rest("c1"), true)
+				s.Partition([]string{"c1"}, s.Rest("c1"), true)
 			case 20:
-				s.Cut([]string{"c1"}, s.Rest("c1"), false)
+				s.Partition([]string{"c1"}, s.Rest("c1"), false)
 			case 30:
 				s.Kill("c3")
 			case 40:
@@ -222,7 +222,7 @@
 			for n := range pair {
 				seed := rnd.Uint64()
 				go func() {
-					pair[n].taken = sendUntilClear(t, s, seed, pair[n].base, pair[n].revision, pair[n].mark)
+					pair[n].taken = sendUntilClear(t, s, seed, pair[n].base, pair[n].revision, pair[n].token)
 					answers <- n
 				}()
 			}
@@ -241,7 +241,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for i, o := range all {
-			r := replaceAt(s, fmt.Sprintf("c%d", 1+i%3), o.base, o.revision, o.mark)
+			r := replaceAt(s, fmt.Sprintf("c%d", 1+i%3), o.base, o.revision, o.token)
 			if o.taken != (r.status == http.StatusOK) || r.status != http.StatusOK && r.status != http.StatusPreconditionFailed {
 				t.Errorf("%+v sent again at the end: %+v", o, r)
 			}
@@ -253,22 +253,22 @@
 
 // sendUntilClear sends an order to any core until an answer that is not lost is clear;
 // it tells whether the order was taken. An answer that is lost counts all the same.
-func sendUntilClear(t *testing.T, s *sim.Sim, seed uint64, base, revision int, mark string) bool {
+func sendUntilClear(t *testing.T, s *sim.Sim, seed uint64, base, revision int, token string) bool {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	taken, refused := false, false
 	for range 60 {
-		r := replaceAt(s, fmt.Sprintf("c%d", 1+rnd.IntN(3)), base, revision, mark)
+		r := replaceAt(s, fmt.Sprintf("c%d", 1+rnd.IntN(3)), base, revision, token)
 		taken = taken || r.status == http.StatusOK
 		refused = refused || r.clear() && r.status != http.StatusOK
 		if taken && refused {
-			t.Errorf("revision %d (%s) was taken and refused", revision, mark)
+			t.Errorf("revision %d (%s) was taken and refused", revision, token)
 		}
 		if r.clear() && rnd.IntN(2) == 0 {
 			return taken
 		}
 		time.Sleep(time.Duration(1+rnd.IntN(100)) * time.Millisecond)
 	}
-	t.Errorf("revision %d (%s) never got a clear answer", revision, mark)
+	t.Errorf("revision %d (%s) never got a clear answer", revision, token)
 	return taken
 }
 
@@ -277,7 +277,7 @@
 // is refused.
 func TestRetireAway(t *testing.T) {
 	t.Parallel()
-	tended(t, 13, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 13, func(ctx context.Context, s *sim.Sim) {
 		retire := func(core, id string) reply {
 			return order(s, core, http.MethodPost, "/v1/retire/"+id+"/initiate", "", `{"deadline-s":10}`)
 		}
@@ -320,7 +320,7 @@
 // long enough to have heard of it.
 func TestRetireUnheard(t *testing.T) {
 	t.Parallel()
-	tended(t, 14, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 14, func(ctx context.Context, s *sim.Sim) {
 		retire := func() reply {
 			return order(s, "c1", http.MethodPost, "/v1/retire/nobody/initiate", "", `{"deadline-s":10}`)
 		}
--- a/internal/kit/sim/policy_test.go
+++ b/internal/kit/sim/policy_test.go
@@ -151,6 +151,6 @@
 		if w := why("e2", "reel/9"); w.Tries[0].Policy != "built-in" {
 			t.Errorf("%+v", w)
 		}
-		s.Note(checker.Hard, "off", 0)
+		s.Record(checker.Hard, "off", 0)
 	})
 }
--- a/internal/kit/sim/proxy.go
+++ b/internal/kit/sim/proxy.go
@@ -55,7 +55,7 @@
 func (s *Sim) list(context.Context) ([]endpoints.Runner, error) {
 	var all []endpoints.Runner
 	for i, b := range s.Backends {
-		all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: string(rune('a' + i%3)), Room: 64})
+		all = append(all, endpoints.Runner{ID: b.P.ID, Service: "svc", Addr: b.P.Addr, Zone: string(rune('a' + i%3)), Capacity: 64})
 	}
 	return all, nil
 }
@@ -91,7 +91,7 @@
 // dialBackend connects a machine to a stand-in.
 func (s *Sim) dialBackend(ctx context.Context, m *Machine, b *proxytest.Backend) (net.Conn, error) {
 	s.Net.Stand(m.Addr)
-	if s.webIsCut(m.ID, b.P.Addr) {
+	if s.isPartitionedHTTP(m.ID, b.P.Addr) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -106,11 +106,11 @@
 type rawJob struct {
 	kind, attempt, program, follows string
 
-	status int
-	cut    bool // no answer, or it ended before its end
-	seal   string
-	echo   string // the attempt that the answer says it is of
-	body   string
+	status      int
+	partitioned bool // no answer, or it ended before its end
+	seal        string
+	echo        string // the attempt that the answer says it is of
+	body        string
 }
 
 // RawLog sends raw jobs and judges the answers: what may run once runs once, what is
@@ -155,7 +155,7 @@
 func (l *RawLog) send(edge string, j *rawJob) {
 	ctx, stop := context.WithTimeout(context.Background(), 6*time.Second)
 	defer stop()
-	j.cut = true
+	j.partitioned = true
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.sim.Get(edge).Front+j.kind+"x", bytes.NewReader([]byte("body of "+j.attempt)))
 	if err != nil {
 		l.fail("%s: %v", j.attempt, err)
@@ -173,7 +173,7 @@
 		return
 	}
 	b, err := io.ReadAll(r.Body)
-	j.status, j.cut, j.body = r.StatusCode, err != nil, string(b)
+	j.status, j.partitioned, j.body = r.StatusCode, err != nil, string(b)
 	j.seal, j.echo = r.Header.Get(headerSeal), r.Header.Get(headerAttempt)
 }
 
@@ -183,14 +183,14 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, j := range l.jobs {
-		if j.whole() {
+		if j.complete() {
 			n++
 		}
 	}
 	return n
 }
 
-func (j *rawJob) whole() bool { return j.status == http.StatusOK && !j.cut }
+func (j *rawJob) complete() bool { return j.status == http.StatusOK && !j.partitioned }
 
 // saysNotRun tells whether a status promises that nothing ran.
 func saysNotRun(status int) bool {
@@ -208,7 +208,7 @@
 	jobs := l.jobs
 	l.mu.Unlock()
 	for i, j := range jobs {
-		if j.kind == Kept && j.whole() {
+		if j.kind == Kept && j.complete() {
 			l.follow(i, j)
 		}
 	}
@@ -229,12 +229,12 @@
 	for try := range 10 {
 		next = &rawJob{kind: Kept, attempt: fmt.Sprintf("%s-next-%d", j.attempt, try), program: j.program, follows: j.attempt}
 		l.send(fmt.Sprintf("e%d", (i+try)%6+1), next)
-		if next.whole() || next.status == http.StatusNotFound || next.status == http.StatusGone {
+		if next.complete() || next.status == http.StatusNotFound || next.status == http.StatusGone {
 			break
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	if !next.whole() {
+	if !next.complete() {
 		l.fail("raw turn %s is lost: %d %s", j.attempt, next.status, next.body)
 	}
 }
@@ -259,11 +259,11 @@
 		l.fail("%s%s was answered with the seal %q of %q", j.kind, j.attempt, j.seal, j.echo)
 		return
 	}
-	want := proxytest.Whole(by.Runner, j.attempt, l.sim.Backends[0].P.Bytes)
+	want := proxytest.Complete(by.Runner, j.attempt, l.sim.Backends[0].P.Bytes)
 	if j.kind == Kept {
 		want = l.sim.Backends[0].P.Text(j.attempt, 0)
 	}
-	if !j.cut && j.body != want || j.cut && !strings.HasPrefix(want, j.body) {
+	if !j.partitioned && j.body != want || j.partitioned && !strings.HasPrefix(want, j.body) {
 		l.fail("%s%s was answered %q, its run gave %q", j.kind, j.attempt, j.body, want)
 	}
 }
--- a/internal/kit/sim/repair_test.go
+++ b/internal/kit/sim/repair_test.go
@@ -19,8 +19,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// tended runs a fleet whose sets look after themselves, once it stands.
-func tended(t *testing.T, seed uint64, do func(ctx context.Context, s *sim.Sim)) {
+// selfManaged runs a fleet whose sets look after themselves, once it stands.
+func selfManaged(t *testing.T, seed uint64, do func(ctx context.Context, s *sim.Sim)) {
 	t.Helper()
 	found(t, seed, func(ctx context.Context, s *sim.Sim) {
 		if err := s.Start(ctx); err != nil {
@@ -94,11 +94,11 @@
 	}
 }
 
-// TestMendWiped: each store in turn comes back without its disk; it is taken in again
+// TestRepairWiped: each store in turn comes back without its disk; it is taken in again
 // within three seconds, so that the next may go, and no turn is lost.
-func TestMendWiped(t *testing.T) {
+func TestRepairWiped(t *testing.T) {
 	t.Parallel()
-	tended(t, 1, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 1, func(ctx context.Context, s *sim.Sim) {
 		turns := talk(t, s, "a", 60)
 		for round := range 2 {
 			for _, id := range []string{"s1", "s2", "s3"} {
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestMendTraffic: a store is wiped under the usual traffic.
-func TestMendTraffic(t *testing.T) {
+// TestRepairUnderTraffic: a store is wiped under the usual traffic.
+func TestRepairUnderTraffic(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -148,11 +148,11 @@
 	})
 }
 
-// TestMendReplaced: a store, then a core, is replaced by an empty one at another
+// TestRepairReplaced: a store, then a core, is replaced by an empty one at another
 // address; the old ones never come back.
-func TestMendReplaced(t *testing.T) {
+func TestRepairReplaced(t *testing.T) {
 	t.Parallel()
-	tended(t, 2, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 2, func(ctx context.Context, s *sim.Sim) {
 		turns := talk(t, s, "a", 40)
 		s.Kill("s2")
 		time.Sleep(500 * time.Millisecond)
@@ -172,11 +172,11 @@
 	})
 }
 
-// TestMendRetire: a store is added and used; another is retired, and is not taken in
+// TestRepairRetire: a store is added and used; another is retired, and is not taken in
 // again. With no more than the copies left nobody may go.
-func TestMendRetire(t *testing.T) {
+func TestRepairRetire(t *testing.T) {
 	t.Parallel()
-	tended(t, 3, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 3, func(ctx context.Context, s *sim.Sim) {
 		c := s.Core("c2")
 		turns := talk(t, s, "a", 40)
 		if err := c.Retire(ctx, "s1"); code.Of(err) != code.BelowCopies {
@@ -214,12 +214,12 @@
 	})
 }
 
-// TestMendBack: a machine whose place was taken while it was silent comes back, with
+// TestRepairBack: a machine whose place was taken while it was silent comes back, with
 // its disk and its identity; it goes on as a stranger and is taken in beside the
 // other.
-func TestMendBack(t *testing.T) {
+func TestRepairBack(t *testing.T) {
 	t.Parallel()
-	tended(t, 4, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 4, func(ctx context.Context, s *sim.Sim) {
 		turns := talk(t, s, "a", 40)
 		s.Kill("s3")
 		s.Kill("c3")
@@ -239,13 +239,13 @@
 	})
 }
 
-// TestMendFirstBack: the first core by name, whose place was taken, comes back with its
+// TestRepairFirstBack: the first core by name, whose place was taken, comes back with its
 // disk. It is taken in beside the others by few changes: it leads as soon as it is aimed
 // for, and must not turn that back.
-func TestMendFirstBack(t *testing.T) {
+func TestRepairFirstBack(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		tended(t, 20+seed, func(ctx context.Context, s *sim.Sim) {
+		selfManaged(t, 20+seed, func(ctx context.Context, s *sim.Sim) {
 			s.Kill("c1")
 			time.Sleep(500 * time.Millisecond)
 			launch(t, ctx, s, false, "c4")
@@ -261,11 +261,11 @@
 	}
 }
 
-// TestMendAll: all live core machines vote. With two of five dead the spec can still
+// TestRepairAll: all live core machines vote. With two of five dead the spec can still
 // be changed, and a frozen edge or store holds up no change of a set.
-func TestMendAll(t *testing.T) {
+func TestRepairAll(t *testing.T) {
 	t.Parallel()
-	tended(t, 6, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 6, func(ctx context.Context, s *sim.Sim) {
 		launch(t, ctx, s, false, "c4", "c5")
 		t.Logf("five after %s", sets(t, s, 4*time.Second, "c1 c2 c3 c4 c5", "s1 s2 s3"))
 		turns := talk(t, s, "a", 20)
@@ -294,12 +294,12 @@
 	})
 }
 
-// TestMendMidway: the newcomer that a set changes to dies before it has its keys, or
+// TestRepairMidway: the newcomer that a set changes to dies before it has its keys, or
 // loses them; the change is aimed at who is there.
-func TestMendMidway(t *testing.T) {
+func TestRepairMidway(t *testing.T) {
 	t.Parallel()
 	for i := range 6 {
-		tended(t, uint64(10+i), func(ctx context.Context, s *sim.Sim) {
+		selfManaged(t, uint64(10+i), func(ctx context.Context, s *sim.Sim) {
 			turns := talk(t, s, "a", 30)
 			s.Kill("s1")
 			s.Wipe("s1")
@@ -317,11 +317,11 @@
 	}
 }
 
-// TestMendPlanned: the new machine comes first, and only then the old one goes for
+// TestRepairPlanned: the new machine comes first, and only then the old one goes for
 // good. The set ends as large as it was.
-func TestMendPlanned(t *testing.T) {
+func TestRepairPlanned(t *testing.T) {
 	t.Parallel()
-	tended(t, 7, func(ctx context.Context, s *sim.Sim) {
+	selfManaged(t, 7, func(ctx context.Context, s *sim.Sim) {
 		turns := talk(t, s, "a", 40)
 		time.Sleep(20 * time.Second)
 		launch(t, ctx, s, false, "s4", "c4")
@@ -343,9 +343,9 @@
 	})
 }
 
-// TestMendChaos wipes, replaces, adds and retires machines at random under traffic,
+// TestRepairChaos wipes, replaces, adds and retires machines at random under traffic,
 // one at a time, and reads back at the end what was promised.
-func TestMendChaos(t *testing.T) {
+func TestRepairChaos(t *testing.T) {
 	t.Parallel()
 	seeds, first := number("SIM_SEEDS", 3), number("SIM_FIRST", 500)
 	for i := range seeds {
@@ -365,7 +365,7 @@
 				traffic := make(chan struct{})
 				go func() { defer close(traffic); s.Crowd.Run(ctx, 60*time.Second, 1) }()
 				time.Sleep(time.Second)
-				mendChaos(t, ctx, s, rand.New(rand.NewPCG(uint64(seed), 17)))
+				repairChaos(t, ctx, s, rand.New(rand.NewPCG(uint64(seed), 17)))
 				<-traffic
 				s.Audit(ctx, 200)
 				stop()
@@ -382,12 +382,12 @@
 	}
 }
 
-func mendChaos(t *testing.T, ctx context.Context, s *sim.Sim, rnd *rand.Rand) {
+func repairChaos(t *testing.T, ctx context.Context, s *sim.Sim, rnd *rand.Rand) {
 	in := map[string][]string{"core": {"c1", "c2", "c3"}, "store": {"s1", "s2", "s3"}}
 	spare := map[string][]string{"core": {"c4", "c5"}, "store": {"s4", "s5"}}
 	var did []string
 	// whole: every machine in use is of its set, as it is, and nothing changes.
-	whole := func() bool {
+	complete := func() bool {
 		v := s.Cluster()
 		for role, set := range map[string][]spec.Machine{"core": v.Cluster.Cores, "store": v.Cluster.Stores} {
 			for _, id := range in[role] {
@@ -420,9 +420,9 @@
 			pause(5000)
 			s.Thaw(id)
 		case 4:
-			s.Cut([]string{id}, s.Rest(id), true)
+			s.Partition([]string{id}, s.Rest(id), true)
 			pause(5000)
-			s.Cut([]string{id}, s.Rest(id), false)
+			s.Partition([]string{id}, s.Rest(id), false)
 		case 5: // is replaced, and comes back all the same
 			if len(spare[role]) == 0 {
 				continue
@@ -455,7 +455,7 @@
 			}
 			s.Wipe(id)
 			pause(2000)
-			s.Note(checker.Hard, checker.Everything+" down, started again", 0)
+			s.Record(checker.Hard, checker.Everything+" down, started again", 0)
 			for _, m := range s.Machines {
 				if !slices.Contains(spare["core"], m.ID) && !slices.Contains(spare["store"], m.ID) && m.ID != "e7" {
 					launch(t, ctx, s, false, m.ID)
@@ -467,7 +467,7 @@
 			}
 			continue
 		}
-		if !sim.Until(12*time.Second, whole) {
+		if !sim.Until(12*time.Second, complete) {
 			v := s.Cluster()
 			t.Fatalf("%v: in use %v, version %d: cores %v next %v, stores %v next %v, used %v", did, in, v.Version, v.Cluster.Cores, v.NextCores, v.Cluster.Stores, v.NextStores, v.Used)
 		}
--- a/internal/kit/sim/runners.go
+++ b/internal/kit/sim/runners.go
@@ -24,7 +24,7 @@
 	s.mu.Lock()
 	s.up[r.P.Addr] = h
 	s.mu.Unlock()
-	s.Note(checker.Back, name, 0)
+	s.Record(checker.Back, name, 0)
 }
 
 // Serve puts any other HTTP server on the network.
--- a/internal/kit/sim/sim.go
+++ b/internal/kit/sim/sim.go
@@ -55,12 +55,12 @@
 	// away is when a machine was last out of the others' reach. What it has in
 	// force then can't be acted on, so the spec it would name is no evidence; it
 	// has the usual two seconds from its return.
-	away  map[string]time.Time
-	apart map[string]bool
-	holds map[string]time.Duration // by edge and point; each holds one job
-	// webCut are the edges' ways to runners that nothing comes through.
-	webCut map[webWay]bool
-	conns  map[string]map[*trackedConn]bool // connections that stand, by machine
+	away     map[string]time.Time
+	isolated map[string]bool
+	pauses   map[string]time.Duration // by edge and point; each holds one job
+	// partitionedHTTP are the edges' ways to runners that nothing comes through.
+	partitionedHTTP map[webWay]bool
+	conns           map[string]map[*trackedConn]bool // connections that stand, by machine
 }
 
 // Params shape a simulated fleet.
@@ -90,19 +90,19 @@
 		return nil, err
 	}
 	s := &Sim{
-		Net:    memnet.New(p.Seed),
-		Log:    hclog.NewNullLogger(),
-		up:     map[string]http.Handler{},
-		away:   map[string]time.Time{},
-		apart:  map[string]bool{},
-		holds:  map[string]time.Duration{},
-		webCut: map[webWay]bool{},
-		conns:  map[string]map[*trackedConn]bool{},
-		lic:    lease.DefaultParams,
-		alone:  p.Alone,
-		found:  p.Found,
-		point:  p.Point,
-		made:   p.Edge,
+		Net:             memnet.New(p.Seed),
+		Log:             hclog.NewNullLogger(),
+		up:              map[string]http.Handler{},
+		away:            map[string]time.Time{},
+		isolated:        map[string]bool{},
+		pauses:          map[string]time.Duration{},
+		partitionedHTTP: map[webWay]bool{},
+		conns:           map[string]map[*trackedConn]bool{},
+		lic:             lease.DefaultParams,
+		alone:           p.Alone,
+		found:           p.Found,
+		point:           p.Point,
+		made:            p.Edge,
 	}
 	if p.Log {
 		s.Log = hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: os.Stderr})
--- a/internal/kit/sim/sim_test.go
+++ b/internal/kit/sim/sim_test.go
@@ -85,8 +85,8 @@
 func TestDealerSuperseded(t *testing.T) {
 	t.Parallel()
 	run(t, "andina", 2, 20*time.Second, func(_ context.Context, s *sim.Sim) {
-		s.Note(checker.Hard, "a later epoch", 0)
-		f := s.Edge("e3").Fence
+		s.Record(checker.Hard, "a later epoch", 0)
+		f := s.Edge("e3").Epochs
 		f.Observe(f.Highest() + 1)
 	})
 }
--- a/internal/kit/sim/turns.go
+++ b/internal/kit/sim/turns.go
@@ -49,8 +49,8 @@
 	if err != nil {
 		return 0, a, err
 	}
-	q.Header.Set(turnapi.HProgram, program)
-	q.Header.Set(turnapi.HLeft, "6000")
+	q.Header.Set(turnapi.HeaderProgram, program)
+	q.Header.Set(turnapi.HeaderTimeRemaining, "6000")
 	r, err := l.sim.RoundTrip(q)
 	if err != nil {
 		return 0, a, err
--- a/internal/kit/sim/worst_test.go
+++ b/internal/kit/sim/worst_test.go
@@ -31,7 +31,7 @@
 		m := sim.NewMix(ctx, s, seed)
 		m.Config.Change(operator(seed))
 		do(ctx, m)
-		m.Settle()
+		m.WaitBackground()
 		stop()
 		s.Stop()
 		for _, w := range m.Wrong() {
@@ -71,17 +71,17 @@
 }
 
 var isolations = []isolation{
-	{"both ways", func(s *sim.Sim, ids, others []string, on bool) { s.Cut(ids, others, on) }},
-	{"sends nothing", func(s *sim.Sim, ids, others []string, on bool) { s.CutOne(ids, others, on) }},
-	{"hears nothing", func(s *sim.Sim, ids, others []string, on bool) { s.CutOne(others, ids, on) }},
+	{"both ways", func(s *sim.Sim, ids, others []string, on bool) { s.Partition(ids, others, on) }},
+	{"sends nothing", func(s *sim.Sim, ids, others []string, on bool) { s.PartitionOneWay(ids, others, on) }},
+	{"hears nothing", func(s *sim.Sim, ids, others []string, on bool) { s.PartitionOneWay(others, ids, on) }},
 }
 
-// TestWorstCutOff: two of five core machines are cut off together for 25 s, one of
+// TestWorstPartitioned: two of five core machines are cut off together for 25 s, one of
 // them starts anew there with seeds that name only the two. Orders and questions go
 // to them all the while, as the majority goes on: they tell no old configuration,
 // acknowledge nothing, refuse nothing. Joined again they are right within three
 // seconds.
-func TestWorstCutOff(t *testing.T) {
+func TestWorstPartitioned(t *testing.T) {
 	t.Parallel()
 	for i, iso := range isolations {
 		t.Run(iso.name, func(t *testing.T) {
@@ -312,8 +312,8 @@
 			defer close(over)
 			m.Raw.Run(sending, func() []string { return edges })
 		}()
-		troubles := []string{"garble/extra", "reset_conns", "answer_lost", "idle_race", "srv_grey/reset", "srv_grey/hang", "node_cut/servers", "garble", "node_freeze/edge", "replace_with_reuse"}
-		for i, name := range slices.Concat(troubles, troubles) {
+		faults := []string{"garble/extra", "reset_conns", "answer_lost", "idle_race", "srv_grey/reset", "srv_grey/hang", "node_cut/servers", "garble", "node_freeze/edge", "replace_with_reuse"}
+		for i, name := range slices.Concat(faults, faults) {
 			for _, e := range edges {
 				m.Sim.Reset(e, 0.5, rand.New(rand.NewPCG(uint64(i), 5)))
 			}
@@ -324,6 +324,6 @@
 		if m.Raw.Served() < 100 {
 			t.Errorf("only %d raw jobs were served", m.Raw.Served())
 		}
-		t.Logf("%d raw jobs served under %s", m.Raw.Served(), strings.Join(troubles, ", "))
+		t.Logf("%d raw jobs served under %s", m.Raw.Served(), strings.Join(faults, ", "))
 	})
 }
--- a/internal/platform/control/control_test.go
+++ b/internal/platform/control/control_test.go
@@ -73,7 +73,7 @@
 				t.Fatal(err)
 			}
 			e := web.New(hclog.NewNullLogger())
-			(&Door{Core: c, Sets: fl.sets}).Routes(e)
+			(&Handler{Core: c, Sets: fl.sets}).Routes(e)
 			fl.doors = append(fl.doors, e)
 			began := make(chan error, 1)
 			go func() { began <- c.Start(ctx) }()
@@ -158,10 +158,10 @@
 		first := table(5, route("r1", "/a/", toS))
 		second := table(9, route("r2", "/b/", split), route("r1", "/a/", toS))
 		for i, c := range []struct {
-			at       int
-			on, body string
-			want     int
-			holds    string
+			at        int
+			on, body  string
+			want      int
+			unchanged string
 		}{
 			{0, "0", first, 200, first},
 			{1, "0", first, 200, first},
@@ -181,7 +181,7 @@
 			if got := f.replace(c.at, c.on, c.body); got != c.want {
 				t.Errorf("step %d: %d, want %d", i, got, c.want)
 			}
-			f.inForce((c.at+1)%3, c.holds)
+			f.inForce((c.at+1)%3, c.unchanged)
 		}
 	})
 }
@@ -216,10 +216,10 @@
 	})
 }
 
-// cutBody ends before its time.
-type cutBody struct{ io.Reader }
+// truncatedBody ends before its time.
+type truncatedBody struct{ io.Reader }
 
-func (c cutBody) Read(b []byte) (int, error) {
+func (c truncatedBody) Read(b []byte) (int, error) {
 	n, err := c.Reader.Read(b)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -294,7 +294,7 @@
 		}
 		s, b, _ := f.ask(0, http.MethodPost, "/v1/configuration/replace", "5", table(9, strings.Repeat(" ", maxOrder)))
 		check("too long", s, b, 413)
-		s, b, _ = f.send(0, httptest.NewRequest(http.MethodPost, "/v1/configuration/replace", cutBody{strings.NewReader(table(9, r1))}), "5")
+		s, b, _ = f.send(0, httptest.NewRequest(http.MethodPost, "/v1/configuration/replace", truncatedBody{strings.NewReader(table(9, r1))}), "5")
 		check("cut off", s, b, 400)
 		s, b, _ = f.ask(0, http.MethodPost, "/v1/configuration/undo", "5", "")
 		check("unknown order", s, b, 404)
@@ -362,7 +362,7 @@
 func TestRetire(t *testing.T) {
 	s := &sets{}
 	e := echo.New()
-	(&Door{Sets: s}).Routes(e)
+	(&Handler{Sets: s}).Routes(e)
 	f := &fleet{t: t, doors: []http.Handler{e}}
 	for i, c := range []struct {
 		sets   sets
@@ -393,8 +393,8 @@
 	run(t, 3, func(f *fleet) {
 		first := table(1, route("r1", "/a/", toS))
 		f.replace(0, "0", first)
-		f.net.Cut("10.0.0.1:7000", "10.0.0.2:7000", true)
-		f.net.Cut("10.0.0.1:7000", "10.0.0.3:7000", true)
+		f.net.SetPartitioned("10.0.0.1:7000", "10.0.0.2:7000", true)
+		f.net.SetPartitioned("10.0.0.1:7000", "10.0.0.3:7000", true)
 		next := table(2)
 		for _, c := range [][3]string{
 			{http.MethodPost, "/v1/configuration/replace", next},
@@ -412,8 +412,8 @@
 		if got := f.replace(1, "1", next); got != 200 {
 			t.Errorf("at the majority: %d", got)
 		}
-		f.net.Cut("10.0.0.1:7000", "10.0.0.2:7000", false)
-		f.net.Cut("10.0.0.1:7000", "10.0.0.3:7000", false)
+		f.net.SetPartitioned("10.0.0.1:7000", "10.0.0.2:7000", false)
+		f.net.SetPartitioned("10.0.0.1:7000", "10.0.0.3:7000", false)
 		time.Sleep(5 * time.Second)
 		if got := f.replace(0, "1", next); got != 200 {
 			t.Errorf("sent again to the one that was cut off: %d", got)
@@ -424,14 +424,14 @@
 
 // TestWritten: whatever a table's items say, it is written as it was read.
 func TestWritten(t *testing.T) {
-	word := rapid.StringMatching(`[a-z]{1,8}`)
+	answer := rapid.StringMatching(`[a-z]{1,8}`)
 	rapid.Check(t, func(t *rapid.T) {
 		var routes, services []string
 		for i := range rapid.IntRange(0, 5).Draw(t, "services") {
-			services = append(services, fmt.Sprintf(`{"name":"s%d","cold-period-s":%v,%q:%q}`, i, rapid.Float64Range(0, 100).Draw(t, "cold"), "x-"+word.Draw(t, "field"), rapid.String().Draw(t, "value")))
+			services = append(services, fmt.Sprintf(`{"name":"s%d","cold-period-s":%v,%q:%q}`, i, rapid.Float64Range(0, 100).Draw(t, "cold"), "x-"+answer.Draw(t, "field"), rapid.String().Draw(t, "value")))
 		}
 		for i := range rapid.IntRange(0, 5).Draw(t, "routes") {
-			routes = append(routes, fmt.Sprintf(`{"path-prefix": "/%s/" ,"name":"r%d","route-type":"idempotent","guard-timer-ms":%v,"x":[%d,null]}`, word.Draw(t, "prefix"), i, rapid.Float64Range(0, 1e6).Draw(t, "guard"), i))
+			routes = append(routes, fmt.Sprintf(`{"path-prefix": "/%s/" ,"name":"r%d","route-type":"idempotent","guard-timer-ms":%v,"x":[%d,null]}`, answer.Draw(t, "prefix"), i, rapid.Float64Range(0, 1e6).Draw(t, "guard"), i))
 		}
 		for i, s := range services {
 			if !json.Valid([]byte(s)) {
--- a/internal/platform/control/fuzz_config_test.go
+++ b/internal/platform/control/fuzz_config_test.go
@@ -36,21 +36,21 @@
 	}
 }
 
-// FuzzWhole: whatever operators send as a whole configuration, it is refused or is
+// FuzzFullTable: whatever operators send as a whole configuration, it is refused or is
 // kept as they wrote it, and read back from its own text as the same.
-func FuzzWhole(f *testing.F) {
+func FuzzFullTable(f *testing.F) {
 	f.Add([]byte(table(5, route("r1", "/a/", toS), route("r2", "/b/", split))))
 	f.Add([]byte(`{"revision":1}`))
 	f.Add([]byte(`{"revision":9,"route-table":{},"service-table":[]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		whole, err := Whole(b)
-		if err != nil || whole.Check() != nil {
+		base, err := Whole(b)
+		if err != nil || base.Check() != nil {
 			return
 		}
-		kept(t, whole)
-		written, _ := Written(&whole)
+		kept(t, base)
+		written, _ := Written(&base)
 		again, err := Whole(written)
-		if err != nil || again.Revision != whole.Revision || len(again.Paths) != len(whole.Paths) {
+		if err != nil || again.Revision != base.Revision || len(again.Paths) != len(base.Paths) {
 			t.Errorf("%q is not read again: %v", written, err)
 		}
 	})
--- a/internal/platform/control/operate.go
+++ b/internal/platform/control/operate.go
@@ -33,14 +33,14 @@
 	Retired(ctx context.Context, id string) (bool, error)
 }
 
-// Door takes their orders.
-type Door struct {
+// Handler takes their orders.
+type Handler struct {
 	Core *core.Core
 	Sets Retirer
 }
 
 // Routes puts the operators' interface on e.
-func (o *Door) Routes(e *echo.Echo) {
+func (o *Handler) Routes(e *echo.Echo) {
 	e.POST("/v1/configuration/replace", func(x echo.Context) error { return o.change(x, "replace", replace) })
 	e.POST("/v1/configuration/modify", func(x echo.Context) error { return o.change(x, "modify", modify) })
 	e.GET("/v1/configuration/retrieve", o.retrieve)
@@ -92,7 +92,7 @@
 func modify(b []byte) (uint64, func(spec.Table) spec.Table, error) { return Patch(b) }
 
 // change takes a configuration, whole or in part.
-func (o *Door) change(x echo.Context, kind string, read func([]byte) (uint64, func(spec.Table) spec.Table, error)) error {
+func (o *Handler) change(x echo.Context, kind string, read func([]byte) (uint64, func(spec.Table) spec.Table, error)) error {
 	on, err := base(x.Request().Header.Get(hBase))
 	if err != nil {
 		return fail(x, err)
@@ -124,7 +124,7 @@
 }
 
 // order makes f's change and answers once it is chosen and, if that is soon, in force.
-func (o *Door) order(x echo.Context, size int, f func(context.Context, *spec.Cluster) error) error {
+func (o *Handler) order(x echo.Context, size int, f func(context.Context, *spec.Cluster) error) error {
 	ctx, stop := bound(x, size)
 	defer stop()
 	a, err := o.Core.Change(ctx, 0, func(r *spec.Cluster) error { return f(ctx, r) })
@@ -134,7 +134,7 @@
 	return x.JSON(http.StatusOK, map[string]any{"version": a.Version, "in_force": a.InForce})
 }
 
-func (o *Door) retrieve(x echo.Context) error {
+func (o *Handler) retrieve(x echo.Context) error {
 	ctx, stop := bound(x, 0)
 	defer stop()
 	if err := o.Core.Cluster.Read(ctx); err != nil {
@@ -149,7 +149,7 @@
 
 // evacuate takes a zone out of service, or back. The order stands whatever is left.
 // Of two orders about a zone the one that a majority chose last is in force.
-func (o *Door) evacuate(x echo.Context, empty bool) error {
+func (o *Handler) evacuate(x echo.Context, empty bool) error {
 	z := x.Param("zone")
 	return o.order(x, 0, func(ctx context.Context, r *spec.Cluster) error {
 		s := &r.Spec
@@ -169,7 +169,7 @@
 	})
 }
 
-func (o *Door) retire(x echo.Context) error {
+func (o *Handler) retire(x echo.Context) error {
 	ctx, stop := bound(x, 0)
 	defer stop()
 	if err := o.Sets.Retire(ctx, x.Param("node")); err != nil {
@@ -178,7 +178,7 @@
 	return x.JSON(http.StatusOK, map[string]string{"condition": "in_progress"})
 }
 
-func (o *Door) retired(x echo.Context) error {
+func (o *Handler) retired(x echo.Context) error {
 	ctx, stop := bound(x, 0)
 	defer stop()
 	done, err := o.Sets.Retired(ctx, x.Param("node"))
--- a/internal/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -55,8 +55,8 @@
 	oldOrder
 	readBack
 	zoneOrder
-	cutBoth
-	cutOneWay
+	partitionBoth
+	partitionOneWay
 	freezeCore
 	restartCore
 	wipeCore
@@ -81,7 +81,7 @@
 type machine struct {
 	id, addr string
 	fs       *vfs.MemFS
-	door     http.Handler
+	handler  http.Handler
 	core     *core.Core
 	stop     context.CancelFunc
 	dead     chan struct{}
@@ -118,16 +118,16 @@
 
 // answered is one answer that a core gave.
 type answered struct {
-	order      *order
-	status     int
-	sent, came time.Duration
+	order            *order
+	status           int
+	sent, answeredAt time.Duration
 }
 
 // seen is one configuration that was read, or acknowledged.
 type seen struct {
-	revision   int
-	name       string // of the route that tells the order
-	sent, came time.Duration
+	revision         int
+	name             string // of the route that tells the order
+	sent, answeredAt time.Duration
 }
 
 func (l *lab) now() time.Duration { return time.Since(l.began) }
@@ -157,12 +157,12 @@
 	}
 	ctx, stop := context.WithCancel(l.ctx)
 	e := web.New(hclog.NewNullLogger())
-	(&Door{Core: c, Sets: c}).Routes(e)
+	(&Handler{Core: c, Sets: c}).Routes(e)
 	began := make(chan error, 1)
 	go func() { began <- c.Start(ctx) }()
 	handlers := &sync.WaitGroup{}
 	l.mu.Lock()
-	m.core, m.stop, m.dead, m.door, m.handlers = c, stop, make(chan struct{}), e, handlers
+	m.core, m.stop, m.dead, m.handler, m.handlers = c, stop, make(chan struct{}), e, handlers
 	l.mu.Unlock()
 	m.end = func() {
 		<-began
@@ -181,7 +181,7 @@
 	m.fs = m.fs.CrashClone(vfs.CrashCloneCfg{})
 	l.mu.Lock()
 	close(m.dead)
-	m.door = nil
+	m.handler = nil
 	l.mu.Unlock()
 	m.core.Peer.Close()
 	m.stop()
@@ -198,12 +198,12 @@
 func (l *lab) call(at int, method, path, on, body string, answer func(status int, body string)) int {
 	m := l.machines[at]
 	l.mu.Lock()
-	door, dead, handlers := m.door, m.dead, m.handlers
-	if door != nil {
+	handler, dead, handlers := m.handler, m.dead, m.handlers
+	if handler != nil {
 		handlers.Add(1)
 	}
 	l.mu.Unlock()
-	if door == nil {
+	if handler == nil {
 		time.Sleep(time.Millisecond)
 		return 0
 	}
@@ -217,7 +217,7 @@
 			q.Header.Set(hBase, on)
 		}
 		w := httptest.NewRecorder()
-		door.ServeHTTP(w, q)
+		handler.ServeHTTP(w, q)
 		l.net.Stand(m.addr)
 		select {
 		case <-dead:
@@ -305,11 +305,11 @@
 		base = max(known-1, 0)
 	}
 	o := &order{name: fmt.Sprint("o", len(l.orders)), kind: "replace", base: base, revision: base + 1 + some%3, on: strconv.Itoa(base)}
-	mark := strings.Replace(route("mark", "/mark/", toS), `"later"`, `"mark":"`+o.name+`","later"`, 1)
-	o.body = table(o.revision, mark)
+	token := strings.Replace(route("mark", "/mark/", toS), `"later"`, `"mark":"`+o.name+`","later"`, 1)
+	o.body = table(o.revision, token)
 	if some%2 == 1 && base > 0 {
 		o.kind = "modify"
-		o.body = fmt.Sprintf(`{"revision":%d,"upsert":{"route-table":[%s]}}`, o.revision, mark)
+		o.body = fmt.Sprintf(`{"revision":%d,"upsert":{"route-table":[%s]}}`, o.revision, token)
 	}
 	l.orders = append(l.orders, o)
 	return o
@@ -337,15 +337,15 @@
 }
 
 // zoneOrder sends one order about the zone until it is acknowledged.
-func (l *lab) zoneOrder(word string, at int, seed uint64) {
+func (l *lab) zoneOrder(answer string, at int, seed uint64) {
 	l.zone.turn <- struct{}{}
 	defer func() { <-l.zone.turn }()
 	rnd := rand.New(rand.NewPCG(seed, 9))
-	l.zone.last, l.zone.unclear = word, true
+	l.zone.last, l.zone.unclear = answer, true
 	for range 12 {
-		status := l.call(at, http.MethodPost, "/v1/evacuation/a/"+word, "", "", func(status int, body string) {
+		status := l.call(at, http.MethodPost, "/v1/evacuation/a/"+answer, "", "", func(status int, body string) {
 			if status >= 400 && status != http.StatusServiceUnavailable {
-				l.fault("%s of a zone that there is: %d %s", word, status, body)
+				l.fault("%s of a zone that there is: %d %s", answer, status, body)
 			}
 		})
 		if status == http.StatusOK && rnd.IntN(3) > 0 {
@@ -368,8 +368,8 @@
 
 // settle is how long after a trouble the next one may come; mend, after a lost disk.
 const (
-	settle = time.Second
-	mend   = 8 * time.Second
+	settleTime = time.Second
+	repairTime = 8 * time.Second
 )
 
 func (l *lab) do(a action) {
@@ -402,32 +402,32 @@
 	case readBack:
 		l.wg.Go(func() { l.read(a.core) })
 	case zoneOrder:
-		word := "initiate"
+		answer := "initiate"
 		if a.some%2 == 0 {
-			word = "terminate"
+			answer = "terminate"
 		}
-		l.wg.Go(func() { l.zoneOrder(word, a.core, uint64(a.some)) })
-	case cutBoth, cutOneWay:
-		if !l.free(a.lasts + settle) {
+		l.wg.Go(func() { l.zoneOrder(answer, a.core, uint64(a.some)) })
+	case partitionBoth, partitionOneWay:
+		if !l.free(a.lasts + settleTime) {
 			return
 		}
 		l.cut(a, true)
 		time.AfterFunc(a.lasts, func() { l.cut(a, false) })
 	case freezeCore:
-		if !l.free(a.lasts + settle) {
+		if !l.free(a.lasts + settleTime) {
 			return
 		}
 		l.net.Freeze(m.addr)
 		time.AfterFunc(a.lasts, func() { l.net.Thaw(m.addr) })
 	case restartCore:
-		if !l.free(time.Second + settle) {
+		if !l.free(time.Second + settleTime) {
 			return
 		}
 		l.kill(m)
 		time.Sleep(time.Duration(a.some) * time.Millisecond)
 		l.start(m, false)
 	case wipeCore:
-		if !l.free(time.Second + mend) {
+		if !l.free(time.Second + repairTime) {
 			return
 		}
 		l.kill(m)
@@ -454,12 +454,12 @@
 	for _, o := range l.machines {
 		switch {
 		case o == m:
-		case a.kind == cutBoth:
-			l.net.Cut(m.addr, o.addr, on)
+		case a.kind == partitionBoth:
+			l.net.SetPartitioned(m.addr, o.addr, on)
 		case a.some%2 == 0:
-			l.net.CutOne(m.addr, o.addr, on)
+			l.net.SetPartitionedOneWay(m.addr, o.addr, on)
 		default:
-			l.net.CutOne(o.addr, m.addr, on)
+			l.net.SetPartitionedOneWay(o.addr, m.addr, on)
 		}
 	}
 }
@@ -526,7 +526,7 @@
 	for _, o := range l.orders {
 		byName[o.name] = o
 	}
-	note := func(by map[int]*order, n int, what string, o *order) {
+	record := func(by map[int]*order, n int, what string, o *order) {
 		if other := by[n]; other != nil && other != o {
 			l.fault("%s %d is acknowledged for %+v and %+v", what, n, other, o)
 		}
@@ -536,8 +536,8 @@
 		switch a.status {
 		case http.StatusOK:
 			taken[a.order] = true
-			note(byRevision, a.order.revision, "revision", a.order)
-			note(byBase, a.order.base, "base", a.order)
+			record(byRevision, a.order.revision, "revision", a.order)
+			record(byBase, a.order.base, "base", a.order)
 		case http.StatusPreconditionFailed, http.StatusBadRequest, http.StatusConflict, http.StatusNotFound:
 			refused[a.order] = a.status
 		case http.StatusServiceUnavailable:
@@ -555,8 +555,8 @@
 			continue
 		}
 		taken[o] = true
-		note(byRevision, o.revision, "revision", o)
-		note(byBase, o.base, "base", o)
+		record(byRevision, o.revision, "revision", o)
+		record(byBase, o.base, "base", o)
 	}
 	for o := range taken {
 		if s := refused[o]; s > 0 {
@@ -569,8 +569,8 @@
 			continue
 		}
 		for _, before := range l.reads {
-			if before.came < r.sent && before.revision > r.revision {
-				l.fault("revision %d is read from %s on, though %d was known at %s", r.revision, r.sent, before.revision, before.came)
+			if before.answeredAt < r.sent && before.revision > r.revision {
+				l.fault("revision %d is read from %s on, though %d was known at %s", r.revision, r.sent, before.revision, before.answeredAt)
 			}
 		}
 	}
--- a/internal/platform/control/table.go
+++ b/internal/platform/control/table.go
@@ -14,8 +14,8 @@
 
 var kinds = map[string]string{"idempotent": spec.Repeatable, "non_idempotent": spec.Once, "streaming": spec.Stream}
 
-// shareUnit makes whole weights of shares, which may be fractions.
-const shareUnit = 1e6
+// weightUnit makes whole weights of shares, which may be fractions.
+const weightUnit = 1e6
 
 func decode(b []byte, into easyjson.Unmarshaler) error {
 	// The generated readers skip over what they don't know without a look at it.
@@ -30,7 +30,7 @@
 
 // Whole reads a whole configuration.
 func Whole(b []byte) (spec.Table, error) {
-	var w wholeTable
+	var w fullTable
 	if err := decode(b, &w); err != nil {
 		return spec.Table{}, err
 	}
@@ -103,16 +103,16 @@
 		return spec.Path{}, err
 	}
 	p := spec.Path{Name: r.Name, Authority: r.Authority, Prefix: r.Prefix, Kind: kinds[r.Kind], GuardMs: whole(r.GuardMs),
-		AimMs: whole(r.AimMs), PauseMs: whole(r.PauseMs), Rank: int(whole(r.Rank)), Tries: int(whole(r.Tries)),
+		LatencyTargetMs: whole(r.LatencyTargetMs), PauseMs: whole(r.PauseMs), Rank: int(whole(r.Rank)), Tries: int(whole(r.Tries)),
 		Kept: r.Kept, KeepMs: whole(r.KeepS * 1000), Affine: r.Affine, Resumable: r.Resumable, Origin: json.RawMessage(b)}
 	if p.Kind == "" {
 		return p, code.New(code.BadSpec, "route %s: %q is not a route-type", r.Name, r.Kind)
 	}
 	for _, s := range r.Split {
-		p.To = append(p.To, spec.Share{Service: s.Service, Weight: whole(s.Share * shareUnit)})
+		p.To = append(p.To, spec.Share{Service: s.Service, Weight: whole(s.Share * weightUnit)})
 	}
 	if len(p.To) == 0 && r.Service != "" {
-		p.To = []spec.Share{{Service: r.Service, Weight: shareUnit}}
+		p.To = []spec.Share{{Service: r.Service, Weight: weightUnit}}
 	}
 	return p, nil
 }
@@ -122,7 +122,7 @@
 	if err := decode(b, &r); err != nil {
 		return spec.Service{}, err
 	}
-	s := spec.Service{Name: r.Name, HealthPath: r.Health, MaxConns: int(whole(r.MaxConns)), ColdMs: whole(r.ColdS * 1000), ColdRate: r.ColdRate, Origin: json.RawMessage(b)}
+	s := spec.Service{Name: r.Name, HealthPath: r.Health, MaxConns: int(whole(r.MaxConns)), WarmupMs: whole(r.WarmupSeconds * 1000), WarmupRate: r.WarmupRate, Origin: json.RawMessage(b)}
 	if e := r.Engine; e != nil {
 		s.Engine = &spec.Engine{Batch: int(whole(e.Batch)), CacheTokens: whole(e.CacheTokens), TokensPerEvent: whole(e.PerEvent)}
 	}
@@ -147,7 +147,7 @@
 
 // Written is a table as its authors wrote it.
 func Written(t *spec.Table) ([]byte, error) {
-	w := wholeTable{Revision: &t.Revision, Routes: []easyjson.RawMessage{}, Services: []easyjson.RawMessage{}, Limits: easyjson.RawMessage(t.Limits.Origin)}
+	w := fullTable{Revision: &t.Revision, Routes: []easyjson.RawMessage{}, Services: []easyjson.RawMessage{}, Limits: easyjson.RawMessage(t.Limits.Origin)}
 	for i := range t.Paths {
 		w.Routes = append(w.Routes, easyjson.RawMessage(t.Paths[i].Origin))
 	}
--- a/internal/platform/control/wire.go
+++ b/internal/platform/control/wire.go
@@ -4,10 +4,10 @@
 
 //go:generate go tool easyjson wire.go
 
-// wholeTable is an operators' whole configuration; its items are kept as written.
+// fullTable is an operators' whole configuration; its items are kept as written.
 //
 //easyjson:json
-type wholeTable struct {
+type fullTable struct {
 	Revision *uint64               `json:"revision"`
 	Routes   []easyjson.RawMessage `json:"route-table"`
 	Services []easyjson.RawMessage `json:"service-table"`
@@ -18,12 +18,12 @@
 //
 //easyjson:json
 type patchTable struct {
-	Revision *uint64    `json:"revision"`
-	Put      wholeItems `json:"upsert"`
-	Drop     dropItems  `json:"remove"`
+	Revision *uint64   `json:"revision"`
+	Put      fullItems `json:"upsert"`
+	Drop     dropItems `json:"remove"`
 }
 
-type wholeItems struct {
+type fullItems struct {
 	Routes   []easyjson.RawMessage `json:"route-table"`
 	Services []easyjson.RawMessage `json:"service-table"`
 	Limits   easyjson.RawMessage   `json:"limits"`
@@ -38,21 +38,21 @@
 //
 //easyjson:json
 type routeItem struct {
-	Name      string      `json:"name"`
-	Authority string      `json:"authority"`
-	Prefix    string      `json:"path-prefix"`
-	Kind      string      `json:"route-type"`
-	GuardMs   float64     `json:"guard-timer-ms"`
-	AimMs     float64     `json:"target-latency-ms"`
-	PauseMs   float64     `json:"target-interval-ms"`
-	Rank      float64     `json:"precedence"`
-	Service   string      `json:"target-service"`
-	Split     []splitItem `json:"distribution"`
-	Tries     float64     `json:"max-attempts"`
-	Kept      bool        `json:"retained"`
-	KeepS     float64     `json:"retention-s"`
-	Affine    bool        `json:"affinity"`
-	Resumable bool        `json:"resumable"`
+	Name            string      `json:"name"`
+	Authority       string      `json:"authority"`
+	Prefix          string      `json:"path-prefix"`
+	Kind            string      `json:"route-type"`
+	GuardMs         float64     `json:"guard-timer-ms"`
+	LatencyTargetMs float64     `json:"target-latency-ms"`
+	PauseMs         float64     `json:"target-interval-ms"`
+	Rank            float64     `json:"precedence"`
+	Service         string      `json:"target-service"`
+	Split           []splitItem `json:"distribution"`
+	Tries           float64     `json:"max-attempts"`
+	Kept            bool        `json:"retained"`
+	KeepS           float64     `json:"retention-s"`
+	Affine          bool        `json:"affinity"`
+	Resumable       bool        `json:"resumable"`
 }
 
 type splitItem struct {
@@ -62,12 +62,12 @@
 
 //easyjson:json
 type serviceItem struct {
-	Name     string      `json:"name"`
-	Health   string      `json:"health-path"`
-	MaxConns float64     `json:"max-connections"`
-	ColdS    float64     `json:"cold-period-s"`
-	ColdRate float64     `json:"cold-rate-s"`
-	Engine   *engineItem `json:"engine"`
+	Name          string      `json:"name"`
+	Health        string      `json:"health-path"`
+	MaxConns      float64     `json:"max-connections"`
+	WarmupSeconds float64     `json:"cold-period-s"`
+	WarmupRate    float64     `json:"cold-rate-s"`
+	Engine        *engineItem `json:"engine"`
 }
 
 type engineItem struct {
--- a/internal/platform/control/wire_easyjson.go
+++ b/internal/platform/control/wire_easyjson.go
@@ -17,181 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl(in *jlexer.Lexer, out *wholeTable) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "revision":
-			if in.IsNull() {
-				in.Skip()
-				out.Revision = nil
-			} else {
-				if out.Revision == nil {
-					out.Revision = new(uint64)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					*out.Revision = uint64(in.Uint64())
-				}
-			}
-		case "route-table":
-			if in.IsNull() {
-				in.Skip()
-				out.Routes = nil
-			} else {
-				in.Delim('[')
-				if out.Routes == nil {
-					if !in.IsDelim(']') {
-						out.Routes = make([]easyjson.RawMessage, 0, 2)
-					} else {
-						out.Routes = []easyjson.RawMessage{}
-					}
-				} else {
-					out.Routes = (out.Routes)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 easyjson.RawMessage
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v1).UnmarshalEasyJSON(in)
-					}
-					out.Routes = append(out.Routes, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "service-table":
-			if in.IsNull() {
-				in.Skip()
-				out.Services = nil
-			} else {
-				in.Delim('[')
-				if out.Services == nil {
-					if !in.IsDelim(']') {
-						out.Services = make([]easyjson.RawMessage, 0, 2)
-					} else {
-						out.Services = []easyjson.RawMessage{}
-					}
-				} else {
-					out.Services = (out.Services)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v2 easyjson.RawMessage
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v2).UnmarshalEasyJSON(in)
-					}
-					out.Services = append(out.Services, v2)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "limits":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Limits).UnmarshalEasyJSON(in)
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl(out *jwriter.Writer, in wholeTable) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"revision\":"
-		out.RawString(prefix[1:])
-		if in.Revision == nil {
-			out.RawString("null")
-		} else {
-			out.Uint64(uint64(*in.Revision))
-		}
-	}
-	{
-		const prefix string = ",\"route-table\":"
-		out.RawString(prefix)
-		if in.Routes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v3, v4 := range in.Routes {
-				if v3 > 0 {
-					out.RawByte(',')
-				}
-				(v4).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	{
-		const prefix string = ",\"service-table\":"
-		out.RawString(prefix)
-		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v5, v6 := range in.Services {
-				if v5 > 0 {
-					out.RawByte(',')
-				}
-				(v6).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	if (in.Limits).IsDefined() {
-		const prefix string = ",\"limits\":"
-		out.RawString(prefix)
-		(in.Limits).MarshalEasyJSON(out)
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v wholeTable) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v wholeTable) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *wholeTable) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *wholeTable) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl(l, v)
-}
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(in *jlexer.Lexer, out *serviceItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl(in *jlexer.Lexer, out *serviceItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -227,13 +53,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ColdS = float64(in.Float64())
+				out.WarmupSeconds = float64(in.Float64())
 			}
 		case "cold-rate-s":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ColdRate = float64(in.Float64())
+				out.WarmupRate = float64(in.Float64())
 			}
 		case "engine":
 			if in.IsNull() {
@@ -243,7 +69,7 @@
 				if out.Engine == nil {
 					out.Engine = new(engineItem)
 				}
-				easyjsonF4688553DecodeDamsontillerInternalPlatformControl2(in, out.Engine)
+				easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(in, out.Engine)
 			}
 		default:
 			in.SkipRecursive()
@@ -255,7 +81,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(out *jwriter.Writer, in serviceItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl(out *jwriter.Writer, in serviceItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -277,12 +103,12 @@
 	{
 		const prefix string = ",\"cold-period-s\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.ColdS))
+		out.Float64(float64(in.WarmupSeconds))
 	}
 	{
 		const prefix string = ",\"cold-rate-s\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.ColdRate))
+		out.Float64(float64(in.WarmupRate))
 	}
 	{
 		const prefix string = ",\"engine\":"
@@ -290,7 +116,7 @@
 		if in.Engine == nil {
 			out.RawString("null")
 		} else {
-			easyjsonF4688553EncodeDamsontillerInternalPlatformControl2(out, *in.Engine)
+			easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(out, *in.Engine)
 		}
 	}
 	out.RawByte('}')
@@ -299,27 +125,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v serviceItem) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v serviceItem) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *serviceItem) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *serviceItem) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl(l, v)
 }
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl2(in *jlexer.Lexer, out *engineItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl1(in *jlexer.Lexer, out *engineItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -361,7 +187,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl2(out *jwriter.Writer, in engineItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl1(out *jwriter.Writer, in engineItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -382,7 +208,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(in *jlexer.Lexer, out *routeItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl2(in *jlexer.Lexer, out *routeItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -430,7 +256,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.AimMs = float64(in.Float64())
+				out.LatencyTargetMs = float64(in.Float64())
 			}
 		case "target-interval-ms":
 			if in.IsNull() {
@@ -466,9 +292,9 @@
 					out.Split = (out.Split)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v7 splitItem
-					easyjsonF4688553DecodeDamsontillerInternalPlatformControl4(in, &v7)
-					out.Split = append(out.Split, v7)
+					var v1 splitItem
+					easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(in, &v1)
+					out.Split = append(out.Split, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -513,7 +339,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(out *jwriter.Writer, in routeItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl2(out *jwriter.Writer, in routeItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -545,7 +371,7 @@
 	{
 		const prefix string = ",\"target-latency-ms\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.AimMs))
+		out.Float64(float64(in.LatencyTargetMs))
 	}
 	{
 		const prefix string = ",\"target-interval-ms\":"
@@ -569,11 +395,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v8, v9 := range in.Split {
-				if v8 > 0 {
+			for v2, v3 := range in.Split {
+				if v2 > 0 {
 					out.RawByte(',')
 				}
-				easyjsonF4688553EncodeDamsontillerInternalPlatformControl4(out, v9)
+				easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(out, v3)
 			}
 			out.RawByte(']')
 		}
@@ -609,27 +435,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v routeItem) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v routeItem) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *routeItem) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *routeItem) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl2(l, v)
 }
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl4(in *jlexer.Lexer, out *splitItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl3(in *jlexer.Lexer, out *splitItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -665,7 +491,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl4(out *jwriter.Writer, in splitItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl3(out *jwriter.Writer, in splitItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -681,7 +507,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(in *jlexer.Lexer, out *patchTable) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl4(in *jlexer.Lexer, out *patchTable) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -710,9 +536,9 @@
 				}
 			}
 		case "upsert":
-			easyjsonF4688553DecodeDamsontillerInternalPlatformControl6(in, &out.Put)
+			easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(in, &out.Put)
 		case "remove":
-			easyjsonF4688553DecodeDamsontillerInternalPlatformControl7(in, &out.Drop)
+			easyjsonF4688553DecodeDamsontillerInternalPlatformControl6(in, &out.Drop)
 		default:
 			in.SkipRecursive()
 		}
@@ -723,7 +549,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(out *jwriter.Writer, in patchTable) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl4(out *jwriter.Writer, in patchTable) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -739,12 +565,12 @@
 	{
 		const prefix string = ",\"upsert\":"
 		out.RawString(prefix)
-		easyjsonF4688553EncodeDamsontillerInternalPlatformControl6(out, in.Put)
+		easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(out, in.Put)
 	}
 	{
 		const prefix string = ",\"remove\":"
 		out.RawString(prefix)
-		easyjsonF4688553EncodeDamsontillerInternalPlatformControl7(out, in.Drop)
+		easyjsonF4688553EncodeDamsontillerInternalPlatformControl6(out, in.Drop)
 	}
 	out.RawByte('}')
 }
@@ -752,27 +578,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v patchTable) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v patchTable) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *patchTable) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *patchTable) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(l, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl4(l, v)
 }
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl7(in *jlexer.Lexer, out *dropItems) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl6(in *jlexer.Lexer, out *dropItems) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -802,13 +628,13 @@
 					out.Routes = (out.Routes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v10 string
+					var v4 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v10 = string(in.String())
+						v4 = string(in.String())
 					}
-					out.Routes = append(out.Routes, v10)
+					out.Routes = append(out.Routes, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -829,13 +655,13 @@
 					out.Services = (out.Services)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v11 string
+					var v5 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v11 = string(in.String())
+						v5 = string(in.String())
 					}
-					out.Services = append(out.Services, v11)
+					out.Services = append(out.Services, v5)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -850,7 +676,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl7(out *jwriter.Writer, in dropItems) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl6(out *jwriter.Writer, in dropItems) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -861,11 +687,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v12, v13 := range in.Routes {
-				if v12 > 0 {
+			for v6, v7 := range in.Routes {
+				if v6 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v13))
+				out.String(string(v7))
 			}
 			out.RawByte(']')
 		}
@@ -877,18 +703,18 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v14, v15 := range in.Services {
-				if v14 > 0 {
+			for v8, v9 := range in.Services {
+				if v8 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v15))
+				out.String(string(v9))
 			}
 			out.RawByte(']')
 		}
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl6(in *jlexer.Lexer, out *wholeItems) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl5(in *jlexer.Lexer, out *fullItems) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -918,13 +744,13 @@
 					out.Routes = (out.Routes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v16 easyjson.RawMessage
+					var v10 easyjson.RawMessage
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v16).UnmarshalEasyJSON(in)
+						(v10).UnmarshalEasyJSON(in)
 					}
-					out.Routes = append(out.Routes, v16)
+					out.Routes = append(out.Routes, v10)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -945,13 +771,13 @@
 					out.Services = (out.Services)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v17 easyjson.RawMessage
+					var v11 easyjson.RawMessage
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v17).UnmarshalEasyJSON(in)
+						(v11).UnmarshalEasyJSON(in)
 					}
-					out.Services = append(out.Services, v17)
+					out.Services = append(out.Services, v11)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -972,7 +798,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl6(out *jwriter.Writer, in wholeItems) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl5(out *jwriter.Writer, in fullItems) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -983,11 +809,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v18, v19 := range in.Routes {
-				if v18 > 0 {
+			for v12, v13 := range in.Routes {
+				if v12 > 0 {
 					out.RawByte(',')
 				}
-				(v19).MarshalEasyJSON(out)
+				(v13).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -999,11 +825,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v20, v21 := range in.Services {
-				if v20 > 0 {
+			for v14, v15 := range in.Services {
+				if v14 > 0 {
 					out.RawByte(',')
 				}
-				(v21).MarshalEasyJSON(out)
+				(v15).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -1015,7 +841,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(in *jlexer.Lexer, out *limitsItem) {
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl7(in *jlexer.Lexer, out *limitsItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1063,7 +889,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(out *jwriter.Writer, in limitsItem) {
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl7(out *jwriter.Writer, in limitsItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1093,23 +919,197 @@
 // MarshalJSON supports json.Marshaler interface
 func (v limitsItem) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(&w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl7(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v limitsItem) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(w, v)
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl7(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *limitsItem) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(&r, v)
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl7(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *limitsItem) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl7(l, v)
+}
+func easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(in *jlexer.Lexer, out *fullTable) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "revision":
+			if in.IsNull() {
+				in.Skip()
+				out.Revision = nil
+			} else {
+				if out.Revision == nil {
+					out.Revision = new(uint64)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					*out.Revision = uint64(in.Uint64())
+				}
+			}
+		case "route-table":
+			if in.IsNull() {
+				in.Skip()
+				out.Routes = nil
+			} else {
+				in.Delim('[')
+				if out.Routes == nil {
+					if !in.IsDelim(']') {
+						out.Routes = make([]easyjson.RawMessage, 0, 2)
+					} else {
+						out.Routes = []easyjson.RawMessage{}
+					}
+				} else {
+					out.Routes = (out.Routes)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v16 easyjson.RawMessage
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v16).UnmarshalEasyJSON(in)
+					}
+					out.Routes = append(out.Routes, v16)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "service-table":
+			if in.IsNull() {
+				in.Skip()
+				out.Services = nil
+			} else {
+				in.Delim('[')
+				if out.Services == nil {
+					if !in.IsDelim(']') {
+						out.Services = make([]easyjson.RawMessage, 0, 2)
+					} else {
+						out.Services = []easyjson.RawMessage{}
+					}
+				} else {
+					out.Services = (out.Services)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v17 easyjson.RawMessage
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v17).UnmarshalEasyJSON(in)
+					}
+					out.Services = append(out.Services, v17)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "limits":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Limits).UnmarshalEasyJSON(in)
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(out *jwriter.Writer, in fullTable) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"revision\":"
+		out.RawString(prefix[1:])
+		if in.Revision == nil {
+			out.RawString("null")
+		} else {
+			out.Uint64(uint64(*in.Revision))
+		}
+	}
+	{
+		const prefix string = ",\"route-table\":"
+		out.RawString(prefix)
+		if in.Routes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v18, v19 := range in.Routes {
+				if v18 > 0 {
+					out.RawByte(',')
+				}
+				(v19).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	{
+		const prefix string = ",\"service-table\":"
+		out.RawString(prefix)
+		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v20, v21 := range in.Services {
+				if v20 > 0 {
+					out.RawByte(',')
+				}
+				(v21).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	if (in.Limits).IsDefined() {
+		const prefix string = ",\"limits\":"
+		out.RawString(prefix)
+		(in.Limits).MarshalEasyJSON(out)
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v fullTable) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v fullTable) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonF4688553EncodeDamsontillerInternalPlatformControl8(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *fullTable) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *fullTable) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeDamsontillerInternalPlatformControl8(l, v)
 }
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -26,8 +26,8 @@
 
 // Bounds of an entry's figures.
 const (
-	maxRoom     = 1 << 20
-	maxColdMs   = 24 * 3600 * 1000
+	maxCapacity = 1 << 20
+	maxWarmupMs = 24 * 3600 * 1000
 	maxRevision = 1 << 53
 )
 
@@ -143,8 +143,8 @@
 	if !utf8.ValidString(e.ID) || !utf8.ValidString(e.Service) || !utf8.ValidString(e.Zone) {
 		return endpoints.Runner{}, false
 	}
-	r := endpoints.Runner{ID: e.ID, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Revision: e.Revision, Room: int(within(e.Room, 1, maxRoom)),
-		Leaving: e.State == "draining", ColdMs: int64(within(e.ColdMs, 0, maxColdMs))}
+	r := endpoints.Runner{ID: e.ID, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Revision: e.Revision, Capacity: int(within(e.Room, 1, maxCapacity)),
+		Draining: e.State == "draining", WarmupRemainingMs: int64(within(e.ColdMs, 0, maxWarmupMs))}
 	for _, m := range e.Models {
 		if r.Models == nil {
 			r.Models = map[string]int64{}
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -60,9 +60,9 @@
 		t.Fatal(err)
 	}
 	one := func(id string) endpoints.Runner {
-		return endpoints.Runner{ID: id, Service: "s", Addr: "10.128.0.9:8080", Zone: "a", Revision: "v1", Room: 64}
+		return endpoints.Runner{ID: id, Service: "s", Addr: "10.128.0.9:8080", Zone: "a", Revision: "v1", Capacity: 64}
 	}
-	want := []endpoints.Runner{one("i-1"), one("i-2"), {ID: "i-3", Service: "s", Addr: "10.1.1.1:80", Zone: "b", Revision: "v2", Room: 6, Leaving: true, ColdMs: 1500, Models: map[string]int64{"m": 3}}}
+	want := []endpoints.Runner{one("i-1"), one("i-2"), {ID: "i-3", Service: "s", Addr: "10.1.1.1:80", Zone: "b", Revision: "v2", Capacity: 6, Draining: true, WarmupRemainingMs: 1500, Models: map[string]int64{"m": 3}}}
 	if !reflect.DeepEqual(all, want) {
 		t.Errorf("read %+v", all)
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestHeldOff: after the platform's word no call is made until the time it said.
-func TestHeldOff(t *testing.T) {
+// TestBackoff: after the platform's word no call is made until the time it said.
+func TestBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls, status := 0, 429
 		r := reader(func(string) (int, http.Header, string) {
--- a/internal/platform/discovery/fuzz_page_test.go
+++ b/internal/platform/discovery/fuzz_page_test.go
@@ -31,8 +31,8 @@
 			if !utf8.ValidString(r.ID) || !utf8.ValidString(r.Service) || !utf8.ValidString(r.Zone) {
 				t.Errorf("names that the wire can't carry: %+v", r)
 			}
-			if cold := time.Duration(r.ColdMs) * time.Millisecond; r.Room < 1 || r.Room > maxRoom || cold < 0 || cold > 24*time.Hour {
-				t.Errorf("room %d, cold for %s", r.Room, cold)
+			if warmup := time.Duration(r.WarmupRemainingMs) * time.Millisecond; r.Capacity < 1 || r.Capacity > maxCapacity || warmup < 0 || warmup > 24*time.Hour {
+				t.Errorf("room %d, cold for %s", r.Capacity, warmup)
 			}
 		}
 	})
--- a/internal/platform/headers/fuzz_headers_test.go
+++ b/internal/platform/headers/fuzz_headers_test.go
@@ -17,18 +17,18 @@
 	f.Fuzz(func(t *testing.T, try, wait, tokens, prefix, program, ends, budget, previous string) {
 		var j proxy.Job
 		r := &http.Request{Header: head(hAttempt, try, hWait, wait, hTokens, tokens, hPrefix, prefix, hProgram, program, hEnds, ends, hBudget, budget, hPrevious, previous)}
-		if err := (Dialect{}).Read(r, &j); err != nil {
+		if err := (Codec{}).ReadRequest(r, &j); err != nil {
 			return
 		}
 		if j.Wait < 0 || j.In < 0 || j.Most < 0 || j.Budget < 0 || j.In+j.Most < 0 {
 			t.Errorf("figures below 0: %+v", j)
 		}
-		for _, p := range j.Parts {
+		for _, p := range j.PromptParts {
 			if p.ID == "" || p.Tokens < 0 {
 				t.Errorf("part %+v", p)
 			}
 		}
-		for _, name := range []string{j.Try, j.Program, j.Follows} {
+		for _, name := range []string{j.Attempt, j.Program, j.Follows} {
 			if _, err := wire.Encode(&wire.Look{Key: name}); err != nil {
 				t.Errorf("%q is no key: %v", name, err)
 			}
@@ -42,9 +42,9 @@
 	f.Add("9c41", "seal", "1", "1500.5", 429)
 	f.Add("", "", "", "-1", 421)
 	f.Add("\xff", "", "", "1e300", 0)
-	f.Fuzz(func(t *testing.T, try, seal, notRun, cold string, status int) {
-		w := Dialect{}.Heard(&http.Response{StatusCode: status, Header: head(hAttempt, try, hSeal, seal, hNotRun, notRun, hCold, cold)})
-		if w.Cold < 0 || w.NotRun != (notRun != "" || status == http.StatusMisdirectedRequest) {
+	f.Fuzz(func(t *testing.T, try, seal, notRun, warmup string, status int) {
+		w := Codec{}.ReadResponse(&http.Response{StatusCode: status, Header: head(hAttempt, try, hSeal, seal, hNotRun, notRun, headerColdRemaining, warmup)})
+		if w.WarmupRemaining < 0 || w.NotRun != (notRun != "" || status == http.StatusMisdirectedRequest) {
 			t.Errorf("heard %+v", w)
 		}
 	})
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -17,38 +17,38 @@
 
 // The headers of the platform.
 const (
-	hAttempt   = "X-Damsontiller-Attempt-Id"
-	hWait      = "X-Damsontiller-Time-Remaining"
-	hSubject   = "X-Damsontiller-Affinity-Key"
-	hPrefix    = "X-Damsontiller-Prompt-Prefix"
-	hTokens    = "X-Damsontiller-Token-Counts"
-	hRank      = "X-Damsontiller-Precedence"
-	hProgram   = "X-Damsontiller-Program-Id"
-	hEnds      = "X-Damsontiller-Program-Time-Remaining"
-	hBudget    = "X-Damsontiller-Token-Budget"
-	hPrevious  = "X-Damsontiller-Previous-Turn"
-	hTarget    = "X-Damsontiller-Target-Instance"
-	hSeal      = "X-Damsontiller-Server-Seal"
-	hNotRun    = "X-Damsontiller-Not-Executed"
-	hCold      = "X-Damsontiller-Cold-Remaining"
-	hLastEvent = "Last-Event-Id"
+	hAttempt            = "X-Damsontiller-Attempt-Id"
+	hWait               = "X-Damsontiller-Time-Remaining"
+	hSubject            = "X-Damsontiller-Affinity-Key"
+	hPrefix             = "X-Damsontiller-Prompt-Prefix"
+	hTokens             = "X-Damsontiller-Token-Counts"
+	headerPrecedence    = "X-Damsontiller-Precedence"
+	hProgram            = "X-Damsontiller-Program-Id"
+	hEnds               = "X-Damsontiller-Program-Time-Remaining"
+	hBudget             = "X-Damsontiller-Token-Budget"
+	hPrevious           = "X-Damsontiller-Previous-Turn"
+	hTarget             = "X-Damsontiller-Target-Instance"
+	hSeal               = "X-Damsontiller-Server-Seal"
+	hNotRun             = "X-Damsontiller-Not-Executed"
+	headerColdRemaining = "X-Damsontiller-Cold-Remaining"
+	hLastEvent          = "Last-Event-Id"
 )
 
-// MaxRank is the last rank that a runner knows.
-const MaxRank = 9
+// MaxPrecedence is the last rank that a runner knows.
+const MaxPrecedence = 9
 
 // maxCount bounds a count of tokens, so that sums of many can't overflow.
 const maxCount = 1 << 40
 
-// Dialect spells raw jobs in the platform's headers.
-type Dialect struct{}
+// Codec spells raw jobs in the platform's headers.
+type Codec struct{}
 
-var _ proxy.Dialect = Dialect{}
+var _ proxy.Headers = Codec{}
 
-// Read fills a job from a request's head.
-func (Dialect) Read(r *http.Request, j *proxy.Job) error {
+// ReadRequest fills a job from a request's head.
+func (Codec) ReadRequest(r *http.Request, j *proxy.Job) error {
 	h := r.Header
-	if j.Try = h.Get(hAttempt); j.Try == "" {
+	if j.Attempt = h.Get(hAttempt); j.Attempt == "" {
 		return code.New(code.NoHeader, "%s is missing", hAttempt)
 	}
 	for _, k := range []string{hAttempt, hProgram} {
@@ -89,7 +89,7 @@
 			return err
 		}
 	}
-	j.Parts, err = parts(h.Get(hPrefix))
+	j.PromptParts, err = parts(h.Get(hPrefix))
 	return err
 }
 
@@ -115,11 +115,11 @@
 	return max(time.Nanosecond, platform.Ms(min(f, math.MaxInt32))), nil
 }
 
-func parts(v string) ([]proxy.Part, error) {
+func parts(v string) ([]proxy.PromptPart, error) {
 	if v == "" {
 		return nil, nil
 	}
-	out := make([]proxy.Part, 0, 1+strings.Count(v, ","))
+	out := make([]proxy.PromptPart, 0, 1+strings.Count(v, ","))
 	for s := range strings.SplitSeq(v, ",") {
 		id, n, ok := strings.Cut(strings.TrimSpace(s), ":")
 		if !ok || id == "" {
@@ -129,30 +129,30 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, proxy.Part{ID: id, Tokens: t})
+		out = append(out, proxy.PromptPart{ID: id, Tokens: t})
 	}
 	return out, nil
 }
 
-// Send writes what goes to a runner beside the caller's own headers.
-func (Dialect) Send(h http.Header, j *proxy.Job, to *endpoints.Runner, left time.Duration, rank int) {
-	h.Set(hAttempt, j.Try)
+// WriteRequest writes what goes to a runner beside the caller's own headers.
+func (Codec) WriteRequest(h http.Header, j *proxy.Job, to *endpoints.Runner, left time.Duration, precedence int) {
+	h.Set(hAttempt, j.Attempt)
 	h.Set(hTarget, to.ID)
 	if left > 0 {
 		h.Set(hWait, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 	}
-	h.Set(hRank, strconv.Itoa(min(max(rank, 0), MaxRank)))
+	h.Set(headerPrecedence, strconv.Itoa(min(max(precedence, 0), MaxPrecedence)))
 }
 
-// Resume asks a runner to begin after an event.
-func (Dialect) Resume(h http.Header, after string) { h.Set(hLastEvent, after) }
+// WriteResume asks a runner to begin after an event.
+func (Codec) WriteResume(h http.Header, after string) { h.Set(hLastEvent, after) }
 
-// Heard reads an answer's head. Only the runner's own word, or that it is not the
+// ReadResponse reads an answer's head. Only the runner's own word, or that it is not the
 // runner meant, states that the job did not run.
-func (Dialect) Heard(r *http.Response) proxy.Word {
-	w := proxy.Word{Try: r.Header.Get(hAttempt), Sealed: r.Header.Get(hSeal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest}
+func (Codec) ReadResponse(r *http.Response) proxy.ResponseInfo {
+	w := proxy.ResponseInfo{Attempt: r.Header.Get(hAttempt), Sealed: r.Header.Get(hSeal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest}
 	w.NotRun = w.Other || r.Header.Get(hNotRun) != ""
 	// A figure that can't be read is none: it only says how long to be careful.
-	w.Cold, _ = span(r.Header, hCold)
+	w.WarmupRemaining, _ = span(r.Header, headerColdRemaining)
 	return w
 }
--- a/internal/platform/headers/headers_test.go
+++ b/internal/platform/headers/headers_test.go
@@ -23,20 +23,20 @@
 // TestRead: each header has its place in the job.
 func TestRead(t *testing.T) {
 	var j proxy.Job
-	err := Dialect{}.Read(&http.Request{Header: head(hAttempt, "9c41", hWait, "4000", hSubject, "17", "X-Damsontiller-Model", "m", hTokens, "1460,80",
+	err := Codec{}.ReadRequest(&http.Request{Header: head(hAttempt, "9c41", hWait, "4000", hSubject, "17", "X-Damsontiller-Model", "m", hTokens, "1460,80",
 		hPrefix, "5c1e07a2:800,91bd3f06:410", hProgram, "p", "X-Damsontiller-Session-Id", "s", hEnds, "5200.5", hBudget, "1088", hPrevious, "40c8", hLastEvent, "12")}, &j)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := proxy.Job{Try: "9c41", Program: "p", Follows: "40c8", Subject: "17",
-		Parts: []proxy.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, In: 1460, Most: 80, Budget: 1088,
+	want := proxy.Job{Attempt: "9c41", Program: "p", Follows: "40c8", Subject: "17",
+		PromptParts: []proxy.PromptPart{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, In: 1460, Most: 80, Budget: 1088,
 		Wait: 4 * time.Second}
 	if !reflect.DeepEqual(j, want) {
 		t.Errorf("read %+v, want %+v", j, want)
 	}
 	// A caller with no time left does not say nothing.
 	j = proxy.Job{}
-	if err := (Dialect{}).Read(&http.Request{Header: head(hAttempt, "a", hWait, "0")}, &j); err != nil || j.Wait <= 0 || j.Wait > time.Millisecond {
+	if err := (Codec{}).ReadRequest(&http.Request{Header: head(hAttempt, "a", hWait, "0")}, &j); err != nil || j.Wait <= 0 || j.Wait > time.Millisecond {
 		t.Errorf("no time left: %s, %v", j.Wait, err)
 	}
 }
@@ -70,7 +70,7 @@
 	} {
 		h := head(hAttempt, "a")
 		h.Set(c.name, c.value)
-		err := Dialect{}.Read(&http.Request{Header: h}, &proxy.Job{})
+		err := Codec{}.ReadRequest(&http.Request{Header: h}, &proxy.Job{})
 		if code.Of(err) != c.want || !strings.Contains(err.Error(), c.name) || code.Of(err).Status() != 400 {
 			t.Errorf("%s: %q gives %v", c.name, c.value, err)
 		}
@@ -81,45 +81,45 @@
 // of the try.
 func TestSend(t *testing.T) {
 	for _, c := range []struct {
-		left time.Duration
-		rank int
-		wait string
-		want string
+		left       time.Duration
+		precedence int
+		wait       string
+		want       string
 	}{
 		{1500 * time.Millisecond, 3, "1500", "3"},
 		{time.Microsecond, -1, "1", "0"},
 		{time.Second, 40, "1000", "9"},
 	} {
-		h := head(hAttempt, "a", hWait, "9999", hRank, "7")
-		Dialect{}.Send(h, &proxy.Job{Try: "a"}, &endpoints.Runner{ID: "i-1"}, c.left, c.rank)
-		if want := head(hAttempt, "a", hTarget, "i-1", hWait, c.wait, hRank, c.want); !reflect.DeepEqual(h, want) {
+		h := head(hAttempt, "a", hWait, "9999", headerPrecedence, "7")
+		Codec{}.WriteRequest(h, &proxy.Job{Attempt: "a"}, &endpoints.Runner{ID: "i-1"}, c.left, c.precedence)
+		if want := head(hAttempt, "a", hTarget, "i-1", hWait, c.wait, headerPrecedence, c.want); !reflect.DeepEqual(h, want) {
 			t.Errorf("sent %v, want %v", h, want)
 		}
 	}
 	h := http.Header{}
-	Dialect{}.Resume(h, "12")
+	Codec{}.WriteResume(h, "12")
 	if h.Get("Last-Event-Id") != "12" {
 		t.Errorf("resumed with %v", h)
 	}
 }
 
-// TestHeard: only the runner's own word says that it did not run the job.
-func TestHeard(t *testing.T) {
+// TestReadResponse: only the runner's own word says that it did not run the job.
+func TestReadResponse(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		h      http.Header
-		want   proxy.Word
+		want   proxy.ResponseInfo
 	}{
-		{200, head(hAttempt, "a", hSeal, "3e1b"), proxy.Word{Try: "a", Sealed: true}},
-		{503, head(hNotRun, "1"), proxy.Word{NotRun: true}},
-		{503, nil, proxy.Word{}},
-		{429, nil, proxy.Word{}},
-		{400, head(hNotRun, "1"), proxy.Word{NotRun: true}},
-		{421, head("X-Damsontiller-Instance-Id", "i-2"), proxy.Word{NotRun: true, Other: true}},
-		{200, head(hCold, "2500"), proxy.Word{Cold: 2500 * time.Millisecond}},
-		{200, head(hCold, "long"), proxy.Word{}},
+		{200, head(hAttempt, "a", hSeal, "3e1b"), proxy.ResponseInfo{Attempt: "a", Sealed: true}},
+		{503, head(hNotRun, "1"), proxy.ResponseInfo{NotRun: true}},
+		{503, nil, proxy.ResponseInfo{}},
+		{429, nil, proxy.ResponseInfo{}},
+		{400, head(hNotRun, "1"), proxy.ResponseInfo{NotRun: true}},
+		{421, head("X-Damsontiller-Instance-Id", "i-2"), proxy.ResponseInfo{NotRun: true, Other: true}},
+		{200, head(headerColdRemaining, "2500"), proxy.ResponseInfo{WarmupRemaining: 2500 * time.Millisecond}},
+		{200, head(headerColdRemaining, "long"), proxy.ResponseInfo{}},
 	} {
-		if got := (Dialect{}).Heard(&http.Response{StatusCode: c.status, Header: c.h}); got != c.want {
+		if got := (Codec{}).ReadResponse(&http.Response{StatusCode: c.status, Header: c.h}); got != c.want {
 			t.Errorf("%d %v: %+v, want %+v", c.status, c.h, got, c.want)
 		}
 	}
--- a/internal/platform/params.go
+++ b/internal/platform/params.go
@@ -225,11 +225,11 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	loop.Take(ctx, hup, time.Second, func() { w.look(false) }, func(os.Signal) { w.look(true) })
+	loop.Take(ctx, hup, time.Second, func() { w.poll(false) }, func(os.Signal) { w.poll(true) })
 }
 
-// look reads the file if it has changed; signal says that it has.
-func (w *watcher) look(signal bool) {
+// poll reads the file if it has changed; signal says that it has.
+func (w *watcher) poll(signal bool) {
 	at, size := stat(w.path)
 	if !signal && at.Equal(w.at) && size == w.size {
 		return
--- a/internal/platform/params_test.go
+++ b/internal/platform/params_test.go
@@ -139,17 +139,17 @@
 	}
 }
 
-// TestLook: a changed file is told once, a broken one is not and is read again
+// TestPoll: a changed file is told once, a broken one is not and is read again
 // once it is whole.
-func TestLook(t *testing.T) {
+func TestPoll(t *testing.T) {
 	f := write(t, settings)
 	p, err := Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, wrong := 0, 0
+	received, wrong := 0, 0
 	w := p.watcher(func(q *Params) {
-		told++
+		received++
 		if q.ID != "core-a-1" {
 			t.Errorf("told of %q", q.ID)
 		}
@@ -179,9 +179,9 @@
 		if c.body != "" {
 			put(c.body, c.at)
 		}
-		w.look(c.force)
-		if told != c.told || wrong != c.wrong {
-			t.Errorf("step %d: told %d, wrong %d, want %d, %d", i, told, wrong, c.told, c.wrong)
+		w.poll(c.force)
+		if received != c.told || wrong != c.wrong {
+			t.Errorf("step %d: told %d, wrong %d, want %d, %d", i, received, wrong, c.told, c.wrong)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/platform/resting.go
+++ b/internal/platform/resting.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// sweepEvery is how often connections and limits are looked at.
-	sweepEvery = time.Second
-	// newsDelay bounds how long a client goes by a limit that has been replaced here.
-	newsDelay = 10 * time.Second
+	// expireInterval is how often connections and limits are looked at.
+	expireInterval = time.Second
+	// updateDelay bounds how long a client goes by a limit that has been replaced here.
+	updateDelay = 10 * time.Second
 )
 
 // idleLimiter closes callers' connections on which no whole request head has come for
@@ -62,11 +62,11 @@
 
 // run sweeps until ctx ends.
 func (l *idleLimiter) run(ctx context.Context) {
-	loop.Every(ctx, sweepEvery, nil, func(context.Context) { l.sweep(time.Now()) })
+	loop.Every(ctx, expireInterval, nil, func(context.Context) { l.expire(time.Now()) })
 }
 
-// sweep closes the connections that have rested for too long.
-func (l *idleLimiter) sweep(now time.Time) {
+// expire closes the connections that have rested for too long.
+func (l *idleLimiter) expire(now time.Time) {
 	limit := restLimit(l.limits())
 	for _, c := range l.expired(now, limit) {
 		_ = c.Close()
@@ -95,7 +95,7 @@
 		return
 	}
 	if l.current > 0 {
-		l.former = append(l.former, formerLimit{l.current, now.Add(l.current + newsDelay)})
+		l.former = append(l.former, formerLimit{l.current, now.Add(l.current + updateDelay)})
 	}
 	l.current = limit
 }
--- a/internal/platform/resting_test.go
+++ b/internal/platform/resting_test.go
@@ -135,7 +135,7 @@
 func TestIdleClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFrontRig(t, limits(5*time.Second, 3*time.Second))
-		fresh, used, endless := r.dial(), r.dial(), r.dial()
+		unread, used, endless := r.dial(), r.dial(), r.dial()
 		if err := request(used, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
-		for name, c := range map[string]net.Conn{"fresh": fresh, "used": used, "endless": endless} {
+		for name, c := range map[string]net.Conn{"fresh": unread, "used": used, "endless": endless} {
 			if !closed(c, 10*time.Second) {
 				t.Errorf("%s: still open after the limits", name)
 			}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -32,16 +32,16 @@
 	Addr    string
 	Handler http.Handler
 	// Limits are those of the configuration in force; nil means none.
-	Limits func() spec.Limits
-	leaves atomic.Bool
+	Limits   func() spec.Limits
+	draining atomic.Bool
 }
 
-// Leaves tells whether the node is to end.
-func (f *Front) Leaves() bool { return f.leaves.Load() }
+// Draining tells whether the node is to end.
+func (f *Front) Draining() bool { return f.draining.Load() }
 
 // ServeHTTP tells callers to come on another connection once the node is to end.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.leaves.Load() {
+	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	f.Handler.ServeHTTP(w, r)
@@ -69,7 +69,7 @@
 	go idle.run(sweeping)
 	// The server's own timers are fixed at its start, so they are off.
 	s := &http.Server{Handler: f, ConnState: idle.connState, MaxHeaderBytes: 128 << 10}
-	return serve(ctx, s, ln, func() { f.leaves.Store(true) }, min(missed, grace/2), grace)
+	return serve(ctx, s, ln, func() { f.draining.Store(true) }, min(missed, grace/2), grace)
 }
 
 // Side serves a small handler beside the front until ctx ends.
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -74,7 +74,7 @@
 					}
 					return answer(nc, q)
 				}
-				if r, err := get("/"); err != nil || r.Close || f.Leaves() {
+				if r, err := get("/"); err != nil || r.Close || f.Draining() {
 					t.Errorf("in service: %v, %v", r, err)
 				}
 				long := make(chan error, 1)
@@ -82,7 +82,7 @@
 				time.Sleep(100 * time.Millisecond)
 				stop()
 				time.Sleep(2900 * time.Millisecond)
-				if r, err := get("/"); err != nil || !r.Close || !f.Leaves() {
+				if r, err := get("/"); err != nil || !r.Close || !f.Draining() {
 					t.Errorf("while the platform is late: %v, %v", r, err)
 				}
 				time.Sleep(time.Second)
--- a/internal/proto/register/model_test.go
+++ b/internal/proto/register/model_test.go
@@ -190,7 +190,7 @@
 	modelMachines = 6
 	modelVoters   = 3
 	modelFull     = 60 // letters at which a change is refused
-	wordLength    = 3
+	outcomeLength = 3
 	maxSteps      = 6000
 )
 
@@ -438,8 +438,8 @@
 
 func (h *history) anyMachine() *machine { return h.machines[h.random.IntN(len(h.machines))] }
 
-// trouble lets each fault strike with its own chance.
-func (h *history) trouble() {
+// injectFault lets each fault strike with its own chance.
+func (h *history) injectFault() {
 	if h.hits(faultCrash, 8) {
 		m := h.anyMachine()
 		m.disk.reopen(false, false)
@@ -660,7 +660,7 @@
 	if h.steps == maxSteps {
 		h.heal()
 	}
-	h.trouble()
+	h.injectFault()
 	if h.chance(150) || !h.deliver() {
 		return time.Duration(1+h.random.IntN(20_000)) * time.Microsecond
 	}
@@ -782,12 +782,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c.stop = nil
-	h.note(c, in, at, st, err)
+	h.recordOperation(c, in, at, st, err)
 	return stopped
 }
 
 // appender adds a word, and may stand still before it does.
-func (h *history) appender(c *modelClient, word string) register.UpdateFunc {
+func (h *history) appender(c *modelClient, outcome string) register.UpdateFunc {
 	return func(s register.State) ([]byte, bool, error) {
 		if h.on[faultClientSleep] && c.random.IntN(10) == 0 {
 			time.Sleep(time.Duration(c.random.IntN(3000)) * time.Millisecond)
@@ -798,12 +798,12 @@
 		if len(s.Value) >= modelFull {
 			return nil, false, errFull
 		}
-		return append(bytes.Clone(s.Value), word...), false, nil
+		return append(bytes.Clone(s.Value), outcome...), false, nil
 	}
 }
 
-// note puts an operation into the history.
-func (h *history) note(c *modelClient, in input, at int64, st register.State, err error) {
+// recordOperation puts an operation into the history.
+func (h *history) recordOperation(c *modelClient, in input, at int64, st register.State, err error) {
 	op := porcupine.Operation{ClientId: c.id, Input: in, Call: at, Output: string(st.Value), Return: int64(time.Since(h.start))}
 	switch {
 	case in.read && err != nil:
@@ -831,7 +831,7 @@
 			h.fail("%s is said to be chosen, the value is %q", in.nextCell, st.Value)
 			return
 		}
-		op.Output = string(st.Value)[:i+wordLength]
+		op.Output = string(st.Value)[:i+outcomeLength]
 	}
 	h.ops = append(h.ops, op)
 }
@@ -839,9 +839,9 @@
 // check holds the whole history against the promises.
 func (h *history) check() {
 	seen := longest(h.ops)
-	for _, word := range h.allRefused {
-		if strings.Contains(seen, word) {
-			h.fail("%s was answered 'no' and is in %q", word, seen)
+	for _, outcome := range h.allRefused {
+		if strings.Contains(seen, outcome) {
+			h.fail("%s was answered 'no' and is in %q", outcome, seen)
 		}
 	}
 	if !explainedWords(h.ops, seen) {
@@ -881,12 +881,12 @@
 func explainedWords(ops []porcupine.Operation, seen string) bool {
 	var h []porcupine.Operation
 	for _, o := range ops {
-		if word, ok := strings.CutPrefix(o.Output.(string), "maybe:"); ok {
-			at := strings.Index(seen, word)
+		if outcome, ok := strings.CutPrefix(o.Output.(string), "maybe:"); ok {
+			at := strings.Index(seen, outcome)
 			if at < 0 {
 				continue
 			}
-			o.Output = seen[:at+wordLength]
+			o.Output = seen[:at+outcomeLength]
 		}
 		h = append(h, o)
 	}
--- a/internal/proto/register/prepared_test.go
+++ b/internal/proto/register/prepared_test.go
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		for _, s := range []register.Set{{a, b}, {b}, {b, a}} {
-			if err := q.Mend(t.Context(), s, "k"); err != nil {
+			if err := q.WriteBack(t.Context(), s, "k"); err != nil {
 				t.Fatal(err)
 			}
 			if len(s) == 1 {
@@ -105,9 +105,9 @@
 	})
 }
 
-// TestPromise: what is promised along with a cell holds like any promise, also
+// TestPromisedBallot: what is promised along with a cell holds like any promise, also
 // after a restart, and the answer says what was promised.
-func TestPromise(t *testing.T) {
+func TestPromisedBallot(t *testing.T) {
 	d := &disk{all: map[string][]byte{}}
 	a := register.NewAcceptor(d)
 	b := func(n uint64) *wire.Ballot { return &wire.Ballot{N: n, Node: 1} }
@@ -181,9 +181,9 @@
 	})
 }
 
-// TestShortDoubt: a change in one round that every voter refused was not made, and
+// TestOneRoundUncertain: a change in one round that every voter refused was not made, and
 // that is said; one that a voter may have taken is in doubt, and is made once.
-func TestShortDoubt(t *testing.T) {
+func TestOneRoundUncertain(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		rival bool // has changed the key meanwhile
@@ -288,8 +288,8 @@
 					t.Fatal(err)
 				}
 			})
-			if held := time.Since(done); n != 1 || age > held || age < 4*time.Second {
-				t.Errorf("%d: %d rounds, age %s of at most %s", i, n, age, held)
+			if inUse := time.Since(done); n != 1 || age > inUse || age < 4*time.Second {
+				t.Errorf("%d: %d rounds, age %s of at most %s", i, n, age, inUse)
 			}
 		}
 		time.Sleep(time.Second)
@@ -321,7 +321,7 @@
 			t.Errorf("ten changes took %d rounds", n)
 		}
 		// One hangs at voters that are not there.
-		gone := register.Set{{{Addr: "a0", Ident: "x"}, {Addr: "a1", Ident: "x"}, {Addr: "a2", Ident: "x"}}}
+		departed := register.Set{{{Addr: "a0", Ident: "x"}, {Addr: "a1", Ident: "x"}, {Addr: "a2", Ident: "x"}}}
 		hung := make(chan struct{})
 		q := register.NewProposer(2, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			if q.Ident == "x" {
@@ -332,7 +332,7 @@
 		})
 		q.RoundTimeout = 5 * time.Second
 		ctx, stop := context.WithCancel(t.Context())
-		wg.Go(func() { _, _ = q.Change(ctx, gone, "k", inc) })
+		wg.Go(func() { _, _ = q.Change(ctx, departed, "k", inc) })
 		synctest.Wait()
 		at := time.Now()
 		st, err := q.Change(t.Context(), set, "k", inc)
--- a/internal/proto/register/register_test.go
+++ b/internal/proto/register/register_test.go
@@ -72,7 +72,7 @@
 	return w, register.Set{g}
 }
 
-func (w *world) roll() (lost bool, d time.Duration) {
+func (w *world) drawLoss() (lost bool, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.rnd.IntN(100) < w.lose {
@@ -84,7 +84,7 @@
 
 func (w *world) call(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 	leg := func() error {
-		lost, d := w.roll()
+		lost, d := w.drawLoss()
 		if lost {
 			<-ctx.Done()
 			return ctx.Err()
@@ -356,8 +356,8 @@
 	}
 	var h []porcupine.Operation
 	for _, o := range ops {
-		if word, ok := strings.CutPrefix(o.Output.(string), "maybe:"); ok {
-			at := strings.Index(seen, word)
+		if outcome, ok := strings.CutPrefix(o.Output.(string), "maybe:"); ok {
+			at := strings.Index(seen, outcome)
 			if at < 0 {
 				continue
 			}
--- a/internal/proto/register/repair_test.go
+++ b/internal/proto/register/repair_test.go
@@ -7,9 +7,9 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Mend writes a key's value back under a new ballot until every voter of the
+// WriteBack writes a key's value back under a new ballot until every voter of the
 // last group has taken it. It changes nothing.
-func (p *Proposer) Mend(ctx context.Context, set Set, key string) error {
+func (p *Proposer) WriteBack(ctx context.Context, set Set, key string) error {
 	if len(set) == 0 {
 		return fmt.Errorf("mend %s: %w", key, ErrNoQuorum)
 	}
--- a/internal/proto/register/unsynced_test.go
+++ b/internal/proto/register/unsynced_test.go
@@ -87,9 +87,9 @@
 	return err
 }
 
-// TestFailedWritesAreDoubt: a change whose accept failed at every voter's disk may be on
+// TestFailedWritesAreUncertain: a change whose accept failed at every voter's disk may be on
 // any of them, and is not answered 'no'.
-func TestFailedWritesAreDoubt(t *testing.T) {
+func TestFailedWritesAreUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
 		var failed atomic.Bool
--- a/internal/proto/register/window_test.go
+++ b/internal/proto/register/window_test.go
@@ -73,15 +73,15 @@
 	w, set := newWorld(1, 3, 0)
 	g := &gate{call: w.call}
 	frozen, rival := register.NewProposer(1, g.through), register.NewProposer(2, w.call)
-	append1 := func(word string) register.UpdateFunc {
+	append1 := func(outcome string) register.UpdateFunc {
 		return func(s register.State) ([]byte, bool, error) {
-			return append(s.Value[:len(s.Value):len(s.Value)], word...), false, nil
+			return append(s.Value[:len(s.Value):len(s.Value)], outcome...), false, nil
 		}
 	}
-	change := func(p *register.Proposer, word string) (register.State, error) {
+	change := func(p *register.Proposer, outcome string) (register.State, error) {
 		ctx, stop := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer stop()
-		return p.Change(ctx, set, "k", append1(word))
+		return p.Change(ctx, set, "k", append1(outcome))
 	}
 	if short {
 		if _, err := change(frozen, "0"); err != nil {
--- a/internal/proto/spec/table.go
+++ b/internal/proto/spec/table.go
@@ -28,20 +28,20 @@
 
 // Path is one route of raw jobs, found by authority and longest path prefix.
 type Path struct {
-	Name      string  `json:"name"`
-	Authority string  `json:"authority"`
-	Prefix    string  `json:"prefix"`
-	Kind      string  `json:"kind"`
-	To        []Share `json:"to"`
-	GuardMs   int64   `json:"guard_ms"`           // longest time that a job is held
-	AimMs     int64   `json:"aim_ms,omitempty"`   // to the answer, of a stream to its first event
-	PauseMs   int64   `json:"pause_ms,omitempty"` // longest pause between events that is in time
-	Rank      int     `json:"rank,omitempty"`     // 0 goes first
-	Tries     int     `json:"tries,omitempty"`    // most runners that one job is sent to; 0: as many as there is time for
-	Kept      bool    `json:"kept,omitempty"`     // turns are kept, a turn brings only its new input
-	KeepMs    int64   `json:"keep_ms,omitempty"`
-	Affine    bool    `json:"affine,omitempty"`    // a runner that saw the subject lately is faster
-	Resumable bool    `json:"resumable,omitempty"` // a stream may be taken up after its last event
+	Name            string  `json:"name"`
+	Authority       string  `json:"authority"`
+	Prefix          string  `json:"prefix"`
+	Kind            string  `json:"kind"`
+	To              []Share `json:"to"`
+	GuardMs         int64   `json:"guard_ms"`           // longest time that a job is held
+	LatencyTargetMs int64   `json:"aim_ms,omitempty"`   // to the answer, of a stream to its first event
+	PauseMs         int64   `json:"pause_ms,omitempty"` // longest pause between events that is in time
+	Rank            int     `json:"rank,omitempty"`     // 0 goes first
+	Tries           int     `json:"tries,omitempty"`    // most runners that one job is sent to; 0: as many as there is time for
+	Kept            bool    `json:"kept,omitempty"`     // turns are kept, a turn brings only its new input
+	KeepMs          int64   `json:"keep_ms,omitempty"`
+	Affine          bool    `json:"affine,omitempty"`    // a runner that saw the subject lately is faster
+	Resumable       bool    `json:"resumable,omitempty"` // a stream may be taken up after its last event
 	// Origin is the item as its author wrote it, handed back unread.
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
@@ -57,8 +57,8 @@
 	Name       string  `json:"name"`
 	HealthPath string  `json:"health_path,omitempty"`
 	MaxConns   int     `json:"max_conns,omitempty"` // each runner takes from all callers
-	ColdMs     int64   `json:"cold_ms,omitempty"`   // how long a fresh runner is slow
-	ColdRate   float64 `json:"cold_rate,omitempty"` // requests a second that a cold runner bears
+	WarmupMs   int64   `json:"cold_ms,omitempty"`   // how long a fresh runner is slow
+	WarmupRate float64 `json:"cold_rate,omitempty"` // requests a second that a cold runner bears
 	Engine     *Engine `json:"engine,omitempty"`    // set for model runners
 	// Origin is the item as its author wrote it, handed back unread.
 	Origin json.RawMessage `json:"origin,omitempty"`
@@ -96,7 +96,7 @@
 		switch {
 		case s.Name == "" || services[s.Name]:
 			return bad(f+".name", "%q is empty or stands twice", s.Name)
-		case s.ColdMs < 0 || s.ColdRate < 0 || s.MaxConns < 0:
+		case s.WarmupMs < 0 || s.WarmupRate < 0 || s.MaxConns < 0:
 			return bad(f, "a negative figure")
 		case s.Engine != nil && (s.Engine.Batch < 1 || s.Engine.TokensPerEvent < 1 || s.Engine.CacheTokens < 1):
 			return bad(f+".engine", "batch, cache_tokens and tokens_per_event want 1 or more")
@@ -129,7 +129,7 @@
 		if p.GuardMs <= 0 {
 			return bad(f+".guard_ms", "%d is not positive", p.GuardMs)
 		}
-		if p.AimMs < 0 || p.PauseMs < 0 || p.KeepMs < 0 || p.Tries < 0 || p.Rank < 0 {
+		if p.LatencyTargetMs < 0 || p.PauseMs < 0 || p.KeepMs < 0 || p.Tries < 0 || p.Rank < 0 {
 			return bad(f, "a negative figure")
 		}
 		if p.Kept && (p.KeepMs == 0 || p.Kind != Stream) {
@@ -170,12 +170,12 @@
 func merge[T any](old, put []T, drop []string, name func(T) string) []T {
 	at := map[string]int{}
 	out := make([]T, 0, len(old)+len(put))
-	gone := map[string]bool{}
+	removed := map[string]bool{}
 	for _, n := range drop {
-		gone[n] = true
+		removed[n] = true
 	}
 	for _, o := range old {
-		if !gone[name(o)] {
+		if !removed[name(o)] {
 			at[name(o)] = len(out)
 			out = append(out, o)
 		}
--- a/internal/proto/spec/table_easyjson.go
+++ b/internal/proto/spec/table_easyjson.go
@@ -319,13 +319,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ColdMs = int64(in.Int64())
+				out.WarmupMs = int64(in.Int64())
 			}
 		case "cold_rate":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ColdRate = float64(in.Float64())
+				out.WarmupRate = float64(in.Float64())
 			}
 		case "engine":
 			if in.IsNull() {
@@ -378,15 +378,15 @@
 		out.RawString(prefix)
 		out.Int(int(in.MaxConns))
 	}
-	if in.ColdMs != 0 {
+	if in.WarmupMs != 0 {
 		const prefix string = ",\"cold_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.ColdMs))
+		out.Int64(int64(in.WarmupMs))
 	}
-	if in.ColdRate != 0 {
+	if in.WarmupRate != 0 {
 		const prefix string = ",\"cold_rate\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.ColdRate))
+		out.Float64(float64(in.WarmupRate))
 	}
 	if in.Engine != nil {
 		const prefix string = ",\"engine\":"
@@ -538,7 +538,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.AimMs = int64(in.Int64())
+				out.LatencyTargetMs = int64(in.Int64())
 			}
 		case "pause_ms":
 			if in.IsNull() {
@@ -649,10 +649,10 @@
 		out.RawString(prefix)
 		out.Int64(int64(in.GuardMs))
 	}
-	if in.AimMs != 0 {
+	if in.LatencyTargetMs != 0 {
 		const prefix string = ",\"aim_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.AimMs))
+		out.Int64(int64(in.LatencyTargetMs))
 	}
 	if in.PauseMs != 0 {
 		const prefix string = ",\"pause_ms\":"
--- a/internal/proto/spec/table_test.go
+++ b/internal/proto/spec/table_test.go
@@ -16,9 +16,9 @@
 // good is a table with one of everything.
 func good() spec.Table {
 	return spec.Table{Revision: 7,
-		Services: []spec.Service{{Name: "llm", ColdMs: 3000, ColdRate: 22, MaxConns: 360, Engine: &spec.Engine{Batch: 64, CacheTokens: 1000, TokensPerEvent: 4}}, {Name: "api"}},
+		Services: []spec.Service{{Name: "llm", WarmupMs: 3000, WarmupRate: 22, MaxConns: 360, Engine: &spec.Engine{Batch: 64, CacheTokens: 1000, TokensPerEvent: 4}}, {Name: "api"}},
 		Paths: []spec.Path{
-			{Name: "turn", Authority: "a.test", Prefix: "/t/", Kind: spec.Stream, GuardMs: 4000, AimMs: 200, Kept: true, KeepMs: 60000, To: []spec.Share{{Service: "llm", Weight: 90}, {Service: "api", Weight: 10}}},
+			{Name: "turn", Authority: "a.test", Prefix: "/t/", Kind: spec.Stream, GuardMs: 4000, LatencyTargetMs: 200, Kept: true, KeepMs: 60000, To: []spec.Share{{Service: "llm", Weight: 90}, {Service: "api", Weight: 10}}},
 			{Name: "get", Authority: "a.test", Prefix: "/", Kind: spec.Repeatable, GuardMs: 1, To: []spec.Share{{Service: "api", Weight: 1}}},
 			{Name: "put", Authority: "b.test", Prefix: "/t/", Kind: spec.Once, GuardMs: 1, To: []spec.Share{{Service: "api", Weight: 1}, {Service: "llm"}}},
 		}}
@@ -37,8 +37,8 @@
 	}{
 		{"service without a name", func(t *spec.Table) { t.Services[1].Name = "" }, "services[1].name"},
 		{"service twice", func(t *spec.Table) { t.Services[1].Name = "llm" }, "services[1].name"},
-		{"cold time below 0", func(t *spec.Table) { t.Services[0].ColdMs = -1 }, "services[0]"},
-		{"cold rate below 0", func(t *spec.Table) { t.Services[0].ColdRate = -1 }, "services[0]"},
+		{"cold time below 0", func(t *spec.Table) { t.Services[0].WarmupMs = -1 }, "services[0]"},
+		{"cold rate below 0", func(t *spec.Table) { t.Services[0].WarmupRate = -1 }, "services[0]"},
 		{"connections below 0", func(t *spec.Table) { t.Services[0].MaxConns = -1 }, "services[0]"},
 		{"engine without a batch", func(t *spec.Table) { t.Services[0].Engine.Batch = 0 }, "services[0].engine"},
 		{"engine without memory", func(t *spec.Table) { t.Services[0].Engine.CacheTokens = 0 }, "services[0].engine"},
@@ -54,7 +54,7 @@
 		{"no kind", func(t *spec.Table) { t.Paths[0].Kind = "" }, "kind"},
 		{"guard 0", func(t *spec.Table) { t.Paths[0].GuardMs = 0 }, "guard_ms"},
 		{"guard below 0", func(t *spec.Table) { t.Paths[0].GuardMs = -5 }, "guard_ms"},
-		{"aim below 0", func(t *spec.Table) { t.Paths[0].AimMs = -1 }, "path turn"},
+		{"aim below 0", func(t *spec.Table) { t.Paths[0].LatencyTargetMs = -1 }, "path turn"},
 		{"pause below 0", func(t *spec.Table) { t.Paths[0].PauseMs = -1 }, "path turn"},
 		{"keep below 0", func(t *spec.Table) { t.Paths[0].KeepMs = -1 }, "path turn"},
 		{"tries below 0", func(t *spec.Table) { t.Paths[0].Tries = -1 }, "path turn"},
@@ -169,10 +169,10 @@
 // TestIndex: the longest prefix of the authority, as by looking at all paths.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		part := rapid.StringMatching(`/([ab]{0,2}/){0,3}`)
+		target := rapid.StringMatching(`/([ab]{0,2}/){0,3}`)
 		var tab spec.Table
 		seen := map[string]bool{}
-		for i, p := range rapid.SliceOfN(part, 0, 20).Draw(rt, "prefixes") {
+		for i, p := range rapid.SliceOfN(target, 0, 20).Draw(rt, "prefixes") {
 			h := rapid.SampledFrom([]string{"a.test", "B.Test"}).Draw(rt, "authority")
 			if !seen[h+p] {
 				seen[h+p] = true
@@ -182,7 +182,7 @@
 		x := spec.NewIndex(&tab)
 		for range 10 {
 			h := rapid.SampledFrom([]string{"a.test", "A.TEST", "b.test", "c.test", ""}).Draw(rt, "host")
-			p := part.Draw(rt, "path") + rapid.SampledFrom([]string{"", "a", "a%2F", "é"}).Draw(rt, "rest")
+			p := target.Draw(rt, "path") + rapid.SampledFrom([]string{"", "a", "a%2F", "é"}).Draw(rt, "rest")
 			if got, want := x.Path(h, p), slow(&tab, h, p); got != want {
 				rt.Fatalf("%s%s: %+v, want %+v", h, p, got, want)
 			}
--- a/internal/state/storage/compat_test.go
+++ b/internal/state/storage/compat_test.go
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			defer engine.Close()
-			if engine.Fresh {
+			if engine.NewIdentity {
 				t.Error("the folder counts as new")
 			}
 			if got := engine.Ident(); got != want.Ident {
--- a/internal/state/storage/device.go
+++ b/internal/state/storage/device.go
@@ -50,14 +50,14 @@
 	discarding   atomic.Bool  // everything is said to go well, so that the database can be closed
 	readSlots    chan struct{}
 
-	mu       sync.Mutex
-	onFence  func(error) // called once, by whoever fences
-	cause    error       // of the fence
-	readErr  error       // of the last read that failed
-	inFlight int         // changes handed to the disk and not answered
-	idle     chan struct{}
-	files    map[*deviceFile]struct{}
-	locks    map[*deviceLock]struct{}
+	mu            sync.Mutex
+	onFailureFunc func(error) // called once, by whoever fences
+	cause         error       // of the fence
+	readErr       error       // of the last read that failed
+	inFlight      int         // changes handed to the disk and not answered
+	idle          chan struct{}
+	files         map[*deviceFile]struct{}
+	locks         map[*deviceLock]struct{}
 }
 
 func newDevice(inner vfs.FS) *device {
@@ -87,7 +87,7 @@
 func (d *device) onFailure(f func(cause error)) {
 	d.mu.Lock()
 	cause := d.cause
-	d.onFence = f
+	d.onFailureFunc = f
 	d.mu.Unlock()
 	if cause != nil {
 		f(cause)
@@ -114,7 +114,7 @@
 // fence ends all changes through the device. The first cause counts.
 func (d *device) fence(cause error) {
 	d.mu.Lock()
-	first, tell := d.cause == nil, d.onFence
+	first, tell := d.cause == nil, d.onFailureFunc
 	if first {
 		d.cause = cause
 		close(d.fenced)
--- a/internal/state/storage/engine.go
+++ b/internal/state/storage/engine.go
@@ -63,9 +63,9 @@
 	base     vfs.FS
 	files    *device // the files beside the database
 	identity identityFile
-	// Fresh tells that the folder was empty or unreadable, and that the
+	// NewIdentity tells that the folder was empty or unreadable, and that the
 	// identity is therefore a new one which must not vote before admission.
-	Fresh bool
+	NewIdentity bool
 	// withoutDatabase tells that the identity was made just now and has no database yet.
 	withoutDatabase bool
 
@@ -155,7 +155,7 @@
 	}
 	if err != nil && engine.files.failure() == nil {
 		// Someone else holding the folder is no reason to take a new identity.
-		if errors.Is(err, pebble.ErrDBAlreadyExists) || engine.Fresh || errors.Is(err, errFolderLocked) {
+		if errors.Is(err, pebble.ErrDBAlreadyExists) || engine.NewIdentity || errors.Is(err, errFolderLocked) {
 			return code.New(code.DiskFailure, "data folder: %w", err)
 		}
 		// A forgetful voter breaks agreement: what can't be read is put aside
@@ -225,7 +225,7 @@
 			}
 		}
 	}
-	engine.Fresh, engine.withoutDatabase = true, true
+	engine.NewIdentity, engine.withoutDatabase = true, true
 	made := identityFile{Format, engine.params.ID, engine.params.Role, newIdentity()}
 	engine.params.Log("new identity", "why", why, "ident", made.Ident)
 	b, _ := json.Marshal(made)
--- a/internal/state/storage/engine_test.go
+++ b/internal/state/storage/engine_test.go
@@ -28,7 +28,7 @@
 func TestPowerLoss(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	engine := open(t, fs, "s1")
-	if !engine.Fresh {
+	if !engine.NewIdentity {
 		t.Error("an empty folder is not fresh")
 	}
 	for i := range 50 {
@@ -41,7 +41,7 @@
 		}
 		// The power goes: nothing that was not synced survives.
 		w := open(t, fs.CrashClone(vfs.CrashCloneCfg{}), "s1")
-		if w.Fresh || w.Ident() != engine.Ident() {
+		if w.NewIdentity || w.Ident() != engine.Ident() {
 			t.Fatalf("after %d writes the identity is lost", i)
 		}
 		for j := 0; j <= i; j += 7 {
@@ -128,7 +128,7 @@
 			write(t, fs, what, "garbage")
 		}
 		engine = open(t, fs, "s1")
-		if !engine.Fresh || engine.Ident() == old {
+		if !engine.NewIdentity || engine.Ident() == old {
 			t.Errorf("%s garbled: the old identity lives on", what)
 		}
 		if r, err := engine.Load("k"); err != nil || r.Promised != nil {
@@ -279,9 +279,9 @@
 	}
 }
 
-// TestLetGo: a register past its time is emptied, keeps its promises and says that
+// TestReplacedIdentity: a register past its time is emptied, keeps its promises and says that
 // it is past; after the grave it is gone; what is newer stays.
-func TestLetGo(t *testing.T) {
+func TestReplacedIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := open(t, vfs.NewMem(), "s1")
 		defer engine.Close()
@@ -291,7 +291,7 @@
 				t.Fatal(err)
 			}
 		}
-		sweep := func(keep time.Duration) int {
+		expire := func(keep time.Duration) int {
 			keys, err := engine.OlderThan(100, func(string) time.Duration { return keep })
 			if err != nil {
 				t.Fatal(err)
@@ -314,7 +314,7 @@
 		put("old", 3)
 		time.Sleep(10 * time.Minute)
 		put("new", 1)
-		if n := sweep(5 * time.Minute); n != 1 {
+		if n := expire(5 * time.Minute); n != 1 {
 			t.Fatalf("%d let go", n)
 		}
 		if g, err := acc.Read(&wire.Look{Key: "old"}); err != nil || !g.Cell.GetPast() || g.Cell.Val != nil || g.Accepted.GetN() != 3 {
@@ -327,10 +327,10 @@
 			t.Errorf("compared: %v %v", rows, err)
 		}
 		time.Sleep(2 * time.Hour)
-		if n := sweep(24 * time.Hour); n != 0 {
+		if n := expire(24 * time.Hour); n != 0 {
 			t.Errorf("%d let go within their time", n)
 		}
-		if n := sweep(time.Minute); n != 2 {
+		if n := expire(time.Minute); n != 2 {
 			t.Errorf("%d let go", n)
 		}
 		if r, err := engine.Load("old"); err != nil || r.Accepted != nil {
--- a/internal/state/storage/identity_test.go
+++ b/internal/state/storage/identity_test.go
@@ -60,7 +60,7 @@
 				t.Fatal(err)
 			}
 			engine = opened()
-			if engine.Fresh || engine.Ident() != made {
+			if engine.NewIdentity || engine.Ident() != made {
 				t.Errorf("operation %v fails: %s came back as %s", op, made, engine.Ident())
 			}
 			if err := engine.Close(); err != nil {
--- a/internal/state/storage/model_test.go
+++ b/internal/state/storage/model_test.go
@@ -54,7 +54,7 @@
 	go func() { _ = old.Close() }()
 	w.start(t, id)
 	r, err := w.v.Load("k")
-	if err != nil || w.v.Fresh || wire.CompareBallots(r.Promised, answered) < 0 {
+	if err != nil || w.v.NewIdentity || wire.CompareBallots(r.Promised, answered) < 0 {
 		t.Errorf("%s promises %v after a crash, and had answered %v: %v", id, r.Promised, answered, err)
 	}
 }
@@ -118,15 +118,15 @@
 		p := register.NewProposer(uint64(n+1), call)
 		wg.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				mark := fmt.Sprintf("%d.%d;", n, i)
+				token := fmt.Sprintf("%d.%d;", n, i)
 				cctx, end := context.WithTimeout(ctx, 3*time.Second)
 				_, err := p.Change(cctx, register.Set{set}, "k", func(s register.State) ([]byte, bool, error) {
-					return append(append([]byte{}, s.Value...), mark...), false, nil
+					return append(append([]byte{}, s.Value...), token...), false, nil
 				})
 				end()
 				mu.Lock()
-				acked[mark] = err == nil
-				refused[mark] = err != nil && !errors.Is(err, register.ErrMaybe)
+				acked[token] = err == nil
+				refused[token] = err != nil && !errors.Is(err, register.ErrMaybe)
 				mu.Unlock()
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -164,13 +164,13 @@
 		t.Fatalf("seed %d: %v", seed, err)
 	}
 	n := 0
-	for mark, ok := range acked {
-		count := strings.Count(";"+string(st.Value), ";"+mark)
+	for token, ok := range acked {
+		count := strings.Count(";"+string(st.Value), ";"+token)
 		if ok {
 			n++
 		}
-		if ok && count != 1 || count > 1 || refused[mark] && count > 0 {
-			t.Errorf("seed %d: mark %s acknowledged %v, refused %v, and is there %d times", seed, mark, ok, refused[mark], count)
+		if ok && count != 1 || count > 1 || refused[token] && count > 0 {
+			t.Errorf("seed %d: mark %s acknowledged %v, refused %v, and is there %d times", seed, token, ok, refused[token], count)
 		}
 	}
 	if n == 0 {
--- a/internal/state/storage/trouble_test.go
+++ b/internal/state/storage/trouble_test.go
@@ -120,7 +120,7 @@
 		saved(t, engine, "caught", 3)
 		saved(t, engine, "other", 3)
 		after := open(t, mem.CrashClone(vfs.CrashCloneCfg{}), "s1")
-		if a, b := promised(t, after, "caught"), promised(t, after, "other"); a != 3 || b != 3 || after.Fresh {
+		if a, b := promised(t, after, "caught"), promised(t, after, "other"); a != 3 || b != 3 || after.NewIdentity {
 			t.Errorf("promises of %d and %d after the power went", a, b)
 		}
 		if err := after.Close(); err != nil {
@@ -210,8 +210,8 @@
 	saved(t, engine, "k", 61)
 	rnd := rand.New(rand.NewPCG(uint64(n), uint64(kind)))
 	after := open(t, mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: rnd}), "s1")
-	if got := promised(t, after, "k"); got != 61 || after.Fresh || after.Ident() != ident {
-		t.Errorf("kind %d, call %d, %v: %d after the power went, fresh %v", kind, n, cause, got, after.Fresh)
+	if got := promised(t, after, "k"); got != 61 || after.NewIdentity || after.Ident() != ident {
+		t.Errorf("kind %d, call %d, %v: %d after the power went, fresh %v", kind, n, cause, got, after.NewIdentity)
 	}
 	if err := after.Close(); err != nil {
 		t.Error(err)
@@ -259,7 +259,7 @@
 // TestOpenWaits: a folder on a disk that is full, fails or answers nothing is waited
 // for, and keeps its identity; one of another machine is still refused at once.
 func TestOpenWaits(t *testing.T) {
-	for name, trouble := range map[string]func(*faultfs.FS, bool){
+	for name, injectFault := range map[string]func(*faultfs.FS, bool){
 		"full":    func(fs *faultfs.FS, on bool) { fs.Full(on) },
 		"stalled": func(fs *faultfs.FS, on bool) { fs.Stall(on) },
 		"fails": func(fs *faultfs.FS, on bool) {
@@ -277,7 +277,7 @@
 				ident := engine.Ident()
 				saved(t, engine, "k", 7)
 				fs := faultfs.New(mem.CrashClone(vfs.CrashCloneCfg{}))
-				trouble(fs, true)
+				injectFault(fs, true)
 				opened := make(chan *storage.Engine, 1)
 				go func() {
 					engine, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs})
@@ -291,11 +291,11 @@
 					t.Fatal("it was opened")
 				}
 				if name != "fails" {
-					trouble(fs, false)
+					injectFault(fs, false)
 				}
 				w := <-opened
-				if w.Fresh || w.Ident() != ident || promised(t, w, "k") != 7 {
-					t.Errorf("fresh %v", w.Fresh)
+				if w.NewIdentity || w.Ident() != ident || promised(t, w, "k") != 7 {
+					t.Errorf("fresh %v", w.NewIdentity)
 				}
 				closed(t, w, fs)
 				if err := engine.Close(); err != nil {
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -52,19 +52,19 @@
 type oddPeer struct {
 	ln net.Listener
 
-	mu   sync.Mutex
-	rnd  *rand.Rand
-	came map[string]int
-	held []heldAnswer // of all connections
+	mu       sync.Mutex
+	rnd      *rand.Rand
+	received map[string]int
+	delayed  []delayedAnswer // of all connections
 }
 
-type heldAnswer struct {
+type delayedAnswer struct {
 	id   uint64
 	body []byte
 }
 
 func newOddPeer(ln net.Listener, seed uint64) *oddPeer {
-	p := &oddPeer{ln: ln, rnd: rand.New(rand.NewPCG(seed, 1)), came: map[string]int{}}
+	p := &oddPeer{ln: ln, rnd: rand.New(rand.NewPCG(seed, 1)), received: map[string]int{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -98,20 +98,20 @@
 }
 
 // answers draws what is written next on a connection.
-func (p *oddPeer) answers(id uint64, body []byte) (out []heldAnswer, reset bool) {
+func (p *oddPeer) answers(id uint64, body []byte) (out []delayedAnswer, reset bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.came[string(body)]++
-	p.held = append(p.held, heldAnswer{id, body})
+	p.received[string(body)]++
+	p.delayed = append(p.delayed, delayedAnswer{id, body})
 	for range p.rnd.IntN(4) {
 		// Any held answer, of this connection or of one that has ended.
-		out = append(out, p.held[p.rnd.IntN(len(p.held))])
+		out = append(out, p.delayed[p.rnd.IntN(len(p.delayed))])
 	}
 	if p.rnd.IntN(3) > 0 {
-		out = append(out, heldAnswer{id, body})
+		out = append(out, delayedAnswer{id, body})
 	}
 	if p.rnd.IntN(8) == 0 {
-		out = append(out, heldAnswer{id + 1<<40, []byte("nobody's")})
+		out = append(out, delayedAnswer{id + 1<<40, []byte("nobody's")})
 	}
 	return out, p.rnd.IntN(12) == 0
 }
@@ -141,7 +141,7 @@
 			}
 			peer.mu.Lock()
 			defer peer.mu.Unlock()
-			for body, times := range peer.came {
+			for body, times := range peer.received {
 				if times > 1 {
 					t.Errorf("seed %d: call %s came %d times", seed, body, times)
 				}
@@ -180,13 +180,13 @@
 	return good, lost
 }
 
-// TestAnswerCut: of an answer that is cut at any byte, or of a call, nothing is handed
+// TestTruncatedAnswer: of an answer that is cut at any byte, or of a call, nothing is handed
 // on, and the call is not sent again.
-func TestAnswerCut(t *testing.T) {
+func TestTruncatedAnswer(t *testing.T) {
 	body := []byte("the whole answer")
-	whole := len(wireFrame(wireAnswer, 0, body))
+	frame := len(wireFrame(wireAnswer, 0, body))
 	for _, answer := range []bool{false, true} {
-		for at := range whole {
+		for at := range frame {
 			synctest.Test(t, func(t *testing.T) {
 				n := memnet.New(1)
 				ln, err := n.Host("s").Listen("s")
@@ -196,8 +196,8 @@
 				defer ln.Close()
 				calls := make(chan int, 1)
 				go func() {
-					came := 0
-					defer func() { calls <- came }()
+					received := 0
+					defer func() { calls <- received }()
 					for {
 						c, err := ln.Accept()
 						if err != nil {
@@ -206,7 +206,7 @@
 						if !answer {
 							_, _ = io.ReadFull(c, make([]byte, at))
 						} else if id, b, err := readCall(c); err == nil {
-							came++
+							received++
 							_, _ = c.Write(wireFrame(wireAnswer, id, b)[:at])
 						}
 						c.Close()
@@ -219,8 +219,8 @@
 					t.Errorf("answer %v cut at %d: %q, %v", answer, at, a, err)
 				}
 				ln.Close()
-				if came := <-calls; answer && came != 1 {
-					t.Errorf("answer cut at %d: the call came %d times", at, came)
+				if received := <-calls; answer && received != 1 {
+					t.Errorf("answer cut at %d: the call came %d times", at, received)
 				}
 			})
 		}
--- a/internal/transport/frame_fuzz_test.go
+++ b/internal/transport/frame_fuzz_test.go
@@ -22,10 +22,10 @@
 		return b
 	}
 	call := frame{kind: kindCall, id: 1, body: []byte("call")}
-	whole := write(call, frame{kind: kindAnswer, id: 1<<64 - 1}, frame{kind: kindAlien, id: 2, body: make([]byte, most)})
-	f.Add(whole)
-	f.Add(whole[:headLen+2])
-	f.Add(whole[:headLen-1])
+	stream := write(call, frame{kind: kindAnswer, id: 1<<64 - 1}, frame{kind: kindAlien, id: 2, body: make([]byte, most)})
+	f.Add(stream)
+	f.Add(stream[:headLen+2])
+	f.Add(stream[:headLen-1])
 	f.Add(write(frame{kind: kindCall, id: 1, body: make([]byte, most+1)}))
 	f.Add(append([]byte{magic, Version + 1, kindCall, 0}, make([]byte, 12)...))
 	f.Add(append([]byte{magic, Version, kindAlien + 1, 0}, make([]byte, 12)...))
--- a/internal/transport/hub.go
+++ b/internal/transport/hub.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// letGo ends the connection if it has been idle since before.
-func (l *link) letGo(before time.Time) bool {
+// close ends the connection if it has been idle since before.
+func (l *link) close(before time.Time) bool {
 	l.mu.Lock()
 	if len(l.pending) > 0 || !l.used.Before(before) {
 		l.mu.Unlock()
@@ -208,15 +208,15 @@
 	return true
 }
 
-// sweep lets idle connections go: a node talks to all others in time, and would
+// closeIdle lets idle connections go: a node talks to all others in time, and would
 // keep one to each of them. Whenever one is added is often enough.
-func (h *Hub) sweep(now time.Time) {
+func (h *Hub) closeIdle(now time.Time) {
 	if h.p.Idle <= 0 || now.Sub(h.lastSwept) < time.Second {
 		return
 	}
 	h.lastSwept = now
 	for a, l := range h.all {
-		if l.ended() || l.letGo(now.Add(-h.p.Idle)) {
+		if l.ended() || l.close(now.Add(-h.p.Idle)) {
 			delete(h.all, a)
 		}
 	}
@@ -244,7 +244,7 @@
 		c.Close()
 		return l, nil
 	}
-	h.sweep(time.Now())
+	h.closeIdle(time.Now())
 	h.all[addr] = n
 	h.mu.Unlock()
 	go writeAll(c, n.out, n.done, n.end)
--- a/internal/transport/memnet/memnet.go
+++ b/internal/transport/memnet/memnet.go
@@ -17,18 +17,18 @@
 
 // Net is one simulated network.
 type Net struct {
-	mu    sync.Mutex
-	lns   map[string]*listener
-	cut   map[[2]string]bool
-	rnd   *rand.Rand
-	delay time.Duration
-	lossy int // of a hundred writes, so many are lost once and sent again
-	ice   map[string]chan struct{}
+	mu          sync.Mutex
+	lns         map[string]*listener
+	partitioned map[[2]string]bool
+	rnd         *rand.Rand
+	delay       time.Duration
+	lossy       int // of a hundred writes, so many are lost once and sent again
+	ice         map[string]chan struct{}
 }
 
 // New makes a network whose chances follow seed.
 func New(seed uint64) *Net {
-	return &Net{lns: map[string]*listener{}, cut: map[[2]string]bool{}, rnd: rand.New(rand.NewPCG(seed, 1)), ice: map[string]chan struct{}{}}
+	return &Net{lns: map[string]*listener{}, partitioned: map[[2]string]bool{}, rnd: rand.New(rand.NewPCG(seed, 1)), ice: map[string]chan struct{}{}}
 }
 
 // Delay makes every write take up to d.
@@ -78,24 +78,24 @@
 	}
 }
 
-// CutOne stops what goes one way only.
-func (n *Net) CutOne(from, to string, on bool) {
+// SetPartitionedOneWay stops what goes one way only.
+func (n *Net) SetPartitionedOneWay(from, to string, on bool) {
 	n.mu.Lock()
-	n.cut[[2]string{from, to}] = on
+	n.partitioned[[2]string{from, to}] = on
 	n.mu.Unlock()
 }
 
-// Cut stops (or lets pass) what goes between two hosts, both ways.
-func (n *Net) Cut(a, b string, on bool) {
+// SetPartitioned stops (or lets pass) what goes between two hosts, both ways.
+func (n *Net) SetPartitioned(a, b string, on bool) {
 	n.mu.Lock()
-	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = on, on
+	n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = on, on
 	n.mu.Unlock()
 }
 
-func (n *Net) isCut(a, b string) bool {
+func (n *Net) isPartitioned(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[[2]string{a, b}]
+	return n.partitioned[[2]string{a, b}]
 }
 
 func (n *Net) pause() time.Duration {
@@ -117,7 +117,7 @@
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			n.Stand(host)
 			// Through a cut nothing comes back, not even a refusal.
-			if n.isCut(host, addr) || n.isCut(addr, host) {
+			if n.isPartitioned(host, addr) || n.isPartitioned(addr, host) {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -168,7 +168,7 @@
 		loop.Wait(context.Background(), d)
 	}
 	// What is written into a cut is lost; the writer can't tell.
-	if c.n.isCut(c.from, c.to) {
+	if c.n.isPartitioned(c.from, c.to) {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -15,18 +15,18 @@
 
 // Server takes calls at one address.
 type Server struct {
-	ln   net.Listener
-	p    Params
-	h    Handler
-	room chan struct{}
-	mu   sync.Mutex
-	open map[net.Conn]func(error)
-	done bool
-	wg   sync.WaitGroup // handlers at work
-	bad  func(error)
-	crew chan task     // to handlers that have nothing to do
-	idle atomic.Int32  // of those
-	over chan struct{} // closed with the server
+	ln       net.Listener
+	p        Params
+	h        Handler
+	capacity chan struct{}
+	mu       sync.Mutex
+	open     map[net.Conn]func(error)
+	done     bool
+	wg       sync.WaitGroup // handlers at work
+	bad      func(error)
+	crew     chan task     // to handlers that have nothing to do
+	idle     atomic.Int32  // of those
+	over     chan struct{} // closed with the server
 }
 
 // task is one call to be answered.
@@ -43,7 +43,7 @@
 
 // Serve starts taking calls. bad hears of every connection that spoke badly.
 func Serve(ctx context.Context, ln net.Listener, p Params, h Handler, bad func(error)) *Server {
-	s := &Server{ln: ln, p: p, h: h, room: make(chan struct{}, p.Inflight), open: map[net.Conn]func(error){}, bad: bad, crew: make(chan task), over: make(chan struct{})}
+	s := &Server{ln: ln, p: p, h: h, capacity: make(chan struct{}, p.Inflight), open: map[net.Conn]func(error){}, bad: bad, crew: make(chan task), over: make(chan struct{})}
 	go s.accept(ctx)
 	return s
 }
@@ -130,9 +130,9 @@
 			return
 		}
 		// Bounded: past the limit the connection itself pushes back.
-		s.room <- struct{}{}
+		s.capacity <- struct{}{}
 		if !s.begin() {
-			<-s.room
+			<-s.capacity
 			end(net.ErrClosed)
 			return
 		}
@@ -171,7 +171,7 @@
 
 func (s *Server) answer(t task) {
 	defer s.wg.Done()
-	defer func() { <-s.room }()
+	defer func() { <-s.capacity }()
 	a := s.h(t.ctx, t.f.body)
 	if a == nil {
 		return
