--- /dev/null
+++ b/internal/coordination/core/binding.go
@@ -0,0 +1,47 @@
+package core
+
+import (
+	"context"
+	"errors"
+	"slices"
+
+	"damsontiller/internal/coordination/cluster"
+	"damsontiller/internal/proto/spec"
+)
+
+// bindStores gives each store of the set that has none yet the identity it came
+// with. Once bound it is never changed here: a store that lost its disk comes
+// with another and has to be admitted.
+func (c *Core) bindStores(ctx context.Context) {
+	idents := map[string]string{}
+	used := c.Cluster.Now().Used
+	for _, m := range c.Lease.Members() {
+		if m.Role == "store" && m.Live && !slices.Contains(used, m.Ident) {
+			idents[m.Id] = m.Ident
+		}
+	}
+	want := func(s spec.Machine) bool { return s.Ident == "" && idents[s.ID] != "" }
+	if !slices.ContainsFunc(c.Cluster.Now().Cluster.Stores, want) {
+		return
+	}
+	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
+		some := false
+		for i, s := range r.Stores {
+			if want(s) {
+				r.Stores[i].Ident, some = idents[s.ID], true
+			}
+		}
+		if !some {
+			return cluster.ErrNoChange
+		}
+		return nil
+	})
+	if err != nil {
+		if !errors.Is(err, cluster.ErrNoChange) {
+			c.Log.Warn("stores not bound", "err", err)
+		}
+		return
+	}
+	c.Log.Info("stores bound", "version", ver)
+	c.broadcastSpec(ctx, ver, raw)
+}
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -10,10 +10,8 @@
 	"github.com/labstack/echo/v4"
 
 	"damsontiller/internal/coordination/metrics"
-	"damsontiller/internal/coordination/singleton"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/proto/spec"
-	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
 )
@@ -27,10 +25,6 @@
 	Waiting []string `json:"waiting"`
 }
 
-func (c *Core) portRefused(ctx context.Context, addr string) bool {
-	return singleton.PortRefused(ctx, c.Peer, addr)
-}
-
 // Routes puts the operators' interface on e.
 func (c *Core) Routes(e *echo.Echo) {
 	e.GET("/v1/spec", c.getSpec)
@@ -221,85 +215,3 @@
 	}
 	return x.JSON(http.StatusOK, a)
 }
-
-// member is a row of the members list.
-type member struct {
-	ID       string `json:"id"`
-	Role     string `json:"role"`
-	Addr     string `json:"addr"`
-	HTTP     string `json:"http"`
-	Zone     string `json:"zone"`
-	Live     bool   `json:"live"`
-	Spec     uint64 `json:"spec"`
-	SilentMs int64  `json:"silent_ms"`
-	Votes    bool   `json:"votes"`
-	Status   string `json:"status,omitempty"`
-}
-
-func (c *Core) getMembers(x echo.Context) error {
-	// The sets whose cores are asked are those that a majority has in force.
-	if err := c.Cluster.Read(x.Request().Context()); err != nil {
-		return fail(x, err)
-	}
-	all, err := c.knownMembers(x.Request().Context())
-	if err != nil {
-		return fail(x, err)
-	}
-	out := []member{}
-	for _, m := range all {
-		out = append(out, member{m.Id, m.Role, m.Addr, m.Http, m.Zone, m.Live, m.SpecVer, m.SilentMs, c.votes(m), m.Status})
-	}
-	slices.SortFunc(out, func(a, b member) int {
-		if a.ID != b.ID {
-			if a.ID < b.ID {
-				return -1
-			}
-			return 1
-		}
-		return 0
-	})
-	return x.JSON(http.StatusOK, map[string]any{"members": out})
-}
-
-func (c *Core) votes(m *wire.Member) bool {
-	v := c.Cluster.Now()
-	return slices.ContainsFunc(slices.Concat(v.Cluster.Cores, v.NextCores, v.Cluster.Stores, v.NextStores), func(s spec.Machine) bool { return s.Ident != "" && s.Ident == m.Ident })
-}
-
-// getHealth tells what an operator should look at first.
-func (c *Core) getHealth(x echo.Context) error {
-	// The sets whose cores are asked are those that a majority has in force.
-	if err := c.Cluster.Read(x.Request().Context()); err != nil {
-		return fail(x, err)
-	}
-	all, err := c.knownMembers(x.Request().Context())
-	if err != nil {
-		return fail(x, err)
-	}
-	v := c.Cluster.Now()
-	wrong := []string{}
-	if len(v.NextCores)+len(v.NextStores) > 0 {
-		wrong = append(wrong, "a change of a set is under way")
-	}
-	for _, m := range append(slices.Clone(v.Cluster.Cores), v.Cluster.Stores...) {
-		g := all[m.ID+"@"+m.Addr]
-		switch {
-		case g == nil || !g.Live:
-			wrong = append(wrong, m.ID+" is away")
-		case m.Ident == "":
-			wrong = append(wrong, m.ID+" is not bound yet")
-		case g.Ident != m.Ident:
-			wrong = append(wrong, m.ID+" came back with another identity and does not vote")
-		}
-	}
-	for _, m := range all {
-		if m.Role == "edge" && !m.Live {
-			wrong = append(wrong, m.Id+" is away")
-		}
-		if m.Status != "" {
-			wrong = append(wrong, m.Id+": "+m.Status)
-		}
-	}
-	slices.Sort(wrong)
-	return x.JSON(http.StatusOK, map[string]any{"ok": len(wrong) == 0, "spec": v.Version, "members": len(all), "wrong": wrong})
-}
--- a/internal/coordination/core/identity.go
+++ b/internal/coordination/core/persistence.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 
+	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/node"
 )
 
@@ -36,3 +37,22 @@
 	n.Peer.SetIdent(n.Peer.Ident(), binary.BigEndian.Uint64(b))
 	return nil
 }
+
+const clusterKey = "realm"
+
+// PersistCluster notes each spec on disk before it comes into force.
+func PersistCluster(save func(string, []byte) error) func([]byte, uint64) error {
+	return func(raw []byte, ver uint64) error {
+		return save(clusterKey, append(binary.BigEndian.AppendUint64(nil, ver), raw...))
+	}
+}
+
+// RestoreCluster puts the spec kept on disk in force: a node never slips back to an
+// older one than it has had.
+func RestoreCluster(saved func(string) ([]byte, error), r *cluster.Cluster) error {
+	b, err := saved(clusterKey)
+	if err != nil || len(b) < 8 {
+		return err
+	}
+	return r.Apply(binary.BigEndian.Uint64(b), b[8:])
+}
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -90,7 +90,7 @@
 		stays := m.Id != id && m.Role == membership.Stores.Role() && !slices.Contains(r.Retired, m.Id)
 		switch {
 		case !stays:
-		case has(r.Stores, m.Ident):
+		case membership.Has(r.Stores, m.Ident):
 			if m.Live {
 				live++
 			}
--- a/internal/coordination/core/replicasets.go
+++ b/internal/coordination/core/setorders.go
@@ -1,12 +1,8 @@
 package core
 
 import (
-	"context"
-	"errors"
-	"fmt"
 	"net/http"
 	"slices"
-	"time"
 
 	"github.com/labstack/echo/v4"
 
@@ -18,11 +14,6 @@
 	"damsontiller/internal/transport/code"
 )
 
-// The register first holds both sets, and every quorum is then a majority of each;
-// then all keys are brought to the machines of the new set that lack them; then the
-// new set stands alone. Each step may be done twice, so it does not matter who does
-// it, nor that it is only one.
-
 // setRoutes puts the commands for sets on e.
 func (c *Core) setRoutes(e *echo.Echo) {
 	e.GET("/v1/sets", c.getSets)
@@ -155,117 +146,3 @@
 	membership.SetNext(r, set, nil)
 	return nil
 }
-
-// isReconciler tells whether this core does the sets' duty.
-func (c *Core) isReconciler(v *cluster.View) bool {
-	self := observed(c.Peer.Member(0))
-	return membership.IsReconciler(&v.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
-}
-
-// advanceChange brings a change of a set further: the keys are brought to the new set, then it
-// stands alone. Nobody needs to be waited for. Of the old set's machines a majority
-// refuses whoever acts on that set alone before the change goes on: of the cores
-// because they have confirmed, of the stores, for each key that moves, because it was
-// they who gave what they had of it.
-func (c *Core) advanceChange(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) {
-	var ready bool
-	if set == membership.Cores {
-		ready = c.confirmed(v)
-	} else {
-		ready = c.keysTransferred(ctx, v, change)
-	}
-	if ready {
-		c.finishChange(ctx, set, change)
-	}
-}
-
-// confirmed tells whether a majority of the old cores has the change in force. The
-// spec's is their only register, and settling writes it to both sets.
-func (c *Core) confirmed(v *cluster.View) bool {
-	versions := map[string]uint64{c.Peer.Ident(): c.Cluster.Now().Version}
-	for _, m := range c.members(membership.Cores.Role()) {
-		ident := m.Machine.Ident
-		versions[ident] = max(versions[ident], m.Confirmed)
-	}
-	return membership.Confirmed(v.Cluster.Cores, versions, v.CoresVersion)
-}
-
-// keysTransferred has the keys brought to the next stores, and tells whether they are. Each
-// renewal comes by here; a try that failed is not made again at once.
-func (c *Core) keysTransferred(ctx context.Context, v *cluster.View, change membership.Change) bool {
-	if time.Since(c.lastTransferFailure) < retryInterval {
-		return false
-	}
-	if err := c.transferKeys(ctx, v, change); err != nil {
-		c.Log.Info("set not moved yet", "set", membership.Stores, "moved", c.keysMoved.Load(), "err", err)
-		c.lastTransferFailure = time.Now()
-		return false
-	}
-	return true
-}
-
-// transferTimeout is how long one call waits for a store to have its keys; it goes on
-// meanwhile.
-const transferTimeout = 2 * time.Second
-
-// transferKeys has each store of the next set bring what falls to it.
-func (c *Core) transferKeys(ctx context.Context, v *cluster.View, change membership.Change) error {
-	type answer struct {
-		a   *wire.FillAck
-		err error
-	}
-	rate := c.params.MoveRate
-	if v.SelfManaged {
-		// A set that lacks a machine is in more danger than the traffic is in haste.
-		rate = 0
-	}
-	gainers := change.Receivers(v.Copies())
-	ch := make(chan answer, len(gainers))
-	for _, m := range gainers {
-		go func() {
-			order := &wire.Fill{Spec: v.StoresVersion, Sets: v.StoresDigest(), Rate: int32(rate)}
-			r, err := c.Peer.CallFor(ctx, transferTimeout+time.Second, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: order}})
-			if err != nil {
-				err = fmt.Errorf("%s: %w", m.ID, err)
-			}
-			ch <- answer{r.GetFill(), err}
-		}()
-	}
-	var keys int64
-	var last error
-	for range gainers {
-		a := <-ch
-		keys += a.a.GetKeys()
-		switch {
-		case a.err != nil:
-			last = a.err
-		case !a.a.GetWhole():
-			last = code.New(code.SetChanging, "keys are on their way")
-		}
-	}
-	c.keysMoved.Store(keys)
-	return last
-}
-
-// finishChange lets the new set stand alone.
-func (c *Core) finishChange(ctx context.Context, set membership.Set, change membership.Change) {
-	ctx, stop := context.WithTimeout(ctx, 3*time.Second)
-	defer stop()
-	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		return membership.FinishChange(r, set, change)
-	})
-	if err != nil {
-		if !errors.Is(err, cluster.ErrNoChange) {
-			c.Log.Warn("set not settled", "set", set, "err", err)
-		}
-		return
-	}
-	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", c.keysMoved.Load())
-	c.broadcastAsync(ctx, ver, raw)
-}
-
-// broadcastAsync sends a version down the tree while the duty goes on.
-func (c *Core) broadcastAsync(ctx context.Context, ver uint64, raw []byte) {
-	ctx = context.WithoutCancel(ctx)
-	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, ver, raw) })
-}
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -7,18 +7,13 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"net/http"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/storeclient"
-	"damsontiller/internal/dataplane/job"
 	"damsontiller/internal/proto/register"
-	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -74,56 +69,6 @@
 	return manager
 }
 
-// value is what the register holds: how long to wait, counted by each store
-// from when it took the value.
-type value struct {
-	Step   int   `json:"step"`
-	WaitMs int64 `json:"wait_ms"`
-}
-
-// Prefix is what the registers' keys begin with.
-const Prefix = "cool/"
-
-func regKey(key string) string { return Prefix + key }
-
-// WaitMs is a wait in whole milliseconds, never shorter.
-func WaitMs(w time.Duration) int64 { return (w + time.Millisecond - 1).Milliseconds() }
-
-func decode(b []byte) (value, error) {
-	var v value
-	if err := json.Unmarshal(b, &v); err != nil {
-		return v, code.New(code.Garbled, "cooldown: %w", err)
-	}
-	return v, nil
-}
-
-// WaitOf is the wait that a register's value holds.
-func WaitOf(b []byte) (time.Duration, error) {
-	v, err := decode(b)
-	return time.Duration(v.WaitMs) * time.Millisecond, err
-}
-
-// Key is the cooldown key of a call: the account where one is named, else the
-// tool's route or the model server.
-func Key(s *spec.Spec, r spec.Runner) string {
-	acct, model := r.Account, false
-	for _, t := range s.Routes {
-		if t.Name == r.Route {
-			model = t.Model
-			if acct == "" {
-				acct = t.Account
-			}
-		}
-	}
-	switch {
-	case acct != "":
-		return "account/" + acct
-	case model:
-		return "server/" + r.Name
-	}
-	return "route/" + r.Route
-}
-
 // KnownWait is the wait as far as this node knows without asking.
 func (manager *Manager) KnownWait(key string) time.Duration {
 	manager.mu.Lock()
@@ -153,71 +98,6 @@
 	}
 }
 
-// narrowGate lets one call of the key through at first, once its cooldown is over.
-func (manager *Manager) narrowGate(key string) {
-	manager.active.Store(true)
-	g := manager.gates[key]
-	if g == nil {
-		g = &gate{used: time.Now()}
-		manager.gates[key] = g
-	}
-	g.limit = 1
-}
-
-// widenGate lets twice as many through after a good answer, unless the key cools.
-func (manager *Manager) widenGate(key string, g *gate) {
-	if manager.remaining(key) > 0 {
-		return
-	}
-	if g.limit *= 2; g.limit > gateUnlimited && manager.gates[key] == g {
-		delete(manager.gates, key)
-	}
-}
-
-// gate bounds the calls of one key that this node has under way at once, after
-// a cooldown: one at first, twice as many with each good answer. A whole backlog
-// let loose at once would only be refused again.
-type gate struct {
-	limit, inFlight int
-	used            time.Time
-}
-
-// gateUnlimited is where a gate is wide enough to be none.
-const gateUnlimited = 16
-
-// Allowed tells whether a call of the key may be made as far as this node knows.
-func (manager *Manager) Allowed(key string) bool {
-	manager.mu.Lock()
-	defer manager.mu.Unlock()
-	g := manager.gates[key]
-	return g == nil || g.inFlight < g.limit
-}
-
-// BeginCall counts a call in that Free let through, Leave counts it out.
-func (manager *Manager) BeginCall(key string) {
-	manager.mu.Lock()
-	defer manager.mu.Unlock()
-	if g := manager.gates[key]; g != nil {
-		g.inFlight++
-	}
-}
-
-// EndCall widens the gate after a good answer.
-func (manager *Manager) EndCall(key string, good bool) {
-	manager.mu.Lock()
-	defer manager.mu.Unlock()
-	g := manager.gates[key]
-	if g == nil {
-		return
-	}
-	// Calls from before the gate were never counted in.
-	g.inFlight = max(g.inFlight-1, 0)
-	g.used = time.Now()
-	if good {
-		manager.widenGate(key, g)
-	}
-}
-
 // Read reads the deadline at a majority. Without one there is no answer, and
 // the call must not be made. It tells under which spec it looked.
 func (manager *Manager) Read(ctx context.Context, key string) (time.Duration, uint64, error) {
@@ -235,43 +115,6 @@
 	return w, ver, err
 }
 
-func remainingOf(st register.State) (time.Duration, value, error) {
-	if len(st.Value) == 0 {
-		return 0, value{}, nil
-	}
-	v, err := decode(st.Value)
-	if err != nil {
-		return 0, v, err
-	}
-	return max(time.Duration(v.WaitMs)*time.Millisecond-st.Age, 0), v, nil
-}
-
-// Next works out the value after one more refusal. Refusals within one
-// cooldown are one step; after a quiet spell the steps start again.
-func nextValue(c *spec.Cooldown, st register.State, floor time.Duration) (value, bool, error) {
-	left, v, err := remainingOf(st)
-	if err != nil {
-		return v, false, err
-	}
-	if left > 0 {
-		// Retry-After is a floor: a longer one lengthens, none shortens.
-		if floor <= left {
-			return v, false, nil
-		}
-		return value{v.Step, WaitMs(floor)}, true, nil
-	}
-	step := v.Step + 1
-	if len(st.Value) == 0 || st.Age-time.Duration(v.WaitMs)*time.Millisecond > c.Quiet() {
-		step = 1
-	}
-	wait := c.First()
-	for i := 1; i < step && wait < c.Cap(); i++ {
-		wait *= 2
-	}
-	wait = max(min(wait, c.Cap()), floor)
-	return value{min(step, 30), WaitMs(wait)}, true, nil
-}
-
 // Install puts a refusal in force for all and gives the wait. It returns once
 // the cooldown is written, or once its writing has failed by the deadline; then
 // it is spread by the tree, kept, and written when the tier is back.
@@ -334,8 +177,6 @@
 	manager.mu.Unlock()
 }
 
-var errInForce = code.New(code.Cooling, "a longer cooldown is in force")
-
 type announcement struct {
 	Key    string `json:"key"`
 	WaitMs int64  `json:"wait_ms"`
@@ -386,35 +227,6 @@
 	})
 }
 
-// Precheck refuses at once, before anything is written, a job whose every runner
-// is known to be cooling for longer than the job can wait.
-type Precheck struct {
-	Manager *Manager
-	// Keys lists the cooldown keys that could serve the job.
-	Keys func(*job.Ctx) []string
-}
-
-// Do is the policy.
-func (p Precheck) Do(c *job.Ctx, next job.Next) job.Answer {
-	least := time.Duration(-1)
-	for _, k := range p.Keys(c) {
-		if w := p.Manager.KnownWait(k); least < 0 || w < least {
-			least = w
-		}
-	}
-	if least > 0 && !c.Fits(least, p.Manager.params.CallTime) {
-		return Cooling(least)
-	}
-	return next(c)
-}
-
-// Cooling is the answer that tells when to come back.
-func Cooling(w time.Duration) job.Answer {
-	a := job.Bad(code.Cooling, "cooling down for %d ms", w.Milliseconds())
-	a.Wait = w
-	return a
-}
-
 // Spec is the version in force here.
 func (manager *Manager) Spec() uint64 { return manager.node.Cluster.Now().Version }
 
@@ -442,42 +254,3 @@
 	}
 	return out
 }
-
-var words = []string{"429", "rate limit", "ratelimit", "too many requests", "throttle", "quota exceeded"}
-
-// Raised tells whether a raised failure is a rate limit, by its message or its
-// type's name.
-func Raised(typ, msg string) bool {
-	for _, s := range []string{strings.ToLower(typ), strings.ToLower(msg)} {
-		for _, w := range words {
-			if strings.Contains(s, w) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
-// RetryAfter reads a Retry-After header, in seconds or as a date. A date is
-// read against the same server's own Date, so that no two clocks are compared.
-func RetryAfter(h http.Header) time.Duration {
-	s := strings.TrimSpace(h.Get("Retry-After"))
-	if s == "" {
-		return 0
-	}
-	if n, err := strconv.ParseFloat(s, 64); err == nil {
-		if n <= 0 || n != n {
-			return 0
-		}
-		return time.Duration(min(n, 24*3600) * float64(time.Second))
-	}
-	at, err := http.ParseTime(s)
-	if err != nil {
-		return 0
-	}
-	from, err := http.ParseTime(h.Get("Date"))
-	if err != nil {
-		from = time.Now()
-	}
-	return min(max(at.Sub(from), 0), 24*time.Hour)
-}
--- /dev/null
+++ b/internal/dataplane/proxy/warmup.go
@@ -0,0 +1,41 @@
+package proxy
+
+import (
+	"math"
+
+	"golang.org/x/time/rate"
+)
+
+// WarmupNodes is how many nodes a fresh runner's rate is dealt to. Each may send one at
+// once on top of its part of the rate, so they are few; who they are follows from
+// the runner's id, the same on every node.
+const WarmupNodes = 4
+
+// cold tells whether this node may send a fresh runner one more job now.
+func (b *runnerLoad) allowWarmup(perS float64, nodes int) bool {
+	if perS <= 0 || nodes == 0 {
+		return false
+	}
+	r := rateShare(perS, nodes)
+	switch {
+	case b.warmupLimiter == nil:
+		b.warmupLimiter, b.warmupRate = rate.NewLimiter(rate.Limit(r), 1), r
+	case b.warmupRate != r:
+		// The same bucket goes on: a new one would be full at each change of the members.
+		b.warmupLimiter.SetLimit(rate.Limit(r))
+		b.warmupRate = r
+	}
+	return b.warmupLimiter.Allow()
+}
+
+// rateShare is one node's part of a rate. A second holds as many jobs as its part rounded
+// up. Where views of the members differ by two, two more nodes take a part, so a part
+// that is hardly more than a whole number is that number: six parts of a quarter each
+// then stay within half again the rate and five.
+func rateShare(perS float64, nodes int) float64 {
+	r := perS / float64(nodes)
+	if f := math.Floor(r); f >= 1 && r-f < 1.0/6 {
+		return f
+	}
+	return r
+}
--- a/internal/dataplane/store/fill.go
+++ b/internal/dataplane/store/transfer.go
@@ -3,16 +3,13 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/membership"
-	"damsontiller/internal/dataplane/cooldown"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -275,19 +272,6 @@
 	}
 }
 
-// askBulk asks again where the answer was lost or the other is a version behind.
-func (s *Store) askBulk(ctx context.Context, m spec.Machine, q *wire.Bulk) (*wire.Copies, error) {
-	for try := 0; ; try++ {
-		r, err := s.Peer.CallFor(ctx, pageWait, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}})
-		if err == nil {
-			return r.GetCopies(), nil
-		}
-		if try == 3 || code.Of(err) == code.WrongIdentity || !loop.Wait(ctx, 50*time.Millisecond) {
-			return nil, fmt.Errorf("%s: %w", m.ID, err)
-		}
-	}
-}
-
 // takeAll keeps what has come, as long as the change it was asked for goes on: a value
 // below what was promised may be taken no longer than that.
 func (s *Store) takeAll(f *filling, kind wire.List_Kind, cs []*wire.Copy) error {
@@ -351,63 +335,3 @@
 	}
 	return nil
 }
-
-// bulk answers for what falls to another store.
-func (s *Store) bulk(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	b := q.GetBulk()
-	v := s.Cluster.Now()
-	if !membership.SameStores(v, b.Spec, b.Sets) {
-		return nil, code.New(code.StaleSpec, "version %d of %d, or of other sets", v.Version, b.Spec)
-	}
-	if b.After == "" {
-		// What was let in under the set before is on the disk from here on.
-		s.Gate.Drain()
-	}
-	a := &wire.Copies{}
-	if len(b.Keys) > 0 {
-		size := 0
-		for i, k := range b.Keys {
-			c, err := s.v.Copy(b.Kind, k)
-			if err != nil {
-				return nil, err
-			}
-			if c != nil {
-				a.Copies = append(a.Copies, c)
-				size += len(c.Rec.GetCell().GetVal()) + len(c.Got.GetVal()) + len(k)
-			}
-			if size >= pageBytes && i+1 < len(b.Keys) {
-				a.Last = k
-				break
-			}
-		}
-		return &wire.Resp{Op: &wire.Resp_Copies{Copies: a}}, nil
-	}
-	sender := membership.Sender{View: v, Self: s.Peer.Ident(), To: b.Ident, Absent: b.Absent}
-	var err error
-	a.Copies, a.Last, err = s.v.Copies(b.Kind, b.After, pageBytes, sender.Sends)
-	if err != nil {
-		return nil, err
-	}
-	return &wire.Resp{Op: &wire.Resp_Copies{Copies: a}}, nil
-}
-
-// SaveAll is Save for many records.
-func (c *cooldowns) SaveAll(recs map[string]*wire.Rec) error {
-	if err := c.Engine.SaveAll(recs); err != nil {
-		return err
-	}
-	for k, r := range recs {
-		if strings.HasPrefix(k, cooldown.Prefix) {
-			c.remember(k, r, time.Now())
-		}
-	}
-	return nil
-}
-
-// forget is for when the disk has been changed for an empty one.
-func (c *cooldowns) forget() {
-	c.mu.Lock()
-	clear(c.all)
-	clear(c.force)
-	c.mu.Unlock()
-}
--- a/internal/kit/scale/scale.go
+++ b/internal/kit/scale/scale.go
@@ -11,7 +11,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -21,31 +20,9 @@
 	"time"
 
 	"damsontiller/internal/kit/fleet"
-	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/loop"
 )
 
-// Params shape a run.
-type Params struct {
-	Nodes      int // in all: 3 cores, 3 stores, the real edges, and hollow ones
-	Edges      int // real ones
-	Runners    int
-	Routes     int           // that the runners are spread over
-	Tenants    int           // each has a budget of its own in the spec
-	Changes    int           // of the spec an hour, in the second half
-	Failures   int           // of hollow nodes an hour, in the second half
-	SettleTime time.Duration // after forming, before anything is measured
-	Time       time.Duration
-	Seed       uint64
-	Kind       string // of hollow nodes
-	Portion    int    // hollow nodes to a process
-	Bin, Dir   string
-	Net        int
-	Self       []string // the command that runs Hollow
-	Out        io.Writer
-	File       string
-}
-
 // What a run is known to need at the most; see docs/CAPACITY.md for the runs.
 const (
 	core3store3  = 6
@@ -59,59 +36,6 @@
 	maxProcesses = 200
 )
 
-// Check refuses what the machine can't hold, before anything starts.
-func (p *Params) Check(m Machine) error {
-	least := core3store3 + p.Edges + 1
-	switch {
-	case p.Edges < 2 || p.Edges > 6:
-		return fmt.Errorf("-edges: %d is not within 2 and 6", p.Edges)
-	case p.Nodes < least:
-		return fmt.Errorf("-nodes: %d leaves no hollow node beside %d real ones; %d or more", p.Nodes, least-1, least)
-	case p.Routes < 1 || p.Runners < p.Routes:
-		return fmt.Errorf("-runners: %d can't serve %d routes", p.Runners, p.Routes)
-	case p.Tenants < 0 || p.Changes < 0 || p.Failures < 0:
-		return errors.New("a negative number of tenants, changes or failures")
-	case p.Runners+p.Tenants+p.Routes+16 > spec.MaxNames:
-		return fmt.Errorf("%d runners, tenants and routes; a spec has at most %d entries", p.Runners+p.Tenants+p.Routes, spec.MaxNames-16)
-	case p.SettleTime < 0:
-		return fmt.Errorf("-settle: %s is negative", p.SettleTime)
-	case p.Time < 4*time.Second:
-		return fmt.Errorf("-time: %s is less than 4s", p.Time)
-	case p.Kind != Member && p.Kind != Edge:
-		return fmt.Errorf("-kind: %q is neither %s nor %s", p.Kind, Member, Edge)
-	case p.Portion < 1 || uint64(p.Portion)*nodeFiles > m.Files:
-		return fmt.Errorf("-share: %d nodes to a process want %d descriptors, %d may be open; %d would fit", p.Portion, p.Portion*nodeFiles, m.Files, m.Files/nodeFiles)
-	case p.processes() > maxProcesses:
-		return fmt.Errorf("-nodes: %d processes, at most %d; -share %d would fit", p.processes(), maxProcesses, (p.Nodes+maxProcesses/2-1)/(maxProcesses/2))
-	}
-	if need := p.memory(); need > m.Memory/2 {
-		q := *p
-		for q.Nodes > least && q.memory() > m.Memory/2 {
-			q.Nodes--
-		}
-		return fmt.Errorf("-nodes: %d nodes want %d MiB, half of the machine's memory is %d MiB; %d would fit", p.Nodes, need>>20, m.Memory>>21, q.Nodes)
-	}
-	if uint64(p.Runners)*4 > m.Files {
-		return fmt.Errorf("-runners: %d want %d descriptors, %d may be open; %d would fit", p.Runners, p.Runners*4, m.Files, m.Files/4)
-	}
-	return nil
-}
-
-func (p *Params) hollows() int { return p.Nodes - core3store3 - p.Edges }
-
-func (p *Params) processes() int {
-	return core3store3 + p.Edges + (p.hollows()+p.Portion-1)/p.Portion
-}
-
-func (p *Params) memory() uint64 {
-	node := uint64(nodeBytes)
-	if p.Kind == Edge {
-		node = edgeBytes
-	}
-	h := uint64(p.hollows())
-	return uint64(core3store3+p.Edges)*realBytes + (h+uint64(p.Portion)-1)/uint64(p.Portion)*hollowBytes + h*node + h*uint64(p.Nodes)*pairBytes + uint64(p.Runners)*runnerBytes
-}
-
 // Figure is one line of a run.
 type Figure struct {
 	Name  string
@@ -168,12 +92,6 @@
 	late    int       // changes that were not in force everywhere in time
 }
 
-type change struct {
-	ack   time.Duration // until the operator was told that it is in force
-	all   time.Duration // until the last node had it
-	nodes int
-}
-
 // Run starts all, measures, and stops all.
 func Run(ctx context.Context, p Params) (_ []Figure, err error) {
 	m, err := Here()
@@ -252,31 +170,6 @@
 	}
 }
 
-// spec writes the first spec.
-func (p *Params) spec(file string) (int, error) {
-	s := spec.Spec{Name: "scale", Zones: []string{"a", "b", "c"}, Platform: "127.20.1.90:9900",
-		Classes: []spec.Class{{Name: "live", Urgent: true, Reserve: 25}, {Name: "work"}},
-		Keeping: []spec.Keeping{{Class: "work", KeepS: 3600}}, Budgets: []spec.Budget{{Programs: "*", Output: 2000}}}
-	for i := range p.Routes {
-		s.Routes = append(s.Routes, spec.Route{Name: fmt.Sprintf("model%d", i)})
-	}
-	s.Routes[0].Model = true
-	for i := range p.Runners {
-		s.Runners = append(s.Runners, spec.Runner{Name: fmt.Sprintf("r%04d", i), Addr: fmt.Sprintf("127.20.%d.%d:9000", 100+i/200, 1+i%200), Zone: s.Zones[i%3], Route: s.Routes[i%p.Routes].Name})
-	}
-	for i := range p.Tenants {
-		s.Budgets = append(s.Budgets, spec.Budget{Programs: fmt.Sprintf("tenant%03d", i), Output: 2000})
-	}
-	if err := s.Check(); err != nil {
-		return 0, err
-	}
-	b, err := s.MarshalJSON()
-	if err != nil {
-		return 0, err
-	}
-	return len(b), os.WriteFile(file, b, 0o644)
-}
-
 // start starts everything at once, and waits until every node is a member and
 // knows all others.
 func (r *run) start(ctx context.Context) error {
@@ -394,245 +287,6 @@
 	r.f.Stop()
 }
 
-// sample is what all have used up to one moment.
-type sample struct {
-	at     time.Time
-	real   map[string]use
-	calls  map[string]float64 // made by a real process, by its own count
-	hollow []report
-	rss    []use // of the hollow processes
-}
-
-func (r *run) sample() (sample, error) {
-	s := sample{real: map[string]use{}, calls: map[string]float64{}}
-	var err error
-	if s.hollow, err = r.each(order{Do: "stat"}); err != nil {
-		return s, err
-	}
-	for _, m := range r.f.Machines {
-		if s.real[m.ID], err = usage(m.Pid()); err != nil {
-			return s, err
-		}
-	}
-	for _, c := range r.crowd {
-		u, err := usage(c.cmd.Process.Pid)
-		if err != nil {
-			return s, err
-		}
-		s.rss = append(s.rss, u)
-	}
-	s.at = time.Now()
-	for _, m := range r.f.Machines {
-		if n, err := r.sent(m); err == nil {
-			s.calls[m.ID] = n
-		}
-	}
-	return s, nil
-}
-
-// sent reads a process's own count of the messages it has sent.
-func (r *run) sent(m *fleet.Machine) (float64, error) {
-	a, err := r.f.Web.Get("http://" + m.HTTP() + "/metrics")
-	if err != nil {
-		return 0, err
-	}
-	defer a.Body.Close()
-	for l := bufio.NewScanner(a.Body); l.Scan(); {
-		var n float64
-		if _, err := fmt.Sscanf(l.Text(), "dt_messages_sent_total %g", &n); err == nil {
-			return n, nil
-		}
-	}
-	return 0, errors.New("no count")
-}
-
-// window measures half of the run's time.
-func (r *run) window(ctx context.Context, name string, do func(context.Context)) error {
-	a, err := r.sample()
-	if err != nil {
-		return err
-	}
-	ctx, stop := context.WithTimeout(ctx, r.Time/2)
-	defer stop()
-	if do != nil {
-		do(ctx)
-	}
-	<-ctx.Done()
-	if errors.Is(ctx.Err(), context.Canceled) {
-		return ctx.Err()
-	}
-	b, err := r.sample()
-	if err != nil {
-		return err
-	}
-	r.compare(name, a, b)
-	return nil
-}
-
-// compare says what went on between two samples, for each role: the mean and the
-// most of its processes.
-func (r *run) compare(name string, a, b sample) {
-	secs := b.at.Sub(a.at).Seconds()
-	type col struct{ cpu, io, calls, rss, peak, anon, files []float64 }
-	roles := map[string]*col{}
-	for _, m := range r.f.Machines {
-		c := roles[m.Role]
-		if c == nil {
-			c = &col{}
-			roles[m.Role] = c
-		}
-		x, y := a.real[m.ID], b.real[m.ID]
-		c.cpu = append(c.cpu, 100*(y.cpu-x.cpu).Seconds()/secs)
-		c.io = append(c.io, float64(y.io-x.io)/secs)
-		c.calls = append(c.calls, (b.calls[m.ID]-a.calls[m.ID])/secs)
-		c.rss = append(c.rss, float64(y.rss)/(1<<20))
-		c.peak = append(c.peak, float64(y.peak)/(1<<20))
-		c.anon = append(c.anon, float64(y.anon)/(1<<20))
-		c.files = append(c.files, float64(y.fds))
-	}
-	both := func(what, unit string, vs []float64) {
-		r.say(name+"."+what, mean(vs), unit)
-		r.say(name+"."+what+".most", slices.Max(vs), unit)
-	}
-	for _, role := range []string{"core", "store", "edge"} {
-		c := roles[role]
-		both(role+".cpu", "% of a core", c.cpu)
-		both(role+".bytes", "B/s read and written", c.io)
-		both(role+".calls", "calls made/s", c.calls)
-		both(role+".rss", "MiB", c.rss)
-		both(role+".rss.peak", "MiB", c.peak)
-		both(role+".rss.anon", "MiB", c.anon)
-		both(role+".files", "descriptors", c.files)
-	}
-	var in, out, calls, cpu, rss []float64
-	conns := int64(0)
-	for i, w := range b.hollow {
-		n := float64(len(w.Loads))
-		conns += w.Conns
-		cpu = append(cpu, 100*float64(w.CPU-a.hollow[i].CPU)/1e9/secs/n)
-		rss = append(rss, float64(b.rss[i].rss)/(1<<20)/n)
-		for k, l := range w.Loads {
-			o := a.hollow[i].Loads[k]
-			in = append(in, float64(l.In-o.In)/secs)
-			out = append(out, float64(l.Out-o.Out)/secs)
-			if l.Calls >= o.Calls {
-				calls = append(calls, float64(l.Calls-o.Calls)/secs)
-			}
-		}
-	}
-	both("hollow.cpu", "% of a core a node", cpu)
-	both("hollow.in", "B/s a node", in)
-	both("hollow.out", "B/s a node", out)
-	both("hollow.calls", "calls made/s a node", calls)
-	both("hollow.rss", "MiB a node, its process's share", rss)
-	r.say(name+".hollow.conns", float64(conns)/float64(r.hollows()), "connections a node")
-}
-
-func mean(vs []float64) float64 {
-	s := 0.0
-	for _, v := range vs {
-		s += v
-	}
-	return s / float64(max(len(vs), 1))
-}
-
-// fault changes the spec and kills hollow nodes at their rates until ctx ends.
-func (r *run) fault(ctx context.Context) {
-	var wg sync.WaitGroup
-	every := func(hourly int, do func(context.Context, int)) {
-		if hourly == 0 {
-			return
-		}
-		wg.Go(func() {
-			for i := 0; ctx.Err() == nil; i++ {
-				do(ctx, i)
-				loop.Wait(ctx, time.Hour/time.Duration(hourly))
-			}
-		})
-	}
-	every(r.Changes, r.change)
-	every(r.Failures, r.fail)
-	wg.Wait()
-}
-
-// change makes one change of the spec, and finds when the last node had it.
-func (r *run) change(ctx context.Context, i int) {
-	at := time.Now()
-	var a struct {
-		Version uint64 `json:"version"`
-		InForce bool   `json:"in_force"`
-	}
-	st, err := r.f.Operate(http.MethodPatch, "/v1/spec", map[string]any{"keeping": []spec.Keeping{{Class: "work", KeepS: int64(3600 + i%2)}}}, &a)
-	c := change{ack: time.Since(at)}
-	if err != nil || st != http.StatusOK {
-		r.mu.Lock()
-		r.late++
-		r.mu.Unlock()
-		r.row("# change: status %d, in force %v, %v", st, a.InForce, err)
-		return
-	}
-	// All live nodes, but one that has just been killed or started anew.
-	for ctx.Err() == nil && time.Since(at) < 14*time.Second {
-		ws, err := r.each(order{Do: "force", Ver: a.Version})
-		if err != nil {
-			return
-		}
-		c.nodes = 0
-		for _, w := range ws {
-			for _, t := range w.At {
-				c.nodes++
-				c.all = max(c.all, time.Unix(0, t).Sub(at))
-			}
-		}
-		if c.nodes >= r.hollows()-1 {
-			r.mu.Lock()
-			r.changes = append(r.changes, c)
-			r.mu.Unlock()
-			return
-		}
-		loop.Wait(ctx, 50*time.Millisecond)
-	}
-}
-
-// fail kills a hollow node, finds when others miss it, and starts it again.
-func (r *run) fail(ctx context.Context, _ int) {
-	c := r.crowd[r.rnd.IntN(len(r.crowd))]
-	id := c.ids[r.rnd.IntN(len(c.ids))]
-	if _, err := r.each(order{Do: "watch", ID: id}); err != nil {
-		return
-	}
-	at := time.Now()
-	if _, err := c.ask(order{Do: "kill", ID: id}); err != nil {
-		return
-	}
-	want := 0
-	for _, c := range r.crowd {
-		n := len(c.ids)
-		if slices.Contains(c.ids, id) {
-			n--
-		}
-		want += min(n, watchers)
-	}
-	for done := false; !done && time.Since(at) < 8*time.Second && loop.Wait(ctx, 100*time.Millisecond); {
-		ws, err := r.each(order{Do: "seen", ID: id})
-		if err != nil {
-			return
-		}
-		var got []float64
-		for _, w := range ws {
-			for _, t := range w.At {
-				got = append(got, time.Unix(0, t).Sub(at).Seconds())
-			}
-		}
-		if done = len(got) >= want; done {
-			r.mu.Lock()
-			r.notices = append(r.notices, got...)
-			r.mu.Unlock()
-		}
-	}
-	_, _ = c.ask(order{Do: "start", ID: id})
-}
-
 // tell says what the troubles showed.
 func (r *run) tell() {
 	r.mu.Lock()
--- /dev/null
+++ b/internal/state/storage/metadata.go
@@ -0,0 +1,22 @@
+package storage
+
+// SaveMetadata keeps a small fact of the process's own; Noted reads it.
+func (engine *Engine) SaveMetadata(key string, b []byte) error {
+	return engine.put(metadataPrefix+"n/"+key, b)
+}
+
+// LoadMetadata reads what Note kept; nil where there is nothing.
+func (engine *Engine) LoadMetadata(key string) ([]byte, error) {
+	return engine.get(metadataPrefix + "n/" + key)
+}
+
+// ListMetadata lists what is noted under a prefix.
+func (engine *Engine) ListMetadata(prefix string) (map[string][]byte, error) {
+	out := map[string][]byte{}
+	pre := metadataPrefix + "n/" + prefix
+	err := engine.scanAll(pre, func(k string, b []byte) error {
+		out[k[len(metadataPrefix+"n/"):]] = append([]byte(nil), b...)
+		return nil
+	})
+	return out, err
+}
--- /dev/null
+++ b/internal/state/storage/reopen.go
@@ -0,0 +1,107 @@
+package storage
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/cockroachdb/pebble/v2"
+)
+
+// reopenPause is the time between two tries to open a folder on a disk that fails.
+const reopenPause = 500 * time.Millisecond
+
+// openDB opens the database through a device of its own and puts it to use.
+func (engine *Engine) openDB(dev *device) error {
+	lock, err := pebble.LockDirectory(engine.params.Dir, dev)
+	if err != nil {
+		return fmt.Errorf("%w: %w", errFolderLocked, err)
+	}
+	lock.Close()
+	options := engine.options(dev)
+	// An identity whose data are gone must not begin anew without them: they held what
+	// it had promised.
+	options.ErrorIfNotExists = !engine.withoutDatabase
+	i, err := openInstance(engine.path("db"), dev, options)
+	if err != nil {
+		return err
+	}
+	engine.withoutDatabase = false
+	i.beforeSync, i.onSync = engine.delaySync, engine.recordSync
+	go i.run()
+	engine.instanceMutex.Lock()
+	engine.current = i
+	engine.instanceMutex.Unlock()
+	dev.onFailure(func(cause error) { go engine.reopen(i, cause) })
+	return nil
+}
+
+// reopen puts another instance in the place of one that has failed, opened from what
+// the disk holds. Until then the failed one answers reads from what it had synced.
+func (engine *Engine) reopen(old *instance, cause error) {
+	engine.params.Log("the disk failed, opening the folder again", "err", cause)
+	// A change still in the disk's hands could be made later, in the midst of what the
+	// new instance writes.
+	<-old.device.drained()
+	for !engine.reopened(old) {
+		sleep(reopenPause)
+	}
+}
+
+// reopened tries once. It tells whether there is nothing left to be tried.
+func (engine *Engine) reopened(old *instance) bool {
+	engine.opening <- struct{}{}
+	defer func() { <-engine.opening }()
+	if engine.isClosed() || engine.instance() != old {
+		return true
+	}
+	old.device.release(false)
+	dev := newDevice(engine.base)
+	next, err := openInstance(engine.path("db"), dev, engine.options(dev))
+	if err != nil {
+		engine.params.Log("the folder can't be opened again yet", "err", err)
+		dev.fence(err)
+		<-dev.drained()
+		dev.release(true)
+		return false
+	}
+	engine.replace(old, next)
+	return true
+}
+
+// replace puts next to use in the place of old, and closes what is not in use then.
+func (engine *Engine) replace(old, next *instance) {
+	next.beforeSync, next.onSync = engine.delaySync, engine.recordSync
+	go next.run()
+	engine.instanceMutex.Lock()
+	unused := next
+	if engine.current == old && !engine.isClosed() {
+		engine.current, unused = next, old
+	}
+	engine.instanceMutex.Unlock()
+	if unused == old {
+		engine.params.Log("the folder is open again")
+		next.device.onFailure(func(cause error) { go engine.reopen(next, cause) })
+	}
+	if err := unused.close(); err != nil {
+		engine.params.Log("an instance was not closed well", "err", err)
+	}
+	unused.resolve()
+	unused.device.release(true)
+}
+
+// detach takes the instance out of use and closes it.
+func (engine *Engine) detach() error {
+	engine.instanceMutex.Lock()
+	old := engine.current
+	engine.current = nil
+	engine.instanceMutex.Unlock()
+	if old == nil {
+		return nil
+	}
+	err := old.close()
+	if old.device.failure() != nil {
+		<-old.device.drained()
+		old.device.release(true)
+	}
+	return err
+}
