--- a/cmd/damsontiller-control/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -129,7 +129,12 @@
 
 // runCore runs a core until it is told to stop; grace is for the orders under way
 // then. more adds, before the start, what this core has beside the others.
-func runCore(p *startup.Process, cp core.Params, grace time.Duration, more func(context.Context, *echo.Echo, *core.Core, *storage.Engine)) error {
+func runCore(
+	p *startup.Process,
+	cp core.Params,
+	grace time.Duration,
+	more func(context.Context, *echo.Echo, *core.Core, *storage.Engine),
+) error {
 	log := p.Log("damsontiller-control")
 	v, err := p.Engine("core", log)
 	if err != nil {
--- a/cmd/damsontiller-control/operator.go
+++ b/cmd/damsontiller-control/operator.go
@@ -21,7 +21,11 @@
 func operate(args []string) error {
 	fs := flag.NewFlagSet("damsontiller-control "+args[0], flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
-	at := fs.String("core", "127.0.0.1:7200", "HTTP addresses of core machines, with commas between; the first that answers is asked")
+	at := fs.String(
+		"core",
+		"127.0.0.1:7200",
+		"HTTP addresses of core machines, with commas between; the first that answers is asked",
+	)
 	file := fs.String("file", "-", "file to send; - is standard input")
 	expect := fs.Uint64("expect", 0, "version that is to be replaced")
 	member := fs.String("for", "", "admit: the machine whose place it takes")
--- a/cmd/damsontiller-control/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -30,8 +30,13 @@
 	if s.Founds() {
 		cp.FounderAddrs = s.Peers()
 	}
-	return runCore(p, cp, min(3*time.Second, s.Grace()/2), func(ctx context.Context, e *echo.Echo, c *core.Core, _ *storage.Engine) {
-		(&control.Handler{Core: c, Sets: c}).Routes(e)
-		startup.Reseed(ctx, s, c.Node)
-	})
+	return runCore(
+		p,
+		cp,
+		min(3*time.Second, s.Grace()/2),
+		func(ctx context.Context, e *echo.Echo, c *core.Core, _ *storage.Engine) {
+			(&control.Handler{Core: c, Sets: c}).Routes(e)
+			startup.Reseed(ctx, s, c.Node)
+		},
+	)
 }
--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -132,12 +132,29 @@
 	}
 	x := web.New(log)
 	x.GET("/v1/status", func(c echo.Context) error {
-		return c.JSON(http.StatusOK, map[string]any{"id": p.ID, "ready": true, "spec": s.Cluster.Now().Version, "ident": v.Ident(), "messages_sent": s.Peer.Sent(), "mended": s.Repaired()})
+		return c.JSON(
+			http.StatusOK,
+			map[string]any{
+				"id":            p.ID,
+				"ready":         true,
+				"spec":          s.Cluster.Now().Version,
+				"ident":         v.Ident(),
+				"messages_sent": s.Peer.Sent(),
+				"mended":        s.Repaired(),
+			},
+		)
 	})
 	metrics.Routes(x, func() []metrics.Row {
-		return append(metrics.Node(s.Cluster.Now().Version, s.Peer.Sent()),
-			metrics.Row{Name: "keys_mended_total", Help: "Keys taken from other stores.", Value: float64(s.Repaired()), Total: true},
-			metrics.Row{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.NearlyFull())})
+		return append(
+			metrics.Node(s.Cluster.Now().Version, s.Peer.Sent()),
+			metrics.Row{
+				Name:  "keys_mended_total",
+				Help:  "Keys taken from other stores.",
+				Value: float64(s.Repaired()),
+				Total: true,
+			},
+			metrics.Row{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.NearlyFull())},
+		)
 	})
 	if p.Faults {
 		web.Faults(x, s.Peer.Partitions)
--- a/cmd/damsontiller-data/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -49,7 +49,11 @@
 	ep.ProxyOnly = true
 	e := edge.New(ctx, ep, p.Node("edge", "", log))
 	handler := e.NewProxy(edge.DefaultProxy, headers.Codec{})
-	front := &platform.Front{Addr: s.Bind.Front, Handler: handler, Limits: func() spec.Limits { return e.Cluster.Now().Table.Limits }}
+	front := &platform.Front{
+		Addr:    s.Bind.Front,
+		Handler: handler,
+		Limits:  func() spec.Limits { return e.Cluster.Now().Table.Limits },
+	}
 	may := func() error {
 		if sig.Err() != nil {
 			return code.New(code.Stopping, "this node stops, ask another")
--- a/cmd/damsontiller-faults/main.go
+++ b/cmd/damsontiller-faults/main.go
@@ -70,8 +70,19 @@
 	defer stop()
 	params := func(deploy, what string, seed uint64) harness.Params {
 		d := filepath.Join(*dir, deploy+"-"+what)
-		return harness.Params{Fleet: fleet.Params{Deploy: filepath.Join(*deploys, deploy), Bin: *bin, Dir: d, Seed: seed, Net: *net, Log: *level},
-			Seconds: *seconds, Scale: *scale, Out: os.Stdout}
+		return harness.Params{
+			Fleet: fleet.Params{
+				Deploy: filepath.Join(*deploys, deploy),
+				Bin:    *bin,
+				Dir:    d,
+				Seed:   seed,
+				Net:    *net,
+				Log:    *level,
+			},
+			Seconds: *seconds,
+			Scale:   *scale,
+			Out:     os.Stdout,
+		}
 	}
 	var theDay *traffic.Day
 	if *dayFile != "" {
@@ -180,7 +191,17 @@
 }
 
 func all(one func(string, string, uint64, io.Writer) (*harness.Result, error), deploys []string, seed uint64) error {
-	fmt.Printf("%-8s %-12s %5s %6s %6s %9s %12s  %s\n", "deploy", "scenario", "seed", "asks", "ok", "breaches", "urgent late", "service back after")
+	fmt.Printf(
+		"%-8s %-12s %5s %6s %6s %9s %12s  %s\n",
+		"deploy",
+		"scenario",
+		"seed",
+		"asks",
+		"ok",
+		"breaches",
+		"urgent late",
+		"service back after",
+	)
 	bad := 0
 	for _, d := range deploys {
 		for _, s := range harness.Scenarios {
@@ -192,7 +213,18 @@
 			}
 			n := res.Verdict.Total()
 			bad += n
-			fmt.Printf("%-8s %-12s %5d %6d %6d %9d %5d of %-4d  %s\n", d, s.Name, seed, res.Asks, res.Codes["ok"], n, late(res.Urgent), len(res.Urgent), backs(res))
+			fmt.Printf(
+				"%-8s %-12s %5d %6d %6d %9d %5d of %-4d  %s\n",
+				d,
+				s.Name,
+				seed,
+				res.Asks,
+				res.Codes["ok"],
+				n,
+				late(res.Urgent),
+				len(res.Urgent),
+				backs(res),
+			)
 			if n > 0 {
 				fmt.Print(res.Verdict)
 			}
@@ -239,10 +271,20 @@
 	}
 	if len(r.Urgent) > 0 {
 		slices.Sort(r.Urgent)
-		fmt.Printf("urgent: %d, median %s, longest %s, over half a second %d\n", len(r.Urgent), r.Urgent[len(r.Urgent)/2].Round(time.Millisecond), r.Urgent[len(r.Urgent)-1].Round(time.Millisecond), late(r.Urgent))
+		fmt.Printf(
+			"urgent: %d, median %s, longest %s, over half a second %d\n",
+			len(r.Urgent),
+			r.Urgent[len(r.Urgent)/2].Round(time.Millisecond),
+			r.Urgent[len(r.Urgent)-1].Round(time.Millisecond),
+			late(r.Urgent),
+		)
 	}
 	if ok := r.Codes["ok"]; ok > 0 {
-		fmt.Printf("register rounds a good answer %.2f, messages %.1f\n", float64(r.Rounds)/float64(ok), float64(r.Sent)/float64(ok))
+		fmt.Printf(
+			"register rounds a good answer %.2f, messages %.1f\n",
+			float64(r.Rounds)/float64(ok),
+			float64(r.Sent)/float64(ok),
+		)
 	}
 	if len(r.Back) > 0 {
 		fmt.Println("service back after", backs(r))
--- a/cmd/damsontiller-faults/scale.go
+++ b/cmd/damsontiller-faults/scale.go
@@ -26,10 +26,20 @@
 	fs.IntVar(&p.Tenants, "tenants", 0, "tenants, each with a budget of its own in the spec")
 	fs.IntVar(&p.Changes, "changes", 720, "changes of the spec an hour, in the second half")
 	fs.IntVar(&p.Failures, "failures", 360, "hollow nodes killed an hour, in the second half")
-	fs.DurationVar(&p.SettleTime, "settle", 8*time.Second, "time after forming before anything is measured; the runners warm up, which is news")
+	fs.DurationVar(
+		&p.SettleTime,
+		"settle",
+		8*time.Second,
+		"time after forming before anything is measured; the runners warm up, which is news",
+	)
 	fs.DurationVar(&p.Time, "time", 40*time.Second, "time measured: one half quiet, one with changes and failures")
 	fs.Uint64Var(&p.Seed, "seed", 1, "seed of the failures")
-	fs.StringVar(&p.Kind, "kind", scale.Member, "hollow nodes: member, what every process has, or edge, the whole edge without callers")
+	fs.StringVar(
+		&p.Kind,
+		"kind",
+		scale.Member,
+		"hollow nodes: member, what every process has, or edge, the whole edge without callers",
+	)
 	fs.IntVar(&p.Portion, "share", 50, "hollow nodes to a process")
 	fs.StringVar(&p.Bin, "bin", "bin", "folder of damsontiller-control and damsontiller-data")
 	fs.StringVar(&p.Dir, "dir", filepath.Join("run", "scale"), "folder for data and logs; it is replaced")
--- a/cmd/damsontiller-mutants/judge.go
+++ b/cmd/damsontiller-mutants/judge.go
@@ -145,7 +145,17 @@
 	for _, r := range results {
 		count[r.verdict]++
 		m := r.mutant
-		fmt.Fprintf(table, "%s\t%s\t%s %s\t%s\t%s\t%.1f s\n", m.Name, m.Mechanism, m.Package, m.Test, m.Day, r.verdict, r.took.Seconds())
+		fmt.Fprintf(
+			table,
+			"%s\t%s\t%s %s\t%s\t%s\t%.1f s\n",
+			m.Name,
+			m.Mechanism,
+			m.Package,
+			m.Test,
+			m.Day,
+			r.verdict,
+			r.took.Seconds(),
+		)
 	}
 	_ = table.Flush()
 	for _, r := range results {
--- a/cmd/damsontiller-mutants/mutants_test.go
+++ b/cmd/damsontiller-mutants/mutants_test.go
@@ -38,7 +38,15 @@
 }
 
 func withoutEpochGuard() Mutant {
-	return Mutant{Name: "fence-off", Mechanism: "fence", File: "fence/fence.go", Old: "On = true", New: "On = false", Package: "./fence", Test: "TestFence"}
+	return Mutant{
+		Name:      "fence-off",
+		Mechanism: "fence",
+		File:      "fence/fence.go",
+		Old:       "On = true",
+		New:       "On = false",
+		Package:   "./fence",
+		Test:      "TestFence",
+	}
 }
 
 // scripted gives one outcome without the mutant and one with it, and breaks off or
@@ -110,7 +118,8 @@
 	}
 	defer s.remove()
 	ctx, stop := context.WithCancel(t.Context())
-	if r := judge(ctx, s, withoutEpochGuard(), scripted{passed, failed, stop}); r.verdict != brokenOff || content(t, s.root) != original {
+	if r := judge(ctx, s, withoutEpochGuard(), scripted{passed, failed, stop}); r.verdict != brokenOff ||
+		content(t, s.root) != original {
 		t.Errorf("interrupted: %s, the file holds %q", r.verdict, content(t, s.root))
 	}
 	func() {
@@ -179,7 +188,8 @@
 	}
 	var out strings.Builder
 	printTable(&out, results)
-	if !strings.Contains(out.String(), "2 mutants, 1 killed, 0 survived, 1 undecided") || !strings.Contains(out.String(), "why") {
+	if !strings.Contains(out.String(), "2 mutants, 1 killed, 0 survived, 1 undecided") ||
+		!strings.Contains(out.String(), "why") {
 		t.Error(out.String())
 	}
 }
--- a/cmd/damsontiller-replay/main.go
+++ b/cmd/damsontiller-replay/main.go
@@ -41,7 +41,11 @@
 	name := fs.String("name", "day", "record: the day's name")
 	speed := fs.Float64("speed", 1, "play, rehearse: times the recorded speed")
 	deploy := fs.String("deploy", "deploy/andina", "rehearse: folder with the deployment's spec.json")
-	cand := fs.String("policy", "", "rehearse: the candidate, a file of JSON with rank and order; none: the built-in rules")
+	cand := fs.String(
+		"policy",
+		"",
+		"rehearse: the candidate, a file of JSON with rank and order; none: the built-in rules",
+	)
 	base := fs.String("base", "", "rehearse: the policy in force, likewise")
 	seed := fs.Uint64("seed", 1, "rehearse: seed of the fleet and its runners")
 	runs := fs.Int("runs", 3, "rehearse: runs of each column, under seeds from -seed on")
@@ -86,14 +90,25 @@
 		if err != nil {
 			return err
 		}
-		p := rehearsal.Params{Deploy: *deploy, Day: d, Seed: *seed, Runs: *runs, Speed: *speed, Bears: *bears, Prefixes: *prefixes}
+		p := rehearsal.Params{
+			Deploy:   *deploy,
+			Day:      d,
+			Seed:     *seed,
+			Runs:     *runs,
+			Speed:    *speed,
+			Bears:    *bears,
+			Prefixes: *prefixes,
+		}
 		if p.Base, err = program(*base); err != nil {
 			return err
 		}
 		if p.Cand, err = program(*cand); err != nil {
 			return err
 		}
-		simtime.Main(func(run func(func())) error { return compare(p, *out, run) }, func(err error) { fmt.Fprintln(os.Stderr, err) })
+		simtime.Main(
+			func(run func(func())) error { return compare(p, *out, run) },
+			func(err error) { fmt.Fprintln(os.Stderr, err) },
+		)
 		return nil
 	case "-h", "help":
 		fmt.Println(usage)
@@ -147,8 +162,13 @@
 	if err != nil {
 		return err
 	}
-	p := &traffic.Player{Day: d, Speed: speed, Run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: traffic.NewClient(nil),
-		Edges: func(zone string) []string { return traffic.Near(edges, zone) }}
+	p := &traffic.Player{
+		Day:    d,
+		Speed:  speed,
+		Run:    strconv.FormatInt(time.Now().UnixNano(), 36),
+		Client: traffic.NewClient(nil),
+		Edges:  func(zone string) []string { return traffic.Near(edges, zone) },
+	}
 	fmt.Printf("%s: %d rows, digest %.12s, at speed %v\n", d.Name, len(d.Rows), d.Sum, speed)
 	p.Play(ctx)
 	traffic.Sum(p.Client.Log()).Print(os.Stdout)
--- a/cmd/internal/startup/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -16,7 +16,10 @@
 	// for good is no member any more, and holds nobody up.
 	lasts := s.Contact() / 2
 	p := &Process{ID: s.ID, Listen: s.Listen(), HTTP: http, Zone: s.Zone, Data: s.Data, Level: "info",
-		Seeds: strings.Join(s.Peers(), ","), MinFree: s.MinFree(), Renew: lasts / 3, Lasts: lasts, OrphanTimeout: 10 * time.Second}
+		Seeds: strings.Join(
+			s.Peers(),
+			",",
+		), MinFree: s.MinFree(), Renew: lasts / 3, Lasts: lasts, OrphanTimeout: 10 * time.Second}
 	p.OrphanTimeout = max(p.OrphanTimeout, p.Lasts)
 	s.Fit()
 	return p, p.check()
@@ -25,6 +28,10 @@
 // Reseed follows the settings file until ctx ends: the seeds may change.
 func Reseed(ctx context.Context, s *platform.Params, n *node.Node) {
 	n.Go(ctx, func(ctx context.Context) {
-		s.Watch(ctx, func(q *platform.Params) { n.SetSeeds(q.Peers()) }, func(err error) { n.Log.Warn("settings not read", "err", err) })
+		s.Watch(
+			ctx,
+			func(q *platform.Params) { n.SetSeeds(q.Peers()) },
+			func(err error) { n.Log.Warn("settings not read", "err", err) },
+		)
 	})
 }
--- a/cmd/internal/startup/startup.go
+++ b/cmd/internal/startup/startup.go
@@ -62,7 +62,12 @@
 	fs.BoolVar(&p.Faults, "faults", false, "let the rehearsal kit cut this process off (never in service)")
 	fs.DurationVar(&p.Renew, "renew", d.RenewInterval, "time between renewals of the lease")
 	fs.DurationVar(&p.Lasts, "lasts", d.Duration, "time a lease lasts")
-	fs.DurationVar(&p.OrphanTimeout, "hold", d.OrphanTimeout, "time after which what a silent edge left running is no longer counted")
+	fs.DurationVar(
+		&p.OrphanTimeout,
+		"hold",
+		d.OrphanTimeout,
+		"time after which what a silent edge left running is no longer counted",
+	)
 	fs.Int64Var(&p.MinFree, "min-free", 64, "MiB of free disk below which a store or core takes no new key")
 	fs.StringVar(&p.file, "params", "", "settings file: a JSON object of flag names and values; flags go before it")
 	return p
@@ -170,7 +175,9 @@
 
 // Log makes the process's log.
 func (p *Process) Log(name string) hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: name + " " + p.ID, Level: hclog.LevelFromString(p.Level), Output: os.Stderr})
+	return hclog.New(
+		&hclog.LoggerOptions{Name: name + " " + p.ID, Level: hclog.LevelFromString(p.Level), Output: os.Stderr},
+	)
 }
 
 // Node makes the node's params.
@@ -178,7 +185,11 @@
 	return node.Params{
 		Self:  &wire.Member{Id: p.ID, Role: role, Addr: p.Listen, Http: p.HTTP, Zone: p.Zone, Ident: ident},
 		Seeds: p.SeedList(), Net: transport.TCP(transport.DefaultParams), Transport: transport.DefaultParams,
-		Lease: lease.Params{RenewInterval: p.Renew, Duration: p.Lasts, OrphanTimeout: p.OrphanTimeout}, Broadcast: broadcast.DefaultParams, Log: log,
+		Lease: lease.Params{
+			RenewInterval: p.Renew,
+			Duration:      p.Lasts,
+			OrphanTimeout: p.OrphanTimeout,
+		}, Broadcast: broadcast.DefaultParams, Log: log,
 	}
 }
 
@@ -187,7 +198,15 @@
 	if p.Data == "" {
 		return nil, flagErr("data", "missing")
 	}
-	return storage.Open(storage.Params{Dir: p.Data, ID: p.ID, Role: role, MinFree: p.MinFree << 20, Log: func(m string, a ...any) { log.Warn(m, a...) }})
+	return storage.Open(
+		storage.Params{
+			Dir:     p.Data,
+			ID:      p.ID,
+			Role:    role,
+			MinFree: p.MinFree << 20,
+			Log:     func(m string, a ...any) { log.Warn(m, a...) },
+		},
+	)
 }
 
 // DiskFaults adds the rehearsal kit's switch for a disk that is full or slow.
--- a/cmd/internal/startup/startup_test.go
+++ b/cmd/internal/startup/startup_test.go
@@ -18,7 +18,18 @@
 	return p, p.Parse(args)
 }
 
-var good = []string{"-id", "e1", "-listen", "127.0.0.1:7100", "-http", "127.0.0.1:7200", "-zone", "a", "-seeds", "127.0.0.1:1,127.0.0.1:2"}
+var good = []string{
+	"-id",
+	"e1",
+	"-listen",
+	"127.0.0.1:7100",
+	"-http",
+	"127.0.0.1:7200",
+	"-zone",
+	"a",
+	"-seeds",
+	"127.0.0.1:1,127.0.0.1:2",
+}
 
 // TestFlags: each bad flag ends the start with exit code 2 and its name.
 func TestFlags(t *testing.T) {
@@ -43,7 +54,8 @@
 		{[]string{"-params", dir + "/none"}, "-params"}, {[]string{"-params", file(`{"idd":"x"}`)}, "idd"},
 	} {
 		_, err := parse(append(good[:len(good):len(good)], tc.args...)...)
-		if code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), tc.name) || startup.Exit(err) != startup.ExitFlags {
+		if code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), tc.name) ||
+			startup.Exit(err) != startup.ExitFlags {
 			t.Errorf("%v: %v", tc.args, err)
 		}
 	}
--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -35,7 +35,15 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Fanout: 4, Timeout: 400 * time.Millisecond, TimeoutStep: 40 * time.Millisecond, MinTimeout: 150 * time.Millisecond, DigestInterval: 500 * time.Millisecond, Partners: 8, PartnerLifetime: 16}
+var DefaultParams = Params{
+	Fanout:          4,
+	Timeout:         400 * time.Millisecond,
+	TimeoutStep:     40 * time.Millisecond,
+	MinTimeout:      150 * time.Millisecond,
+	DigestInterval:  500 * time.Millisecond,
+	Partners:        8,
+	PartnerLifetime: 16,
+}
 
 // Broadcaster is what a node has heard.
 type Broadcaster struct {
@@ -54,7 +62,14 @@
 
 // New makes a board and answers News and Digest calls on pr.
 func New(params Params, pr *peer.Peer, members func() []*wire.Member) *Broadcaster {
-	broadcaster := &Broadcaster{params: params, peer: pr, members: members, items: map[string]*wire.Item{}, handlers: map[string]func(*wire.Item) error{}, applying: make(chan struct{}, 1)}
+	broadcaster := &Broadcaster{
+		params:   params,
+		peer:     pr,
+		members:  members,
+		items:    map[string]*wire.Item{},
+		handlers: map[string]func(*wire.Item) error{},
+		applying: make(chan struct{}, 1),
+	}
 	pr.Handle(&wire.Req_News{}, broadcaster.relay)
 	pr.Handle(&wire.Req_Digest{}, broadcaster.answerDigest)
 	return broadcaster
@@ -151,7 +166,12 @@
 // push splits targets among children and gathers who took the items. It
 // answers in time even if a child hangs; the child's share is then reached in
 // the background through the next node in it.
-func (broadcaster *Broadcaster) push(ctx context.Context, items []*wire.Item, targets []*wire.Member, wait time.Duration) []string {
+func (broadcaster *Broadcaster) push(
+	ctx context.Context,
+	items []*wire.Item,
+	targets []*wire.Member,
+	wait time.Duration,
+) []string {
 	parts := split(targets, broadcaster.params.Fanout)
 	ch := make(chan []string, len(targets)+len(parts))
 	bg := context.WithoutCancel(ctx)
@@ -159,7 +179,12 @@
 		go func() {
 			for len(part) > 0 {
 				child, rest := part[0], part[1:]
-				r, err := broadcaster.peer.CallFor(bg, wait, child.Addr, &wire.Req{Op: &wire.Req_News{News: &wire.News{Items: items, Targets: rest, WaitMs: wait.Milliseconds()}}})
+				r, err := broadcaster.peer.CallFor(
+					bg,
+					wait,
+					child.Addr,
+					&wire.Req{Op: &wire.Req_News{News: &wire.News{Items: items, Targets: rest, WaitMs: wait.Milliseconds()}}},
+				)
 				if err == nil {
 					ch <- r.GetNews().GetTook()
 					return
@@ -221,7 +246,8 @@
 		}
 	}
 	broadcaster.partners = slices.DeleteFunc(broadcaster.partners, func(id string) bool { return at[id] == nil })
-	if broadcaster.ticks++; broadcaster.ticks%max(broadcaster.params.PartnerLifetime, 1) == 0 && len(broadcaster.partners) > 0 {
+	if broadcaster.ticks++; broadcaster.ticks%max(broadcaster.params.PartnerLifetime, 1) == 0 &&
+		len(broadcaster.partners) > 0 {
 		broadcaster.partners = broadcaster.partners[1:]
 	}
 	// Most members are live; where they aren't, the next tick draws on.
@@ -242,7 +268,12 @@
 // not with what there is: first the sum of all heads, then, if it differs, the sums
 // of buckets, then the heads in those buckets.
 func (broadcaster *Broadcaster) repair(ctx context.Context, addr string) {
-	r, err := broadcaster.peer.CallFor(ctx, broadcaster.params.DigestInterval, addr, &wire.Req{Op: &wire.Req_Digest{Digest: &wire.Digest{Ask: true, Sum: broadcaster.total()}}})
+	r, err := broadcaster.peer.CallFor(
+		ctx,
+		broadcaster.params.DigestInterval,
+		addr,
+		&wire.Req{Op: &wire.Req_Digest{Digest: &wire.Digest{Ask: true, Sum: broadcaster.total()}}},
+	)
 	if err != nil {
 		return
 	}
@@ -272,7 +303,12 @@
 		}
 	}
 	if len(lack) > 0 {
-		_, _ = broadcaster.peer.CallFor(ctx, broadcaster.params.DigestInterval, addr, &wire.Req{Op: &wire.Req_News{News: &wire.News{Items: lack}}})
+		_, _ = broadcaster.peer.CallFor(
+			ctx,
+			broadcaster.params.DigestInterval,
+			addr,
+			&wire.Req{Op: &wire.Req_News{News: &wire.News{Items: lack}}},
+		)
 	}
 }
 
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -31,7 +31,12 @@
 	ctx, stop := context.WithCancel(t.Context())
 	w := &town{net: memnet.New(1), heard: map[string]int{}}
 	for i := range n {
-		m := &wire.Member{Id: fmt.Sprintf("n%03d", i), Addr: fmt.Sprintf("h%d", i), Zone: string(rune('a' + i%3)), Live: true}
+		m := &wire.Member{
+			Id:   fmt.Sprintf("n%03d", i),
+			Addr: fmt.Sprintf("h%d", i),
+			Zone: string(rune('a' + i%3)),
+			Live: true,
+		}
 		w.list = append(w.list, m)
 		params := peer.New(m, w.net.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
 		broadcaster := broadcast.New(broadcast.DefaultParams, params, func() []*wire.Member { return w.list })
@@ -184,7 +189,13 @@
 			before, at := sent(), time.Now()
 			accepted := w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
 			d := time.Since(at)
-			t.Logf("%3d nodes: %3d confirmed after %s, %d messages", n, len(accepted), d.Round(100*time.Microsecond), sent()-before)
+			t.Logf(
+				"%3d nodes: %3d confirmed after %s, %d messages",
+				n,
+				len(accepted),
+				d.Round(100*time.Microsecond),
+				sent()-before,
+			)
 			if len(accepted) != n || d > 2*time.Second {
 				t.Errorf("%d of %d nodes after %s", len(accepted), n, d)
 			}
--- a/internal/coordination/broadcast/digest_test.go
+++ b/internal/coordination/broadcast/digest_test.go
@@ -144,7 +144,17 @@
 		w, end := newPair(t)
 		defer end()
 		w.boards[1].Apply([]*wire.Item{item(1, 2), item(2, 1), item(3, 1)})
-		r, err := w.peers[0].Call(t.Context(), "hy", &wire.Req{Op: &wire.Req_Digest{Digest: &wire.Digest{Heads: []*wire.Item{{Topic: "runner", Key: "r0001", Seq: 1}, {Topic: "runner", Key: "r0002", Seq: 5}}}}})
+		r, err := w.peers[0].Call(
+			t.Context(),
+			"hy",
+			&wire.Req{
+				Op: &wire.Req_Digest{
+					Digest: &wire.Digest{
+						Heads: []*wire.Item{{Topic: "runner", Key: "r0001", Seq: 1}, {Topic: "runner", Key: "r0002", Seq: 5}},
+					},
+				},
+			},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,7 +204,8 @@
 		minute := int(time.Minute / params.DigestInterval)
 		time.Sleep(time.Minute)
 		mu.Lock()
-		if got, most := len(inBuckets), params.Partners+minute/params.PartnerLifetime+1; got > most || got < params.Partners {
+		if got, most := len(inBuckets), params.Partners+minute/params.PartnerLifetime+1; got > most ||
+			got < params.Partners {
 			t.Errorf("%d nodes asked in a minute, wanted %d to %d", got, params.Partners, most)
 		}
 		mu.Unlock()
--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -67,7 +67,12 @@
 // New makes an empty cluster; keep, if set, puts each version on disk before it
 // comes into force.
 func New(proposer *register.Proposer, persist func(raw []byte, version uint64) error) *Cluster {
-	cluster := &Cluster{proposer: proposer, persist: persist, changing: make(chan struct{}, 1), applying: make(chan struct{}, 1)}
+	cluster := &Cluster{
+		proposer: proposer,
+		persist:  persist,
+		changing: make(chan struct{}, 1),
+		applying: make(chan struct{}, 1),
+	}
 	cluster.current.Store(&View{})
 	return cluster
 }
@@ -263,7 +268,10 @@
 	for attempt := 1; ; attempt++ {
 		v := cluster.Now()
 		err := do(register.WithVersion(ctx, v.Version, false), v.Cores())
-		if attempt == maxAttempts || code.Of(err) != code.StaleSpec || errors.Is(err, register.ErrMaybe) || cluster.Discover == nil || !cluster.Discover(ctx) || cluster.Now().Version == v.Version {
+		if attempt == maxAttempts || code.Of(err) != code.StaleSpec || errors.Is(err, register.ErrMaybe) ||
+			cluster.Discover == nil ||
+			!cluster.Discover(ctx) ||
+			cluster.Now().Version == v.Version {
 			return err
 		}
 	}
@@ -290,7 +298,11 @@
 
 // Change works a new cluster out of the one chosen last. It answers with the
 // version and value now chosen; expect 0 means whichever version there is.
-func (cluster *Cluster) Change(ctx context.Context, expect uint64, f func(*spec.Cluster) error) (uint64, []byte, error) {
+func (cluster *Cluster) Change(
+	ctx context.Context,
+	expect uint64,
+	f func(*spec.Cluster) error,
+) (uint64, []byte, error) {
 	// Changes of one process that race each other only beat down each other's
 	// ballots; they wait for their turn here.
 	select {
--- a/internal/coordination/cluster/fuzz_test.go
+++ b/internal/coordination/cluster/fuzz_test.go
@@ -10,7 +10,12 @@
 // with one in force each question that is asked of it has an answer.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{}`), "k")
-	f.Add([]byte(`{"cores":[{"id":"c1","addr":"127.0.0.1:1","zone":"a","ident":"i1"}],"next_cores":[{"id":"c2"}],"stores":[{"id":"s1","zone":"a","ident":"i2"},{"id":"s2","zone":"b","ident":"i3"}],"next_stores":[{"id":"s3","ident":"i4"}],"copies":3}`), "budget/x")
+	f.Add(
+		[]byte(
+			`{"cores":[{"id":"c1","addr":"127.0.0.1:1","zone":"a","ident":"i1"}],"next_cores":[{"id":"c2"}],"stores":[{"id":"s1","zone":"a","ident":"i2"},{"id":"s2","zone":"b","ident":"i3"}],"next_stores":[{"id":"s3","ident":"i4"}],"copies":3}`,
+		),
+		"budget/x",
+	)
 	f.Add([]byte(`{"stores":[{"id":"s1"}],"copies":-1}`), "")
 	f.Add([]byte(`{"stores":[{"id":"s1","ident":"i"},{"id":"s1","ident":"i"}],"copies":9223372036854775807}`), "k")
 	f.Add([]byte(`[`), "k")
--- a/internal/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -53,7 +53,8 @@
 	if v.StoresSince > 0 {
 		return v.StoresSince
 	}
-	if old.Version > 0 && slices.Equal(old.Cluster.Stores, v.Cluster.Stores) && slices.Equal(old.NextStores, v.NextStores) {
+	if old.Version > 0 && slices.Equal(old.Cluster.Stores, v.Cluster.Stores) &&
+		slices.Equal(old.NextStores, v.NextStores) {
 		return old.StoresVersion
 	}
 	return v.Version
--- a/internal/coordination/core/bootstrap.go
+++ b/internal/coordination/core/bootstrap.go
@@ -128,8 +128,12 @@
 	if v := c.Cluster.Now(); v.Version > 0 {
 		// An operator who lists the set by name means this machine to be in it;
 		// found by address alone it joins as a stranger and is taken in.
-		if c.params.Bootstrap && !slices.ContainsFunc(v.Cluster.Cores, func(m spec.Machine) bool { return m.Ident == c.Peer.Ident() }) {
-			return nil, code.New(code.NotBootable, "a set stands already and does not know this identity: start without -bootstrap and have it admitted")
+		if c.params.Bootstrap &&
+			!slices.ContainsFunc(v.Cluster.Cores, func(m spec.Machine) bool { return m.Ident == c.Peer.Ident() }) {
+			return nil, code.New(
+				code.NotBootable,
+				"a set stands already and does not know this identity: start without -bootstrap and have it admitted",
+			)
 		}
 		return nil, nil
 	}
@@ -142,7 +146,14 @@
 // proposeFirst proposes version 1 to all founders; whichever machine is first, the others
 // find it.
 func (c *Core) proposeFirst(ctx context.Context, set []spec.Machine) error {
-	re := spec.Cluster{Cores: set, Stores: c.params.Stores, Copies: c.params.Copies, SelfManaged: !c.params.Bootstrap, CoresSince: 1, StoresSince: 1}
+	re := spec.Cluster{
+		Cores:       set,
+		Stores:      c.params.Stores,
+		Copies:      c.params.Copies,
+		SelfManaged: !c.params.Bootstrap,
+		CoresSince:  1,
+		StoresSince: 1,
+	}
 	if c.params.Spec != nil {
 		re.Spec = *c.params.Spec
 	} else {
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -110,9 +110,16 @@
 		return slices.Concat(v.Cluster.Cores, v.NextCores)
 	})
 	c.Peer.Handle(&wire.Req_Renew{}, c.renew)
-	c.Peer.Handle(&wire.Req_List{}, func(_ context.Context, q *wire.Req) (*wire.Resp, error) { return List(d, q.GetList(), nil) })
+	c.Peer.Handle(
+		&wire.Req_List{},
+		func(_ context.Context, q *wire.Req) (*wire.Resp, error) { return List(d, q.GetList(), nil) },
+	)
 	c.Peer.Handle(&wire.Req_Members{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
-		return &wire.Resp{Op: &wire.Resp_Members{Members: &wire.MembersAck{Members: c.table.List(), UpMs: time.Since(c.startedAt).Milliseconds()}}}, nil
+		return &wire.Resp{
+			Op: &wire.Resp_Members{
+				Members: &wire.MembersAck{Members: c.table.List(), UpMs: time.Since(c.startedAt).Milliseconds()},
+			},
+		}, nil
 	})
 	return c, nil
 }
--- a/internal/coordination/core/explain.go
+++ b/internal/coordination/core/explain.go
@@ -63,24 +63,43 @@
 		add(fmt.Sprintf("classes[%d] %s", i, k.Name), "%s", m)
 	}
 	for i, k := range s.Keeping {
-		add(fmt.Sprintf("keeping[%d] %s", i, k.Class), "turns are kept for %s of the stores' open time, at two of three stores before they are answered", time.Duration(k.KeepS)*time.Second)
+		add(
+			fmt.Sprintf("keeping[%d] %s", i, k.Class),
+			"turns are kept for %s of the stores' open time, at two of three stores before they are answered",
+			time.Duration(k.KeepS)*time.Second,
+		)
 	}
 	for i, b := range s.Budgets {
-		add(fmt.Sprintf("budgets[%d] %s", i, b.Programs), "each program of the class may put out %d, counted in one budget at the stores", b.Output)
+		add(
+			fmt.Sprintf("budgets[%d] %s", i, b.Programs),
+			"each program of the class may put out %d, counted in one budget at the stores",
+			b.Output,
+		)
 	}
 	for _, z := range s.EmptyZones {
 		add("empty_zones "+z, "no work to its runners; its edges deal last")
 	}
-	add("cooldown", "first wait %s, doubled up to %s, from the start again after %s without a refusal", s.Cooldown.First(), s.Cooldown.Cap(), s.Cooldown.Quiet())
+	add(
+		"cooldown",
+		"first wait %s, doubled up to %s, from the start again after %s without a refusal",
+		s.Cooldown.First(),
+		s.Cooldown.Cap(),
+		s.Cooldown.Quiet(),
+	)
 	if l := s.Live; l != nil {
-		add("live "+l.Policy, "ranks runners and orders jobs of %d percent of all programs; the built-in rules those of the others", l.Share)
+		add(
+			"live "+l.Policy,
+			"ranks runners and orders jobs of %d percent of all programs; the built-in rules those of the others",
+			l.Share,
+		)
 	}
 	return out
 }
 
 // coolsBy names what shares a cooldown on a route.
 func coolsBy(s *spec.Spec, r spec.Route) string {
-	if r.Account != "" || slices.ContainsFunc(s.Runners, func(n spec.Runner) bool { return n.Route == r.Name && n.Account != "" }) {
+	if r.Account != "" ||
+		slices.ContainsFunc(s.Runners, func(n spec.Runner) bool { return n.Route == r.Name && n.Account != "" }) {
 		return "account"
 	}
 	if r.Model {
--- a/internal/coordination/core/members.go
+++ b/internal/coordination/core/members.go
@@ -51,7 +51,10 @@
 
 func (c *Core) votes(m *wire.Member) bool {
 	v := c.Cluster.Now()
-	return slices.ContainsFunc(slices.Concat(v.Cluster.Cores, v.NextCores, v.Cluster.Stores, v.NextStores), func(s spec.Machine) bool { return s.Ident != "" && s.Ident == m.Ident })
+	return slices.ContainsFunc(
+		slices.Concat(v.Cluster.Cores, v.NextCores, v.Cluster.Stores, v.NextStores),
+		func(s spec.Machine) bool { return s.Ident != "" && s.Ident == m.Ident },
+	)
 }
 
 // getHealth tells what an operator should look at first.
@@ -89,5 +92,8 @@
 		}
 	}
 	slices.Sort(wrong)
-	return x.JSON(http.StatusOK, map[string]any{"ok": len(wrong) == 0, "spec": v.Version, "members": len(all), "wrong": wrong})
+	return x.JSON(
+		http.StatusOK,
+		map[string]any{"ok": len(wrong) == 0, "spec": v.Version, "members": len(all), "wrong": wrong},
+	)
 }
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -43,9 +43,15 @@
 				live++
 			}
 		}
-		return append(metrics.Node(c.Cluster.Now().Version, c.Peer.Sent()),
+		return append(
+			metrics.Node(c.Cluster.Now().Version, c.Peer.Sent()),
 			metrics.Row{Name: "members_live", Help: "Nodes whose lease runs.", Value: float64(live)},
-			metrics.Row{Name: "keys_moved", Help: "Keys moved in the last change of a set.", Value: float64(c.keysMoved.Load())})
+			metrics.Row{
+				Name:  "keys_moved",
+				Help:  "Keys moved in the last change of a set.",
+				Value: float64(c.keysMoved.Load()),
+			},
+		)
 	})
 	c.setRoutes(e)
 	c.policyRoutes(e)
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -134,7 +134,11 @@
 
 // probe asks some machines whether they are there. What a renewal told long ago is asked
 // for again, so that a core that was itself out of reach takes nobody for absent.
-func (c *Core) probe(ctx context.Context, o membership.Observation, machines []spec.Machine) map[string]membership.Presence {
+func (c *Core) probe(
+	ctx context.Context,
+	o membership.Observation,
+	machines []spec.Machine,
+) map[string]membership.Presence {
 	type answer struct {
 		ident    string
 		answered bool
@@ -147,7 +151,12 @@
 		}
 		asked++
 		go func() {
-			_, err := c.Peer.CallFor(ctx, presenceTimeout, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Hello{Hello: &wire.Hello{}}})
+			_, err := c.Peer.CallFor(
+				ctx,
+				presenceTimeout,
+				m.Addr,
+				&wire.Req{Ident: m.Ident, Op: &wire.Req_Hello{Hello: &wire.Hello{}}},
+			)
 			answers <- answer{m.Ident, err == nil}
 		}()
 	}
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -17,7 +17,8 @@
 func WatchRemoval(ctx context.Context, n *node.Node, d Disk, forget func()) {
 	loop.Every(ctx, 5*time.Second, n.Cluster.Watch(), func(context.Context) {
 		v, was := n.Cluster.Now(), n.Peer.Ident()
-		if !v.SelfManaged || !membership.Removed(&v.Cluster, was, n.Peer.IdentityVersion()) || slices.Contains(v.Retired, n.Peer.Self.Id) {
+		if !v.SelfManaged || !membership.Removed(&v.Cluster, was, n.Peer.IdentityVersion()) ||
+			slices.Contains(v.Retired, n.Peer.Self.Id) {
 			return
 		}
 		// From here on nobody reaches the old identity; what is under way ends first.
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -147,7 +147,11 @@
 	answers := make(chan answer, len(cores))
 	for _, core := range cores {
 		go func() {
-			resp, err := c.Peer.Call(ctx, core.Addr, &wire.Req{Ident: core.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}})
+			resp, err := c.Peer.Call(
+				ctx,
+				core.Addr,
+				&wire.Req{Ident: core.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}},
+			)
 			answers <- answer{core, resp.GetMembers(), err}
 		}()
 	}
@@ -157,7 +161,10 @@
 		if a.err != nil || a.members.GetUpMs() < membershipSettleTime.Milliseconds() {
 			continue
 		}
-		if slices.ContainsFunc(a.members.GetMembers(), func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() }) {
+		if slices.ContainsFunc(
+			a.members.GetMembers(),
+			func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() },
+		) {
 			return false
 		}
 		witnesses[a.core] = true
@@ -174,7 +181,10 @@
 		return false, err
 	}
 	v := c.Cluster.Now()
-	in := slices.ContainsFunc(slices.Concat(v.Cluster.Stores, v.NextStores), func(m spec.Machine) bool { return m.ID == id })
+	in := slices.ContainsFunc(
+		slices.Concat(v.Cluster.Stores, v.NextStores),
+		func(m spec.Machine) bool { return m.ID == id },
+	)
 	if !slices.Contains(v.Retired, id) {
 		if !in {
 			return false, code.New(code.NoMember, "no store %q is to go", id)
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -86,7 +86,12 @@
 	for _, m := range gainers {
 		go func() {
 			order := &wire.Fill{Spec: v.StoresVersion, Sets: v.StoresDigest(), Rate: int32(rate)}
-			r, err := c.Peer.CallFor(ctx, transferTimeout+time.Second, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: order}})
+			r, err := c.Peer.CallFor(
+				ctx,
+				transferTimeout+time.Second,
+				m.Addr,
+				&wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: order}},
+			)
 			if err != nil {
 				err = fmt.Errorf("%s: %w", m.ID, err)
 			}
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -33,10 +33,23 @@
 		return fail(x, err)
 	}
 	v := c.Cluster.Now()
-	return x.JSON(http.StatusOK, map[string]any{"version": v.Version, "cores": v.Cluster.Cores, "next_cores": v.NextCores, "stores": v.Cluster.Stores, "next_stores": v.NextStores, "moved": c.keysMoved.Load()})
+	return x.JSON(
+		http.StatusOK,
+		map[string]any{
+			"version":     v.Version,
+			"cores":       v.Cluster.Cores,
+			"next_cores":  v.NextCores,
+			"stores":      v.Cluster.Stores,
+			"next_stores": v.NextStores,
+			"moved":       c.keysMoved.Load(),
+		},
+	)
 }
 
-func (c *Core) changeSet(x echo.Context, do func(*spec.Cluster, membership.Set, setOrder, []*wire.Member) error) error {
+func (c *Core) changeSet(
+	x echo.Context,
+	do func(*spec.Cluster, membership.Set, setOrder, []*wire.Member) error,
+) error {
 	set, err := membership.ParseSet(x.Param("set"))
 	if err != nil {
 		return web.Fail(x, err)
@@ -129,7 +142,12 @@
 		return code.New(code.NoMember, "%q is not in the set", o.ID)
 	}
 	if n := cluster.Copies(r); len(now.Now) <= n {
-		return code.New(code.BelowCopies, "%d machines would be left for %d copies; admit another in its place", len(now.Now)-1, n)
+		return code.New(
+			code.BelowCopies,
+			"%d machines would be left for %d copies; admit another in its place",
+			len(now.Now)-1,
+			n,
+		)
 	}
 	if set == membership.Stores && r.SelfManaged {
 		r.Retired = append(r.Retired, o.ID)
--- a/internal/coordination/core/voting.go
+++ b/internal/coordination/core/voting.go
@@ -14,9 +14,15 @@
 
 // ServeRegister answers the register's rounds, as long as this identity is in the set.
 // A machine that lost its disk has another identity and stays out.
-func ServeRegister(n *node.Node, a *register.Acceptor, checkVersion func(*wire.Req) error, set func() []spec.Machine) {
+func ServeRegister(
+	n *node.Node,
+	a *register.Acceptor,
+	checkVersion func(*wire.Req) error,
+	set func() []spec.Machine,
+) {
 	ok := func() error {
-		if id := n.Peer.Ident(); id == "" || !slices.ContainsFunc(set(), func(m spec.Machine) bool { return m.Ident == id }) {
+		if id := n.Peer.Ident(); id == "" ||
+			!slices.ContainsFunc(set(), func(m spec.Machine) bool { return m.Ident == id }) {
 			return code.New(code.NotVoting, "%s is not admitted to the set", n.Peer.Self.Id)
 		}
 		return nil
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -21,7 +21,15 @@
 )
 
 func node(i int) *wire.Member {
-	return &wire.Member{Id: fmt.Sprintf("n%04d", i), Role: "edge", Addr: fmt.Sprintf("10.0.%d.%d:7100", i/200, i%200), Http: fmt.Sprintf("10.0.%d.%d:7200", i/200, i%200), Zone: "a", Inc: 1, SpecVer: 1}
+	return &wire.Member{
+		Id:      fmt.Sprintf("n%04d", i),
+		Role:    "edge",
+		Addr:    fmt.Sprintf("10.0.%d.%d:7100", i/200, i%200),
+		Http:    fmt.Sprintf("10.0.%d.%d:7200", i/200, i%200),
+		Zone:    "a",
+		Inc:     1,
+		SpecVer: 1,
+	}
 }
 
 func table(t interface{ Fatal(...any) }, saved map[string][]byte) *Table {
@@ -81,7 +89,8 @@
 			}
 			time.Sleep(time.Second)
 			two := renew(t, tb, &wire.Renew{Self: node(0), Table: first.Table, Seen: first.Seen})
-			if !two.Part || len(two.Members) != 2 || two.Members[0].Id != "n0005" || two.Members[0].Live || two.Members[1].Inc != 2 {
+			if !two.Part || len(two.Members) != 2 || two.Members[0].Id != "n0005" || two.Members[0].Live ||
+				two.Members[1].Inc != 2 {
 				t.Errorf("%d nodes: after two changes: %v", n, two.Members)
 			}
 			sizes[n] = [2]int{proto.Size(same), proto.Size(two)}
@@ -99,7 +108,16 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			core := register.Replica{Addr: "c", Ident: "i"}
-			h := NewHolder(DefaultParams, peer.New(&wire.Member{Id: "me", Addr: "m"}, memnet.New(1).Host("m"), transport.DefaultParams, hclog.NewNullLogger()), cluster.New(nil, nil))
+			h := NewHolder(
+				DefaultParams,
+				peer.New(
+					&wire.Member{Id: "me", Addr: "m"},
+					memnet.New(1).Host("m"),
+					transport.DefaultParams,
+					hclog.NewNullLogger(),
+				),
+				cluster.New(nil, nil),
+			)
 			tb, saved := table(rt, nil), map[string][]byte{}
 			tb.save = func(k string, b []byte) error { saved[k] = b; return nil }
 			me := node(9999)
@@ -115,7 +133,9 @@
 					rt.Fatalf("%d listed, %d in the table", len(h.members), len(want))
 				}
 				for i, w := range want {
-					if m := h.members[i]; m.Id != w.Id || m.Inc != w.Inc || m.Live != w.Live || m.Addr != w.Addr || m.Ident != w.Ident || m.Status != w.Status {
+					if m := h.members[i]; m.Id != w.Id || m.Inc != w.Inc || m.Live != w.Live || m.Addr != w.Addr ||
+						m.Ident != w.Ident ||
+						m.Status != w.Status {
 						rt.Fatalf("listed %v, in the table %v", m, w)
 					}
 				}
@@ -170,7 +190,16 @@
 			t.Errorf("an older node is told %v", a)
 		}
 	}
-	h := NewHolder(DefaultParams, peer.New(&wire.Member{Id: "me", Addr: "m"}, memnet.New(1).Host("m"), transport.DefaultParams, hclog.NewNullLogger()), cluster.New(nil, nil))
+	h := NewHolder(
+		DefaultParams,
+		peer.New(
+			&wire.Member{Id: "me", Addr: "m"},
+			memnet.New(1).Host("m"),
+			transport.DefaultParams,
+			hclog.NewNullLogger(),
+		),
+		cluster.New(nil, nil),
+	)
 	core := register.Replica{Addr: "c"}
 	for n := range 3 {
 		a := &wire.RenewAck{LastsMs: 3000, MembersSum: 5}
--- a/internal/coordination/lease/table.go
+++ b/internal/coordination/lease/table.go
@@ -48,7 +48,14 @@
 // NewTable makes a table from what was noted on disk before. Every node known
 // counts as heard of now: how long it had been silent is not known.
 func NewTable(params Params, saved map[string][]byte, save func(string, []byte) error) (*Table, error) {
-	t := &Table{params: params, save: save, id: rand.Uint64() | 1, entries: map[string]*entry{}, changed: list.New(), renewed: list.New()}
+	t := &Table{
+		params:  params,
+		save:    save,
+		id:      rand.Uint64() | 1,
+		entries: map[string]*entry{},
+		changed: list.New(),
+		renewed: list.New(),
+	}
 	for _, b := range saved {
 		m := &wire.Member{}
 		if err := wire.Decode(b, m); err != nil {
@@ -68,7 +75,17 @@
 
 // show puts in force what the nodes' lists say of an entry, if it is anything new.
 func (t *Table) show(e *entry, live bool) {
-	m := &wire.Member{Id: e.member.Id, Role: e.member.Role, Addr: e.member.Addr, Http: e.member.Http, Zone: e.member.Zone, Ident: e.member.Ident, Inc: e.member.Inc, Status: e.member.Status, Live: live}
+	m := &wire.Member{
+		Id:     e.member.Id,
+		Role:   e.member.Role,
+		Addr:   e.member.Addr,
+		Http:   e.member.Http,
+		Zone:   e.member.Zone,
+		Ident:  e.member.Ident,
+		Inc:    e.member.Inc,
+		Status: e.member.Status,
+		Live:   live,
+	}
 	if e.shown != nil {
 		if memberDigest(e.shown) == memberDigest(m) {
 			return
@@ -157,7 +174,13 @@
 	if t.overtaken(e, m) {
 		later := &wire.Member{Id: e.member.Id, Inc: e.member.Inc}
 		t.mu.Unlock()
-		return &wire.Resp{Op: &wire.Resp_Renew{Renew: &wire.RenewAck{Members: []*wire.Member{later}}}}, code.New(code.OldEpoch, "a later start of %s holds the lease", m.Id)
+		return &wire.Resp{
+				Op: &wire.Resp_Renew{Renew: &wire.RenewAck{Members: []*wire.Member{later}}},
+			}, code.New(
+				code.OldEpoch,
+				"a later start of %s holds the lease",
+				m.Id,
+			)
 	}
 	known := e != nil && e.member.Inc == m.Inc
 	t.mu.Unlock()
@@ -199,8 +222,23 @@
 	for _, e := range t.entries {
 		m := e.member
 		unresponsive := now.Sub(e.renewedAt)
-		out = append(out, &wire.Member{Id: m.Id, Role: m.Role, Addr: m.Addr, Http: m.Http, Zone: m.Zone, Ident: m.Ident, IdentityVersion: m.IdentityVersion, Inc: m.Inc,
-			SpecVer: m.SpecVer, Status: m.Status, SilentMs: unresponsive.Milliseconds(), Live: e.renewedThisRun && unresponsive < t.params.Duration})
+		out = append(
+			out,
+			&wire.Member{
+				Id:              m.Id,
+				Role:            m.Role,
+				Addr:            m.Addr,
+				Http:            m.Http,
+				Zone:            m.Zone,
+				Ident:           m.Ident,
+				IdentityVersion: m.IdentityVersion,
+				Inc:             m.Inc,
+				SpecVer:         m.SpecVer,
+				Status:          m.Status,
+				SilentMs:        unresponsive.Milliseconds(),
+				Live:            e.renewedThisRun && unresponsive < t.params.Duration,
+			},
+		)
 	}
 	sort.Slice(out, func(i, j int) bool { return key(out[i]) < key(out[j]) })
 	return out
--- a/internal/coordination/membership/cores_history_test.go
+++ b/internal/coordination/membership/cores_history_test.go
@@ -99,7 +99,14 @@
 	w.tell(old)
 	w.change(other, "begin", begin, all...)
 	w.apply(mover.view, w.newest)
-	finished := w.change(mover, "settle", func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) }, "c0", "c1", "c2")
+	finished := w.change(
+		mover,
+		"settle",
+		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) },
+		"c0",
+		"c1",
+		"c2",
+	)
 	acknowledged := w.change(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4")
 	if finished && acknowledged {
 		t.Error("a change was acknowledged by the old cores after the new ones stand alone")
@@ -122,7 +129,14 @@
 	w.change(mover, "begin", begin, all...)
 	w.tell()
 	seen := membership.Of(&mover.view.Now().Cluster, membership.Cores)
-	if !w.change(mover, "settle", func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) }, "c0", "c1", "c2") {
+	if !w.change(
+		mover,
+		"settle",
+		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) },
+		"c0",
+		"c1",
+		"c2",
+	) {
 		t.Fatal("not settled")
 	}
 	if w.change(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4") {
--- a/internal/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -80,7 +80,14 @@
 }
 
 func newCoresWorld(t *testing.T, seed uint64) *coresWorld {
-	w := &coresWorld{t: t, rnd: rand.New(rand.NewPCG(seed, 11)), nodes: map[string]*coreNode{}, chosen: map[uint64][]byte{}, view: cluster.New(nil, nil), begun: map[string]uint64{}}
+	w := &coresWorld{
+		t:      t,
+		rnd:    rand.New(rand.NewPCG(seed, 11)),
+		nodes:  map[string]*coreNode{},
+		chosen: map[uint64][]byte{},
+		view:   cluster.New(nil, nil),
+		begun:  map[string]uint64{},
+	}
 	c := &spec.Cluster{CoresSince: 1, StoresSince: 1, SelfManaged: true}
 	for i := range 6 {
 		n := w.newNode(fmt.Sprintf("c%d", i), string(rune('a'+i%3)))
@@ -195,8 +202,15 @@
 	v := p.view.Now()
 	w.clock++
 	w.edits++
-	p.op = &proposal{name: fmt.Sprintf("%s%d", name, w.edits), version: v.Version, set: v.Cores(), edit: edit, ballot: &wire.Ballot{N: w.clock},
-		promised: map[register.Replica]*wire.View{}, accepted: map[register.Replica]bool{}}
+	p.op = &proposal{
+		name:     fmt.Sprintf("%s%d", name, w.edits),
+		version:  v.Version,
+		set:      v.Cores(),
+		edit:     edit,
+		ballot:   &wire.Ballot{N: w.clock},
+		promised: map[register.Replica]*wire.View{},
+		accepted: map[register.Replica]bool{},
+	}
 	w.send(p.op)
 }
 
@@ -485,5 +499,12 @@
 		versions += w.newest
 		finished += w.finished
 	}
-	t.Logf("%d histories of %d steps, %d versions, %d changes settled, %s", n, steps, versions, finished, time.Since(at).Round(time.Millisecond))
+	t.Logf(
+		"%d histories of %d steps, %d versions, %d changes settled, %s",
+		n,
+		steps,
+		versions,
+		finished,
+		time.Since(at).Round(time.Millisecond),
+	)
 }
--- a/internal/coordination/membership/identity_test.go
+++ b/internal/coordination/membership/identity_test.go
@@ -43,7 +43,15 @@
 // replaced, and none of them ever comes back, also not the very first ones, which an
 // earlier release has made and which were frozen all the while.
 func TestThousandReplaced(t *testing.T) {
-	r := &clusterRegister{ver: 1, c: spec.Cluster{Stores: machinesOf(threeStores), Cores: machinesOf("c1/a/k1 c2/b/k2 c3/c/k3"), StoresSince: 1, CoresSince: 1}}
+	r := &clusterRegister{
+		ver: 1,
+		c: spec.Cluster{
+			Stores:      machinesOf(threeStores),
+			Cores:       machinesOf("c1/a/k1 c2/b/k2 c3/c/k3"),
+			StoresSince: 1,
+			CoresSince:  1,
+		},
+	}
 	departed := map[string]uint64{} // identities let go, and what each was made under
 	madeUnder := map[string]uint64{"i1": 0, "i2": 0, "i3": 0, "k1": 0, "k2": 0, "k3": 0}
 	largest := 0
@@ -75,7 +83,14 @@
 	if most := 5000; largest > most || len(r.c.Used) > cluster.MaxUsed {
 		t.Errorf("the register has had %d bytes, %d identities are listed", largest, len(r.c.Used))
 	}
-	t.Logf("%d replaced, at most %d bytes, %d listed, floor %d of version %d", len(departed), largest, len(r.c.Used), r.c.IdentityFloor, r.ver)
+	t.Logf(
+		"%d replaced, at most %d bytes, %d listed, floor %d of version %d",
+		len(departed),
+		largest,
+		len(r.c.Used),
+		r.c.IdentityFloor,
+		r.ver,
+	)
 }
 
 func checkRefused(t *testing.T, r *clusterRegister, departed map[string]uint64) {
@@ -103,7 +118,8 @@
 				}
 			}
 			for ident := range left {
-				if membership.Has(slices.Concat(r.c.Stores, r.c.NextStores), ident) || !membership.IdentityRefused(&r.c, ident, made[ident]) {
+				if membership.Has(slices.Concat(r.c.Stores, r.c.NextStores), ident) ||
+					!membership.IdentityRefused(&r.c, ident, made[ident]) {
 					t.Fatalf("%s, made under %d, is not refused at version %d", ident, made[ident], r.ver)
 				}
 			}
@@ -143,7 +159,10 @@
 // before it changes the set, is not taken in any more.
 func TestRetiredBetween(t *testing.T) {
 	const newcomer = "s4/a/i4"
-	target := membership.Target{Machines: machinesOf(threeStores + " " + newcomer), IdentityVersions: map[string]uint64{"i4": 1}}
+	target := membership.Target{
+		Machines:         machinesOf(threeStores + " " + newcomer),
+		IdentityVersions: map[string]uint64{"i4": 1},
+	}
 	for _, tc := range []struct {
 		retired []string
 		taken   bool
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -144,7 +144,12 @@
 
 func newPlan(o Observation) *plan {
 	now := Of(o.Cluster, o.Set).Now
-	return &plan{Observation: o, now: now, want: slices.Clone(now), target: Target{IdentityVersions: map[string]uint64{}}}
+	return &plan{
+		Observation: o,
+		now:         now,
+		want:        slices.Clone(now),
+		target:      Target{IdentityVersions: map[string]uint64{}},
+	}
 }
 
 func (p *plan) decision() Decision {
@@ -167,7 +172,8 @@
 	var out []Member
 	for _, m := range o.Members {
 		retired := o.Set == Stores && slices.Contains(o.Cluster.Retired, m.Machine.ID)
-		if m.Machine.Ident == "" || !m.Live || retired || Has(now, m.Machine.Ident) || IdentityRefused(o.Cluster, m.Machine.Ident, m.IdentityVersion) {
+		if m.Machine.Ident == "" || !m.Live || retired || Has(now, m.Machine.Ident) ||
+			IdentityRefused(o.Cluster, m.Machine.Ident, m.IdentityVersion) {
 			continue
 		}
 		out = append(out, m)
@@ -223,7 +229,8 @@
 
 // mayDrop tells whether one taken in beside the others could take a place now.
 func (p *plan) mayDrop() bool {
-	return len(p.spares) > 0 && slices.ContainsFunc(p.want, func(m spec.Machine) bool { return p.longUnresponsive(m.Ident) })
+	return len(p.spares) > 0 &&
+		slices.ContainsFunc(p.want, func(m spec.Machine) bool { return p.longUnresponsive(m.Ident) })
 }
 
 func (p *plan) longUnresponsive(ident string) bool {
@@ -309,7 +316,10 @@
 	zones := map[string]bool{}
 	for _, m := range candidates(o) {
 		// Of two at one place or of one name the later start is meant, which came first.
-		taken := slices.ContainsFunc(p.want, func(s spec.Machine) bool { return s.ID == m.Machine.ID || s.Addr == m.Machine.Addr })
+		taken := slices.ContainsFunc(
+			p.want,
+			func(s spec.Machine) bool { return s.ID == m.Machine.ID || s.Addr == m.Machine.Addr },
+		)
 		if taken {
 			continue
 		}
@@ -357,7 +367,8 @@
 func IsReconciler(c *spec.Cluster, self spec.Machine, members []Member) bool {
 	voters := slices.Concat(c.Cores, c.NextCores)
 	for _, m := range members {
-		if m.Live && m.UnresponsiveFor < leaderTimeout && m.Machine.ID < self.ID && m.Machine.Ident != "" && Has(voters, m.Machine.Ident) {
+		if m.Live && m.UnresponsiveFor < leaderTimeout && m.Machine.ID < self.ID && m.Machine.Ident != "" &&
+			Has(voters, m.Machine.Ident) {
 			return false
 		}
 	}
--- a/internal/coordination/membership/plan_test.go
+++ b/internal/coordination/membership/plan_test.go
@@ -35,7 +35,12 @@
 
 // memberSeen is a live member that has been silent for so long.
 func memberSeen(text string, unresponsive time.Duration) membership.Member {
-	return membership.Member{Machine: machine(text), Live: unresponsive < 3*time.Second, UnresponsiveFor: unresponsive, IdentityVersion: 5}
+	return membership.Member{
+		Machine:         machine(text),
+		Live:            unresponsive < 3*time.Second,
+		UnresponsiveFor: unresponsive,
+		IdentityVersion: 5,
+	}
 }
 
 func identities(set []spec.Machine) string {
@@ -161,8 +166,12 @@
 	},
 	{
 		name: "two long silent, one newcomer", want: "i1 i5 i3 i4",
-		cluster:  spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4")},
-		members:  []membership.Member{memberSeen("s2/b/i2", time.Minute), memberSeen("s3/c/i3", time.Minute), memberSeen("s5/b/i5", 0)},
+		cluster: spec.Cluster{Stores: machinesOf(threeStores + " s4/a/i4")},
+		members: []membership.Member{
+			memberSeen("s2/b/i2", time.Minute),
+			memberSeen("s3/c/i3", time.Minute),
+			memberSeen("s5/b/i5", 0),
+		},
 		presence: map[string]membership.Presence{"i2": membership.Absent, "i3": membership.Absent},
 	},
 	{
@@ -226,7 +235,14 @@
 func TestDecide(t *testing.T) {
 	for _, tc := range decisions {
 		t.Run(tc.name, func(t *testing.T) {
-			o := membership.Observation{Set: membership.Stores, Cluster: &tc.cluster, Members: tc.members, Presence: tc.presence, Forming: tc.forming, NewcomerAge: tc.quiet}
+			o := membership.Observation{
+				Set:         membership.Stores,
+				Cluster:     &tc.cluster,
+				Members:     tc.members,
+				Presence:    tc.presence,
+				Forming:     tc.forming,
+				NewcomerAge: tc.quiet,
+			}
 			if tc.set != "" {
 				o.Set = tc.set
 			}
@@ -241,7 +257,8 @@
 			if got := identities(d.Machines); got != tc.want || d.Wait != tc.wait {
 				t.Errorf("got %q, wait %t; want %q, wait %t", got, d.Wait, tc.want, tc.wait)
 			}
-			if beside, spent := strings.Join(d.Spares, " "), strings.Join(d.Promoted, " "); beside != tc.beside || spent != tc.spent {
+			if beside, spent := strings.Join(d.Spares, " "), strings.Join(d.Promoted, " "); beside != tc.beside ||
+				spent != tc.spent {
 				t.Errorf("beside %q, spent %q; want %q and %q", beside, spent, tc.beside, tc.spent)
 			}
 		})
@@ -306,7 +323,10 @@
 	silences := []time.Duration{0, time.Second, 2500 * time.Millisecond, 4 * time.Second}
 	for _, m := range c.Stores {
 		unresponsive := rapid.SampledFrom(silences).Draw(t, "silent")
-		o.Members = append(o.Members, membership.Member{Machine: m, Live: unresponsive < 3*time.Second, UnresponsiveFor: unresponsive})
+		o.Members = append(
+			o.Members,
+			membership.Member{Machine: m, Live: unresponsive < 3*time.Second, UnresponsiveFor: unresponsive},
+		)
 		o.Presence[m.Ident] = membership.PresenceOf(unresponsive == 0 || rapid.Bool().Draw(t, "answers"), unresponsive)
 	}
 	for _, text := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"s1/b/j1", "s2/b/j2", "s2/b/j9/elsewhere", "s6/a/j6", "s7/c/j7", "s8/c/j8/s1"}), 0, 3, rapid.ID).Draw(t, "newcomers") {
@@ -341,7 +361,9 @@
 			presence: map[string]membership.Presence{"i4": membership.Present},
 		},
 	} {
-		stalled, ask := change.Stalled(membership.Observation{Set: membership.Stores, Cluster: c, Members: tc.members, Presence: tc.presence})
+		stalled, ask := change.Stalled(
+			membership.Observation{Set: membership.Stores, Cluster: c, Members: tc.members, Presence: tc.presence},
+		)
 		if stalled != tc.stalled || identities(ask) != tc.ask {
 			t.Errorf("%s: %t, ask %q; want %t, %q", tc.name, stalled, identities(ask), tc.stalled, tc.ask)
 		}
@@ -401,7 +423,10 @@
 		{"", "", "", false},
 	} {
 		c := &spec.Cluster{Stores: machinesOf(tc.now), NextStores: machinesOf(tc.next)}
-		got := membership.Fenced(c, func(m spec.Machine) bool { return !slices.Contains(strings.Fields(tc.behind), m.Ident) })
+		got := membership.Fenced(
+			c,
+			func(m spec.Machine) bool { return !slices.Contains(strings.Fields(tc.behind), m.Ident) },
+		)
 		if got != tc.want {
 			t.Errorf("%q -> %q without %q: %t", tc.now, tc.next, tc.behind, got)
 		}
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -140,7 +140,13 @@
 }
 
 func newStoresWorld(t *testing.T, seed uint64) *storesWorld {
-	w := &storesWorld{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*storeNode{}, acked: map[string][]string{}, left: map[string]bool{}}
+	w := &storesWorld{
+		t:     t,
+		rnd:   rand.New(rand.NewPCG(seed, 7)),
+		nodes: map[string]*storeNode{},
+		acked: map[string][]string{},
+		left:  map[string]bool{},
+	}
 	c := &spec.Cluster{Copies: copies, StoresSince: 1, CoresSince: 1, SelfManaged: true}
 	for i := range 6 {
 		n := w.newNode(fmt.Sprintf("s%d", i), string(rune('a'+i%3)))
@@ -321,7 +327,15 @@
 				}
 			}
 			if have == 0 || (have+departed)*2 <= len(holders) {
-				w.fail("write %s of %s is at %d of %d holders at version %d, %d are gone", name, key, have, len(holders), v.Version, departed)
+				w.fail(
+					"write %s of %s is at %d of %d holders at version %d, %d are gone",
+					name,
+					key,
+					have,
+					len(holders),
+					v.Version,
+					departed,
+				)
 			}
 		}
 	}
@@ -415,8 +429,15 @@
 	}
 	w.clock++
 	w.writes++
-	u.op = &write{key: key, name: fmt.Sprintf("w%d", w.writes), version: v.Version, set: set, ballot: &wire.Ballot{N: w.clock, Node: 1},
-		promised: map[register.Replica]*wire.View{}, accepted: map[register.Replica]bool{}}
+	u.op = &write{
+		key:      key,
+		name:     fmt.Sprintf("w%d", w.writes),
+		version:  v.Version,
+		set:      set,
+		ballot:   &wire.Ballot{N: w.clock, Node: 1},
+		promised: map[register.Replica]*wire.View{},
+		accepted: map[register.Replica]bool{},
+	}
 	w.send(u.op, false)
 }
 
@@ -609,7 +630,10 @@
 		}
 		return
 	}
-	finished := w.change("settled", func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Stores, change) })
+	finished := w.change(
+		"settled",
+		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Stores, change) },
+	)
 	m.seen, m.settles = nil, false
 	if finished {
 		w.checkMajority()
@@ -780,5 +804,12 @@
 			}
 		}
 	}
-	t.Logf("%d histories, %d steps, %d acknowledged writes, %d changes settled, %s", n, steps, acked, finished, time.Since(at).Round(time.Millisecond))
+	t.Logf(
+		"%d histories, %d steps, %d acknowledged writes, %d changes settled, %s",
+		n,
+		steps,
+		acked,
+		finished,
+		time.Since(at).Round(time.Millisecond),
+	)
 }
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -70,7 +70,16 @@
 
 func (n *Node) hello(context.Context, *wire.Req) (*wire.Resp, error) {
 	v := n.Cluster.Now()
-	return &wire.Resp{Op: &wire.Resp_Hello{Hello: &wire.HelloAck{Self: n.Peer.Member(v.Version), Formed: v.Version > 0, Cluster: v.Raw(), ClusterVer: v.Version}}}, nil
+	return &wire.Resp{
+		Op: &wire.Resp_Hello{
+			Hello: &wire.HelloAck{
+				Self:       n.Peer.Member(v.Version),
+				Formed:     v.Version > 0,
+				Cluster:    v.Raw(),
+				ClusterVer: v.Version,
+			},
+		},
+	}, nil
 }
 
 // Hello asks another process who it is and what cluster it knows.
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -74,9 +74,23 @@
 // New makes a peer with a fresh incarnation. Handlers are set before Serve.
 func New(self *wire.Member, n transport.Net, p transport.Params, log hclog.Logger) *Peer {
 	c := &transport.Partitions{}
-	peer := &Peer{Partitions: c, Log: log, hub: transport.NewHub(n, p, c), net: n, params: p, handlers: map[reflect.Type]Handler{}}
-	peer.Self = wire.Member{Id: self.Id, Role: self.Role, Addr: self.Addr, Http: self.Http, Zone: self.Zone, Ident: self.Ident,
-		Inc: uint64(time.Now().UnixMilli())<<16 | uint64(rand.Uint32()&0xffff)}
+	peer := &Peer{
+		Partitions: c,
+		Log:        log,
+		hub:        transport.NewHub(n, p, c),
+		net:        n,
+		params:     p,
+		handlers:   map[reflect.Type]Handler{},
+	}
+	peer.Self = wire.Member{
+		Id:    self.Id,
+		Role:  self.Role,
+		Addr:  self.Addr,
+		Http:  self.Http,
+		Zone:  self.Zone,
+		Ident: self.Ident,
+		Inc:   uint64(time.Now().UnixMilli())<<16 | uint64(rand.Uint32()&0xffff),
+	}
 	peer.SetIdent(self.Ident, self.IdentityVersion)
 	return peer
 }
@@ -85,7 +99,17 @@
 func (peer *Peer) Member(specVer uint64) *wire.Member {
 	s := &peer.Self
 	id := peer.ident.Load()
-	return &wire.Member{Id: s.Id, Role: s.Role, Addr: s.Addr, Http: s.Http, Zone: s.Zone, Ident: id.name, IdentityVersion: id.version, Inc: peer.Incarnation(), SpecVer: specVer}
+	return &wire.Member{
+		Id:              s.Id,
+		Role:            s.Role,
+		Addr:            s.Addr,
+		Http:            s.Http,
+		Zone:            s.Zone,
+		Ident:           id.name,
+		IdentityVersion: id.version,
+		Inc:             peer.Incarnation(),
+		SpecVer:         specVer,
+	}
 }
 
 // Handle sets the handler for requests whose op has the type of op.
@@ -97,7 +121,13 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	peer.server = transport.Serve(ctx, ln, peer.params, peer.answer, func(err error) { peer.Log.Warn("connection let go", "code", int(code.Of(err)), "why", code.Text(err)) })
+	peer.server = transport.Serve(
+		ctx,
+		ln,
+		peer.params,
+		peer.answer,
+		func(err error) { peer.Log.Warn("connection let go", "code", int(code.Of(err)), "why", code.Text(err)) },
+	)
 	return nil
 }
 
--- a/internal/coordination/peer/peer_test.go
+++ b/internal/coordination/peer/peer_test.go
@@ -21,7 +21,12 @@
 func TestNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		a := peer.New(&wire.Member{Id: "a", Addr: "a", Role: "core", Ident: "ia"}, n.Host("a"), transport.DefaultParams, hclog.NewNullLogger())
+		a := peer.New(
+			&wire.Member{Id: "a", Addr: "a", Role: "core", Ident: "ia"},
+			n.Host("a"),
+			transport.DefaultParams,
+			hclog.NewNullLogger(),
+		)
 		a.Handle(&wire.Req_Hello{}, func(context.Context, *wire.Req) (*wire.Resp, error) { return nil, nil })
 		if err := a.Serve(t.Context()); err != nil {
 			t.Fatal(err)
@@ -68,7 +73,12 @@
 func TestNotUTF8(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		a := peer.New(&wire.Member{Id: "a", Addr: "a", Role: "core"}, n.Host("a"), transport.DefaultParams, hclog.NewNullLogger())
+		a := peer.New(
+			&wire.Member{Id: "a", Addr: "a", Role: "core"},
+			n.Host("a"),
+			transport.DefaultParams,
+			hclog.NewNullLogger(),
+		)
 		a.Handle(&wire.Req_Look{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
 			return &wire.Resp{Op: &wire.Resp_Rows{Rows: &wire.Rows{Rows: []*wire.Row{{Key: "\xff"}}}}}, nil
 		})
@@ -79,7 +89,12 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		b := peer.New(&wire.Member{Id: "b", Addr: "b", Role: "edge"}, n.Host("b"), transport.DefaultParams, hclog.NewNullLogger())
+		b := peer.New(
+			&wire.Member{Id: "b", Addr: "b", Role: "edge"},
+			n.Host("b"),
+			transport.DefaultParams,
+			hclog.NewNullLogger(),
+		)
 		defer b.Close()
 		for _, c := range []struct {
 			what string
--- a/internal/coordination/storeclient/client.go
+++ b/internal/coordination/storeclient/client.go
@@ -51,7 +51,12 @@
 
 // withVersion does something at a key's stores under the spec in force here. Stores
 // that know a newer one refuse it; then this node catches up and does it anew.
-func (client *Client) withVersion(ctx context.Context, key string, strict bool, do func(context.Context, register.Set) error) (uint64, error) {
+func (client *Client) withVersion(
+	ctx context.Context,
+	key string,
+	strict bool,
+	do func(context.Context, register.Set) error,
+) (uint64, error) {
 	for attempt := 1; ; attempt++ {
 		v := client.Cluster.Now()
 		s, err := replicasOf(v, key)
@@ -99,7 +104,11 @@
 	return client.read(ctx, key, true)
 }
 
-func (client *Client) read(ctx context.Context, key string, strict bool) (state register.State, ver uint64, err error) {
+func (client *Client) read(
+	ctx context.Context,
+	key string,
+	strict bool,
+) (state register.State, ver uint64, err error) {
 	ver, err = client.withVersion(ctx, key, strict, func(ctx context.Context, s register.Set) error {
 		state, err = client.Proposer.Read(ctx, s, key)
 		return err
@@ -117,7 +126,12 @@
 	return client.change(ctx, key, true, f)
 }
 
-func (client *Client) change(ctx context.Context, key string, strict bool, f register.UpdateFunc) (state register.State, err error) {
+func (client *Client) change(
+	ctx context.Context,
+	key string,
+	strict bool,
+	f register.UpdateFunc,
+) (state register.State, err error) {
 	_, err = client.withVersion(ctx, key, strict, func(ctx context.Context, s register.Set) error {
 		state, err = client.Proposer.Change(ctx, s, key, f)
 		return err
@@ -150,7 +164,12 @@
 
 // PutBlob keeps an immutable value at a majority of every group.
 func (client *Client) PutBlob(ctx context.Context, key string, val []byte, keep time.Duration) error {
-	_, err := client.withVersion(ctx, key, false, func(ctx context.Context, s register.Set) error { return client.put(ctx, s, key, val, keep) })
+	_, err := client.withVersion(
+		ctx,
+		key,
+		false,
+		func(ctx context.Context, s register.Set) error { return client.put(ctx, s, key, val, keep) },
+	)
 	return err
 }
 
--- a/internal/coordination/web/web.go
+++ b/internal/coordination/web/web.go
@@ -131,7 +131,13 @@
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: e, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 64 << 10}
+	s := &http.Server{
+		Handler:           e,
+		ReadHeaderTimeout: 5 * time.Second,
+		ReadTimeout:       30 * time.Second,
+		IdleTimeout:       time.Minute,
+		MaxHeaderBytes:    64 << 10,
+	}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(ln) }()
 	select {
--- a/internal/dataplane/assignment/assigner.go
+++ b/internal/dataplane/assignment/assigner.go
@@ -45,7 +45,13 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Poll: 300 * time.Millisecond, Term: 2 * time.Second, WarmupStep: time.Second, WarmupStart: 2, WarmAfter: 20 * time.Second}
+var DefaultParams = Params{
+	Poll:        300 * time.Millisecond,
+	Term:        2 * time.Second,
+	WarmupStep:  time.Second,
+	WarmupStart: 2,
+	WarmAfter:   20 * time.Second,
+}
 
 // State is what the tree hears of a runner.
 type State struct {
@@ -218,7 +224,8 @@
 		if raise {
 			room = max(availableNow, 0)
 		}
-		if (!assigner.allReported || !raise) && o.Limit > 0 && availableNow >= 0 && !assigner.node.Cluster.Now().Spec.Empty(o.Zone) {
+		if (!assigner.allReported || !raise) && o.Limit > 0 && availableNow >= 0 &&
+			!assigner.node.Cluster.Now().Spec.Empty(o.Zone) {
 			// Shares worked out from some of the edges only would be too small,
 			// and what can't be raised again must not be lowered: each keeps
 			// what it has.
@@ -228,9 +235,17 @@
 		room -= max(urgent-cur.urgent, 0)
 		plain := min(want.plain, cur.plain+room)
 		// Until the edge says that it holds less, it may hold the more.
-		e.shares[name] = share{incarnation: o.Incarnation, plain: max(plain, cur.plain), urgent: max(urgent, cur.urgent), used: cur.used}
+		e.shares[name] = share{
+			incarnation: o.Incarnation,
+			plain:       max(plain, cur.plain),
+			urgent:      max(urgent, cur.urgent),
+			used:        cur.used,
+		}
 		if plain+urgent > 0 {
-			out.Slots = append(out.Slots, &wire.Slot{Runner: name, Mark: o.Incarnation, Plain: int32(plain), Urgent: int32(urgent)})
+			out.Slots = append(
+				out.Slots,
+				&wire.Slot{Runner: name, Mark: o.Incarnation, Plain: int32(plain), Urgent: int32(urgent)},
+			)
 		}
 	}
 	return out
@@ -275,7 +290,10 @@
 	}
 	urgent := o.Limit * reserve / 100
 	plain := func(e *edge) int { return 4 + min(e.backlog[o.Route], 20) }
-	return share{plain: assigner.portion(o, inc, o.Limit-urgent, plain), urgent: assigner.portion(o, inc, urgent, func(*edge) int { return 1 })}
+	return share{
+		plain:  assigner.portion(o, inc, o.Limit-urgent, plain),
+		urgent: assigner.portion(o, inc, urgent, func(*edge) int { return 1 }),
+	}
 }
 
 // portion gives one edge its part of n by largest remainder over the weights.
--- a/internal/dataplane/assignment/assigner_test.go
+++ b/internal/dataplane/assignment/assigner_test.go
@@ -23,7 +23,15 @@
 const runnerName = "m1"
 
 func newDispatcher(epoch uint64) *Assigner {
-	n := node.New(node.Params{Self: &wire.Member{Id: "d"}, Net: memnet.New(1).Host("d"), Transport: transport.DefaultParams, Lease: lease.DefaultParams, Log: hclog.NewNullLogger()})
+	n := node.New(
+		node.Params{
+			Self:      &wire.Member{Id: "d"},
+			Net:       memnet.New(1).Host("d"),
+			Transport: transport.DefaultParams,
+			Lease:     lease.DefaultParams,
+			Log:       hclog.NewNullLogger(),
+		},
+	)
 	re := spec.Cluster{Spec: spec.Spec{Classes: []spec.Class{{Name: "u", Urgent: true, Reserve: 25}}}}
 	raw, err := re.MarshalJSON()
 	if err == nil {
@@ -32,7 +40,13 @@
 	if err != nil {
 		panic(err)
 	}
-	return &Assigner{params: DefaultParams, node: n, epoch: epoch, runners: map[string]*runner{}, edges: map[uint64]*edge{}}
+	return &Assigner{
+		params:  DefaultParams,
+		node:    n,
+		epoch:   epoch,
+		runners: map[string]*runner{},
+		edges:   map[uint64]*edge{},
+	}
 }
 
 type box struct {
@@ -60,7 +74,11 @@
 	fired := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
-			return step{edge: rapid.IntRange(0, 3).Draw(rt, "edge"), what: rapid.IntRange(0, 10).Draw(rt, "what"), n: rapid.IntRange(0, 2500).Draw(rt, "n")}
+			return step{
+				edge: rapid.IntRange(0, 3).Draw(rt, "edge"),
+				what: rapid.IntRange(0, 10).Draw(rt, "what"),
+				n:    rapid.IntRange(0, 2500).Draw(rt, "n"),
+			}
 		}), 10, 80).Draw(rt, "plan")
 		wrong := ""
 		synctest.Test(t, func(*testing.T) { wrong = play(plan, &fired) })
@@ -93,7 +111,12 @@
 		for _, e := range edges {
 			load += len(e.taken)
 		}
-		assigner.observe(time.Now(), spec.Runner{Name: runnerName, Zone: "a"}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: bears, Load: load, UpMs: 60000}, false)
+		assigner.observe(
+			time.Now(),
+			spec.Runner{Name: runnerName, Zone: "a"},
+			&runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: bears, Load: load, UpMs: 60000},
+			false,
+		)
 	}
 	note()
 	assigner.allReported = true
@@ -110,7 +133,12 @@
 				break
 			}
 			asked := time.Now()
-			a := assigner.Report(ids[s.edge], e.inc, &wire.Deal{Held: e.b.Report(), Waiting: map[string]int32{"": int32(s.n % 10)}}, true)
+			a := assigner.Report(
+				ids[s.edge],
+				e.inc,
+				&wire.Deal{Held: e.b.Report(), Waiting: map[string]int32{"": int32(s.n % 10)}},
+				true,
+			)
 			time.Sleep(time.Duration(s.n%200) * time.Millisecond)
 			e.epoch = a.Epoch
 			e.b.Update(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
@@ -162,7 +190,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		assigner := newDispatcher(1)
 		rep := func(refused int64) int {
-			assigner.observe(time.Now(), spec.Runner{Name: runnerName}, &runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: 16, Refused: refused}, false)
+			assigner.observe(
+				time.Now(),
+				spec.Runner{Name: runnerName},
+				&runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: 16, Refused: refused},
+				false,
+			)
 			return assigner.runners[runnerName].Limit
 		}
 		want := []int{2, 4, 8, 16, 16}
--- a/internal/dataplane/assignment/service.go
+++ b/internal/dataplane/assignment/service.go
@@ -47,8 +47,16 @@
 
 // Work is one tenure.
 func (d *Service) Work(ctx context.Context, epoch uint64) {
-	assigner := &Assigner{params: d.params, node: d.node, epoch: epoch, start: time.Now(), wakeup: loop.NewWakeup(), runners: map[string]*runner{}, edges: map[uint64]*edge{},
-		client: &http.Client{Timeout: d.params.Poll, Transport: d.params.Transport}}
+	assigner := &Assigner{
+		params:  d.params,
+		node:    d.node,
+		epoch:   epoch,
+		start:   time.Now(),
+		wakeup:  loop.NewWakeup(),
+		runners: map[string]*runner{},
+		edges:   map[uint64]*edge{},
+		client:  &http.Client{Timeout: d.params.Poll, Transport: d.params.Transport},
+	}
 	defer assigner.client.CloseIdleConnections()
 	assigner.poll(ctx)
 	d.set(assigner)
@@ -59,7 +67,11 @@
 func (d *Service) assign(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	assigner, err := d.now()
 	if err != nil {
-		return &wire.Resp{Op: &wire.Resp_Deal{Deal: &wire.DealAck{Epoch: d.epochs.Highest(), QuietMs: min(d.epochs.SinceContact(), time.Hour).Milliseconds()}}}, err
+		return &wire.Resp{
+			Op: &wire.Resp_Deal{
+				Deal: &wire.DealAck{Epoch: d.epochs.Highest(), QuietMs: min(d.epochs.SinceContact(), time.Hour).Milliseconds()},
+			},
+		}, err
 	}
 	if e := q.GetDeal().GetEpoch(); e > assigner.epoch {
 		// The asker has dealt with a later holder: this tenure is over.
--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -59,7 +59,15 @@
 
 // New makes a backlog.
 func New(p Params, dir *balancer.Directory, table *slots.Table, pol *policy.Selector) *Backlog {
-	return &Backlog{p: p, directory: dir, slots: table, selector: pol, in: make(chan *waiter, p.Most), by: map[string]int32{}, pace: map[string]*pace{}}
+	return &Backlog{
+		p:         p,
+		directory: dir,
+		slots:     table,
+		selector:  pol,
+		in:        make(chan *waiter, p.Most),
+		by:        map[string]int32{},
+		pace:      map[string]*pace{},
+	}
 }
 
 // Len is how many jobs wait.
@@ -170,7 +178,12 @@
 	if !ok || c.Fits(d, b.p.CallTime) {
 		return job.Answer{}, false
 	}
-	a := job.Bad(code.TooLong, "%d jobs are before it, and its turn would come in %s", waiting, d.Round(100*time.Millisecond))
+	a := job.Bad(
+		code.TooLong,
+		"%d jobs are before it, and its turn would come in %s",
+		waiting,
+		d.Round(100*time.Millisecond),
+	)
 	a.Wait = d - c.Left()
 	return a, true
 }
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -50,8 +50,22 @@
 }
 
 // New makes the directory and listens for news of runners.
-func New(n *node.Node, runners *intern.Table, table *slots.Table, cooldowns *cooldown.Manager, pol *policy.Selector) *Directory {
-	directory := &Directory{node: n, Runners: runners, Routes: &intern.Table{}, slots: table, cooldowns: cooldowns, selector: pol, states: map[string]assignment.State{}}
+func New(
+	n *node.Node,
+	runners *intern.Table,
+	table *slots.Table,
+	cooldowns *cooldown.Manager,
+	pol *policy.Selector,
+) *Directory {
+	directory := &Directory{
+		node:      n,
+		Runners:   runners,
+		Routes:    &intern.Table{},
+		slots:     table,
+		cooldowns: cooldowns,
+		selector:  pol,
+		states:    map[string]assignment.State{},
+	}
 	n.Broadcast.Handle("runner", directory.updateState)
 	return directory
 }
@@ -189,14 +203,25 @@
 		}
 		// A process seen leaving, or whose slots are for the one before it, is no
 		// candidate now, and may be one soon.
-		if w > 0 || !directory.cooldowns.Allowed(e.cooldownKey) || now.Before(e.avoid) || directory.slots.Incarnation(ix) != e.incarnation {
+		if w > 0 || !directory.cooldowns.Allowed(e.cooldownKey) || now.Before(e.avoid) ||
+			directory.slots.Incarnation(ix) != e.incarnation {
 			continue
 		}
 		free, used := directory.slots.Free(ix, c.Urgent)
 		if free == 0 {
 			continue
 		}
-		rs = append(rs, script.Runner{Name: e.Name, Zone: e.Zone, Near: e.Zone == directory.node.Peer.Self.Zone, Free: int64(free), Used: int64(used), Prefix: prefix(e, c)})
+		rs = append(
+			rs,
+			script.Runner{
+				Name:   e.Name,
+				Zone:   e.Zone,
+				Near:   e.Zone == directory.node.Peer.Self.Zone,
+				Free:   int64(free),
+				Used:   int64(used),
+				Prefix: prefix(e, c),
+			},
+		)
 		ixs = append(ixs, ix)
 	}
 	if len(rs) > 0 {
@@ -206,7 +231,13 @@
 			directory.cooldowns.BeginCall(e.cooldownKey)
 			why.Picked, why.Spec = e.Name, directory.node.Cluster.Now().Version
 			c.Whys = append(c.Whys, why)
-			return job.Runner{Ix: ixs[i], Name: e.Name, Addr: e.Addr, Cool: e.cooldownKey, Incarnation: incarnation}, k, true, 0
+			return job.Runner{
+				Ix:          ixs[i],
+				Name:        e.Name,
+				Addr:        e.Addr,
+				Cool:        e.cooldownKey,
+				Incarnation: incarnation,
+			}, k, true, 0
 		}
 	}
 	return job.Runner{}, 0, false, least
--- a/internal/dataplane/call/call.go
+++ b/internal/dataplane/call/call.go
@@ -44,7 +44,12 @@
 func NewWeb(t http.RoundTripper) *http.Client {
 	if t == nil {
 		d := &net.Dialer{Timeout: time.Second}
-		t = &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 32, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
+		t = &http.Transport{
+			DialContext:         d.DialContext,
+			MaxIdleConnsPerHost: 32,
+			IdleConnTimeout:     30 * time.Second,
+			DisableCompression:  true,
+		}
 	}
 	return &http.Client{
 		Transport: t,
@@ -125,8 +130,20 @@
 
 // Do passes the job.
 func (p *Caller) Do(c *job.Ctx) job.Answer {
-	body, err := json.Marshal(runnerapi.Request{Job: c.ID, Route: c.Route, Incarnation: c.Runner.Incarnation, Program: c.Program, Class: c.Class, Parts: c.Parts,
-		History: c.History, Prompt: c.Prompt, MaxOutput: c.Most, DeadlineMs: c.Left().Milliseconds()})
+	body, err := json.Marshal(
+		runnerapi.Request{
+			Job:         c.ID,
+			Route:       c.Route,
+			Incarnation: c.Runner.Incarnation,
+			Program:     c.Program,
+			Class:       c.Class,
+			Parts:       c.Parts,
+			History:     c.History,
+			Prompt:      c.Prompt,
+			MaxOutput:   c.Most,
+			DeadlineMs:  c.Left().Milliseconds(),
+		},
+	)
 	if err != nil {
 		return job.Bad(code.BadField, "%w", err)
 	}
@@ -166,7 +183,12 @@
 // newRequest makes the request that passes a job. With no way to rewind its body,
 // net/http never sends it twice.
 func newRequest(ctx context.Context, addr, id string, body []byte) (*http.Request, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/run", io.NopCloser(bytes.NewReader(body)))
+	q, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+addr+"/v1/run",
+		io.NopCloser(bytes.NewReader(body)),
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/conversation/conversation.go
+++ b/internal/dataplane/conversation/conversation.go
@@ -55,7 +55,13 @@
 	if err := json.Unmarshal(a.Body, &got); err != nil {
 		return job.Bad(code.Incomplete, "answer can't be read: %w", err)
 	}
-	b, err := json.Marshal(turn{c.Program, c.Conv, append(c.History[:len(c.History):len(c.History)], job.Line{Words: c.Prompt, Answer: got.Text})})
+	b, err := json.Marshal(
+		turn{
+			c.Program,
+			c.Conv,
+			append(c.History[:len(c.History):len(c.History)], job.Line{Words: c.Prompt, Answer: got.Text}),
+		},
+	)
 	if err != nil {
 		return job.Bad(code.NotKept, "%w", err)
 	}
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -31,7 +31,12 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Read: 150 * time.Millisecond, Write: time.Second, CallTime: 100 * time.Millisecond, Snapshot: DefaultSnapshot}
+var DefaultParams = Params{
+	Read:     150 * time.Millisecond,
+	Write:    time.Second,
+	CallTime: 100 * time.Millisecond,
+	Snapshot: DefaultSnapshot,
+}
 
 // Manager reads and installs cooldowns for the workers of this node.
 type Manager struct {
@@ -63,8 +68,18 @@
 
 // New makes the desk and listens for what others spread.
 func New(p Params, n *node.Node, t *storeclient.Client) *Manager {
-	manager := &Manager{params: p, node: n, stores: t, until: map[string]time.Time{}, gates: map[string]*gate{}, unwritten: map[string]time.Time{},
-		snapshot: newSnapshot(), writtenUntil: map[string]time.Time{}, writes: map[string]*write{}, wakeup: loop.NewWakeup()}
+	manager := &Manager{
+		params:       p,
+		node:         n,
+		stores:       t,
+		until:        map[string]time.Time{},
+		gates:        map[string]*gate{},
+		unwritten:    map[string]time.Time{},
+		snapshot:     newSnapshot(),
+		writtenUntil: map[string]time.Time{},
+		writes:       map[string]*write{},
+		wakeup:       loop.NewWakeup(),
+	}
 	n.Broadcast.Handle("cool", manager.onBroadcast)
 	return manager
 }
@@ -186,7 +201,13 @@
 func (manager *Manager) broadcast(key string, w time.Duration) {
 	manager.mu.Lock()
 	manager.seq++
-	i := &wire.Item{Topic: "cool", Key: manager.node.Peer.Self.Id + "/" + key, Epoch: manager.node.Peer.Self.Inc, Seq: manager.seq, Brief: true}
+	i := &wire.Item{
+		Topic: "cool",
+		Key:   manager.node.Peer.Self.Id + "/" + key,
+		Epoch: manager.node.Peer.Self.Inc,
+		Seq:   manager.seq,
+		Brief: true,
+	}
 	manager.mu.Unlock()
 	i.Body, _ = json.Marshal(announcement{key, WaitMs(w)})
 	go manager.node.Broadcast.Publish(context.Background(), i)
--- a/internal/dataplane/cooldown/manager_test.go
+++ b/internal/dataplane/cooldown/manager_test.go
@@ -131,7 +131,12 @@
 			case 0:
 				// A later value; every store takes it some time, one at once.
 				ver := uint64(len(vals) + 1)
-				v := &val{ver: ver, op: ver * 10, refused: now, wait: time.Duration(rapid.IntRange(1, 20).Draw(rt, "wait s")) * time.Second}
+				v := &val{
+					ver:     ver,
+					op:      ver * 10,
+					refused: now,
+					wait:    time.Duration(rapid.IntRange(1, 20).Draw(rt, "wait s")) * time.Second,
+				}
 				for i := range v.taken {
 					v.taken[i] = now + time.Duration(rapid.IntRange(0, 5000).Draw(rt, "late ms"))*time.Millisecond
 				}
--- a/internal/dataplane/cooldown/snapshot.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -26,8 +26,15 @@
 }
 
 // DefaultSnapshot are the design's.
-var DefaultSnapshot = SnapshotParams{Interval: 250 * time.Millisecond, Timeout: 350 * time.Millisecond, MaxAge: 600 * time.Millisecond, IdleAfter: 2 * time.Second,
-	ReadTimeout: 100 * time.Millisecond, ShareWindow: 200 * time.Millisecond, WriteWait: 150 * time.Millisecond}
+var DefaultSnapshot = SnapshotParams{
+	Interval:    250 * time.Millisecond,
+	Timeout:     350 * time.Millisecond,
+	MaxAge:      600 * time.Millisecond,
+	IdleAfter:   2 * time.Second,
+	ReadTimeout: 100 * time.Millisecond,
+	ShareWindow: 200 * time.Millisecond,
+	WriteWait:   150 * time.Millisecond,
+}
 
 // snapshot is what the stores said of late. Desk.mu guards it.
 type snapshot struct {
@@ -61,7 +68,12 @@
 const retention = 10 * time.Minute
 
 func newSnapshot() snapshot {
-	return snapshot{answeredAt: map[register.Replica]time.Time{}, observed: map[string]*observed{}, majority: map[string]bool{}, reads: map[string]*sharedRead{}}
+	return snapshot{
+		answeredAt: map[register.Replica]time.Time{},
+		observed:   map[string]*observed{},
+		majority:   map[string]bool{},
+		reads:      map[string]*sharedRead{},
+	}
 }
 
 func (t *observed) end() time.Time {
@@ -105,7 +117,8 @@
 		if !ok || c.LeftMs <= 0 {
 			continue
 		}
-		if manager.snapshot.observe(key, c.Ver, c.Op, now.Add(time.Duration(c.LeftMs)*time.Millisecond)) && manager.remaining(key) > 0 {
+		if manager.snapshot.observe(key, c.Ver, c.Op, now.Add(time.Duration(c.LeftMs)*time.Millisecond)) &&
+			manager.remaining(key) > 0 {
 			manager.narrowGate(key)
 		}
 	}
@@ -159,7 +172,8 @@
 	loop.Every(ctx, manager.params.Snapshot.Interval, manager.wakeup, func(ctx context.Context) {
 		now := time.Now()
 		manager.mu.Lock()
-		due := now.Sub(manager.snapshot.lastUsed) < manager.params.Snapshot.IdleAfter && now.Sub(manager.snapshot.lastPoll) >= manager.params.Snapshot.Interval/2
+		due := now.Sub(manager.snapshot.lastUsed) < manager.params.Snapshot.IdleAfter &&
+			now.Sub(manager.snapshot.lastPoll) >= manager.params.Snapshot.Interval/2
 		if due {
 			manager.snapshot.lastPoll = now
 		}
@@ -216,7 +230,12 @@
 		manager.mu.Unlock()
 		return 0
 	}
-	if time.Since(manager.snapshot.lastFailure) < manager.params.Snapshot.ShareWindow<<min(manager.snapshot.failures, 2) {
+	if time.Since(
+		manager.snapshot.lastFailure,
+	) < manager.params.Snapshot.ShareWindow<<min(
+		manager.snapshot.failures,
+		2,
+	) {
 		manager.mu.Unlock()
 		manager.wakeup.Notify()
 		manager.unverified.Add(1)
--- a/internal/dataplane/cooldown/snapshot_test.go
+++ b/internal/dataplane/cooldown/snapshot_test.go
@@ -35,7 +35,14 @@
 	f := &fleet{}
 	var re spec.Cluster
 	params := func(id, role, zone, addr string) node.Params {
-		return node.Params{Self: &wire.Member{Id: id, Role: role, Zone: zone, Addr: addr}, Net: host(addr), Transport: transport.DefaultParams, Lease: lease.DefaultParams, Broadcast: broadcast.DefaultParams, Log: hclog.NewNullLogger()}
+		return node.Params{
+			Self:      &wire.Member{Id: id, Role: role, Zone: zone, Addr: addr},
+			Net:       host(addr),
+			Transport: transport.DefaultParams,
+			Lease:     lease.DefaultParams,
+			Broadcast: broadcast.DefaultParams,
+			Log:       hclog.NewNullLogger(),
+		}
 	}
 	for i := range stores {
 		id, addr, zone := fmt.Sprint("s", i), fmt.Sprintf("127.0.77.%d:7100", 1+i), string(rune('a'+i%3))
@@ -71,7 +78,14 @@
 			t.Fatal(err)
 		}
 		f.nodes = append(f.nodes, n)
-		f.desks = append(f.desks, cooldown.New(cooldown.DefaultParams, n, &storeclient.Client{Peer: n.Peer, Cluster: n.Cluster, Proposer: n.Proposer}))
+		f.desks = append(
+			f.desks,
+			cooldown.New(
+				cooldown.DefaultParams,
+				n,
+				&storeclient.Client{Peer: n.Peer, Cluster: n.Cluster, Proposer: n.Proposer},
+			),
+		)
 	}
 	return f
 }
@@ -172,7 +186,8 @@
 		time.Sleep(3 * time.Second)
 		b.Remaining(ctx, "runner/x", time.Second)
 		time.Sleep(300 * time.Millisecond)
-		if w := b.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(at) || w > floor-time.Since(at)+10*time.Millisecond {
+		if w := b.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(at) ||
+			w > floor-time.Since(at)+10*time.Millisecond {
 			t.Errorf("what is left after %s: %s", time.Since(at), w)
 		}
 		// A second refusal within it writes nothing, a longer one lengthens it.
@@ -207,7 +222,8 @@
 			t.Fatal("no leave without a cooldown")
 		}
 		manager.RecordRefusal(ctx, "k", 0)
-		if _, ok := manager.Admit(ctx, "k", time.Second); ok || manager.GateOpen("k") || early.StillValid(ctx, time.Second) {
+		if _, ok := manager.Admit(ctx, "k", time.Second); ok || manager.GateOpen("k") ||
+			early.StillValid(ctx, time.Second) {
 			t.Error("a leave while it cools")
 		}
 		time.Sleep(1100 * time.Millisecond)
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -57,8 +57,18 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{API: turnapi.DefaultParams, Cooldown: cooldown.DefaultParams, Assignment: assignment.DefaultParams, Backlog: backlog.DefaultParams,
-	SlotInterval: 250 * time.Millisecond, ReadTimeout: 300 * time.Millisecond, WriteTimeout: time.Second, LateWriteTimeout: 2 * time.Second, OpenTimeout: 3 * time.Second, RecordedJobs: 8192}
+var DefaultParams = Params{
+	API:              turnapi.DefaultParams,
+	Cooldown:         cooldown.DefaultParams,
+	Assignment:       assignment.DefaultParams,
+	Backlog:          backlog.DefaultParams,
+	SlotInterval:     250 * time.Millisecond,
+	ReadTimeout:      300 * time.Millisecond,
+	WriteTimeout:     time.Second,
+	LateWriteTimeout: 2 * time.Second,
+	OpenTimeout:      3 * time.Second,
+	RecordedJobs:     8192,
+}
 
 // Edge is one edge process.
 type Edge struct {
@@ -88,7 +98,13 @@
 
 // New makes an edge. ctx carries what goes on behind an answer.
 func New(ctx context.Context, params Params, np node.Params) *Edge {
-	e := &Edge{Node: node.New(np), params: params, Epochs: &singleton.EpochGuard{}, wakeup: loop.NewWakeup(), background: job.NewBg(ctx)}
+	e := &Edge{
+		Node:       node.New(np),
+		params:     params,
+		Epochs:     &singleton.EpochGuard{},
+		wakeup:     loop.NewWakeup(),
+		background: job.NewBg(ctx),
+	}
 	t := &storeclient.Client{Peer: e.Peer, Cluster: e.Cluster, Proposer: e.Proposer}
 	runners := &intern.Table{}
 	e.stores = t
@@ -98,10 +114,25 @@
 	e.directory = balancer.New(e.Node, runners, e.slots, e.Cooldowns, e.selector)
 	e.backlog = backlog.New(params.Backlog, e.directory, e.slots, e.selector)
 	params.Assignment.LastState = e.directory.LastState
-	e.assigner = &singleton.Role{Name: "deal", Peer: e.Peer, Cluster: e.Cluster, Lease: e.Lease, Stores: t, Epochs: e.Epochs, SuspectAfter: time.Second}
+	e.assigner = &singleton.Role{
+		Name:         "deal",
+		Peer:         e.Peer,
+		Cluster:      e.Cluster,
+		Lease:        e.Lease,
+		Stores:       t,
+		Epochs:       e.Epochs,
+		SuspectAfter: time.Second,
+	}
 	params.Assignment.SinceConfirmed = e.assigner.SinceConfirmed
 	e.assigner.Work = assignment.New(params.Assignment, e.Node, e.Epochs).Work
-	caller := &call.Caller{Cooldowns: e.Cooldowns, Directory: e.directory, Slots: e.slots, OnDeparture: e.reportDeparture, Web: call.NewWeb(params.Assignment.Transport), Avoid: 2 * time.Second}
+	caller := &call.Caller{
+		Cooldowns:   e.Cooldowns,
+		Directory:   e.directory,
+		Slots:       e.slots,
+		OnDeparture: e.reportDeparture,
+		Web:         call.NewWeb(params.Assignment.Transport),
+		Avoid:       2 * time.Second,
+	}
 
 	// The way of a job, in the one place where it is fixed. What stands
 	// further out is written down first and settled last.
@@ -112,12 +143,32 @@
 		call.Cool{Cooldowns: e.Cooldowns},
 		idempotency.Start{Stores: t, ReadTimeout: params.ReadTimeout},
 	}
-	keyed := idempotency.Policy{Stores: t, ReadTimeout: params.ReadTimeout, WriteTimeout: params.WriteTimeout, LateWriteTimeout: params.LateWriteTimeout, Background: e.background}
+	keyed := idempotency.Policy{
+		Stores:           t,
+		ReadTimeout:      params.ReadTimeout,
+		WriteTimeout:     params.WriteTimeout,
+		LateWriteTimeout: params.LateWriteTimeout,
+		Background:       e.background,
+	}
 	spend := budget.Policy{Stores: t, Pre: params.ReadTimeout, Write: params.WriteTimeout, Background: e.background}
-	turns := append([]job.Policy{keyed, conversation.Policy{Stores: t, Read: params.ReadTimeout, Late: params.LateWriteTimeout, Background: e.background}, spend}, rest...)
+	turns := append(
+		[]job.Policy{
+			keyed,
+			conversation.Policy{Stores: t, Read: params.ReadTimeout, Late: params.LateWriteTimeout, Background: e.background},
+			spend,
+		},
+		rest...)
 	calls := append([]job.Policy{keyed, budget.Tree{Policy: spend}}, rest...)
-	e.API = &turnapi.Handler{Params: params.API, ID: np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36), Log: e.Log.Named("door"), View: e.Cluster.Now, Ready: e.checkOpen, Point: params.Point,
-		Turn: job.Chain(caller.Do, turns...), Call: job.Chain(caller.Do, calls...)}
+	e.API = &turnapi.Handler{
+		Params: params.API,
+		ID:     np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36),
+		Log:    e.Log.Named("door"),
+		View:   e.Cluster.Now,
+		Ready:  e.checkOpen,
+		Point:  params.Point,
+		Turn:   job.Chain(caller.Do, turns...),
+		Call:   job.Chain(caller.Do, calls...),
+	}
 	e.recorder, e.traces = traffic.NewRecorder(params.RecordedJobs), trace.New(params.RecordedJobs)
 	e.API.OnAnswer = func(c *job.Ctx, a job.Answer, took time.Duration) {
 		e.recorder.Add(e.Peer.Self.Id, e.Peer.Self.Zone, c, a, took)
@@ -175,19 +226,58 @@
 // rows are the edge's metrics.
 func (e *Edge) rows() []metrics.Row {
 	s := e.status()
-	out := append(metrics.Node(s.Spec, s.Sent),
+	out := append(
+		metrics.Node(s.Spec, s.Sent),
 		metrics.Row{Name: "waiting", Help: "Jobs in the backlog.", Value: float64(s.Waiting)},
-		metrics.Row{Name: "register_rounds_total", Help: "Rounds of the register asked for.", Value: float64(s.Rounds), Total: true},
-		metrics.Row{Name: "cooldowns_installed_total", Help: "Cooldowns written by this edge.", Value: float64(s.Installs), Total: true},
-		metrics.Row{Name: "policy_fallbacks_total", Help: "Decisions in which a policy program failed.", Value: float64(s.Fell), Total: true})
+		metrics.Row{
+			Name:  "register_rounds_total",
+			Help:  "Rounds of the register asked for.",
+			Value: float64(s.Rounds),
+			Total: true,
+		},
+		metrics.Row{
+			Name:  "cooldowns_installed_total",
+			Help:  "Cooldowns written by this edge.",
+			Value: float64(s.Installs),
+			Total: true,
+		},
+		metrics.Row{
+			Name:  "policy_fallbacks_total",
+			Help:  "Decisions in which a policy program failed.",
+			Value: float64(s.Fell),
+			Total: true,
+		},
+	)
 	for k, n := range s.Counts {
-		out = append(out, metrics.Row{Name: "jobs_total", Help: "Jobs answered, by the code's name.", Label: "code", Of: k, Value: float64(n), Total: true})
+		out = append(
+			out,
+			metrics.Row{
+				Name:  "jobs_total",
+				Help:  "Jobs answered, by the code's name.",
+				Label: "code",
+				Of:    k,
+				Value: float64(n),
+				Total: true,
+			},
+		)
 	}
 	for k, n := range s.Slots {
-		out = append(out, metrics.Row{Name: "slots", Help: "Slots held of a runner.", Label: "runner", Of: k, Value: float64(n)})
+		out = append(
+			out,
+			metrics.Row{Name: "slots", Help: "Slots held of a runner.", Label: "runner", Of: k, Value: float64(n)},
+		)
 	}
 	for k, n := range s.Cooling {
-		out = append(out, metrics.Row{Name: "cooling_seconds", Help: "What is left of a cooldown.", Label: "key", Of: k, Value: float64(n) / 1000})
+		out = append(
+			out,
+			metrics.Row{
+				Name:  "cooling_seconds",
+				Help:  "What is left of a cooldown.",
+				Label: "key",
+				Of:    k,
+				Value: float64(n) / 1000,
+			},
+		)
 	}
 	return out
 }
@@ -214,8 +304,21 @@
 }
 
 func (e *Edge) status() Status {
-	s := Status{ID: e.Peer.Self.Id, Ready: e.checkOpen() == nil, Spec: e.Cluster.Now().Version, Waiting: e.backlog.Len(), Epoch: e.Epochs.Highest(),
-		Counts: e.API.Counts(), Rounds: e.Proposer.Rounds.Load(), Sent: e.Peer.Sent(), Installs: e.Cooldowns.Installs(), Slots: map[string]int{}, Cooling: e.Cooldowns.Active(), Policy: policy.Builtin, Fell: e.selector.Fallbacks.Load()}
+	s := Status{
+		ID:       e.Peer.Self.Id,
+		Ready:    e.checkOpen() == nil,
+		Spec:     e.Cluster.Now().Version,
+		Waiting:  e.backlog.Len(),
+		Epoch:    e.Epochs.Highest(),
+		Counts:   e.API.Counts(),
+		Rounds:   e.Proposer.Rounds.Load(),
+		Sent:     e.Peer.Sent(),
+		Installs: e.Cooldowns.Installs(),
+		Slots:    map[string]int{},
+		Cooling:  e.Cooldowns.Active(),
+		Policy:   policy.Builtin,
+		Fell:     e.selector.Fallbacks.Load(),
+	}
 	if l := e.Cluster.Now().Spec.Live; l != nil {
 		s.Policy, s.Share = l.Policy, l.Share
 	}
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -34,10 +34,32 @@
 // NewProxy joins the parts of a raw job's way, in one fixed order. It is called before
 // Start.
 func (e *Edge) NewProxy(params ProxyParams, dialect proxy.Headers) *Proxy {
-	r := &Proxy{Endpoints: endpoints.New(), load: proxy.NewLoad(), pool: proxy.NewPool(params.Pool, e.Params.Net.Dial), edge: e, params: params}
-	r.Handler = proxy.New(params.Params, proxy.Dependencies{Self: e.Params.Self, View: e.Cluster.Now, Members: e.Lease.Members, Ready: r.Ready, Endpoints: r.Endpoints, Load: r.load, Pool: r.pool,
-		Cooldowns: e.Cooldowns, Headers: dialect, Log: e.Log.Named("raw"),
-		Policies: []proxy.Policy{proxy.NewTurns(params.Turns, e.stores), proxy.NewBudgets(params.Budgets, e.stores, e.background)}})
+	r := &Proxy{
+		Endpoints: endpoints.New(),
+		load:      proxy.NewLoad(),
+		pool:      proxy.NewPool(params.Pool, e.Params.Net.Dial),
+		edge:      e,
+		params:    params,
+	}
+	r.Handler = proxy.New(
+		params.Params,
+		proxy.Dependencies{
+			Self:      e.Params.Self,
+			View:      e.Cluster.Now,
+			Members:   e.Lease.Members,
+			Ready:     r.Ready,
+			Endpoints: r.Endpoints,
+			Load:      r.load,
+			Pool:      r.pool,
+			Cooldowns: e.Cooldowns,
+			Headers:   dialect,
+			Log:       e.Log.Named("raw"),
+			Policies: []proxy.Policy{
+				proxy.NewTurns(params.Turns, e.stores),
+				proxy.NewBudgets(params.Budgets, e.stores, e.background),
+			},
+		},
+	)
 	r.loadReport = loadreport.New(params.LoadReport, e.Node, r.Endpoints, r.load)
 	return r
 }
--- a/internal/dataplane/endpoints/endpoints_test.go
+++ b/internal/dataplane/endpoints/endpoints_test.go
@@ -11,7 +11,10 @@
 
 // TestList: runners by service and id, in one order on every node.
 func TestList(t *testing.T) {
-	l := endpoints.NewList(time.Now(), []endpoints.Runner{{ID: "c", Service: "x"}, {ID: "a", Service: "x"}, {ID: "b", Service: "y"}})
+	l := endpoints.NewList(
+		time.Now(),
+		[]endpoints.Runner{{ID: "c", Service: "x"}, {ID: "a", Service: "x"}, {ID: "b", Service: "y"}},
+	)
 	if x := l.Of("x"); len(x) != 2 || x[0].ID != "a" || x[1].ID != "c" || len(l.Of("y")) != 1 || len(l.Of("z")) != 0 {
 		t.Errorf("%v", l.Runners)
 	}
--- a/internal/dataplane/loadreport/loadreport.go
+++ b/internal/dataplane/loadreport/loadreport.go
@@ -34,7 +34,13 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{Interval: 250 * time.Millisecond, Timeout: 150 * time.Millisecond, ReadInterval: 900 * time.Millisecond, Stale: 1900 * time.Millisecond, Expiry: time.Second}
+var DefaultParams = Params{
+	Interval:     250 * time.Millisecond,
+	Timeout:      150 * time.Millisecond,
+	ReadInterval: 900 * time.Millisecond,
+	Stale:        1900 * time.Millisecond,
+	Expiry:       time.Second,
+}
 
 // List reads the list of runners.
 type List func(ctx context.Context) ([]endpoints.Runner, error)
@@ -62,7 +68,14 @@
 
 // New makes a load report; list may be set until Run.
 func New(p Params, n *node.Node, r *endpoints.Store, l *proxy.Load) *LoadReport {
-	report := &LoadReport{params: p, node: n, endpoints: r, load: l, outliers: outlier.NewDetector(outlier.DefaultParams), reports: map[string]edgeReport{}}
+	report := &LoadReport{
+		params:    p,
+		node:      n,
+		endpoints: r,
+		load:      l,
+		outliers:  outlier.NewDetector(outlier.DefaultParams),
+		reports:   map[string]edgeReport{},
+	}
 	n.Peer.Handle(&wire.Req_LoadReport{}, report.collect)
 	return report
 }
@@ -110,7 +123,15 @@
 }
 
 func withCounts(b *wire.Busy, c outlier.Count) *wire.Busy {
-	b.Ended, b.Failures, b.Paced, b.Pace = int32(c.Ended), int32(c.Failures), int32(c.Paced), int32(math.Round(100*c.Pace))
+	b.Ended, b.Failures, b.Paced, b.Pace = int32(
+		c.Ended,
+	), int32(
+		c.Failures,
+	), int32(
+		c.Paced,
+	), int32(
+		math.Round(100*c.Pace),
+	)
 	return b
 }
 
@@ -129,7 +150,12 @@
 	sum := report.sum
 	report.mu.Unlock()
 	asked := time.Now()
-	r, err := report.node.Peer.CallFor(ctx, report.params.Timeout, addr, &wire.Req{Op: &wire.Req_LoadReport{LoadReport: &wire.LoadReport{Own: own, Roll: sum}}})
+	r, err := report.node.Peer.CallFor(
+		ctx,
+		report.params.Timeout,
+		addr,
+		&wire.Req{Op: &wire.Req_LoadReport{LoadReport: &wire.LoadReport{Own: own, Roll: sum}}},
+	)
 	if err != nil {
 		return false
 	}
@@ -181,7 +207,8 @@
 func (report *LoadReport) refresh(ctx context.Context, d time.Duration) {
 	report.mu.Lock()
 	list, last := report.discover, report.lastRead
-	if list == nil || time.Since(report.endpoints.Current().ReadAt) < d || time.Since(last) < report.params.ReadInterval/3 {
+	if list == nil || time.Since(report.endpoints.Current().ReadAt) < d ||
+		time.Since(last) < report.params.ReadInterval/3 {
 		report.mu.Unlock()
 		return
 	}
@@ -260,7 +287,12 @@
 	counts := map[string]outlier.Count{}
 	for _, b := range q.GetLoadReport().GetOwn() {
 		if b.Ended > 0 {
-			counts[b.Runner] = outlier.Count{Ended: int(b.Ended), Failures: int(b.Failures), Paced: int(b.Paced), Pace: float64(b.Pace) / 100}
+			counts[b.Runner] = outlier.Count{
+				Ended:    int(b.Ended),
+				Failures: int(b.Failures),
+				Paced:    int(b.Paced),
+				Pace:     float64(b.Pace) / 100,
+			}
 		}
 	}
 	a := &wire.LoadReportAck{RollAgeMs: -1}
--- a/internal/dataplane/outlier/detector.go
+++ b/internal/dataplane/outlier/detector.go
@@ -47,7 +47,12 @@
 
 // NewDetector makes a detector that has heard nothing.
 func NewDetector(params Params) *Detector {
-	return &Detector{params: params, runners: map[string]*track{}, services: map[string]*baseline{}, edges: map[string]time.Time{}}
+	return &Detector{
+		params:   params,
+		runners:  map[string]*track{},
+		services: map[string]*baseline{},
+		edges:    map[string]time.Time{},
+	}
 }
 
 // Report takes what an edge has counted since it last told.
@@ -237,7 +242,8 @@
 			continue
 		}
 		for k, c := range cs {
-			if sure[k] >= d.params.Confidence && tail(c.Ended, c.Failures, b.rate()) < d.params.Chance && d.corroborated(ts[at[k]], now) {
+			if sure[k] >= d.params.Confidence && tail(c.Ended, c.Failures, b.rate()) < d.params.Chance &&
+				d.corroborated(ts[at[k]], now) {
 				all[at[k]] = max(all[at[k]], float64(c.Failures)/float64(c.Ended))
 			}
 		}
@@ -289,7 +295,8 @@
 		for k, m := range means {
 			over := m - mid
 			// The mean of fewer jobs strays farther.
-			if over < math.Log(d.params.SlowFactor) || over < deviations*maxPaceWeight*max(1, math.Sqrt(jobs/float64(cs[k].Paced))) {
+			if over < math.Log(d.params.SlowFactor) ||
+				over < deviations*maxPaceWeight*max(1, math.Sqrt(jobs/float64(cs[k].Paced))) {
 				continue
 			}
 			if d.slow == nil {
--- a/internal/dataplane/outlier/outlier.go
+++ b/internal/dataplane/outlier/outlier.go
@@ -58,8 +58,22 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{MaxEjectedShare: 0.3, Headroom: 1.25, Chance: 1e-7, Confidence: 0.9, Retry: time.Second, MaxRetry: 3 * time.Second, Trial: time.Second, ResultTimeout: 2500 * time.Millisecond,
-	TrialsToReturn: 7, Interval: 200 * time.Millisecond, SlowFactor: 2, SuspectTime: 500 * time.Millisecond, VerdictLifetime: 3 * time.Second, MinHang: time.Second}
+var DefaultParams = Params{
+	MaxEjectedShare: 0.3,
+	Headroom:        1.25,
+	Chance:          1e-7,
+	Confidence:      0.9,
+	Retry:           time.Second,
+	MaxRetry:        3 * time.Second,
+	Trial:           time.Second,
+	ResultTimeout:   2500 * time.Millisecond,
+	TrialsToReturn:  7,
+	Interval:        200 * time.Millisecond,
+	SlowFactor:      2,
+	SuspectTime:     500 * time.Millisecond,
+	VerdictLifetime: 3 * time.Second,
+	MinHang:         time.Second,
+}
 
 // tail is the chance of k or more of n, each with chance p.
 func tail(n, k int, params float64) float64 {
--- a/internal/dataplane/outlier/outlier_test.go
+++ b/internal/dataplane/outlier/outlier_test.go
@@ -204,8 +204,16 @@
 			}
 		}
 		t.Logf("%d within 2 s, %d back within 5 s", quick, soon)
-		if minDeviation := map[float64]int{5.5: 26, 10: 34}[make().perS]; quick < minDeviation || len(in) < runs-1 || soon < runs {
-			t.Errorf("of %d: %d out within 2 s, want %d; %d out at all; %d back within 5 s", runs, quick, minDeviation, len(in), soon)
+		if minDeviation := map[float64]int{5.5: 26, 10: 34}[make().perS]; quick < minDeviation || len(in) < runs-1 ||
+			soon < runs {
+			t.Errorf(
+				"of %d: %d out within 2 s, want %d; %d out at all; %d back within 5 s",
+				runs,
+				quick,
+				minDeviation,
+				len(in),
+				soon,
+			)
 		}
 	})
 }
@@ -421,7 +429,14 @@
 // fails, and is back after some without a failure.
 func TestTrials(t *testing.T) {
 	d := NewDetector(DefaultParams)
-	l := endpoints.NewList(epoch, []endpoints.Runner{{ID: "a", Service: "s", Capacity: 4}, {ID: "b", Service: "s", Capacity: 4}, {ID: "c", Service: "s", Capacity: 4}})
+	l := endpoints.NewList(
+		epoch,
+		[]endpoints.Runner{
+			{ID: "a", Service: "s", Capacity: 4},
+			{ID: "b", Service: "s", Capacity: 4},
+			{ID: "c", Service: "s", Capacity: 4},
+		},
+	)
 	idle := func() map[string]int { return nil }
 	now := epoch
 	d.Adopt([]string{"a"}, now)
@@ -524,7 +539,10 @@
 	w := NewWatch(DefaultParams)
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		w.Success("a", Duration{Path: "p", First: time.Duration(float64(100*time.Millisecond) * math.Exp(0.3*r.NormFloat64()))})
+		w.Success(
+			"a",
+			Duration{Path: "p", First: time.Duration(float64(100*time.Millisecond) * math.Exp(0.3*r.NormFloat64()))},
+		)
 	}
 	w.TakeCounts()
 	for range 20 {
--- a/internal/dataplane/outlier/watch.go
+++ b/internal/dataplane/outlier/watch.go
@@ -29,7 +29,14 @@
 
 // NewWatch makes a watch that saw nothing.
 func NewWatch(params Params) *Watch {
-	return &Watch{params: params, counts: map[string]Count{}, local: map[string]*local{}, typical: map[string]*typical{}, ejected: map[string]bool{}, trials: map[string]time.Time{}}
+	return &Watch{
+		params:  params,
+		counts:  map[string]Count{},
+		local:   map[string]*local{},
+		typical: map[string]*typical{},
+		ejected: map[string]bool{},
+		trials:  map[string]time.Time{},
+	}
 }
 
 // Duration is how long a job took: until its first byte, and between its events where it
--- a/internal/dataplane/policy/policy.go
+++ b/internal/dataplane/policy/policy.go
@@ -77,8 +77,19 @@
 	for _, l := range c.History {
 		n += len(l.Words) + len(l.Answer)
 	}
-	return &script.Job{Program: class, Class: c.Class, Route: c.Route, Conv: c.Conv, Urgent: c.Urgent, Keyed: c.Key != "", Follows: c.Follows != "",
-		Left: c.Left().Seconds(), Words: int64(n), Output: c.Most, Parts: c.Parts}
+	return &script.Job{
+		Program: class,
+		Class:   c.Class,
+		Route:   c.Route,
+		Conv:    c.Conv,
+		Urgent:  c.Urgent,
+		Keyed:   c.Key != "",
+		Follows: c.Follows != "",
+		Left:    c.Left().Seconds(),
+		Words:   int64(n),
+		Output:  c.Most,
+		Parts:   c.Parts,
+	}
 }
 
 // Selector knows which policy is in force for a job.
@@ -138,7 +149,15 @@
 	defer selector.mu.Unlock()
 	if time.Since(selector.said) > time.Second {
 		selector.said = time.Now()
-		selector.log.Warn("policy failed, the built-in decides", "policy", p.Name(), "err", err, "times", selector.Fallbacks.Load())
+		selector.log.Warn(
+			"policy failed, the built-in decides",
+			"policy",
+			p.Name(),
+			"err",
+			err,
+			"times",
+			selector.Fallbacks.Load(),
+		)
 	}
 }
 
--- a/internal/dataplane/proxy/budget.go
+++ b/internal/dataplane/proxy/budget.go
@@ -40,7 +40,11 @@
 }
 
 // DefaultBudgets are the design's.
-var DefaultBudgets = BudgetParams{ReadTimeout: 800 * time.Millisecond, CommitDelay: 200 * time.Millisecond, WriteTimeout: time.Second}
+var DefaultBudgets = BudgetParams{
+	ReadTimeout:  800 * time.Millisecond,
+	CommitDelay:  200 * time.Millisecond,
+	WriteTimeout: time.Second,
+}
 
 // NewBudgets makes the keeper of budgets.
 func NewBudgets(p BudgetParams, t *storeclient.Client, bg job.Background) *Budgets {
@@ -118,7 +122,13 @@
 			return nil
 		}
 		if v.All()+j.Most > j.Budget {
-			return code.New(code.BudgetSpent, "%d of %d are spent or reserved, the turn may put out %d", v.All(), j.Budget, j.Most)
+			return code.New(
+				code.BudgetSpent,
+				"%d of %d are spent or reserved, the turn may put out %d",
+				v.All(),
+				j.Budget,
+				j.Most,
+			)
 		}
 		return v.Reserve(j.Attempt, j.Most, j.Budget)
 	})
--- a/internal/dataplane/proxy/conversation.go
+++ b/internal/dataplane/proxy/conversation.go
@@ -22,7 +22,12 @@
 }
 
 // DefaultTurns are the design's.
-var DefaultTurns = TurnParams{ReadTimeout: time.Second, LateWriteTimeout: time.Second, ExtraRetention: 4 * time.Minute, CacheBytes: 8 << 20}
+var DefaultTurns = TurnParams{
+	ReadTimeout:      time.Second,
+	LateWriteTimeout: time.Second,
+	ExtraRetention:   4 * time.Minute,
+	CacheBytes:       8 << 20,
+}
 
 // Turns keeps conversations as deltas: of each turn what it brought and what
 // came of it, with the names of all before it. A turn is at a majority of its
@@ -207,7 +212,10 @@
 	if a.Err != nil || !a.Good {
 		return a
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(j), max(min(j.Left(), 2*c.params.LateWriteTimeout), c.params.LateWriteTimeout))
+	ctx, stop := context.WithTimeout(
+		context.WithoutCancel(j),
+		max(min(j.Left(), 2*c.params.LateWriteTimeout), c.params.LateWriteTimeout),
+	)
 	defer stop()
 	if err := c.Keep(ctx, j.Attempt, chain, in, w.Text(), time.Duration(j.Path.KeepMs)*time.Millisecond); err != nil {
 		return Answer{Err: err}
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -24,7 +24,11 @@
 	left := bytes.NewReader(b)
 	c := &conn{br: bufio.NewReader(left)}
 	heard := func(r *http.Response) ResponseInfo {
-		return ResponseInfo{Attempt: r.Header.Get("Try"), Sealed: r.Header.Get("Seal") != "", NotRun: r.Header.Get("Not-Run") != ""}
+		return ResponseInfo{
+			Attempt: r.Header.Get("Try"),
+			Sealed:  r.Header.Get("Seal") != "",
+			NotRun:  r.Header.Get("Not-Run") != "",
+		}
 	}
 	a, err := c.answer(&http.Request{Method: http.MethodPost}, "a", heard)
 	if err != nil {
--- a/internal/dataplane/proxy/handler.go
+++ b/internal/dataplane/proxy/handler.go
@@ -43,8 +43,19 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{MaxBody: 4 << 20, Margin: 15 * time.Millisecond, StartupWait: time.Second, HoldShare: 0.25, Avoid: time.Second, Overload: 3, Idle: 0.7, ListMaxAge: 2 * time.Second,
-	Turns: DefaultTurns, Budgets: DefaultBudgets, Pool: DefaultPool}
+var DefaultParams = Params{
+	MaxBody:     4 << 20,
+	Margin:      15 * time.Millisecond,
+	StartupWait: time.Second,
+	HoldShare:   0.25,
+	Avoid:       time.Second,
+	Overload:    3,
+	Idle:        0.7,
+	ListMaxAge:  2 * time.Second,
+	Turns:       DefaultTurns,
+	Budgets:     DefaultBudgets,
+	Pool:        DefaultPool,
+}
 
 // Dependencies are what a door is joined to.
 type Dependencies struct {
@@ -118,7 +129,17 @@
 	if a.Err == nil {
 		return
 	}
-	handler.parts.Log.Debug("job not served", "job", j.Attempt, "code", int(code.Of(a.Err)), "why", a.Err, "took", time.Since(j.Arrived))
+	handler.parts.Log.Debug(
+		"job not served",
+		"job",
+		j.Attempt,
+		"code",
+		int(code.Of(a.Err)),
+		"why",
+		a.Err,
+		"took",
+		time.Since(j.Arrived),
+	)
 	if response.begun || j.Err() != nil {
 		// What has begun must not look whole.
 		panic(http.ErrAbortHandler)
--- a/internal/dataplane/proxy/loadbalancer.go
+++ b/internal/dataplane/proxy/loadbalancer.go
@@ -68,7 +68,12 @@
 		if now.Before(b.avoidUntil) {
 			continue
 		}
-		c := candidate{runner: r, load: b, utilization: b.utilization(r, a.Service), warmingUp: now.Before(b.warmingUntil) || a.WarmingUp(r)}
+		c := candidate{
+			runner:      r,
+			load:        b,
+			utilization: b.utilization(r, a.Service),
+			warmingUp:   now.Before(b.warmingUntil) || a.WarmingUp(r),
+		}
 		one := 1 / float64(max(r.Capacity, 1))
 		c.cost = (c.utilization+one)*l.Watch.Slow(r.ID) - one
 		switch l.Watch.Suspicion(r.ID, a.Repeatable) {
--- a/internal/dataplane/proxy/outlier_test.go
+++ b/internal/dataplane/proxy/outlier_test.go
@@ -121,8 +121,21 @@
 			}
 		}
 		l.Watch.Update(v)
-		ask := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: any, WarmingUp: none, Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
-			PreviousRunner: rapid.SampledFrom([]string{"", "i-a0"}).Draw(rt, "home"), Repeatable: rapid.Bool().Draw(rt, "repeatable")}
+		ask := Selection{
+			Service:   &spec.Service{Name: "s"},
+			List:      list,
+			Zone:      "a",
+			Allowed:   any,
+			WarmingUp: none,
+			Key:       rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
+			PreviousRunner: rapid.SampledFrom(
+				[]string{"", "i-a0"},
+			).Draw(
+				rt,
+				"home",
+			),
+			Repeatable: rapid.Bool().Draw(rt, "repeatable"),
+		}
 		if r, _ := l.Pick(ask); r == nil {
 			rt.Fatal("nobody was picked")
 		}
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -122,7 +122,8 @@
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("cut after %d: %v", n, err)
 		}
-		if !strings.HasPrefix(complete, got) || got != "" && !strings.HasSuffix(got, "\n\n") || response.events != strings.Count(got, "\n\n") {
+		if !strings.HasPrefix(complete, got) || got != "" && !strings.HasSuffix(got, "\n\n") ||
+			response.events != strings.Count(got, "\n\n") {
 			t.Errorf("cut after %d: passed %q, %d events", n, got, response.events)
 		}
 	}
@@ -177,7 +178,10 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	var dialer net.Dialer
-	p := NewPool(DefaultPool, func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) })
+	p := NewPool(
+		DefaultPool,
+		func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
+	)
 	t.Cleanup(func() { p.Retain(func(string) bool { return false }) })
 	return p, &endpoints.Runner{ID: "i-1", Addr: ln.Addr().String()}, func() net.Conn {
 		c, err := ln.Accept()
@@ -340,7 +344,11 @@
 		{"", false, false},
 	} {
 		c := &conn{br: bufio.NewReader(strings.NewReader(tc.in))}
-		r, err := c.answer(&http.Request{Method: "GET"}, "a", func(r *http.Response) ResponseInfo { return ResponseInfo{Attempt: r.Header.Get("Try")} })
+		r, err := c.answer(
+			&http.Request{Method: "GET"},
+			"a",
+			func(r *http.Response) ResponseInfo { return ResponseInfo{Attempt: r.Header.Get("Try")} },
+		)
 		if (err == nil) != tc.good || tc.good && r.surplus != tc.surplus {
 			t.Errorf("%.60q: %v, %+v", tc.in, err, r)
 		}
@@ -373,7 +381,16 @@
 func TestWrite(t *testing.T) {
 	for _, uri := range []string{"/", "/a//b/?", "//", "///x//y?//z", "//h.test/x?", "/%2F%2f"} {
 		handler := &Handler{parts: Dependencies{Headers: nothing{}}}
-		q := handler.request(&Job{Context: t.Context(), Path: &spec.Path{}, Body: []byte("body"), Req: &http.Request{Method: "POST", RequestURI: uri, Host: "h.test", Header: http.Header{}}}, &Response{}, &endpoints.Runner{Addr: "10.0.0.1:1"})
+		q := handler.request(
+			&Job{
+				Context: t.Context(),
+				Path:    &spec.Path{},
+				Body:    []byte("body"),
+				Req:     &http.Request{Method: "POST", RequestURI: uri, Host: "h.test", Header: http.Header{}},
+			},
+			&Response{},
+			&endpoints.Runner{Addr: "10.0.0.1:1"},
+		)
 		var b bytes.Buffer
 		if err := write(&b, q); err != nil {
 			t.Fatal(err)
@@ -457,7 +474,12 @@
 		var all []endpoints.Runner
 		not := map[string]bool{}
 		for i := range rapid.IntRange(0, 8).Draw(rt, "runners") {
-			r := endpoints.Runner{ID: fmt.Sprint(i), Service: "s", Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"), Capacity: rapid.IntRange(0, 3).Draw(rt, "room")}
+			r := endpoints.Runner{
+				ID:       fmt.Sprint(i),
+				Service:  "s",
+				Zone:     rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"),
+				Capacity: rapid.IntRange(0, 3).Draw(rt, "room"),
+			}
 			switch rapid.IntRange(0, 5).Draw(rt, "state") {
 			case 0:
 				r.Draining, not[r.ID] = true, true
@@ -474,8 +496,14 @@
 			}
 			all = append(all, r)
 		}
-		ask := Selection{Service: &spec.Service{Name: "s"}, List: endpoints.NewList(time.Now(), all), Zone: "a", Key: rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
-			Allowed: func(r *endpoints.Runner) bool { return !not[r.ID] }, WarmingUp: none}
+		ask := Selection{
+			Service:   &spec.Service{Name: "s"},
+			List:      endpoints.NewList(time.Now(), all),
+			Zone:      "a",
+			Key:       rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
+			Allowed:   func(r *endpoints.Runner) bool { return !not[r.ID] },
+			WarmingUp: none,
+		}
 		r, hasCapacity := l.Pick(ask)
 		switch {
 		case r == nil && len(not) < len(all):
@@ -504,7 +532,13 @@
 	}
 	for _, n := range []int{1, 2, 3, 4, 6} {
 		rapid.Check(t, func(rt *rapid.T) {
-			rps := rapid.OneOf(rapid.SampledFrom([]float64{0.5, 1, 4, 8, 8.1, 22, 40}), rapid.Float64Range(0.2, 60)).Draw(rt, "rate")
+			rps := rapid.OneOf(
+				rapid.SampledFrom([]float64{0.5, 1, 4, 8, 8.1, 22, 40}),
+				rapid.Float64Range(0.2, 60),
+			).Draw(
+				rt,
+				"rate",
+			)
 			rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 			var err error
 			synctest.Test(t, func(*testing.T) { err = warmupRun(n, rps, rnd) })
@@ -550,7 +584,10 @@
 	}
 	mix()
 	for i := range n {
-		edges = append(edges, edge{NewLoad(), &Handler{parts: Dependencies{Self: all[i], Members: func() []*wire.Member { return views[i] }}}})
+		edges = append(
+			edges,
+			edge{NewLoad(), &Handler{parts: Dependencies{Self: all[i], Members: func() []*wire.Member { return views[i] }}}},
+		)
 	}
 	var at []time.Time
 	for range 300 {
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -14,8 +14,15 @@
 // that runner only.
 func (handler *Handler) request(j *Job, w *Response, r *endpoints.Runner) *http.Request {
 	p, query, some := strings.Cut(j.Req.RequestURI, "?")
-	q := &http.Request{Method: j.Req.Method, URL: &url.URL{Scheme: "http", Host: r.Addr, Opaque: p, RawQuery: query, ForceQuery: some},
-		Host: j.Req.Host, Header: http.Header{}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
+	q := &http.Request{
+		Method:     j.Req.Method,
+		URL:        &url.URL{Scheme: "http", Host: r.Addr, Opaque: p, RawQuery: query, ForceQuery: some},
+		Host:       j.Req.Host,
+		Header:     http.Header{},
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+	}
 	copyHeaders(q.Header, j.Req.Header)
 	delete(q.Header, "Expect")
 	if _, ok := q.Header["User-Agent"]; !ok {
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -75,8 +75,17 @@
 func (response *Response) Text() []byte { return response.text.Bytes() }
 
 // Headers that concern one connection only.
-var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
-	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
+var hopByHopHeaders = map[string]bool{
+	"Connection":          true,
+	"Keep-Alive":          true,
+	"Proxy-Connection":    true,
+	"Proxy-Authenticate":  true,
+	"Proxy-Authorization": true,
+	"Te":                  true,
+	"Trailer":             true,
+	"Transfer-Encoding":   true,
+	"Upgrade":             true,
+}
 
 // copyHeaders copies headers, less those of one connection.
 func copyHeaders(to, from http.Header) {
--- a/internal/dataplane/proxy/selection.go
+++ b/internal/dataplane/proxy/selection.go
@@ -94,26 +94,30 @@
 	case j.Path.Affine:
 		k = j.Subject
 	}
-	return handler.parts.Load.Pick(Selection{Service: j.Service, List: l, Zone: handler.parts.Self.Zone, Key: k, PreviousRunner: j.Home, Prefix: part,
-		Allowed: func(r *endpoints.Runner) bool {
-			return !tried[r.ID] && !v.Spec.Empty(r.Zone) && (handler.parts.Cooldowns.Idle() || handler.parts.Cooldowns.GateOpen(cooldownKey(r)))
+	return handler.parts.Load.Pick(
+		Selection{Service: j.Service, List: l, Zone: handler.parts.Self.Zone, Key: k, PreviousRunner: j.Home, Prefix: part,
+			Allowed: func(r *endpoints.Runner) bool {
+				return !tried[r.ID] && !v.Spec.Empty(r.Zone) &&
+					(handler.parts.Cooldowns.Idle() || handler.parts.Cooldowns.GateOpen(cooldownKey(r)))
+			},
+			WarmingUp: func(r *endpoints.Runner) bool {
+				if j.Service.WarmupRate <= 0 {
+					return false
+				}
+				warmingUp := time.Duration(r.WarmupRemainingMs) * time.Millisecond
+				if time.Since(l.ReadAt) < warmingUp {
+					return true
+				}
+				// Since its zone is in use again it may be cold, until a list read well
+				// after says that it is not.
+				s := handler.zoneRefills.observe(v.Spec.EmptyZones, r.Zone)
+				return !s.IsZero() && l.ReadAt.Before(s.Add(handler.params.ListMaxAge)) &&
+					time.Since(s) < time.Duration(j.Service.WarmupMs)*time.Millisecond+handler.params.ListMaxAge
+			},
+			WarmupShares: func(r *endpoints.Runner) int { return handler.shares(r, j.Service.WarmupRate) },
+			Repeatable:   j.Repeatable(),
 		},
-		WarmingUp: func(r *endpoints.Runner) bool {
-			if j.Service.WarmupRate <= 0 {
-				return false
-			}
-			warmingUp := time.Duration(r.WarmupRemainingMs) * time.Millisecond
-			if time.Since(l.ReadAt) < warmingUp {
-				return true
-			}
-			// Since its zone is in use again it may be cold, until a list read well
-			// after says that it is not.
-			s := handler.zoneRefills.observe(v.Spec.EmptyZones, r.Zone)
-			return !s.IsZero() && l.ReadAt.Before(s.Add(handler.params.ListMaxAge)) && time.Since(s) < time.Duration(j.Service.WarmupMs)*time.Millisecond+handler.params.ListMaxAge
-		},
-		WarmupShares: func(r *endpoints.Runner) int { return handler.shares(r, j.Service.WarmupRate) },
-		Repeatable:   j.Repeatable(),
-	})
+	)
 }
 
 func cooldownKey(r *endpoints.Runner) string { return "runner/" + r.ID }
@@ -162,7 +166,10 @@
 			// Where a cooldown is all that stands in the way, a job is held as long as
 			// for a place and no longer: else it hears at once when to come back.
 			if soon, all := handler.cooling(j, tried); all > 0 && (soon <= 0 || soon > left) {
-				return nil, Refuse(code.New(code.Cooling, "all runners of %s are cooling down for %d ms", j.Service.Name, cooldown.WaitMs(all)), all)
+				return nil, Refuse(
+					code.New(code.Cooling, "all runners of %s are cooling down for %d ms", j.Service.Name, cooldown.WaitMs(all)),
+					all,
+				)
 			}
 		}
 		if left <= 0 {
--- a/internal/dataplane/proxy/send.go
+++ b/internal/dataplane/proxy/send.go
@@ -63,7 +63,11 @@
 		x.handler.parts.Load.Avoid(x.r.ID, x.handler.params.Avoid)
 		x.handler.parts.Load.Watch.Failure(x.r.ID)
 	}
-	return attemptResult{outcome: retry.NotRun, wait: unreachableWait, err: code.New(code.NoRunner, "runner %s can't be reached: %w", x.r.ID, err)}
+	return attemptResult{
+		outcome: retry.NotRun,
+		wait:    unreachableWait,
+		err:     code.New(code.NoRunner, "runner %s can't be reached: %w", x.r.ID, err),
+	}
 }
 
 // watch lets the connection hear of the deadline, and of a caller that has gone.
@@ -91,7 +95,11 @@
 // do writes the request and takes its answer.
 func (x *exchange) do() attemptResult {
 	if !x.handler.may(x.r) {
-		return attemptResult{outcome: retry.NotRun, wait: refusedWait, err: code.New(code.NoRunner, "runner %s may not be sent to any more", x.r.ID)}
+		return attemptResult{
+			outcome: retry.NotRun,
+			wait:    refusedWait,
+			err:     code.New(code.NoRunner, "runner %s may not be sent to any more", x.r.ID),
+		}
 	}
 	q := x.handler.request(x.j, x.w, x.r)
 	if s, ok := x.stillAllowed(); !ok {
@@ -118,7 +126,11 @@
 	}
 	if !x.admitted.StillValid(x.j, x.j.Left()) {
 		wait := x.handler.parts.Cooldowns.KnownWait(cooldownKey(x.r))
-		return attemptResult{outcome: retry.NotRun, wait: wait, err: code.New(code.Cooling, "runner %s cools down", x.r.ID)}, false
+		return attemptResult{
+			outcome: retry.NotRun,
+			wait:    wait,
+			err:     code.New(code.Cooling, "runner %s cools down", x.r.ID),
+		}, false
 	}
 	return attemptResult{}, true
 }
@@ -221,7 +233,8 @@
 		s.wait = x.handler.parts.Cooldowns.RecordRefusal(x.j, cooldownKey(x.r), cooldown.RetryAfter(a.Header))
 		s.err = code.New(code.RunnerDrop, "runner %s refused with status %d", x.r.ID, a.StatusCode)
 	default:
-		if a.info.WarmupRemaining == 0 && x.r.WarmupRemainingMs == 0 && load.BelowCapacity(x.r, x.j.Service, x.handler.params.Idle) {
+		if a.info.WarmupRemaining == 0 && x.r.WarmupRemainingMs == 0 &&
+			load.BelowCapacity(x.r, x.j.Service, x.handler.params.Idle) {
 			// It has room and refuses all the same.
 			load.Watch.Failure(x.r.ID)
 		}
--- a/internal/dataplane/proxy/verdict.go
+++ b/internal/dataplane/proxy/verdict.go
@@ -10,7 +10,12 @@
 )
 
 // notRunStatuses are the statuses by which callers hear that a job did not run.
-var notRunStatuses = map[int]bool{http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
+var notRunStatuses = map[int]bool{
+	http.StatusRequestTimeout:     true,
+	http.StatusMisdirectedRequest: true,
+	http.StatusTooManyRequests:    true,
+	http.StatusServiceUnavailable: true,
+}
 
 // unusable tells why an answer that names the job may not be handed on, before anything
 // of it is.
--- a/internal/dataplane/slots/slots.go
+++ b/internal/dataplane/slots/slots.go
@@ -134,8 +134,13 @@
 		if !now.Before(h.until) {
 			h.allowed = [2]int{}
 		}
-		s := &wire.Slot{Runner: table.names.Name(i), Mark: h.incarnation, Plain: int32(max(h.allowed[Plain], h.used[Plain])), Urgent: int32(max(h.allowed[Urgent], h.used[Urgent])),
-			Busy: int32(h.used[Plain] + h.used[Urgent])}
+		s := &wire.Slot{
+			Runner: table.names.Name(i),
+			Mark:   h.incarnation,
+			Plain:  int32(max(h.allowed[Plain], h.used[Plain])),
+			Urgent: int32(max(h.allowed[Urgent], h.used[Urgent])),
+			Busy:   int32(h.used[Plain] + h.used[Urgent]),
+		}
 		if s.Plain+s.Urgent > 0 {
 			out = append(out, s)
 		}
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -169,7 +169,12 @@
 }
 
 // pullOne takes one key from another store, if it is newer there.
-func (s *Store) pullOne(ctx context.Context, ask func(*wire.Req) (*wire.Resp, error), kind wire.List_Kind, row *wire.Row) (bool, error) {
+func (s *Store) pullOne(
+	ctx context.Context,
+	ask func(*wire.Req) (*wire.Resp, error),
+	kind wire.List_Kind,
+	row *wire.Row,
+) (bool, error) {
 	if kind == wire.List_BLOBS {
 		g, err := s.v.GetBlob(row.Key)
 		if err != nil || g.State != wire.Got_NONE {
--- a/internal/dataplane/store/store.go
+++ b/internal/dataplane/store/store.go
@@ -36,17 +36,28 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{Node: node.New(np), v: v, acc: register.NewAcceptor(c), cool: c, fills: fills{ready: make(chan struct{})}}
+	s := &Store{
+		Node:  node.New(np),
+		v:     v,
+		acc:   register.NewAcceptor(c),
+		cool:  c,
+		fills: fills{ready: make(chan struct{})},
+	}
 	if err := core.RestoreCluster(v.LoadMetadata, s.Cluster); err != nil {
 		return nil, err
 	}
 	if err := core.RestoreIdentityVersion(s.Node, v); err != nil {
 		return nil, err
 	}
-	core.ServeRegister(s.Node, s.acc, func(q *wire.Req) error { return core.CheckVersion(s.Node, q) }, func() []spec.Machine {
-		v := s.Cluster.Now()
-		return slices.Concat(v.Cluster.Stores, v.NextStores)
-	})
+	core.ServeRegister(
+		s.Node,
+		s.acc,
+		func(q *wire.Req) error { return core.CheckVersion(s.Node, q) },
+		func() []spec.Machine {
+			v := s.Cluster.Now()
+			return slices.Concat(v.Cluster.Stores, v.NextStores)
+		},
+	)
 	s.Lease.Status = v.Status
 	s.Peer.Handle(&wire.Req_Put{}, s.put)
 	s.Peer.Handle(&wire.Req_Get{}, s.get)
--- a/internal/dataplane/store/transfer.go
+++ b/internal/dataplane/store/transfer.go
@@ -92,7 +92,13 @@
 	}
 	v := s.Cluster.Now()
 	if !membership.SameStores(v, f.Spec, f.Sets) || len(v.NextStores) == 0 {
-		return nil, code.New(code.StaleSpec, "version %d of %d or of another change, %d stores to come", v.Version, f.Spec, len(v.NextStores))
+		return nil, code.New(
+			code.StaleSpec,
+			"version %d of %d or of another change, %d stores to come",
+			v.Version,
+			f.Spec,
+			len(v.NextStores),
+		)
 	}
 	s.fills.mu.Lock()
 	w := s.fills.now
@@ -165,7 +171,13 @@
 	failed, last := s.collect(ctx, v, f, from, absent, lacks, rate)
 	absent = append(absent, failed...)
 	if !membership.Readable(v.Cluster.Stores, absent, v.Copies()) {
-		return code.New(code.StoresUnreachable, "%d of %d stores have not answered: %w", len(absent), len(v.Cluster.Stores), last)
+		return code.New(
+			code.StoresUnreachable,
+			"%d of %d stores have not answered: %w",
+			len(absent),
+			len(v.Cluster.Stores),
+			last,
+		)
 	}
 	// What only its name has come of, since whoever was to send it is gone or has
 	// an older one.
@@ -206,7 +218,15 @@
 // collect takes what some stores have for us. Once those that have sent all they have
 // are enough, the others are given a moment more: one that is frozen holds up nothing.
 // It tells which have failed, and the last reason.
-func (s *Store) collect(ctx context.Context, v *cluster.View, f *filling, from []spec.Machine, absent []string, lacks *lacking, rate int) (failed []string, last error) {
+func (s *Store) collect(
+	ctx context.Context,
+	v *cluster.View,
+	f *filling,
+	from []spec.Machine,
+	absent []string,
+	lacks *lacking,
+	rate int,
+) (failed []string, last error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	type answer struct {
@@ -234,7 +254,14 @@
 }
 
 // takeFrom takes all that one store has for us, of both kinds.
-func (s *Store) takeFrom(ctx context.Context, f *filling, m spec.Machine, absent []string, lacks *lacking, rate int) error {
+func (s *Store) takeFrom(
+	ctx context.Context,
+	f *filling,
+	m spec.Machine,
+	absent []string,
+	lacks *lacking,
+	rate int,
+) error {
 	for _, kind := range []wire.List_Kind{wire.List_REGISTERS, wire.List_BLOBS} {
 		if err := s.pages(ctx, f, m, kind, absent, lacks, rate); err != nil {
 			s.Log.Info("keys not brought", "from", m.ID, "err", err)
@@ -245,7 +272,15 @@
 }
 
 // pages takes all that one store has for us.
-func (s *Store) pages(ctx context.Context, f *filling, m spec.Machine, kind wire.List_Kind, absent []string, lacks *lacking, rate int) error {
+func (s *Store) pages(
+	ctx context.Context,
+	f *filling,
+	m spec.Machine,
+	kind wire.List_Kind,
+	absent []string,
+	lacks *lacking,
+	rate int,
+) error {
 	q := &wire.Bulk{Kind: kind, Ident: s.Peer.Ident(), Spec: f.spec, Sets: f.sets, Absent: absent}
 	for {
 		cs, err := s.askBulk(ctx, m, q)
@@ -317,7 +352,13 @@
 	for _, m := range slices.SortedFunc(maps.Keys(by), func(a, b spec.Machine) int { return cmp.Compare(a.ID, b.ID) }) {
 		keys := by[m]
 		for len(keys) > 0 {
-			q := &wire.Bulk{Kind: kind, Ident: s.Peer.Ident(), Spec: f.spec, Sets: f.sets, Keys: keys[:min(pageKeys, len(keys))]}
+			q := &wire.Bulk{
+				Kind:  kind,
+				Ident: s.Peer.Ident(),
+				Spec:  f.spec,
+				Sets:  f.sets,
+				Keys:  keys[:min(pageKeys, len(keys))],
+			}
 			cs, err := s.askBulk(ctx, m, q)
 			if err != nil {
 				return err
--- a/internal/dataplane/store/transfer_test.go
+++ b/internal/dataplane/store/transfer_test.go
@@ -27,7 +27,17 @@
 	}
 	t.Cleanup(func() { _ = v.Close() })
 	self := &wire.Member{Id: "s1", Role: "store", Addr: "10.0.0.1:7100", Zone: "a", Ident: v.Ident()}
-	s, err := New(node.Params{Self: self, Net: memnet.New(1).Host(self.Addr), Transport: transport.DefaultParams, Lease: lease.DefaultParams, Broadcast: broadcast.DefaultParams, Log: hclog.NewNullLogger()}, v)
+	s, err := New(
+		node.Params{
+			Self:      self,
+			Net:       memnet.New(1).Host(self.Addr),
+			Transport: transport.DefaultParams,
+			Lease:     lease.DefaultParams,
+			Broadcast: broadcast.DefaultParams,
+			Log:       hclog.NewNullLogger(),
+		},
+		v,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +49,11 @@
 func turnTo(t *testing.T, s *Store, ver uint64, newcomer string) {
 	t.Helper()
 	me := spec.Machine{ID: "s1", Addr: "10.0.0.1:7100", Zone: "a", Ident: s.Peer.Ident()}
-	now := []spec.Machine{me, {ID: "s2", Addr: "s2", Zone: "b", Ident: "i2"}, {ID: "s3", Addr: "s3", Zone: "c", Ident: "i3"}}
+	now := []spec.Machine{
+		me,
+		{ID: "s2", Addr: "s2", Zone: "b", Ident: "i2"},
+		{ID: "s3", Addr: "s3", Zone: "c", Ident: "i3"},
+	}
 	next := []spec.Machine{me, now[1], {ID: "s4", Addr: "s4", Zone: "c", Ident: newcomer}}
 	c := spec.Cluster{Stores: now, NextStores: next, StoresSince: ver, CoresSince: 1}
 	raw, err := c.MarshalJSON()
@@ -60,7 +74,10 @@
 		leave := s.Gate.Begin()
 		done := make(chan error, 1)
 		go func() {
-			_, err := s.bulk(t.Context(), &wire.Req{Op: &wire.Req_Bulk{Bulk: &wire.Bulk{Ident: "i4", Spec: 5, Sets: s.Cluster.Now().StoresDigest()}}})
+			_, err := s.bulk(
+				t.Context(),
+				&wire.Req{Op: &wire.Req_Bulk{Bulk: &wire.Bulk{Ident: "i4", Spec: 5, Sets: s.Cluster.Now().StoresDigest()}}},
+			)
 			done <- err
 		}()
 		synctest.Wait()
@@ -100,7 +117,11 @@
 	f := &filling{spec: 5, sets: s.Cluster.Now().StoresDigest()}
 	take := func(key string) error {
 		ballot := &wire.Ballot{N: 3, Node: 1}
-		return s.takeAll(f, wire.List_REGISTERS, []*wire.Copy{{Key: key, Ballot: ballot, Rec: &wire.Rec{Accepted: ballot, Cell: &wire.Cell{Ver: 1}}}})
+		return s.takeAll(
+			f,
+			wire.List_REGISTERS,
+			[]*wire.Copy{{Key: key, Ballot: ballot, Rec: &wire.Rec{Accepted: ballot, Cell: &wire.Cell{Ver: 1}}}},
+		)
 	}
 	if err := take("claim/a"); err != nil {
 		t.Error(err)
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -40,7 +40,18 @@
 // Add remembers an answered job.
 func (b *Journal) Add(c *job.Ctx, a job.Answer, took time.Duration) {
 	n := code.Of(a.Err)
-	r := Row{Job: c.ID, Program: c.Program, Class: c.Class, Route: c.Route, Spec: c.View.Version, Order: c.Order, Tries: c.Whys, Took: took.Milliseconds(), Code: int(n), Name: n.Name()}
+	r := Row{
+		Job:     c.ID,
+		Program: c.Program,
+		Class:   c.Class,
+		Route:   c.Route,
+		Spec:    c.View.Version,
+		Order:   c.Order,
+		Tries:   c.Whys,
+		Took:    took.Milliseconds(),
+		Code:    int(n),
+		Name:    n.Name(),
+	}
 	if a.Err != nil {
 		r.Failure = code.Text(a.Err)
 	}
--- a/internal/dataplane/traffic/client.go
+++ b/internal/dataplane/traffic/client.go
@@ -88,7 +88,16 @@
 // Ask asks, and asks again as such callers do: another edge where nobody
 // answers, and later where it is told to come back within a third of the time.
 // The first two edges are of the caller's own zone.
-func (c *Client) Ask(ctx context.Context, a Ask, path string, body any, end time.Time, edges []string, first int, check Check) (Answer, bool) {
+func (c *Client) Ask(
+	ctx context.Context,
+	a Ask,
+	path string,
+	body any,
+	end time.Time,
+	edges []string,
+	first int,
+	check Check,
+) (Answer, bool) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return Answer{}, false
--- a/internal/dataplane/traffic/play.go
+++ b/internal/dataplane/traffic/play.go
@@ -72,7 +72,15 @@
 	}
 	class, name, _ := strings.Cut(r.Program, "/")
 	wait := time.Duration(max(r.Wait, 200)) * time.Millisecond
-	a := Ask{Program: class + "/" + p.Run + "-" + name, Work: work, Route: r.Route, Class: r.Class, Zone: r.Zone, Turn: r.Turn, Wait: wait}
+	a := Ask{
+		Program: class + "/" + p.Run + "-" + name,
+		Work:    work,
+		Route:   r.Route,
+		Class:   r.Class,
+		Zone:    r.Zone,
+		Turn:    r.Turn,
+		Wait:    wait,
+	}
 	if r.Key != "" {
 		a.Key = p.Run + "-" + r.Key
 	}
@@ -188,9 +196,32 @@
 	for _, k := range slices.Sorted(maps.Keys(r.Codes)) {
 		fmt.Fprintf(w, "%-18s %6d\n", k, r.Codes[k])
 	}
-	fmt.Fprintf(w, "\n%-12s %6s %6s %9s %9s %8s %6s %8s\n", "class", "asks", "ok", "median", "p99", "prefix", "late", "cooldown")
+	fmt.Fprintf(
+		w,
+		"\n%-12s %6s %6s %9s %9s %8s %6s %8s\n",
+		"class",
+		"asks",
+		"ok",
+		"median",
+		"p99",
+		"prefix",
+		"late",
+		"cooldown",
+	)
 	for _, k := range slices.Sorted(maps.Keys(r.Classes)) {
 		c := r.Classes[k]
-		fmt.Fprintf(w, "%-12s %6d %6d %9s %9s %4d/%-4d %5d %8d\n", k, c.Asks, c.OK, c.Median.Round(time.Millisecond), c.P99.Round(time.Millisecond), c.PrefixHits, c.Parted, c.Late, c.Cooldown)
+		fmt.Fprintf(
+			w,
+			"%-12s %6d %6d %9s %9s %4d/%-4d %5d %8d\n",
+			k,
+			c.Asks,
+			c.OK,
+			c.Median.Round(time.Millisecond),
+			c.P99.Round(time.Millisecond),
+			c.PrefixHits,
+			c.Parted,
+			c.Late,
+			c.Cooldown,
+		)
 	}
 }
--- a/internal/dataplane/traffic/record.go
+++ b/internal/dataplane/traffic/record.go
@@ -130,8 +130,23 @@
 	for _, r := range d.Rows {
 		at := time.Unix(0, 0).Add(time.Duration(r.T) * time.Millisecond)
 		c := code.Code(r.Code)
-		out = append(out, Ask{Program: r.Program, Class: r.Class, Route: r.Route, Turn: r.Turn, Sent: at, Done: at.Add(time.Duration(r.Took) * time.Millisecond),
-			Status: c.Status(), Code: r.Code, Name: c.Name(), PrefixHit: r.PrefixHit, Runner: r.Runner, Output: r.Output})
+		out = append(
+			out,
+			Ask{
+				Program:   r.Program,
+				Class:     r.Class,
+				Route:     r.Route,
+				Turn:      r.Turn,
+				Sent:      at,
+				Done:      at.Add(time.Duration(r.Took) * time.Millisecond),
+				Status:    c.Status(),
+				Code:      r.Code,
+				Name:      c.Name(),
+				PrefixHit: r.PrefixHit,
+				Runner:    r.Runner,
+				Output:    r.Output,
+			},
+		)
 	}
 	return out
 }
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -64,9 +64,26 @@
 // Add remembers one answered job.
 func (recorder *Recorder) Add(edge, zone string, c *job.Ctx, a job.Answer, took time.Duration) {
 	now := time.Now()
-	r := Row{Edge: edge, Zone: zone, Job: c.ID, Turn: c.Conv != "", Follows: c.Follows, Route: c.Route, Program: c.Program, Class: c.Class, Conv: c.Conv,
-		Parts: c.Parts, Words: len(c.Prompt), Most: c.Asked, Wait: (c.Left() + took).Milliseconds(), Code: int(code.Of(a.Err)), Took: took.Milliseconds(),
-		Output: c.Spent, PrefixHit: c.PrefixHit, Runner: c.Runner.Name}
+	r := Row{
+		Edge:      edge,
+		Zone:      zone,
+		Job:       c.ID,
+		Turn:      c.Conv != "",
+		Follows:   c.Follows,
+		Route:     c.Route,
+		Program:   c.Program,
+		Class:     c.Class,
+		Conv:      c.Conv,
+		Parts:     c.Parts,
+		Words:     len(c.Prompt),
+		Most:      c.Asked,
+		Wait:      (c.Left() + took).Milliseconds(),
+		Code:      int(code.Of(a.Err)),
+		Took:      took.Milliseconds(),
+		Output:    c.Spent,
+		PrefixHit: c.PrefixHit,
+		Runner:    c.Runner.Name,
+	}
 	if c.Key != "" {
 		sum := sha256.Sum256([]byte(c.Key))
 		r.Key = hex.EncodeToString(sum[:8])
--- a/internal/dataplane/traffic/traffic_test.go
+++ b/internal/dataplane/traffic/traffic_test.go
@@ -52,7 +52,8 @@
 		{`"format":1`, `"format":2`, "line 1"}, {`"code":203`, `"code":204`, "line 5"}, {`"t":1,`, `"t":-1,`, "line 3"}, {`{"t":2`, `{"t:2`, "line 4"}, {`"rows":3`, `"rows":4`, "line 5"},
 	} {
 		bad := strings.Replace(string(good), tc[0], tc[1], 1)
-		if _, err := traffic.Read(strings.NewReader(bad)); code.Of(err) != code.BadDay || !strings.Contains(err.Error(), tc[2]) {
+		if _, err := traffic.Read(strings.NewReader(bad)); code.Of(err) != code.BadDay ||
+			!strings.Contains(err.Error(), tc[2]) {
 			t.Errorf("%s: %v", tc[1], err)
 		}
 	}
@@ -69,7 +70,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		recorder := traffic.NewRecorder(5)
 		add := func() {
-			c := &job.Ctx{ID: "j", Program: "p/1", Route: "model", Conv: "reel", Key: "secret-key", Prompt: "secret words", AnswerBy: time.Now().Add(time.Second), View: &cluster.View{}}
+			c := &job.Ctx{
+				ID:       "j",
+				Program:  "p/1",
+				Route:    "model",
+				Conv:     "reel",
+				Key:      "secret-key",
+				Prompt:   "secret words",
+				AnswerBy: time.Now().Add(time.Second),
+				View:     &cluster.View{},
+			}
 			recorder.Add("e1", "a", c, job.Bad(code.Cooling, "secret"), 20*time.Millisecond)
 		}
 		for range 3 {
@@ -77,7 +87,8 @@
 		}
 		time.Sleep(time.Second)
 		p := recorder.After(0)
-		if p.Next != 3 || p.Lost != 0 || len(p.Rows) != 3 || p.Rows[0].AgeMs != 1020 || p.Rows[0].Words != 12 || p.Rows[0].Wait != 1020 {
+		if p.Next != 3 || p.Lost != 0 || len(p.Rows) != 3 || p.Rows[0].AgeMs != 1020 || p.Rows[0].Words != 12 ||
+			p.Rows[0].Wait != 1020 {
 			t.Errorf("%+v", p)
 		}
 		for range 7 {
@@ -127,9 +138,18 @@
 	}))
 	defer srv.Close()
 	row := traffic.Row{Job: "j", Route: "r", Program: "p", Key: "k", Words: 80, Wait: 5000}
-	p := &traffic.Player{Day: &traffic.Day{Rows: []traffic.Row{row, row, {Job: "j", Route: "r", Program: "p", Key: "other", Words: 80, Wait: 5000}}}, Speed: 1, Run: "run",
-		Client: traffic.NewClient(nil), Edges: func(string) []string { return []string{strings.TrimPrefix(srv.URL, "http://")} },
-		Prompt: func(_ traffic.Row, work string) string { return "work:" + work }}
+	p := &traffic.Player{
+		Day: &traffic.Day{
+			Rows: []traffic.Row{row, row, {Job: "j", Route: "r", Program: "p", Key: "other", Words: 80, Wait: 5000}},
+		},
+		Speed: 1,
+		Run:   "run",
+		Client: traffic.NewClient(
+			nil,
+		),
+		Edges:  func(string) []string { return []string{strings.TrimPrefix(srv.URL, "http://")} },
+		Prompt: func(_ traffic.Row, work string) string { return "work:" + work },
+	}
 	p.Play(t.Context())
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/dataplane/turnapi/handler.go
+++ b/internal/dataplane/turnapi/handler.go
@@ -45,7 +45,13 @@
 }
 
 // DefaultParams are the design's.
-var DefaultParams = Params{MaxBody: 1 << 20, Wait: 30 * time.Second, Margin: 30 * time.Millisecond, MaxParts: 64, MaxOutput: 1 << 20}
+var DefaultParams = Params{
+	MaxBody:   1 << 20,
+	Wait:      30 * time.Second,
+	Margin:    30 * time.Millisecond,
+	MaxParts:  64,
+	MaxOutput: 1 << 20,
+}
 
 // Turn is the body of POST /v1/turns.
 type Turn struct {
@@ -168,7 +174,15 @@
 	}
 	q := x.Request()
 	v := handler.View()
-	c := &job.Ctx{Context: q.Context(), ID: fmt.Sprintf("%s-%d", handler.ID, handler.jobs.Add(1)), Origin: q.RemoteAddr, View: v, Route: route, Point: handler.Point, Log: handler.Log}
+	c := &job.Ctx{
+		Context: q.Context(),
+		ID:      fmt.Sprintf("%s-%d", handler.ID, handler.jobs.Add(1)),
+		Origin:  q.RemoteAddr,
+		View:    v,
+		Route:   route,
+		Point:   handler.Point,
+		Log:     handler.Log,
+	}
 	if err := handler.headers(q.Header, c, at); err != nil {
 		return nil, err
 	}
--- a/internal/dataplane/turnapi/handler_test.go
+++ b/internal/dataplane/turnapi/handler_test.go
@@ -25,14 +25,30 @@
 
 func good() ask {
 	return ask{"/v1/turns", `{"conversation":"reel","class":"live","words":"w","parts":["a","b"],"max_output":5}`,
-		map[string]string{turnapi.HeaderProgram: "reel/1", turnapi.HeaderTimeRemaining: "60", turnapi.HeaderWait: "5", turnapi.HeaderIdempotencyKey: "k"}}
+		map[string]string{
+			turnapi.HeaderProgram:        "reel/1",
+			turnapi.HeaderTimeRemaining:  "60",
+			turnapi.HeaderWait:           "5",
+			turnapi.HeaderIdempotencyKey: "k",
+		}}
 }
 
 func serve(t *testing.T, q ask, do job.Next) (*httptest.ResponseRecorder, web.Failure) {
 	t.Helper()
 	view := &cluster.View{Version: 1}
-	view.Spec = spec.Spec{Routes: []spec.Route{{Name: "model", Model: true}, {Name: "assets"}}, Classes: []spec.Class{{Name: "live", Urgent: true}, {Name: "reel"}}}
-	handler := &turnapi.Handler{Params: turnapi.DefaultParams, ID: "e1", Log: hclog.NewNullLogger(), View: func() *cluster.View { return view }, Ready: func() error { return nil }, Turn: do, Call: do}
+	view.Spec = spec.Spec{
+		Routes:  []spec.Route{{Name: "model", Model: true}, {Name: "assets"}},
+		Classes: []spec.Class{{Name: "live", Urgent: true}, {Name: "reel"}},
+	}
+	handler := &turnapi.Handler{
+		Params: turnapi.DefaultParams,
+		ID:     "e1",
+		Log:    hclog.NewNullLogger(),
+		View:   func() *cluster.View { return view },
+		Ready:  func() error { return nil },
+		Turn:   do,
+		Call:   do,
+	}
 	e := web.New(hclog.NewNullLogger())
 	handler.Routes(e)
 	r := httptest.NewRequest(http.MethodPost, q.path, strings.NewReader(q.body))
@@ -105,7 +121,10 @@
 	if w.Code != http.StatusOK || got == nil {
 		t.Fatalf("status %d", w.Code)
 	}
-	if !got.Urgent || got.Priority != 0 || got.Program != "reel/1" || got.Key != "k" || got.Route != "model" || got.Most != 5 || len(got.Parts) != 2 || got.Hash == "" {
+	if !got.Urgent || got.Priority != 0 || got.Program != "reel/1" || got.Key != "k" || got.Route != "model" ||
+		got.Most != 5 ||
+		len(got.Parts) != 2 ||
+		got.Hash == "" {
 		t.Errorf("%+v", got)
 	}
 	// The earlier of the caller's wait and the program's end counts.
@@ -123,7 +142,8 @@
 		a.Wait = 2300 * time.Millisecond
 		return a
 	})
-	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "3" || p.WaitMs != 2300 || p.Ran != "no" {
+	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "3" || p.WaitMs != 2300 ||
+		p.Ran != "no" {
 		t.Errorf("%d %v %+v", w.Code, w.Header(), p)
 	}
 	// Of a key whose claim nobody could free, 'not run' is not ours to say.
--- a/internal/kit/checker/checker.go
+++ b/internal/kit/checker/checker.go
@@ -233,11 +233,20 @@
 		if r.WarmingUp && r.Over {
 			v.add(WarmingUp, "%s got %s beyond what it bears while coming up", r.Runner.Name, r.Job)
 		}
-		if e, ok := c.latest(r.Arrived, r.Runner.Name, Drained, Back); ok && e.Kind == Drained && r.Arrived.Sub(e.At) > maxDraining {
+		if e, ok := c.latest(r.Arrived, r.Runner.Name, Drained, Back); ok && e.Kind == Drained &&
+			r.Arrived.Sub(e.At) > maxDraining {
 			v.add(Draining, "%s got %s %s after it left", r.Runner.Name, r.Job, r.Arrived.Sub(e.At).Round(time.Millisecond))
 		}
-		if e, ok := c.latest(r.Arrived, r.Runner.Zone, Empty, Refill); ok && e.Kind == Empty && r.Arrived.Sub(e.At) > emptiedMost {
-			v.add(Emptied, "%s in %s got %s %s after the acknowledgement", r.Runner.Name, r.Runner.Zone, r.Job, r.Arrived.Sub(e.At).Round(time.Millisecond))
+		if e, ok := c.latest(r.Arrived, r.Runner.Zone, Empty, Refill); ok && e.Kind == Empty &&
+			r.Arrived.Sub(e.At) > emptiedMost {
+			v.add(
+				Emptied,
+				"%s in %s got %s %s after the acknowledgement",
+				r.Runner.Name,
+				r.Runner.Zone,
+				r.Job,
+				r.Arrived.Sub(e.At).Round(time.Millisecond),
+			)
 		}
 	}
 }
@@ -266,7 +275,14 @@
 		top[s.ID] = s.Ver
 		for _, e := range c.Events {
 			if e.Kind == Acked && s.At.Sub(e.At) > specMost && s.Ver < e.Ver {
-				v.add(Spec, "%s has version %d, %s after %d was acknowledged", s.ID, s.Ver, s.At.Sub(e.At).Round(time.Millisecond), e.Ver)
+				v.add(
+					Spec,
+					"%s has version %d, %s after %d was acknowledged",
+					s.ID,
+					s.Ver,
+					s.At.Sub(e.At).Round(time.Millisecond),
+					e.Ver,
+				)
 			}
 		}
 	}
@@ -304,7 +320,14 @@
 				continue
 			}
 			if a.Lost {
-				v.add(Planned, "%s was taken by %s at %s and never answered%s", a.Work, a.Edge, a.Sent.Format(clock), c.since(a.Sent))
+				v.add(
+					Planned,
+					"%s was taken by %s at %s and never answered%s",
+					a.Work,
+					a.Edge,
+					a.Sent.Format(clock),
+					c.since(a.Sent),
+				)
 			}
 			since := a.Sent
 			if since.Before(e.At) {
--- a/internal/kit/checker/cooldowns.go
+++ b/internal/kit/checker/cooldowns.go
@@ -147,7 +147,15 @@
 func (c *Case) cooldowns(v Verdict) {
 	for _, r := range c.Runs {
 		if end := c.until(cooldown.Key(c.Spec, r.Runner), r.Arrived, inFlight); r.Arrived.Before(end) {
-			v.add(Early, "%s was called at %s for %s, %s before the end of a wait%s", r.Runner.Name, r.Arrived.Format(clock), r.Work, end.Sub(r.Arrived).Round(time.Millisecond), c.since(r.Arrived))
+			v.add(
+				Early,
+				"%s was called at %s for %s, %s before the end of a wait%s",
+				r.Runner.Name,
+				r.Arrived.Format(clock),
+				r.Work,
+				end.Sub(r.Arrived).Round(time.Millisecond),
+				c.since(r.Arrived),
+			)
 		}
 	}
 	for _, a := range c.Asks {
@@ -163,7 +171,14 @@
 			}
 		}
 		if least > a.Wait {
-			v.add(Early, "%s had %s left of a wait of %s and was left sleeping for %s", a.Work, a.Wait.Round(time.Millisecond), least.Round(time.Millisecond), took.Round(time.Millisecond))
+			v.add(
+				Early,
+				"%s had %s left of a wait of %s and was left sleeping for %s",
+				a.Work,
+				a.Wait.Round(time.Millisecond),
+				least.Round(time.Millisecond),
+				took.Round(time.Millisecond),
+			)
 		}
 	}
 }
--- a/internal/kit/checker/recovery.go
+++ b/internal/kit/checker/recovery.go
@@ -18,7 +18,10 @@
 		return true
 	case 429:
 		for _, k := range c.keys(a.Route) {
-			if slices.ContainsFunc(slices.Concat(c.waits[k], c.received[k], c.sched[k]), func(w wait) bool { return w.from.Before(a.Done) && w.to.After(a.Sent) }) {
+			if slices.ContainsFunc(
+				slices.Concat(c.waits[k], c.received[k], c.sched[k]),
+				func(w wait) bool { return w.from.Before(a.Done) && w.to.After(a.Sent) },
+			) {
 				return true
 			}
 		}
@@ -187,7 +190,8 @@
 // allDown: it came while the whole fleet was starting again.
 func (c *Case) allDown(a client.Ask) bool {
 	return slices.ContainsFunc(c.Events, func(e Event) bool {
-		return e.Kind == Hard && strings.HasPrefix(e.ID, Everything) && !a.Sent.Before(e.At) && a.Sent.Sub(e.At) < recoveryMost
+		return e.Kind == Hard && strings.HasPrefix(e.ID, Everything) && !a.Sent.Before(e.At) &&
+			a.Sent.Sub(e.At) < recoveryMost
 	})
 }
 
--- a/internal/kit/client/audit.go
+++ b/internal/kit/client/audit.go
@@ -104,7 +104,9 @@
 
 // follow asks a turn's next one on an edge.
 func (c *Crowd) follow(ctx context.Context, a Ask, edge, work string) *Lapse {
-	body, err := json.Marshal(map[string]any{"conversation": a.Class, "words": "work:" + work + ";", "max_output": 1, "follows": a.TurnID})
+	body, err := json.Marshal(
+		map[string]any{"conversation": a.Class, "words": "work:" + work + ";", "max_output": 1, "follows": a.TurnID},
+	)
 	if err != nil {
 		return &Lapse{true, err.Error()}
 	}
@@ -127,7 +129,18 @@
 	q := Ask{Program: a.Program, Work: a.Work, Key: a.Key, Route: a.Route, Turn: a.Turn, Edge: edge, Path: a.Path}
 	c.receive(ctx, &q, a.Body)
 	if q.Status != http.StatusOK || q.Job != a.Job {
-		return &Lapse{false, fmt.Sprintf("%s was answered by job %s, and asked again at %s: %d %s, job %s", a.Work, a.Job, edge, q.Status, q.Name, q.Job)}
+		return &Lapse{
+			false,
+			fmt.Sprintf(
+				"%s was answered by job %s, and asked again at %s: %d %s, job %s",
+				a.Work,
+				a.Job,
+				edge,
+				q.Status,
+				q.Name,
+				q.Job,
+			),
+		}
 	}
 	return nil
 }
--- a/internal/kit/client/client.go
+++ b/internal/kit/client/client.go
@@ -39,13 +39,57 @@
 func Kinds(deploy string) []Kind {
 	if strings.Contains(deploy, "tsehay") {
 		return []Kind{
-			{Name: "triage", Class: "triage", Rate: 14, Turns: 1, Tool: "sms", Calls: 1, Urgent: "notice", Fraction: 0.2, Parts: []string{"system", "triage-guide"}, Wait: 8 * time.Second},
-			{Name: "clinic", Class: "clinic", Rate: 2, Turns: 4, Tool: "sms", Calls: 1, Urgent: "notice", Fraction: 0.1, Parts: []string{"system", "clinic-guide", "forms"}, Wait: 10 * time.Second},
+			{
+				Name:     "triage",
+				Class:    "triage",
+				Rate:     14,
+				Turns:    1,
+				Tool:     "sms",
+				Calls:    1,
+				Urgent:   "notice",
+				Fraction: 0.2,
+				Parts:    []string{"system", "triage-guide"},
+				Wait:     8 * time.Second,
+			},
+			{
+				Name:     "clinic",
+				Class:    "clinic",
+				Rate:     2,
+				Turns:    4,
+				Tool:     "sms",
+				Calls:    1,
+				Urgent:   "notice",
+				Fraction: 0.1,
+				Parts:    []string{"system", "clinic-guide", "forms"},
+				Wait:     10 * time.Second,
+			},
 		}
 	}
 	return []Kind{
-		{Name: "tagging", Class: "tagging", Rate: 9, Turns: 1, Tool: "assets", Calls: 2, Urgent: "live", Fraction: 0.05, Parts: []string{"system", "tags"}, Wait: 8 * time.Second},
-		{Name: "reel", Class: "reel", Rate: 3, Turns: 4, Tool: "assets", Calls: 1, Urgent: "live", Fraction: 0.1, Parts: []string{"system", "reels", "club"}, Wait: 10 * time.Second},
+		{
+			Name:     "tagging",
+			Class:    "tagging",
+			Rate:     9,
+			Turns:    1,
+			Tool:     "assets",
+			Calls:    2,
+			Urgent:   "live",
+			Fraction: 0.05,
+			Parts:    []string{"system", "tags"},
+			Wait:     8 * time.Second,
+		},
+		{
+			Name:     "reel",
+			Class:    "reel",
+			Rate:     3,
+			Turns:    4,
+			Tool:     "assets",
+			Calls:    1,
+			Urgent:   "live",
+			Fraction: 0.1,
+			Parts:    []string{"system", "reels", "club"},
+			Wait:     10 * time.Second,
+		},
 	}
 }
 
@@ -67,7 +111,14 @@
 
 // New makes a crowd.
 func New(kinds []Kind, seed uint64, edges func(string) []string, web http.RoundTripper) *Crowd {
-	return &Crowd{Kinds: kinds, Seed: seed, Edges: edges, Most: 100, run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: traffic.NewClient(web)}
+	return &Crowd{
+		Kinds:  kinds,
+		Seed:   seed,
+		Edges:  edges,
+		Most:   100,
+		run:    strconv.FormatInt(time.Now().UnixNano(), 36),
+		Client: traffic.NewClient(web),
+	}
 }
 
 // Run starts sessions for d, at scale times the usual rate, and returns once
@@ -106,7 +157,13 @@
 	for t := range k.Turns {
 		work := fmt.Sprintf("%s-%s-t%d", k.Name, id, t)
 		words := "work:" + work + ";please go on"
-		body := map[string]any{"conversation": k.Name, "class": k.Class, "words": words, "parts": k.Parts, "max_output": c.Most}
+		body := map[string]any{
+			"conversation": k.Name,
+			"class":        k.Class,
+			"words":        words,
+			"parts":        k.Parts,
+			"max_output":   c.Most,
+		}
 		if follows != "" {
 			body["follows"] = follows
 		}
@@ -114,7 +171,17 @@
 		if rnd.IntN(5) == 0 {
 			key = "turn-" + work
 		}
-		a := Ask{Program: program, Work: work, Key: key, Route: "model", Class: k.Class, Zone: zone, Turn: true, Follows: follows != "", Wait: k.Wait}
+		a := Ask{
+			Program: program,
+			Work:    work,
+			Key:     key,
+			Route:   "model",
+			Class:   k.Class,
+			Zone:    zone,
+			Turn:    true,
+			Follows: follows != "",
+			Wait:    k.Wait,
+		}
 		ans, ok := c.Ask(ctx, a, "/v1/turns", body, end, c.Edges(zone), rnd.IntN(2), checking(past, words))
 		if !ok {
 			return
@@ -127,8 +194,26 @@
 				class, urgent = k.Urgent, true
 			}
 			w := fmt.Sprintf("%s-c%d", work, i)
-			a := Ask{Program: program, Work: w, Key: "call-" + w, Route: k.Tool, Class: class, Urgent: urgent, Zone: zone, Wait: k.Wait}
-			c.Ask(ctx, a, "/v1/calls/"+k.Tool, map[string]any{"class": class, "args": map[string]string{"do": "work:" + w + ";"}}, end, c.Edges(zone), rnd.IntN(2), checking(nil, ""))
+			a := Ask{
+				Program: program,
+				Work:    w,
+				Key:     "call-" + w,
+				Route:   k.Tool,
+				Class:   class,
+				Urgent:  urgent,
+				Zone:    zone,
+				Wait:    k.Wait,
+			}
+			c.Ask(
+				ctx,
+				a,
+				"/v1/calls/"+k.Tool,
+				map[string]any{"class": class, "args": map[string]string{"do": "work:" + w + ";"}},
+				end,
+				c.Edges(zone),
+				rnd.IntN(2),
+				checking(nil, ""),
+			)
 		}
 		if !loop.Wait(ctx, time.Duration(200+rnd.IntN(600))*time.Millisecond) {
 			return
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -82,7 +82,11 @@
 			return nil, err
 		}
 	}
-	f := &Fleet{P: p, net: fmt.Sprintf("127.%d.", p.Net), Web: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	f := &Fleet{
+		P:   p,
+		net: fmt.Sprintf("127.%d.", p.Net),
+		Web: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+	}
 	b = bytes.ReplaceAll(b, []byte("127.20."), []byte(f.net))
 	if err := spec.Read(b, &f.Spec); err != nil {
 		return nil, err
@@ -115,7 +119,13 @@
 var zones = []string{"a", "b", "c"}
 
 func (f *Fleet) add(id, role string, z, host int) *Machine {
-	m := &Machine{ID: id, Role: role, Zone: zones[z], IP: fmt.Sprintf("%s%d.%d", f.net, z+1, host), bin: filepath.Join(f.P.Bin, "damsontiller-data")}
+	m := &Machine{
+		ID:   id,
+		Role: role,
+		Zone: zones[z],
+		IP:   fmt.Sprintf("%s%d.%d", f.net, z+1, host),
+		bin:  filepath.Join(f.P.Bin, "damsontiller-data"),
+	}
 	m.Dir = filepath.Join(f.P.Dir, id)
 	if role == "core" {
 		m.bin = filepath.Join(f.P.Bin, "damsontiller-control")
@@ -130,7 +140,21 @@
 	if level == "" {
 		level = "info"
 	}
-	own := []string{"-id", m.ID, "-listen", m.Addr(), "-http", m.HTTP(), "-zone", m.Zone, "-seeds", strings.Join(f.seeds, ","), "-faults", "-log", level}
+	own := []string{
+		"-id",
+		m.ID,
+		"-listen",
+		m.Addr(),
+		"-http",
+		m.HTTP(),
+		"-zone",
+		m.Zone,
+		"-seeds",
+		strings.Join(f.seeds, ","),
+		"-faults",
+		"-log",
+		level,
+	}
 	m.args = append([]string{"-role", m.Role}, own...)
 	if m.Role == "core" {
 		m.args = append([]string{"serve"}, own...)
@@ -162,11 +186,25 @@
 	for _, m := range f.Machines {
 		f.args(m)
 		if m.Role == "core" {
-			m.extra = []string{"-bootstrap", "-cores", strings.Join(cores, ","), "-stores", strings.Join(stores, ","), "-spec", filepath.Join(f.P.Dir, "spec.json")}
+			m.extra = []string{
+				"-bootstrap",
+				"-cores",
+				strings.Join(cores, ","),
+				"-stores",
+				strings.Join(stores, ","),
+				"-spec",
+				filepath.Join(f.P.Dir, "spec.json"),
+			}
 		}
 	}
 	for i, r := range f.Spec.Runners {
-		p := runner.Params{Runner: r, Bears: f.P.Bears, Up: f.P.Up, Take: 40 * time.Millisecond, Seed: f.P.Seed*1000 + uint64(i)}
+		p := runner.Params{
+			Runner: r,
+			Bears:  f.P.Bears,
+			Up:     f.P.Up,
+			Take:   40 * time.Millisecond,
+			Seed:   f.P.Seed*1000 + uint64(i),
+		}
 		if p.Bears == 0 {
 			p.Bears = 8
 		}
--- a/internal/kit/harness/harness.go
+++ b/internal/kit/harness/harness.go
@@ -145,8 +145,15 @@
 		r.Crowd.Run(ctx, d, r.P.Scale)
 		return
 	}
-	p := &traffic.Player{Day: r.P.Day, Speed: r.P.Scale, Run: strconv.FormatInt(time.Now().UnixNano(), 36), Client: traffic.NewClient(nil), Edges: r.edges,
-		Prompt: client.Filler, Inspect: client.Look}
+	p := &traffic.Player{
+		Day:     r.P.Day,
+		Speed:   r.P.Scale,
+		Run:     strconv.FormatInt(time.Now().UnixNano(), 36),
+		Client:  traffic.NewClient(nil),
+		Edges:   r.edges,
+		Prompt:  client.Filler,
+		Inspect: client.Look,
+	}
 	r.mu.Lock()
 	r.asks = p.Client.Log
 	r.mu.Unlock()
@@ -325,12 +332,28 @@
 }
 
 func (r *Rig) result(name string) *Result {
-	c := checker.Case{Spec: &r.F.Spec, Asks: r.asks(), Runs: checker.Runs(r.F.Runners), Most: r.Crowd.Most, Audit: r.audit}
+	c := checker.Case{
+		Spec:  &r.F.Spec,
+		Asks:  r.asks(),
+		Runs:  checker.Runs(r.F.Runners),
+		Most:  r.Crowd.Most,
+		Audit: r.audit,
+	}
 	r.mu.Lock()
 	c.Events = append(c.Events, r.events...)
 	c.Samples = append(c.Samples, r.samples...)
 	r.mu.Unlock()
-	res := &Result{Scenario: name, Seed: r.P.Fleet.Seed, Verdict: checker.Judge(c), Asks: len(c.Asks), Runs: len(c.Runs), Codes: map[string]int{}, Words: map[string]string{}, Rounds: r.rounds, Sent: r.sent}
+	res := &Result{
+		Scenario: name,
+		Seed:     r.P.Fleet.Seed,
+		Verdict:  checker.Judge(c),
+		Asks:     len(c.Asks),
+		Runs:     len(c.Runs),
+		Codes:    map[string]int{},
+		Words:    map[string]string{},
+		Rounds:   r.rounds,
+		Sent:     r.sent,
+	}
 	for _, a := range c.Asks {
 		switch {
 		case a.Lost:
--- a/internal/kit/harness/scenarios.go
+++ b/internal/kit/harness/scenarios.go
@@ -20,7 +20,12 @@
 var Scenarios = []Scenario{
 	{Name: "healthy", What: "nothing is done", Seconds: 8, Do: func(context.Context, *Rig) error { return nil }},
 	{Name: "refusals", What: "runners refuse in every form, lose, cut and mix up answers", Seconds: 14, Do: refusals},
-	{Name: "kills", What: "an edge, a store and a core machine are killed and restarted in turn", Seconds: 34, Do: kills},
+	{
+		Name:    "kills",
+		What:    "an edge, a store and a core machine are killed and restarted in turn",
+		Seconds: 34,
+		Do:      kills,
+	},
 	{Name: "drain", What: "runners leave and come back one by one", Seconds: 16, Do: drain},
 	{Name: "zone", What: "a zone is emptied and refilled", Seconds: 14, Do: zone},
 	{Name: "restarts", What: "every machine is stopped and started in turn", Seconds: 40, Do: restarts},
@@ -36,7 +41,12 @@
 	{Name: "bursts", What: "spec changes in bursts through all core machines", Seconds: 14, Do: bursts},
 	{Name: "zoneloss", What: "a whole zone is lost and comes back", Seconds: 40, Do: zoneLoss},
 	{Name: "fullstop", What: "everything goes down at once and comes up again", Seconds: 40, Do: fullStop},
-	{Name: "policy", What: "a rehearsed policy is approved and rolled out through the death of the dealing edge, and taken back", Seconds: 36, Do: policies},
+	{
+		Name:    "policy",
+		What:    "a rehearsed policy is approved and rolled out through the death of the dealing edge, and taken back",
+		Seconds: 36,
+		Do:      policies,
+	},
 	{Name: "ci", What: "a little of each, for every commit", Seconds: 16, Do: ci},
 }
 
@@ -51,7 +61,16 @@
 }
 
 func refusals(ctx context.Context, r *Rig) error {
-	all := []runner.Order{runner.Refuse, runner.Raise, runner.Lose, runner.Truncate, runner.Mix, runner.RefuseSecs, runner.RefuseDate, runner.Slow}
+	all := []runner.Order{
+		runner.Refuse,
+		runner.Raise,
+		runner.Lose,
+		runner.Truncate,
+		runner.Mix,
+		runner.RefuseSecs,
+		runner.RefuseDate,
+		runner.Slow,
+	}
 	for i, o := range all {
 		for j, n := range r.F.Runners {
 			// One runner in three each time; each order meets every kind.
@@ -277,7 +296,8 @@
 			NextCores  []any `json:"next_cores"`
 			NextStores []any `json:"next_stores"`
 		}
-		if st, err := r.F.Operate(http.MethodGet, "/v1/sets", nil, &s); err == nil && st == http.StatusOK && len(s.NextCores)+len(s.NextStores) == 0 {
+		if st, err := r.F.Operate(http.MethodGet, "/v1/sets", nil, &s); err == nil && st == http.StatusOK &&
+			len(s.NextCores)+len(s.NextStores) == 0 {
 			r.say("  %s %v: the set stands after %s", path, body, time.Since(at).Round(10*time.Millisecond))
 			return nil
 		}
@@ -361,7 +381,11 @@
 	errs := make(chan error, 30)
 	for i := range 30 {
 		go func() {
-			st, a, err := r.Change(http.MethodPatch, "/v1/spec", map[string]any{"cooldown": map[string]any{"first_ms": 1000 + i}})
+			st, a, err := r.Change(
+				http.MethodPatch,
+				"/v1/spec",
+				map[string]any{"cooldown": map[string]any{"first_ms": 1000 + i}},
+			)
 			if err == nil && st != http.StatusOK {
 				err = fmt.Errorf("burst: status %d, %+v", st, a)
 			}
@@ -456,7 +480,13 @@
 		// Not without an approval, nor with another text's.
 		func() error { return send(http.StatusConflict, http.MethodPost, "/v1/policies/live", "", live(10)) },
 		func() error {
-			return send(http.StatusConflict, http.MethodPost, "/v1/policies/hold/approve", "", map[string]any{"policy": "hold", "digest": strings.Repeat("0", 64), "day": strings.Repeat("0", 64)})
+			return send(
+				http.StatusConflict,
+				http.MethodPost,
+				"/v1/policies/hold/approve",
+				"",
+				map[string]any{"policy": "hold", "digest": strings.Repeat("0", 64), "day": strings.Repeat("0", 64)},
+			)
 		},
 		func() error {
 			return send(http.StatusOK, http.MethodPost, "/v1/policies/hold/approve", "hold.report.json", nil)
@@ -486,7 +516,9 @@
 
 func ci(ctx context.Context, r *Rig) error {
 	for i, n := range r.F.Runners {
-		n.Give([]runner.Order{runner.Refuse, runner.Raise, runner.Lose, runner.Truncate, runner.Mix, runner.RefuseSecs}[i%6])
+		n.Give(
+			[]runner.Order{runner.Refuse, runner.Raise, runner.Lose, runner.Truncate, runner.Mix, runner.RefuseSecs}[i%6],
+		)
 	}
 	if err := r.Zone("c", true); err != nil {
 		return err
--- a/internal/kit/proxytest/callers_test.go
+++ b/internal/kit/proxytest/callers_test.go
@@ -85,7 +85,13 @@
 		kind := []string{repeatable, once, stream, resumable}[c.rnd.intN(4)]
 		q := asked{kind, fmt.Sprintf("%s-%d", c.name, c.n)}
 		jobs = append(jobs, q)
-		fmt.Fprintf(&s, "POST %sx HTTP/1.1\r\nHost: host.test\r\n%s: %s\r\nX-Test-Wait: 2000\r\nContent-Length: 4\r\n\r\nbody", kind, names.Try, q.try)
+		fmt.Fprintf(
+			&s,
+			"POST %sx HTTP/1.1\r\nHost: host.test\r\n%s: %s\r\nX-Test-Wait: 2000\r\nContent-Length: 4\r\n\r\nbody",
+			kind,
+			names.Try,
+			q.try,
+		)
 	}
 	text := s.String()
 	departed := c.rnd.below(0.1)
@@ -270,12 +276,21 @@
 			cutter.Arm(true, at, loss)
 			x := r.requestTruncated(kept)
 			cutter.Disarm()
-			if err := r.judge(kept, x); err != nil || r.received(x.try) > 1 || x.status != 200 && x.status != 502 && x.status != 504 {
+			if err := r.judge(kept, x); err != nil || r.received(x.try) > 1 ||
+				x.status != 200 && x.status != 502 && x.status != 504 {
 				t.Errorf("byte %d of %d, loss %d: status %d, came %d times: %v", at, size, loss, x.status, r.received(x.try), err)
 			}
 			y := f.at("e2").ask(kept+"x", "more", try(fmt.Sprintf("after-%d", at), head("X-Test-Follows", x.try)))
 			if complete := x.status == 200 && !x.truncated; complete != (y.status == 200) || !complete && y.status != 404 {
-				t.Errorf("byte %d of %d, loss %d: answered %d cut %v, the turn after it %d", at, size, loss, x.status, x.truncated, y.status)
+				t.Errorf(
+					"byte %d of %d, loss %d: answered %d cut %v, the turn after it %d",
+					at,
+					size,
+					loss,
+					x.status,
+					x.truncated,
+					y.status,
+				)
 			}
 		}
 	})
--- a/internal/kit/proxytest/fleet_test.go
+++ b/internal/kit/proxytest/fleet_test.go
@@ -307,32 +307,36 @@
 // could not.
 func TestRenewedLater(t *testing.T) {
 	truncated := func(int) {}
-	inBubble(t, func(p *proxytest.Params) { p.Passed = func(_ string, n int) { truncated(n) } }, func(t *testing.T, f *fleet) {
-		f.turn.ExtraRetention = 10 * time.Second
-		r := f.at("e1")
-		if x := r.ask(kept+"c", "i", try("a")); x.status != 200 || x.truncated {
-			t.Fatal(x.status, x.truncated)
-		}
-		time.Sleep(50 * time.Second)
-		truncated = func(n int) {
-			if n == f.bs[0].P.Events {
-				f.s.Partition([]string{"e1"}, f.s.Rest("e1"), true)
+	inBubble(
+		t,
+		func(p *proxytest.Params) { p.Passed = func(_ string, n int) { truncated(n) } },
+		func(t *testing.T, f *fleet) {
+			f.turn.ExtraRetention = 10 * time.Second
+			r := f.at("e1")
+			if x := r.ask(kept+"c", "i", try("a")); x.status != 200 || x.truncated {
+				t.Fatal(x.status, x.truncated)
 			}
-		}
-		if x := r.ask(kept+"c", "i", try("b-fails", head("X-Test-Follows", "a"))); x.status != 200 || !x.truncated {
-			t.Fatal(x.status, x.truncated)
-		}
-		truncated = func(int) {}
-		f.s.Partition([]string{"e1"}, f.s.Rest("e1"), false)
-		time.Sleep(3 * time.Second)
-		if x := r.ask(kept+"c", "i", try("b", head("X-Test-Follows", "a"))); x.status != 200 || x.truncated {
-			t.Fatal(x.status, x.truncated, x.body)
-		}
-		time.Sleep(58 * time.Second)
-		if x := f.at("e3").ask(kept+"c", "i", try("c", head("X-Test-Follows", "b"))); x.status != 200 {
-			t.Errorf("at the end: status %d %s", x.status, x.body)
-		}
-	})
+			time.Sleep(50 * time.Second)
+			truncated = func(n int) {
+				if n == f.bs[0].P.Events {
+					f.s.Partition([]string{"e1"}, f.s.Rest("e1"), true)
+				}
+			}
+			if x := r.ask(kept+"c", "i", try("b-fails", head("X-Test-Follows", "a"))); x.status != 200 || !x.truncated {
+				t.Fatal(x.status, x.truncated)
+			}
+			truncated = func(int) {}
+			f.s.Partition([]string{"e1"}, f.s.Rest("e1"), false)
+			time.Sleep(3 * time.Second)
+			if x := r.ask(kept+"c", "i", try("b", head("X-Test-Follows", "a"))); x.status != 200 || x.truncated {
+				t.Fatal(x.status, x.truncated, x.body)
+			}
+			time.Sleep(58 * time.Second)
+			if x := f.at("e3").ask(kept+"c", "i", try("c", head("X-Test-Follows", "b"))); x.status != 200 {
+				t.Errorf("at the end: status %d %s", x.status, x.body)
+			}
+		},
+	)
 }
 
 // handed is what a caller was handed, counted as the engine counts.
@@ -353,7 +357,16 @@
 				if fault != 0 {
 					f.bs[n%len(f.bs)].Next(fault)
 				}
-				x := r.ask(stream+"x", "a", try(fmt.Sprintf("b%d", n), head("X-Test-Program", "prog"), head("X-Test-Budget", strconv.Itoa(budget)), head("X-Test-Most", strconv.Itoa(most))))
+				x := r.ask(
+					stream+"x",
+					"a",
+					try(
+						fmt.Sprintf("b%d", n),
+						head("X-Test-Program", "prog"),
+						head("X-Test-Budget", strconv.Itoa(budget)),
+						head("X-Test-Most", strconv.Itoa(most)),
+					),
+				)
 				mu.Lock()
 				defer mu.Unlock()
 				sum += handed(x)
@@ -410,7 +423,17 @@
 		f.s.Partition([]string{"e1"}, f.s.Rest("e1"), true)
 		var wg sync.WaitGroup
 		ask := func(name string, wait time.Duration) received {
-			return r.ask(stream+"x", "a", try(name, head("X-Test-Wait", fmt.Sprint(wait.Milliseconds())), head("X-Test-Program", "prog"), head("X-Test-Budget", "64"), head("X-Test-Most", "32")))
+			return r.ask(
+				stream+"x",
+				"a",
+				try(
+					name,
+					head("X-Test-Wait", fmt.Sprint(wait.Milliseconds())),
+					head("X-Test-Program", "prog"),
+					head("X-Test-Budget", "64"),
+					head("X-Test-Most", "32"),
+				),
+			)
 		}
 		var mu sync.Mutex
 		for i := range 8 {
@@ -454,7 +477,10 @@
 		f := newFleetOf(t, nil, sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Found: true})
 		stores := func(want int) {
 			t.Helper()
-			if !sim.Until(5*time.Second, func() bool { v := f.s.Cluster(); return len(v.Cluster.Stores) == want && len(v.NextStores) == 0 }) {
+			if !sim.Until(
+				5*time.Second,
+				func() bool { v := f.s.Cluster(); return len(v.Cluster.Stores) == want && len(v.NextStores) == 0 },
+			) {
 				t.Fatalf("%d stores in the set, want %d", len(f.s.Cluster().Cluster.Stores), want)
 			}
 		}
@@ -470,7 +496,19 @@
 				default:
 				}
 				id := fmt.Sprintf("during-%d", n)
-				x := f.at("e1").ask(kept+"m", "in", try(id, head("X-Test-Follows", last), head("X-Test-Program", "p"), head("X-Test-Budget", "100000"), head("X-Test-Most", "10")))
+				x := f.at(
+					"e1",
+				).ask(
+					kept+"m",
+					"in",
+					try(
+						id,
+						head("X-Test-Follows", last),
+						head("X-Test-Program", "p"),
+						head("X-Test-Budget", "100000"),
+						head("X-Test-Most", "10"),
+					),
+				)
 				if x.status != 200 || x.truncated {
 					t.Errorf("turn %d: status %d cut %v %s", n, x.status, x.truncated, x.body)
 				}
@@ -528,7 +566,8 @@
 		if x.status != 200 || x.truncated {
 			t.Errorf("status %d, cut %v", x.status, x.truncated)
 		}
-		if y := f.at("e2").ask(kept+"x", "b", try("after"), head("X-Test-Follows", "through")); y.status != 200 || y.truncated {
+		if y := f.at("e2").ask(kept+"x", "b", try("after"), head("X-Test-Follows", "through")); y.status != 200 ||
+			y.truncated {
 			t.Errorf("the turn after it: status %d, cut %v %s", y.status, y.truncated, y.body)
 		}
 	})
--- a/internal/kit/proxytest/harness_test.go
+++ b/internal/kit/proxytest/harness_test.go
@@ -62,8 +62,12 @@
 func (dialect) WriteResume(h http.Header, after string) { h.Set("Last-Event-Id", after) }
 
 func (dialect) ReadResponse(r *http.Response) proxy.ResponseInfo {
-	return proxy.ResponseInfo{Attempt: r.Header.Get(names.Try), Sealed: r.Header.Get(names.Seal) != "", Other: r.StatusCode == http.StatusMisdirectedRequest,
-		NotRun: r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != ""}
+	return proxy.ResponseInfo{
+		Attempt: r.Header.Get(names.Try),
+		Sealed:  r.Header.Get(names.Seal) != "",
+		Other:   r.StatusCode == http.StatusMisdirectedRequest,
+		NotRun:  r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != "",
+	}
 }
 
 // kinds of jobs, by the path that leads to them.
@@ -85,10 +89,22 @@
 const tries = 3
 
 func table() spec.Table {
-	t := spec.Table{Revision: 1, Services: []spec.Service{{Name: "svc", Engine: &spec.Engine{Batch: 8, CacheTokens: 1 << 20, TokensPerEvent: 4}}},
-		Limits: spec.Limits{BodyBytes: 100 << 10}}
+	t := spec.Table{
+		Revision: 1,
+		Services: []spec.Service{{Name: "svc", Engine: &spec.Engine{Batch: 8, CacheTokens: 1 << 20, TokensPerEvent: 4}}},
+		Limits:   spec.Limits{BodyBytes: 100 << 10},
+	}
 	for _, k := range []string{repeatable, once, stream, resumable, kept} {
-		p := spec.Path{Name: k, Authority: "host.test", Prefix: k, Kind: spec.Stream, To: []spec.Share{{Service: "svc", Weight: 1}}, GuardMs: 4000, LatencyTargetMs: 200, Tries: tries}
+		p := spec.Path{
+			Name:            k,
+			Authority:       "host.test",
+			Prefix:          k,
+			Kind:            spec.Stream,
+			To:              []spec.Share{{Service: "svc", Weight: 1}},
+			GuardMs:         4000,
+			LatencyTargetMs: 200,
+			Tries:           tries,
+		}
 		switch k {
 		case repeatable:
 			p.Kind = spec.Repeatable
@@ -124,8 +140,15 @@
 func farm(n int, shape func(*proxytest.Params)) []*proxytest.Backend {
 	var out []*proxytest.Backend
 	for i := range n {
-		p := proxytest.Params{Names: names, ID: fmt.Sprintf("i-%d", i), Addr: fmt.Sprintf("10.1.0.%d:80", i), Bytes: 800, Events: 8, Before: 3,
-			Streams: func(r *http.Request) bool { return streams(r.RequestURI) }}
+		p := proxytest.Params{
+			Names:   names,
+			ID:      fmt.Sprintf("i-%d", i),
+			Addr:    fmt.Sprintf("10.1.0.%d:80", i),
+			Bytes:   800,
+			Events:  8,
+			Before:  3,
+			Streams: func(r *http.Request) bool { return streams(r.RequestURI) },
+		}
 		if shape != nil {
 			shape(&p)
 		}
@@ -136,8 +159,16 @@
 
 // alone is a node that knows nobody.
 func alone(id string) *node.Node {
-	return node.New(node.Params{Self: &wire.Member{Id: id, Role: "edge", Zone: "a", Live: true}, Net: memnet.New(1).Host(id), Transport: transport.DefaultParams,
-		Lease: lease.DefaultParams, Broadcast: broadcast.DefaultParams, Log: hclog.NewNullLogger()})
+	return node.New(
+		node.Params{
+			Self:      &wire.Member{Id: id, Role: "edge", Zone: "a", Live: true},
+			Net:       memnet.New(1).Host(id),
+			Transport: transport.DefaultParams,
+			Lease:     lease.DefaultParams,
+			Broadcast: broadcast.DefaultParams,
+			Log:       hclog.NewNullLogger(),
+		},
+	)
 }
 
 func newRig(t testing.TB, bs []*proxytest.Backend, way ...proxy.Policy) *rig {
@@ -147,7 +178,14 @@
 // newRigOf is newRig with a pool of its own size.
 func newRigOf(t testing.TB, pool proxy.PoolParams, bs []*proxytest.Backend, way ...proxy.Policy) *rig {
 	n := alone("e1")
-	r := &rig{t: t, endpoints: endpoints.New(), load: proxy.NewLoad(), backends: bs, table: table(), front: proxytest.NewListener("10.0.0.1:80")}
+	r := &rig{
+		t:         t,
+		endpoints: endpoints.New(),
+		load:      proxy.NewLoad(),
+		backends:  bs,
+		table:     table(),
+		front:     proxytest.NewListener("10.0.0.1:80"),
+	}
 	r.view = &cluster.View{Version: 1, Cluster: spec.Cluster{Table: r.table}}
 	at := map[string]*proxytest.Backend{}
 	var all []endpoints.Runner
@@ -162,9 +200,22 @@
 		}
 		return at[addr].Dial(ctx)
 	})
-	r.handler = proxy.New(proxy.DefaultParams, proxy.Dependencies{Self: n.Params.Self, View: func() *cluster.View { return r.view }, Members: func() []*wire.Member { return []*wire.Member{n.Params.Self} },
-		Ready: func() error { return nil }, Endpoints: r.endpoints, Load: r.load, Pool: r.pool, Cooldowns: cooldown.New(cooldown.Params{Local: true}, n, nil), Headers: dialect{},
-		Log: hclog.NewNullLogger(), Policies: way})
+	r.handler = proxy.New(
+		proxy.DefaultParams,
+		proxy.Dependencies{
+			Self:      n.Params.Self,
+			View:      func() *cluster.View { return r.view },
+			Members:   func() []*wire.Member { return []*wire.Member{n.Params.Self} },
+			Ready:     func() error { return nil },
+			Endpoints: r.endpoints,
+			Load:      r.load,
+			Pool:      r.pool,
+			Cooldowns: cooldown.New(cooldown.Params{Local: true}, n, nil),
+			Headers:   dialect{},
+			Log:       hclog.NewNullLogger(),
+			Policies:  way,
+		},
+	)
 	r.http = &http.Server{Handler: r.handler, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = r.http.Serve(r.front) }()
 	return r
@@ -316,7 +367,12 @@
 		}
 	}
 	if by == nil || x.head.Get(names.Try) != x.try {
-		return fmt.Errorf("a success with the seal %q of %q, runs are %v", x.head.Get(names.Seal), x.head.Get(names.Try), runs)
+		return fmt.Errorf(
+			"a success with the seal %q of %q, runs are %v",
+			x.head.Get(names.Seal),
+			x.head.Get(names.Try),
+			runs,
+		)
 	}
 	want := proxytest.Complete(by.Runner, x.try, r.backends[0].P.Bytes)
 	if streams(kind) {
--- a/internal/kit/proxytest/ingress_test.go
+++ b/internal/kit/proxytest/ingress_test.go
@@ -88,7 +88,8 @@
 	plan.Set()
 	if made := r.made(); !used && f != proxytest.NoDial {
 		// One connection a runner that was sent to; those without a clean end are gone.
-		clean := f == proxytest.None || f == proxytest.Drop || f == proxytest.Other || f == proxytest.RateLimit || f == proxytest.Own500
+		clean := f == proxytest.None || f == proxytest.Drop || f == proxytest.Other || f == proxytest.RateLimit ||
+			f == proxytest.Own500
 		first := r.received(x.try)
 		if !clean && x.status != 200 {
 			first = 1
@@ -211,14 +212,31 @@
 			for _, method := range []string{"GET", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "M-SEARCH"} {
 				for _, body := range []string{"", "x", strings.Repeat("0123456789", 9000)} {
 					try := fmt.Sprintf("t%d%s%d", i, method, len(body))
-					x := r.say(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: Host.Test\r\nX-Test-Try: %s\r\nX-Many: a\r\nx-many: b\r\nX-Empty:\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nTE: trailers\r\nProxy-Connection: x\r\nUpgrade: h2c\r\nContent-Length: %d\r\n\r\n%s",
-						method, uri, try, len(body), body))
+					x := r.say(
+						fmt.Sprintf(
+							"%s %s HTTP/1.1\r\nHost: Host.Test\r\nX-Test-Try: %s\r\nX-Many: a\r\nx-many: b\r\nX-Empty:\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nTE: trailers\r\nProxy-Connection: x\r\nUpgrade: h2c\r\nContent-Length: %d\r\n\r\n%s",
+							method,
+							uri,
+							try,
+							len(body),
+							body,
+						),
+					)
 					if x.status != 200 || x.truncated {
 						t.Fatalf("%s %s %d: status %d %s", method, uri, len(body), x.status, x.body)
 					}
 					q := r.runs(try)[0]
 					if q.Method != method || q.URI != uri || q.Body != body || q.Host != "Host.Test" {
-						t.Errorf("%s %s %d bytes came as %s %s %d bytes for %s", method, uri, len(body), q.Method, q.URI, len(q.Body), q.Host)
+						t.Errorf(
+							"%s %s %d bytes came as %s %s %d bytes for %s",
+							method,
+							uri,
+							len(body),
+							q.Method,
+							q.URI,
+							len(q.Body),
+							q.Host,
+						)
 					}
 					if got := q.Head["X-Many"]; len(got) != 2 || got[0] != "a" || got[1] != "b" {
 						t.Errorf("X-Many came as %q", got)
@@ -341,11 +359,13 @@
 			x := r.say("GET /r/outer HTTP/1.1\r\nHost: host.test\r\nX-Test-Try: outer\r\n" + s)
 			outer := r.runs("outer")
 			// What the door itself takes for a second request is one, and the caller's own.
-			if n := len(r.runs("inner")); n > 0 && (len(outer) > 0 && strings.Contains(outer[0].Body, "inner") || x.status == 400) {
+			if n := len(r.runs("inner")); n > 0 &&
+				(len(outer) > 0 && strings.Contains(outer[0].Body, "inner") || x.status == 400) {
 				t.Errorf("%d: the inner job ran", i)
 			}
 			for _, q := range r.backends[0].Runs() {
-				if q.Try != "outer" && q.Try != "inner" || q.Method == "GET" && q.URI != "/r/outer" || len(q.Head["Content-Length"]) > 1 {
+				if q.Try != "outer" && q.Try != "inner" || q.Method == "GET" && q.URI != "/r/outer" ||
+					len(q.Head["Content-Length"]) > 1 {
 					t.Errorf("%d: %+v ran", i, q)
 				}
 			}
--- a/internal/kit/proxytest/outlier_test.go
+++ b/internal/kit/proxytest/outlier_test.go
@@ -41,10 +41,18 @@
 			p.Work, p.Pace, p.Health = 20*time.Millisecond, 5*time.Millisecond, "/health"
 		})}
 		var tallies []*loadreport.LoadReport
-		s, err := sim.New(sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Edge: func(_ string, x *edge.Edge) {
-			r := newRig(t, e.bs)
-			e.rigs, tallies = append(e.rigs, r), append(tallies, loadreport.New(loadreport.DefaultParams, x.Node, r.endpoints, r.load))
-		}})
+		s, err := sim.New(
+			sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Edge: func(_ string, x *edge.Edge) {
+				r := newRig(t, e.bs)
+				e.rigs, tallies = append(
+					e.rigs,
+					r,
+				), append(
+					tallies,
+					loadreport.New(loadreport.DefaultParams, x.Node, r.endpoints, r.load),
+				)
+			}},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +66,10 @@
 		var wg sync.WaitGroup
 		for _, x := range tallies {
 			wg.Go(func() {
-				x.Run(ctx, func(context.Context) ([]endpoints.Runner, error) { return append([]endpoints.Runner(nil), all...), nil })
+				x.Run(
+					ctx,
+					func(context.Context) ([]endpoints.Runner, error) { return append([]endpoints.Runner(nil), all...), nil },
+				)
 			})
 		}
 		loop.Wait(ctx, 2*time.Second)
--- a/internal/kit/proxytest/pipe.go
+++ b/internal/kit/proxytest/pipe.go
@@ -257,5 +257,10 @@
 func (l *Listener) Addr() net.Addr { return position(l.addr) }
 
 func refused(addr string) error {
-	return &net.OpError{Op: "dial", Net: "mem", Addr: position(addr), Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
+	return &net.OpError{
+		Op:   "dial",
+		Net:  "mem",
+		Addr: position(addr),
+		Err:  os.NewSyscallError("connect", syscall.ECONNREFUSED),
+	}
 }
--- a/internal/kit/proxytest/shape_test.go
+++ b/internal/kit/proxytest/shape_test.go
@@ -26,7 +26,11 @@
 
 // good is the whole answer to a run.
 func good(run proxytest.Run) string {
-	return message(200, map[string]string{names.Try: run.Try, names.Seal: run.Seal}, proxytest.Complete(run.Runner, run.Try, 40))
+	return message(
+		200,
+		map[string]string{names.Try: run.Try, names.Seal: run.Seal},
+		proxytest.Complete(run.Runner, run.Try, 40),
+	)
 }
 
 // refusal says that a job did not run; try may be empty.
@@ -49,7 +53,11 @@
 	{"provisional answers first", func(r proxytest.Run) string {
 		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + good(r)
 	}, 200},
-	{"another protocol", func(proxytest.Run) string { return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" }, 502},
+	{
+		"another protocol",
+		func(proxytest.Run) string { return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" },
+		502,
+	},
 	{"a success without a name", func(r proxytest.Run) string {
 		return message(200, map[string]string{names.Seal: r.Seal}, proxytest.Complete(r.Runner, r.Try, 40))
 	}, 502},
@@ -61,7 +69,11 @@
 	}, 502},
 	{"a refusal without a name", func(proxytest.Run) string { return refusal(503, "") }, 502},
 	{"another runner's word without a name", func(proxytest.Run) string { return refusal(421, "") }, 502},
-	{"a refusal without a name, then the answer", func(r proxytest.Run) string { return refusal(503, "") + good(r) }, 502},
+	{
+		"a refusal without a name, then the answer",
+		func(r proxytest.Run) string { return refusal(503, "") + good(r) },
+		502,
+	},
 	{"an earlier job's answer first", func(r proxytest.Run) string {
 		return message(200, map[string]string{names.Try: "earlier", names.Seal: "x"}, "earlier") + good(r)
 	}, 200},
@@ -69,7 +81,11 @@
 	{"only an earlier job's refusal", func(proxytest.Run) string { return refusal(503, "earlier") }, 504},
 	{"a second answer", func(r proxytest.Run) string { return good(r) + good(r) }, 200},
 	{"a refusal as second answer", func(r proxytest.Run) string { return good(r) + refusal(503, r.Try) }, 200},
-	{"a refusal without a name as second answer", func(r proxytest.Run) string { return good(r) + refusal(503, "") }, 200},
+	{
+		"a refusal without a name as second answer",
+		func(r proxytest.Run) string { return good(r) + refusal(503, "") },
+		200,
+	},
 	{"a promise without the word", func(r proxytest.Run) string {
 		return message(503, map[string]string{names.Try: r.Try, names.Seal: r.Seal}, "its own")
 	}, 502},
--- a/internal/kit/proxytest/truncate_test.go
+++ b/internal/kit/proxytest/truncate_test.go
@@ -19,7 +19,14 @@
 }
 
 // exchange asks one job while its first exchange is spoiled, and judges what came of it.
-func exchange(r *rig, cutter *proxytest.Cutter, kind string, answer bool, at int, loss proxytest.Loss) (received, error) {
+func exchange(
+	r *rig,
+	cutter *proxytest.Cutter,
+	kind string,
+	answer bool,
+	at int,
+	loss proxytest.Loss,
+) (received, error) {
 	cutter.Arm(answer, at, loss)
 	x := r.requestTruncated(kind)
 	cutter.Disarm()
@@ -101,7 +108,14 @@
 }
 
 // truncateOnce spoils one exchange and says what is wrong with what came of it.
-func (r *rig) truncateOnce(kind string, used bool, cutter *proxytest.Cutter, answer bool, at int, loss proxytest.Loss) {
+func (r *rig) truncateOnce(
+	kind string,
+	used bool,
+	cutter *proxytest.Cutter,
+	answer bool,
+	at int,
+	loss proxytest.Loss,
+) {
 	r.t.Helper()
 	finish(r, kind, used)
 	if x, err := exchange(r, cutter, kind, answer, at, loss); err != nil {
--- a/internal/kit/rehearsal/rehearsal.go
+++ b/internal/kit/rehearsal/rehearsal.go
@@ -93,7 +93,15 @@
 	}
 	// A day is not replayed on runners that are still warming up.
 	time.Sleep(10 * time.Second)
-	pl := &traffic.Player{Day: p.Day, Speed: p.Speed, Run: "r", Client: s.Crowd.Client, Edges: s.Edges, Prompt: client.Filler, Inspect: client.Look}
+	pl := &traffic.Player{
+		Day:     p.Day,
+		Speed:   p.Speed,
+		Run:     "r",
+		Client:  s.Crowd.Client,
+		Edges:   s.Edges,
+		Prompt:  client.Filler,
+		Inspect: client.Look,
+	}
 	pl.Play(ctx)
 	for _, m := range s.Machines {
 		if e := s.Edge(m.ID); e != nil {
@@ -138,12 +146,27 @@
 // Print writes both columns.
 func Print(w io.Writer, a *spec.Approval) {
 	b, c := a.Base, a.Cand
-	fmt.Fprintf(w, "policy %s, text %.12s, day %.12s, seeds %d to %d\n\n%-22s %12s %12s\n", a.Policy, a.Digest, a.Day, a.Seed, a.Seed+uint64(len(b.MissedByRun))-1, "", b.Name, c.Name)
+	fmt.Fprintf(
+		w,
+		"policy %s, text %.12s, day %.12s, seeds %d to %d\n\n%-22s %12s %12s\n",
+		a.Policy,
+		a.Digest,
+		a.Day,
+		a.Seed,
+		a.Seed+uint64(len(b.MissedByRun))-1,
+		"",
+		b.Name,
+		c.Name,
+	)
 	row := func(what string, x, y any) { fmt.Fprintf(w, "%-22s %12v %12v\n", what, x, y) }
 	row("asks", b.Asks, c.Asks)
 	row("served", b.Served, c.Served)
 	row("deadlines missed", b.Missed, c.Missed)
-	row("  from run to run", fmt.Sprint(slices.Min(b.MissedByRun), "-", slices.Max(b.MissedByRun)), fmt.Sprint(slices.Min(c.MissedByRun), "-", slices.Max(c.MissedByRun)))
+	row(
+		"  from run to run",
+		fmt.Sprint(slices.Min(b.MissedByRun), "-", slices.Max(b.MissedByRun)),
+		fmt.Sprint(slices.Min(c.MissedByRun), "-", slices.Max(c.MissedByRun)),
+	)
 	row("dropped in all", b.Dropped, c.Dropped)
 	row("urgent over 0.5 s", b.UrgentLate, c.UrgentLate)
 	row("prefixes held", fmt.Sprintf("%d/%d", b.Held, b.Parted), fmt.Sprintf("%d/%d", c.Held, c.Parted))
@@ -152,7 +175,11 @@
 		if name == "" {
 			name = "(none)"
 		}
-		row(name+" median, p99 ms", fmt.Sprintf("%d, %d", b.Waits[k].Median, b.Waits[k].P99), fmt.Sprintf("%d, %d", c.Waits[k].Median, c.Waits[k].P99))
+		row(
+			name+" median, p99 ms",
+			fmt.Sprintf("%d, %d", b.Waits[k].Median, b.Waits[k].P99),
+			fmt.Sprintf("%d, %d", c.Waits[k].Median, c.Waits[k].P99),
+		)
 	}
 	row("breaches", b.Breaches, c.Breaches)
 	row("program failed", b.Fallbacks, c.Fallbacks)
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -184,7 +184,16 @@
 
 func (r *Runner) report(w http.ResponseWriter, _ *http.Request) {
 	r.mu.Lock()
-	rep := runnerapi.Report{Name: r.P.Name, State: runnerapi.Ready, Incarnation: r.incarnation(), Concurrency: r.bears(), Load: r.inFlight, UpMs: time.Since(r.start).Milliseconds(), Refused: r.refused, Prefixes: append([]string(nil), r.prefixes...)}
+	rep := runnerapi.Report{
+		Name:        r.P.Name,
+		State:       runnerapi.Ready,
+		Incarnation: r.incarnation(),
+		Concurrency: r.bears(),
+		Load:        r.inFlight,
+		UpMs:        time.Since(r.start).Milliseconds(),
+		Refused:     r.refused,
+		Prefixes:    append([]string(nil), r.prefixes...),
+	}
 	if !r.drained.IsZero() {
 		rep.State = runnerapi.Draining
 	}
@@ -296,7 +305,12 @@
 	t := time.NewTimer(take)
 	<-t.C
 	e.Ran, e.Output = true, out
-	ans := runnerapi.Response{Job: j.Job, Text: fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)), Output: out, PrefixHit: prefixHit}
+	ans := runnerapi.Response{
+		Job:       j.Job,
+		Text:      fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)),
+		Output:    out,
+		PrefixHit: prefixHit,
+	}
 	r.mu.Lock()
 	if gen != r.gen {
 		// The process died with this work half done.
@@ -355,7 +369,14 @@
 	return b
 }
 
-var raised = []string{"error 429 upstream", "Rate Limit hit", "RateLimit hit", "Too Many Requests now", "please throttle", "Quota Exceeded for key"}
+var raised = []string{
+	"error 429 upstream",
+	"Rate Limit hit",
+	"RateLimit hit",
+	"Too Many Requests now",
+	"please throttle",
+	"Quota Exceeded for key",
+}
 
 func failure(w http.ResponseWriter, status int, typ, msg, state string) {
 	var p runnerapi.Failure
@@ -425,11 +446,14 @@
 	if err != nil {
 		return err
 	}
-	p.srv = &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(runnerapi.Platform{Runners: p.list})
-	})}
+	p.srv = &http.Server{
+		ReadHeaderTimeout: 5 * time.Second,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			_ = json.NewEncoder(w).Encode(runnerapi.Platform{Runners: p.list})
+		}),
+	}
 	go func() { _ = p.srv.Serve(ln) }()
 	context.AfterFunc(ctx, p.Stop)
 	return nil
--- a/internal/kit/scale/churn.go
+++ b/internal/kit/scale/churn.go
@@ -43,7 +43,12 @@
 		Version uint64 `json:"version"`
 		InForce bool   `json:"in_force"`
 	}
-	st, err := r.f.Operate(http.MethodPatch, "/v1/spec", map[string]any{"keeping": []spec.Keeping{{Class: "work", KeepS: int64(3600 + i%2)}}}, &a)
+	st, err := r.f.Operate(
+		http.MethodPatch,
+		"/v1/spec",
+		map[string]any{"keeping": []spec.Keeping{{Class: "work", KeepS: int64(3600 + i%2)}}},
+		&a,
+	)
 	c := change{ack: time.Since(at)}
 	if err != nil || st != http.StatusOK {
 		r.mu.Lock()
--- a/internal/kit/scale/hollow.go
+++ b/internal/kit/scale/hollow.go
@@ -137,7 +137,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	tcp := transport.TCP(transport.DefaultParams)
 	p := node.Params{
-		Self: &wire.Member{Id: h.ID, Role: "edge", Addr: h.Addr, Zone: h.Zone}, Seeds: h.seeds, Transport: transport.DefaultParams,
+		Self: &wire.Member{
+			Id:   h.ID,
+			Role: "edge",
+			Addr: h.Addr,
+			Zone: h.Zone,
+		}, Seeds: h.seeds, Transport: transport.DefaultParams,
 		Lease: lease.DefaultParams, Broadcast: broadcast.DefaultParams, Log: hclog.NewNullLogger(),
 		Net: transport.Net{
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
--- a/internal/kit/scale/params.go
+++ b/internal/kit/scale/params.go
@@ -44,7 +44,11 @@
 	case p.Tenants < 0 || p.Changes < 0 || p.Failures < 0:
 		return errors.New("a negative number of tenants, changes or failures")
 	case p.Runners+p.Tenants+p.Routes+16 > spec.MaxNames:
-		return fmt.Errorf("%d runners, tenants and routes; a spec has at most %d entries", p.Runners+p.Tenants+p.Routes, spec.MaxNames-16)
+		return fmt.Errorf(
+			"%d runners, tenants and routes; a spec has at most %d entries",
+			p.Runners+p.Tenants+p.Routes,
+			spec.MaxNames-16,
+		)
 	case p.SettleTime < 0:
 		return fmt.Errorf("-settle: %s is negative", p.SettleTime)
 	case p.Time < 4*time.Second:
@@ -52,19 +56,42 @@
 	case p.Kind != Member && p.Kind != Edge:
 		return fmt.Errorf("-kind: %q is neither %s nor %s", p.Kind, Member, Edge)
 	case p.Portion < 1 || uint64(p.Portion)*nodeFiles > m.Files:
-		return fmt.Errorf("-share: %d nodes to a process want %d descriptors, %d may be open; %d would fit", p.Portion, p.Portion*nodeFiles, m.Files, m.Files/nodeFiles)
+		return fmt.Errorf(
+			"-share: %d nodes to a process want %d descriptors, %d may be open; %d would fit",
+			p.Portion,
+			p.Portion*nodeFiles,
+			m.Files,
+			m.Files/nodeFiles,
+		)
 	case p.processes() > maxProcesses:
-		return fmt.Errorf("-nodes: %d processes, at most %d; -share %d would fit", p.processes(), maxProcesses, (p.Nodes+maxProcesses/2-1)/(maxProcesses/2))
+		return fmt.Errorf(
+			"-nodes: %d processes, at most %d; -share %d would fit",
+			p.processes(),
+			maxProcesses,
+			(p.Nodes+maxProcesses/2-1)/(maxProcesses/2),
+		)
 	}
 	if need := p.memory(); need > m.Memory/2 {
 		q := *p
 		for q.Nodes > least && q.memory() > m.Memory/2 {
 			q.Nodes--
 		}
-		return fmt.Errorf("-nodes: %d nodes want %d MiB, half of the machine's memory is %d MiB; %d would fit", p.Nodes, need>>20, m.Memory>>21, q.Nodes)
+		return fmt.Errorf(
+			"-nodes: %d nodes want %d MiB, half of the machine's memory is %d MiB; %d would fit",
+			p.Nodes,
+			need>>20,
+			m.Memory>>21,
+			q.Nodes,
+		)
 	}
 	if uint64(p.Runners)*4 > m.Files {
-		return fmt.Errorf("-runners: %d want %d descriptors, %d may be open; %d would fit", p.Runners, p.Runners*4, m.Files, m.Files/4)
+		return fmt.Errorf(
+			"-runners: %d want %d descriptors, %d may be open; %d would fit",
+			p.Runners,
+			p.Runners*4,
+			m.Files,
+			m.Files/4,
+		)
 	}
 	return nil
 }
@@ -81,7 +108,15 @@
 		node = edgeBytes
 	}
 	h := uint64(p.hollows())
-	return uint64(core3store3+p.Edges)*realBytes + (h+uint64(p.Portion)-1)/uint64(p.Portion)*hollowBytes + h*node + h*uint64(p.Nodes)*pairBytes + uint64(p.Runners)*runnerBytes
+	return uint64(
+		core3store3+p.Edges,
+	)*realBytes + (h+uint64(p.Portion)-1)/uint64(
+		p.Portion,
+	)*hollowBytes + h*node + h*uint64(
+		p.Nodes,
+	)*pairBytes + uint64(
+		p.Runners,
+	)*runnerBytes
 }
 
 // spec writes the first spec.
@@ -94,7 +129,15 @@
 	}
 	s.Routes[0].Model = true
 	for i := range p.Runners {
-		s.Runners = append(s.Runners, spec.Runner{Name: fmt.Sprintf("r%04d", i), Addr: fmt.Sprintf("127.20.%d.%d:9000", 100+i/200, 1+i%200), Zone: s.Zones[i%3], Route: s.Routes[i%p.Routes].Name})
+		s.Runners = append(
+			s.Runners,
+			spec.Runner{
+				Name:  fmt.Sprintf("r%04d", i),
+				Addr:  fmt.Sprintf("127.20.%d.%d:9000", 100+i/200, 1+i%200),
+				Zone:  s.Zones[i%3],
+				Route: s.Routes[i%p.Routes].Name,
+			},
+		)
 	}
 	for i := range p.Tenants {
 		s.Budgets = append(s.Budgets, spec.Budget{Programs: fmt.Sprintf("tenant%03d", i), Output: 2000})
--- a/internal/kit/scale/scale.go
+++ b/internal/kit/scale/scale.go
@@ -65,7 +65,11 @@
 		return report{}, err
 	}
 	if !c.out.Scan() {
-		return report{}, fmt.Errorf("hollow process %d ended: %w", c.cmd.Process.Pid, errors.Join(c.out.Err(), io.ErrUnexpectedEOF))
+		return report{}, fmt.Errorf(
+			"hollow process %d ended: %w",
+			c.cmd.Process.Pid,
+			errors.Join(c.out.Err(), io.ErrUnexpectedEOF),
+		)
 	}
 	var w report
 	if err := json.Unmarshal(c.out.Bytes(), &w); err != nil {
@@ -122,8 +126,21 @@
 		}
 		defer func() { err = errors.Join(err, r.keep.Close()) }()
 	}
-	r.row("# nodes %d (real: 3 cores, 3 stores, %d edges; hollow: %d %ss, %d to a process), runners %d, routes %d, tenants %d, changes %d/h, failures %d/h, time %s, seed %d",
-		p.Nodes, p.Edges, p.hollows(), p.Kind, p.Portion, p.Runners, p.Routes, p.Tenants, p.Changes, p.Failures, p.Time, p.Seed)
+	r.row(
+		"# nodes %d (real: 3 cores, 3 stores, %d edges; hollow: %d %ss, %d to a process), runners %d, routes %d, tenants %d, changes %d/h, failures %d/h, time %s, seed %d",
+		p.Nodes,
+		p.Edges,
+		p.hollows(),
+		p.Kind,
+		p.Portion,
+		p.Runners,
+		p.Routes,
+		p.Tenants,
+		p.Changes,
+		p.Failures,
+		p.Time,
+		p.Seed,
+	)
 	r.say("spec.size", float64(size), "B")
 	r.load("start")
 	defer r.load("end")
@@ -188,7 +205,14 @@
 	var all []position
 	for i := range r.hollows() {
 		z := []string{"a", "b", "c"}[i%3]
-		all = append(all, position{ID: fmt.Sprintf("h%04d", i), Zone: z, Addr: fmt.Sprintf("127.%d.%d.%d:7100", r.f.P.Net, 10+i/200, 1+i%200)})
+		all = append(
+			all,
+			position{
+				ID:   fmt.Sprintf("h%04d", i),
+				Zone: z,
+				Addr: fmt.Sprintf("127.%d.%d.%d:7100", r.f.P.Net, 10+i/200, 1+i%200),
+			},
+		)
 	}
 	at := time.Now()
 	for _, m := range r.f.Machines {
@@ -216,7 +240,14 @@
 			return nil
 		}
 		if time.Since(at) > most {
-			return fmt.Errorf("after %s %d of %d hollow nodes are members, %d know all %d nodes", most, j, r.hollows(), w, r.Nodes)
+			return fmt.Errorf(
+				"after %s %d of %d hollow nodes are members, %d know all %d nodes",
+				most,
+				j,
+				r.hollows(),
+				w,
+				r.Nodes,
+			)
 		}
 		if !loop.Wait(ctx, 200*time.Millisecond) {
 			return ctx.Err()
@@ -331,7 +362,12 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("at the end %d of %d hollow nodes know all nodes (logs in %s)", w, r.hollows(), strings.TrimSuffix(r.Dir, "/"))
+			return fmt.Errorf(
+				"at the end %d of %d hollow nodes know all nodes (logs in %s)",
+				w,
+				r.hollows(),
+				strings.TrimSuffix(r.Dir, "/"),
+			)
 		}
 		if !loop.Wait(ctx, 200*time.Millisecond) {
 			return ctx.Err()
--- a/internal/kit/scale/scale_test.go
+++ b/internal/kit/scale/scale_test.go
@@ -97,7 +97,8 @@
 		t.Fatal(err)
 	}
 	l := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(l) != 3 || !strings.Contains(l[0], "no order dance") || !strings.Contains(l[1], "no node h1") || strings.Contains(l[2], "problem") {
+	if len(l) != 3 || !strings.Contains(l[0], "no order dance") || !strings.Contains(l[1], "no node h1") ||
+		strings.Contains(l[2], "problem") {
 		t.Errorf("%q", l)
 	}
 }
--- a/internal/kit/scale/wire_test.go
+++ b/internal/kit/scale/wire_test.go
@@ -14,8 +14,15 @@
 func TestWireSizes(t *testing.T) {
 	const n = 1000
 	member := func(i int) *wire.Member {
-		return &wire.Member{Id: fmt.Sprintf("edge-%04d", i), Role: "edge", Addr: fmt.Sprintf("10.20.%d.%d:7100", i/200, 100+i%100), Http: fmt.Sprintf("10.20.%d.%d:7200", i/200, 100+i%100),
-			Zone: "region-a1", Inc: 1 << 56, Live: true}
+		return &wire.Member{
+			Id:   fmt.Sprintf("edge-%04d", i),
+			Role: "edge",
+			Addr: fmt.Sprintf("10.20.%d.%d:7100", i/200, 100+i%100),
+			Http: fmt.Sprintf("10.20.%d.%d:7200", i/200, 100+i%100),
+			Zone: "region-a1",
+			Inc:  1 << 56,
+			Live: true,
+		}
 	}
 	target := func(i int) *wire.Member {
 		m := member(i)
@@ -58,7 +65,10 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			a := &wire.LoadReportAck{}
 			for i := range n {
-				a.Others = append(a.Others, &wire.Busy{Runner: fmt.Sprintf("model-%02d-runner-%04d", i%34, i), Jobs: 112, Tokens: 1 << 20})
+				a.Others = append(
+					a.Others,
+					&wire.Busy{Runner: fmt.Sprintf("model-%02d-runner-%04d", i%34, i), Jobs: 112, Tokens: 1 << 20},
+				)
 			}
 			for b.Loop() {
 				wire.MustEncode(a)
--- a/internal/kit/sim/audit.go
+++ b/internal/kit/sim/audit.go
@@ -68,7 +68,10 @@
 		stop()
 		total, _ := s.Spec.Output(p)
 		if all := w.All(); err != nil || all < n || all > total {
-			v[checker.Budget] = append(v[checker.Budget], fmt.Sprintf("%s was given %d of %d, its budget says %d, %v", p, n, total, all, err))
+			v[checker.Budget] = append(
+				v[checker.Budget],
+				fmt.Sprintf("%s was given %d of %d, its budget says %d, %v", p, n, total, all, err),
+			)
 		}
 	}
 	var now struct {
@@ -85,7 +88,13 @@
 
 // Judge reads the ledgers.
 func (s *Sim) Judge() (checker.Verdict, *checker.Case) {
-	c := &checker.Case{Spec: &s.Spec, Asks: s.Crowd.Log(), Runs: checker.Runs(s.Runners), Most: s.Crowd.Most, Audit: s.audit}
+	c := &checker.Case{
+		Spec:  &s.Spec,
+		Asks:  s.Crowd.Log(),
+		Runs:  checker.Runs(s.Runners),
+		Most:  s.Crowd.Most,
+		Audit: s.audit,
+	}
 	s.mu.Lock()
 	c.Events = append(c.Events, s.events...)
 	c.Samples = append(c.Samples, s.samples...)
