--- a/cmd/damsontiller-control/operator.go
+++ b/cmd/damsontiller-control/operator.go
@@ -3,13 +3,16 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
 	"net/http"
 	"net/url"
 	"os"
+	"slices"
 	"strings"
+	"syscall"
 	"time"
 
 	"damsontiller/internal/coordination/web"
@@ -17,33 +20,97 @@
 	"damsontiller/internal/transport/code"
 )
 
+// maxResponse bounds the bytes read of a response.
+const maxResponse = 4 << 20
+
+// options are the flags of the operator's subcommands.
+type options struct {
+	cores   []string // HTTP addresses of core machines; the first that answers is asked
+	edge    string   // HTTP address of any edge
+	file    string   // to send; - is standard input
+	expect  uint64   // version that is to be replaced; 0: none is named
+	replace string   // machine whose place in the set is taken; empty: none
+	force   bool     // empty a zone even if nothing is left to serve a route
+	percent int      // of all programs that a policy applies to
+	wait    time.Duration
+}
+
+// command is one subcommand: its words, and how many arguments follow them.
+type command struct {
+	words string
+	args  int
+	run   func(o *options, args []string) error
+}
+
+// commands are the subcommands that ask a core machine or an edge.
+var commands = []command{
+	{"spec get", 0, get("/v1/spec")},
+	{"spec put", 0, putSpec},
+	{"spec patch", 0, patchSpec},
+	{"spec version", 1, getVersion},
+	{"spec explain", 0, get("/v1/explain")},
+	{"policy list", 0, get("/v1/policies")},
+	{"policy off", 0, policyOff},
+	{"policy drop", 1, policyDrop},
+	{"policy live", 1, policyLive},
+	{"policy put", 1, policyPut},
+	{"policy approve", 1, policyApprove},
+	{"trace", 1, getTrace},
+	{"zone empty", 1, changeZone("empty")},
+	{"zone refill", 1, changeZone("refill")},
+	{"store admit", 1, changeSet("stores", "admit")},
+	{"store retire", 1, changeSet("stores", "retire")},
+	{"store abandon", 0, changeSet("stores", "abandon")},
+	{"core admit", 1, changeSet("cores", "admit")},
+	{"core retire", 1, changeSet("cores", "retire")},
+	{"core abandon", 0, changeSet("cores", "abandon")},
+	{"sets", 0, get("/v1/sets")},
+	{"members", 0, get("/v1/members")},
+	{"health", 0, get("/v1/health")},
+}
+
 // operate runs an operator's subcommand against a core machine.
 func operate(args []string) error {
+	o, words, err := parseOptions(args)
+	if err != nil {
+		return err
+	}
+	for _, c := range commands {
+		name := strings.Fields(c.words)
+		if len(words) != len(name)+c.args || !slices.Equal(words[:len(name)], name) {
+			continue
+		}
+		return c.run(o, words[len(name):])
+	}
+	return code.New(code.BadFlag, "%q is no subcommand\n%s", strings.Join(words, " "), usage)
+}
+
+// parseOptions separates the flags from the other arguments, which may stand before and
+// after them.
+func parseOptions(args []string) (o *options, words []string, err error) {
+	o = &options{}
 	fs := flag.NewFlagSet("damsontiller-control "+args[0], flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
-	at := fs.String(
+	cores := fs.String(
 		"core",
 		"127.0.0.1:7200",
 		"HTTP addresses of core machines, with commas between; the first that answers is asked",
 	)
-	file := fs.String("file", "-", "file to send; - is standard input")
-	expect := fs.Uint64("expect", 0, "version that is to be replaced")
-	member := fs.String("for", "", "admit: the machine whose place it takes")
-	force := fs.Bool("force", false, "zone empty: even if nothing is left to serve a route")
-	percent := fs.Int("share", 100, "policy live: percent of all programs that it applies to")
-	edge := fs.String("edge", "127.0.0.1:7200", "trace: HTTP address of any edge")
-	wait := fs.Duration("wait", 10*time.Second, "how long to wait for the answer")
-	// Words may stand before and after flags.
-	var words []string
-	rest := args
-	for {
+	fs.StringVar(&o.file, "file", "-", "file to send; - is standard input")
+	fs.Uint64Var(&o.expect, "expect", 0, "version that is to be replaced")
+	fs.StringVar(&o.replace, "for", "", "admit: the machine whose place it takes")
+	fs.BoolVar(&o.force, "force", false, "zone empty: even if nothing is left to serve a route")
+	fs.IntVar(&o.percent, "share", 100, "policy live: percent of all programs that it applies to")
+	fs.StringVar(&o.edge, "edge", "127.0.0.1:7200", "trace: HTTP address of any edge")
+	fs.DurationVar(&o.wait, "wait", 10*time.Second, "how long to wait for the answer")
+	for rest := args; ; {
 		if err := fs.Parse(rest); err != nil {
-			if err == flag.ErrHelp {
+			if errors.Is(err, flag.ErrHelp) {
 				fs.SetOutput(os.Stdout)
 				fs.Usage()
-				return err
+				return nil, nil, err
 			}
-			return code.New(code.BadFlag, "%w", err)
+			return nil, nil, code.New(code.BadFlag, "%w", err)
 		}
 		if fs.NArg() == 0 {
 			break
@@ -51,84 +118,153 @@
 		words = append(words, fs.Arg(0))
 		rest = fs.Args()[1:]
 	}
-	for _, a := range append(strings.Split(*at, ","), *edge) {
+	o.cores = strings.Split(*cores, ",")
+	for _, a := range append(slices.Clone(o.cores), o.edge) {
 		if err := spec.Addr(a); err != nil {
-			return code.New(code.BadFlag, "-core or -edge: %w", err)
+			return nil, nil, code.New(code.BadFlag, "-core or -edge: %w", err)
 		}
 	}
-	ask := func(method, path string, body []byte) error {
-		return askAt(strings.Split(*at, ","), *wait, method, path, body)
+	return o, words, nil
+}
+
+// ask sends a request to the first core machine that answers.
+func (o *options) ask(method, path string, body []byte) error {
+	return askAt(o.cores, o.wait, method, path, body)
+}
+
+// get is a subcommand that reads a path.
+func get(path string) func(*options, []string) error {
+	return func(o *options, _ []string) error { return o.ask(http.MethodGet, path, nil) }
+}
+
+func getVersion(o *options, args []string) error {
+	return o.ask(http.MethodGet, "/v1/spec/versions/"+args[0], nil)
+}
+
+func getTrace(o *options, args []string) error {
+	return askAt([]string{o.edge}, o.wait, http.MethodGet, "/v1/trace/"+url.PathEscape(args[0]), nil)
+}
+
+func putSpec(o *options, _ []string) error {
+	b, err := input(o.file)
+	if err != nil {
+		return err
+	}
+	if o.expect == 0 {
+		return code.New(code.BadFlag, "-expect: the version to be replaced is missing (see spec get)")
 	}
-	switch cmd := strings.Join(words, " "); {
-	case cmd == "spec get":
-		return ask(http.MethodGet, "/v1/spec", nil)
-	case cmd == "spec put", cmd == "spec patch":
-		b, err := input(*file)
-		if err != nil {
-			return err
-		}
-		if words[1] == "patch" {
-			var p spec.Patch
-			if err := spec.Read(b, &p); err != nil {
-				return err
-			}
-			if *expect != 0 {
-				p.Expect = *expect
-			}
-			if b, err = p.MarshalJSON(); err != nil {
-				return err
-			}
-			return ask(http.MethodPatch, "/v1/spec", b)
-		}
-		if *expect == 0 {
-			return code.New(code.BadFlag, "-expect: the version to be replaced is missing (see spec get)")
-		}
-		var s spec.Spec
-		if err := spec.Read(b, &s); err != nil {
-			return err
-		}
-		if b, err = (spec.Put{Expect: *expect, Spec: s}).MarshalJSON(); err != nil {
+	var s spec.Spec
+	if err := spec.Read(b, &s); err != nil {
+		return err
+	}
+	if b, err = (spec.Put{Expect: o.expect, Spec: s}).MarshalJSON(); err != nil {
+		return err
+	}
+	return o.ask(http.MethodPut, "/v1/spec", b)
+}
+
+func patchSpec(o *options, _ []string) error {
+	b, err := input(o.file)
+	if err != nil {
+		return err
+	}
+	var p spec.Patch
+	if err := spec.Read(b, &p); err != nil {
+		return err
+	}
+	if o.expect != 0 {
+		p.Expect = o.expect
+	}
+	if b, err = p.MarshalJSON(); err != nil {
+		return err
+	}
+	return o.ask(http.MethodPatch, "/v1/spec", b)
+}
+
+// changeZone is a subcommand that empties or refills a zone.
+func changeZone(action string) func(*options, []string) error {
+	return func(o *options, args []string) error {
+		if err := checkName(args[0]); err != nil {
 			return err
 		}
-		return ask(http.MethodPut, "/v1/spec", b)
-	case len(words) == 3 && words[0] == "spec" && words[1] == "version":
-		return ask(http.MethodGet, "/v1/spec/versions/"+words[2], nil)
-	case cmd == "spec explain":
-		return ask(http.MethodGet, "/v1/explain", nil)
-	case len(words) == 2 && words[0] == "trace":
-		return askAt([]string{*edge}, *wait, http.MethodGet, "/v1/trace/"+url.PathEscape(words[1]), nil)
-	case len(words) > 1 && words[0] == "policy":
-		return policy(words[1:], *file, *percent, ask)
-	case len(words) == 3 && words[0] == "zone" && (words[1] == "empty" || words[1] == "refill") && spec.Name(words[2]):
 		var b []byte
-		if *force {
+		if o.force {
 			b = []byte(`{"force":true}`)
 		}
-		return ask(http.MethodPost, "/v1/zones/"+words[2]+"/"+words[1], b)
-	case len(words) >= 2 && (words[0] == "store" || words[0] == "core") && len(words) <= 3:
-		o := map[string]string{}
-		switch {
-		case len(words) == 3 && (words[1] == "admit" || words[1] == "retire") && spec.Name(words[2]):
-			o["id"] = words[2]
-			if *member != "" {
-				o["for"] = *member
+		return o.ask(http.MethodPost, "/v1/zones/"+args[0]+"/"+action, b)
+	}
+}
+
+// changeSet is a subcommand that changes the set of cores or of stores.
+func changeSet(set, action string) func(*options, []string) error {
+	return func(o *options, args []string) error {
+		order := map[string]string{}
+		if len(args) > 0 {
+			if err := checkName(args[0]); err != nil {
+				return err
+			}
+			order["id"] = args[0]
+			if o.replace != "" {
+				order["for"] = o.replace
 			}
-		case len(words) == 2 && words[1] == "abandon":
-		default:
-			return code.New(code.BadFlag, "%q is no subcommand\n%s", cmd, usage)
 		}
-		b, err := json.Marshal(o)
+		b, err := json.Marshal(order)
 		if err != nil {
 			return err
 		}
-		return ask(http.MethodPost, "/v1/sets/"+words[0]+"s/"+words[1], b)
-	case cmd == "members", cmd == "health", cmd == "sets":
-		return ask(http.MethodGet, "/v1/"+cmd, nil)
-	default:
-		return code.New(code.BadFlag, "%q is no subcommand\n%s", cmd, usage)
+		return o.ask(http.MethodPost, "/v1/sets/"+set+"/"+action, b)
+	}
+}
+
+func policyOff(o *options, _ []string) error {
+	return o.ask(http.MethodPost, "/v1/policies/off", nil)
+}
+
+func policyDrop(o *options, args []string) error {
+	if err := checkName(args[0]); err != nil {
+		return err
+	}
+	return o.ask(http.MethodDelete, "/v1/policies/"+args[0], nil)
+}
+
+func policyLive(o *options, args []string) error {
+	if err := checkName(args[0]); err != nil {
+		return err
+	}
+	b, err := spec.Live{Policy: args[0], Share: o.percent}.MarshalJSON()
+	if err != nil {
+		return err
 	}
+	return o.ask(http.MethodPost, "/v1/policies/live", b)
 }
 
+func policyPut(o *options, args []string) error {
+	return sendPolicy(o, http.MethodPut, args[0], "")
+}
+
+func policyApprove(o *options, args []string) error {
+	return sendPolicy(o, http.MethodPost, args[0], "/approve")
+}
+
+func sendPolicy(o *options, method, name, action string) error {
+	if err := checkName(name); err != nil {
+		return err
+	}
+	b, err := input(o.file)
+	if err != nil {
+		return err
+	}
+	return o.ask(method, "/v1/policies/"+name+action, b)
+}
+
+func checkName(name string) error {
+	if !spec.Name(name) {
+		return code.New(code.BadFlag, "%q is not a name", name)
+	}
+	return nil
+}
+
+// input reads a file, or standard input.
 func input(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(io.LimitReader(os.Stdin, spec.MaxBytes+1))
@@ -140,76 +276,56 @@
 	return b, nil
 }
 
-// policy runs the subcommands about policy programs.
-func policy(words []string, file string, percent int, ask func(method, path string, body []byte) error) error {
-	switch {
-	case len(words) == 1 && words[0] == "list":
-		return ask(http.MethodGet, "/v1/policies", nil)
-	case len(words) == 1 && words[0] == "off":
-		return ask(http.MethodPost, "/v1/policies/off", nil)
-	case len(words) == 2 && !spec.Name(words[1]):
-		return code.New(code.BadFlag, "%q is not a name", words[1])
-	case len(words) == 2 && words[0] == "drop":
-		return ask(http.MethodDelete, "/v1/policies/"+words[1], nil)
-	case len(words) == 2 && words[0] == "live":
-		b, err := spec.Live{Policy: words[1], Share: percent}.MarshalJSON()
+// askAt sends a request to the first address that answers, and prints the answer. The
+// number of a failure that it reports becomes the error's.
+func askAt(addrs []string, wait time.Duration, method, path string, body []byte) error {
+	client := &http.Client{Timeout: wait}
+	var last error
+	for _, addr := range addrs {
+		request, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
-		return ask(http.MethodPost, "/v1/policies/live", b)
-	case len(words) == 2 && (words[0] == "put" || words[0] == "approve"):
-		b, err := input(file)
-		if err != nil {
-			return err
+		request.Header.Set("Content-Type", "application/json")
+		response, err := client.Do(request)
+		if err == nil {
+			return printResponse(response)
 		}
-		if words[0] == "approve" {
-			return ask(http.MethodPost, "/v1/policies/"+words[1]+"/approve", b)
+		last = err
+		// A change that may have arrived is not sent to a second machine.
+		if method != http.MethodGet && !errors.Is(err, syscall.ECONNREFUSED) {
+			return code.New(code.OutcomeUnknown, "the change may be in force, read the spec again: %w", err)
 		}
-		return ask(http.MethodPut, "/v1/policies/"+words[1], b)
 	}
-	return code.New(code.BadFlag, "%q is no subcommand of policy\n%s", strings.Join(words, " "), usage)
+	return code.New(code.CoreUnreachable, "no core machine answers: %w", last)
 }
 
-// askAt prints the answer; a failure's number becomes the error.
-func askAt(at []string, wait time.Duration, method, path string, body []byte) error {
-	web1 := &http.Client{Timeout: wait}
-	var last error
-	for _, a := range at {
-		q, err := http.NewRequest(method, "http://"+a+path, bytes.NewReader(body))
-		if err != nil {
-			return err
-		}
-		q.Header.Set("Content-Type", "application/json")
-		r, err := web1.Do(q)
-		if err != nil {
-			last = err
-			// A change that may have arrived is not sent to a second machine.
-			if method != http.MethodGet && !strings.Contains(err.Error(), "connection refused") {
-				return code.New(code.OutcomeUnknown, "the change may be in force, read the spec again: %w", err)
-			}
-			continue
-		}
-		defer r.Body.Close()
-		b, err := io.ReadAll(io.LimitReader(r.Body, 4<<20))
-		if err != nil {
-			return code.New(code.OutcomeUnknown, "%w", err)
-		}
-		if r.StatusCode >= 300 {
-			var p web.Failure
-			if err := json.Unmarshal(b, &p); err != nil || p.Code == 0 {
-				return code.New(code.Unknown, "status %d", r.StatusCode)
-			}
-			if p.Version > 0 {
-				return code.New(code.Code(p.Code), "%s (version %d is in force)", p.Failure, p.Version)
-			}
-			return code.New(code.Code(p.Code), "%s", p.Failure)
-		}
-		var nice bytes.Buffer
-		if json.Indent(&nice, b, "", "  ") != nil {
-			nice.Write(b)
-		}
-		fmt.Println(strings.TrimSpace(nice.String()))
-		return nil
+// printResponse prints a response's JSON, or returns the failure that it carries.
+func printResponse(response *http.Response) error {
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
+	if err != nil {
+		return code.New(code.OutcomeUnknown, "%w", err)
 	}
-	return code.New(code.CoreUnreachable, "no core machine answers: %w", last)
+	if response.StatusCode >= http.StatusMultipleChoices {
+		return failureOf(response.StatusCode, body)
+	}
+	var indented bytes.Buffer
+	if json.Indent(&indented, body, "", "  ") != nil {
+		indented.Write(body)
+	}
+	fmt.Println(strings.TrimSpace(indented.String()))
+	return nil
+}
+
+// failureOf is the error that a response's body describes.
+func failureOf(status int, body []byte) error {
+	var failure web.Failure
+	if err := json.Unmarshal(body, &failure); err != nil || failure.Code == 0 {
+		return code.New(code.Unknown, "status %d", status)
+	}
+	if failure.Version > 0 {
+		return code.New(code.Code(failure.Code), "%s (version %d is in force)", failure.Failure, failure.Version)
+	}
+	return code.New(code.Code(failure.Code), "%s", failure.Failure)
 }
--- /dev/null
+++ b/cmd/damsontiller-control/operator_test.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"damsontiller/internal/transport/code"
+)
+
+// TestCommands: each subcommand sends its request, wherever its flags stand.
+func TestCommands(t *testing.T) {
+	policy := filepath.Join(t.TempDir(), "policy")
+	if err := os.WriteFile(policy, []byte(`{"rank":"1"}`), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	patch := filepath.Join(t.TempDir(), "patch")
+	if err := os.WriteFile(patch, []byte(`{"empty_zones":["b"]}`), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	tests := []struct{ args, want string }{
+		{"spec get", "GET /v1/spec "},
+		{"spec patch -file " + patch, `PATCH /v1/spec {"empty_zones":["b"]}`},
+		{"spec patch -expect 4 -file " + patch, `PATCH /v1/spec {"expect":4,"empty_zones":["b"]}`},
+		{"spec version 7", "GET /v1/spec/versions/7 "},
+		{"spec explain", "GET /v1/explain "},
+		{"policy list", "GET /v1/policies "},
+		{"policy off", "POST /v1/policies/off "},
+		{"policy drop p1", "DELETE /v1/policies/p1 "},
+		{"policy live p1 -share 20", `POST /v1/policies/live {"policy":"p1","share":20}`},
+		{"policy put p1 -file " + policy, `PUT /v1/policies/p1 {"rank":"1"}`},
+		{"policy approve p1 -file " + policy, `POST /v1/policies/p1/approve {"rank":"1"}`},
+		{"trace e1-x/1", "GET /v1/trace/e1-x%2F1 "},
+		{"zone empty b", "POST /v1/zones/b/empty "},
+		{"zone -force empty b", `POST /v1/zones/b/empty {"force":true}`},
+		{"zone refill b", "POST /v1/zones/b/refill "},
+		{"store admit s9", `POST /v1/sets/stores/admit {"id":"s9"}`},
+		{"core admit c9 -for c1", `POST /v1/sets/cores/admit {"for":"c1","id":"c9"}`},
+		{"store retire s1", `POST /v1/sets/stores/retire {"id":"s1"}`},
+		{"core abandon", "POST /v1/sets/cores/abandon {}"},
+		{"sets", "GET /v1/sets "},
+		{"members", "GET /v1/members "},
+		{"health", "GET /v1/health "},
+	}
+	for _, tc := range tests {
+		t.Run(tc.args, func(t *testing.T) {
+			got := ""
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				body, _ := io.ReadAll(r.Body)
+				got = r.Method + " " + r.URL.EscapedPath() + " " + string(body)
+				_, _ = w.Write([]byte("{}"))
+			}))
+			defer server.Close()
+			addr := strings.TrimPrefix(server.URL, "http://")
+			args := append(strings.Fields(tc.args), "-core", addr, "-edge", addr)
+			if err := operate(args); err != nil {
+				t.Fatal(err)
+			}
+			if got != tc.want {
+				t.Errorf("sent %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
+
+// TestBadCommands: what is no subcommand is refused, and nothing is sent.
+func TestBadCommands(t *testing.T) {
+	for _, args := range []string{
+		"spec", "spec drop", "spec get now", "policy", "policy put", "policy drop a/b", "zone empty",
+		"zone empty a/b", "store admit", "store abandon s1", "store admit a/b", "core", "members all",
+		"spec put -file /dev/null", "trace", "health -core nowhere",
+	} {
+		t.Run(args, func(t *testing.T) {
+			if err := operate(strings.Fields(args)); code.Of(err) != code.BadFlag {
+				t.Errorf("%v, want code %d", err, code.BadFlag)
+			}
+		})
+	}
+}
+
+// TestFailures: a failure's number and text reach the operator; a change that may have
+// arrived is not sent to a second machine.
+func TestFailures(t *testing.T) {
+	conflict := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusConflict)
+		_, _ = w.Write([]byte(`{"code":401,"name":"spec_conflict","problem":"expected 3","version":4}`))
+	}))
+	defer conflict.Close()
+	addr := strings.TrimPrefix(conflict.URL, "http://")
+	err := operate([]string{"members", "-core", addr})
+	if code.Of(err) != code.SpecConflict || !strings.Contains(err.Error(), "version 4") {
+		t.Errorf("%v", err)
+	}
+	asked := 0
+	closing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		asked++
+		panic(http.ErrAbortHandler)
+	}))
+	defer closing.Close()
+	addr = strings.TrimPrefix(closing.URL, "http://")
+	err = operate([]string{"zone", "empty", "b", "-core", addr + "," + addr})
+	if code.Of(err) != code.OutcomeUnknown || asked != 1 {
+		t.Errorf("%v after %d requests", err, asked)
+	}
+	err = operate([]string{"members", "-core", "127.0.0.1:1"})
+	if code.Of(err) != code.CoreUnreachable {
+		t.Errorf("%v", err)
+	}
+}
