--- a/cmd/damsontiller-faults/main.go
+++ b/cmd/damsontiller-faults/main.go
@@ -40,6 +40,23 @@
 	}
 }
 
+// options are the flags of the subcommands that run a fleet.
+type options struct {
+	deploy    string // deployment
+	deploySet bool   // it was named
+	deploys   string // folder of the deployments
+	bin       string // folder of the programs
+	dir       string // for data and logs
+	seed      uint64
+	seconds   int     // least time of traffic
+	scale     float64 // traffic, in times of the usual rate
+	scenario  string
+	net       int // second number of the loopback network; 0 finds a free one
+	day       *traffic.Day
+	record    *recorder // nil: the traffic is not recorded
+	level     string    // log level of the processes
+}
+
 func run(args []string) error {
 	if len(args) == 0 {
 		return fmt.Errorf("a subcommand is missing\n%s", usage)
@@ -49,104 +66,121 @@
 		return measure(args[1:])
 	case hollow:
 		return scale.Hollow(os.Stdin, os.Stdout)
+	case "list":
+		return list()
 	}
-	fs := flag.NewFlagSet("damsontiller-faults "+args[0], flag.ExitOnError)
-	deploy := fs.String("deploy", "andina", "deployment: andina or tsehay")
-	deploys := fs.String("deploys", "deploy", "folder of the deployments")
-	bin := fs.String("bin", "bin", "folder of damsontiller-control and damsontiller-data")
-	dir := fs.String("dir", "run", "folder for data and logs; its fleets are replaced")
-	seed := fs.Uint64("seed", 1, "seed of the callers and runners")
-	seconds := fs.Int("seconds", 0, "least time of traffic")
-	scale := fs.Float64("scale", 1, "traffic, in times of the usual rate")
-	name := fs.String("scenario", "healthy", "what is done meanwhile")
-	net := fs.Int("net", 0, "second number of the loopback network; 0 finds a free one")
-	dayFile := fs.String("day", "", "run: replay this day file in place of the seeded callers")
-	record := fs.String("record", "", "run: write the run's traffic to this day file, gzipped")
-	level := fs.String("log", "info", "log level of the processes")
-	if err := fs.Parse(args[1:]); err != nil {
+	o, err := parseOptions(args)
+	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	params := func(deploy, what string, seed uint64) harness.Params {
-		d := filepath.Join(*dir, deploy+"-"+what)
-		return harness.Params{
-			Fleet: fleet.Params{
-				Deploy: filepath.Join(*deploys, deploy),
-				Bin:    *bin,
-				Dir:    d,
-				Seed:   seed,
-				Net:    *net,
-				Log:    *level,
-			},
-			Seconds: *seconds,
-			Scale:   *scale,
-			Out:     os.Stdout,
-		}
-	}
-	var theDay *traffic.Day
-	if *dayFile != "" {
-		f, err := os.Open(*dayFile)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		if theDay, err = traffic.Read(f); err != nil {
-			return err
-		}
-	}
-	rec := &recorder{file: *record}
-	one := func(deploy, what string, seed uint64, out io.Writer) (*harness.Result, error) {
-		s, err := harness.Find(what)
-		if err != nil {
-			return nil, err
-		}
-		p := params(deploy, what, seed)
-		p.Out, p.Day = out, theDay
-		if *record != "" {
-			p.Record = rec
-		}
-		if err := os.RemoveAll(p.Fleet.Dir); err != nil {
-			return nil, err
-		}
-		return harness.Run(ctx, p, s)
-	}
 	switch args[0] {
-	case "list":
-		for _, s := range harness.Scenarios {
-			fmt.Printf("%-12s %s\n", s.Name, s.What)
-		}
-		return nil
 	case "up":
-		return up(ctx, params(*deploy, "up", *seed))
+		return up(ctx, o.params(o.deploy, "up", os.Stdout))
 	case "ci":
-		*name = "ci"
-		fallthrough
+		o.scenario = "ci"
+		return runOne(ctx, o)
 	case "run":
-		res, err := one(*deploy, *name, *seed, os.Stdout)
-		if err != nil {
-			return err
-		}
-		if err := rec.Close(); err != nil {
-			return err
-		}
-		report(res)
-		if n := res.Verdict.Total(); n > 0 {
-			return fmt.Errorf("%d breaches", n)
-		}
-		return nil
+		return runOne(ctx, o)
 	case "all":
-		list := []string{"andina", "tsehay"}
-		fs.Visit(func(f *flag.Flag) {
-			if f.Name == "deploy" {
-				list = []string{*deploy}
-			}
-		})
-		return all(one, list, *seed)
+		return runAll(ctx, o)
 	}
 	return fmt.Errorf("%q is no subcommand\n%s", args[0], usage)
 }
 
+func parseOptions(args []string) (*options, error) {
+	o := &options{}
+	fs := flag.NewFlagSet("damsontiller-faults "+args[0], flag.ExitOnError)
+	fs.StringVar(&o.deploy, "deploy", "andina", "deployment: andina or tsehay")
+	fs.StringVar(&o.deploys, "deploys", "deploy", "folder of the deployments")
+	fs.StringVar(&o.bin, "bin", "bin", "folder of damsontiller-control and damsontiller-data")
+	fs.StringVar(&o.dir, "dir", "run", "folder for data and logs; its fleets are replaced")
+	fs.Uint64Var(&o.seed, "seed", 1, "seed of the callers and runners")
+	fs.IntVar(&o.seconds, "seconds", 0, "least time of traffic")
+	fs.Float64Var(&o.scale, "scale", 1, "traffic, in times of the usual rate")
+	fs.StringVar(&o.scenario, "scenario", "healthy", "what is done meanwhile")
+	fs.IntVar(&o.net, "net", 0, "second number of the loopback network; 0 finds a free one")
+	dayFile := fs.String("day", "", "run: replay this day file in place of the seeded callers")
+	record := fs.String("record", "", "run: write the run's traffic to this day file, gzipped")
+	fs.StringVar(&o.level, "log", "info", "log level of the processes")
+	if err := fs.Parse(args[1:]); err != nil {
+		return nil, err
+	}
+	fs.Visit(func(f *flag.Flag) { o.deploySet = o.deploySet || f.Name == "deploy" })
+	if *record != "" {
+		o.record = &recorder{file: *record}
+	}
+	if *dayFile == "" {
+		return o, nil
+	}
+	f, err := os.Open(*dayFile)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	o.day, err = traffic.Read(f)
+	return o, err
+}
+
+// params are those of a run on a deployment.
+func (o *options) params(deploy, what string, out io.Writer) harness.Params {
+	return harness.Params{
+		Fleet: fleet.Params{
+			Deploy: filepath.Join(o.deploys, deploy),
+			Bin:    o.bin,
+			Dir:    filepath.Join(o.dir, deploy+"-"+what),
+			Seed:   o.seed,
+			Net:    o.net,
+			Log:    o.level,
+		},
+		Seconds: o.seconds,
+		Scale:   o.scale,
+		Out:     out,
+	}
+}
+
+// play runs one scenario on a deployment.
+func (o *options) play(ctx context.Context, deploy, scenario string, out io.Writer) (*harness.Result, error) {
+	s, err := harness.Find(scenario)
+	if err != nil {
+		return nil, err
+	}
+	p := o.params(deploy, scenario, out)
+	p.Day = o.day
+	if o.record != nil {
+		p.Record = o.record
+	}
+	if err := os.RemoveAll(p.Fleet.Dir); err != nil {
+		return nil, err
+	}
+	return harness.Run(ctx, p, s)
+}
+
+func list() error {
+	for _, s := range harness.Scenarios {
+		fmt.Printf("%-12s %s\n", s.Name, s.What)
+	}
+	return nil
+}
+
+func runOne(ctx context.Context, o *options) error {
+	result, err := o.play(ctx, o.deploy, o.scenario, os.Stdout)
+	if err != nil {
+		return err
+	}
+	if o.record != nil {
+		if err := o.record.Close(); err != nil {
+			return err
+		}
+	}
+	report(result)
+	if n := result.Verdict.Total(); n > 0 {
+		return fmt.Errorf("%d violations", n)
+	}
+	return nil
+}
+
 // recorder is a gzipped file that is made when first written to.
 type recorder struct {
 	file string
@@ -190,25 +224,21 @@
 	return nil
 }
 
-func all(one func(string, string, uint64, io.Writer) (*harness.Result, error), deploys []string, seed uint64) error {
-	fmt.Printf(
-		"%-8s %-12s %5s %6s %6s %9s %12s  %s\n",
-		"deploy",
-		"scenario",
-		"seed",
-		"asks",
-		"ok",
-		"breaches",
-		"urgent late",
-		"service back after",
-	)
+// runAll runs every scenario, on both deployments or the one named, and prints a table.
+func runAll(ctx context.Context, o *options) error {
+	deploys := []string{"andina", "tsehay"}
+	if o.deploySet {
+		deploys = []string{o.deploy}
+	}
+	const header = "%-8s %-12s %5s %6s %6s %9s %12s  %s\n"
+	fmt.Printf(header, "deploy", "scenario", "seed", "asks", "ok", "violations", "urgent late", "service back after")
 	bad := 0
 	for _, d := range deploys {
 		for _, s := range harness.Scenarios {
-			res, err := one(d, s.Name, seed, io.Discard)
+			res, err := o.play(ctx, d, s.Name, io.Discard)
 			if err != nil {
 				bad++
-				fmt.Printf("%-8s %-12s %5d %v\n", d, s.Name, seed, err)
+				fmt.Printf("%-8s %-12s %5d %v\n", d, s.Name, o.seed, err)
 				continue
 			}
 			n := res.Verdict.Total()
@@ -217,7 +247,7 @@
 				"%-8s %-12s %5d %6d %6d %9d %5d of %-4d  %s\n",
 				d,
 				s.Name,
-				seed,
+				o.seed,
 				res.Asks,
 				res.Codes["ok"],
 				n,
@@ -231,7 +261,7 @@
 		}
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d breaches and failures", bad)
+		return fmt.Errorf("%d violations and failures", bad)
 	}
 	return nil
 }
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -58,6 +58,13 @@
 // RenewNow renews at once: something about this node has changed.
 func (h *Holder) RenewNow() { h.wakeup.Notify() }
 
+// grant is one core machine's answer to a renewal, or the failure in its place.
+type grant struct {
+	from register.Replica
+	ack  *wire.RenewAck
+	err  error
+}
+
 // Renew asks every core machine once; it tells whether a majority granted.
 func (h *Holder) Renew(ctx context.Context) bool {
 	v := h.cluster.Now()
@@ -68,67 +75,73 @@
 	}
 	// The holder counts from before it asked, the core from after it granted.
 	asked := time.Now()
-	self := h.peer.Member(v.Version)
+	grants := h.requestGrants(ctx, cores, v.Version)
+	granted, behind := map[register.Replica]bool{}, false
+	for range cores {
+		g := <-grants
+		if g.ack == nil {
+			// A core of newer sets grants nothing to one that goes by older ones.
+			behind = behind || code.Of(g.err) == code.StaleSpec
+			continue
+		}
+		granted[g.from] = true
+		behind = behind || g.ack.SpecVer > v.Version
+		if set.Quorum(granted) {
+			break
+		}
+	}
+	quorum := set.Quorum(granted)
+	if quorum {
+		h.mu.Lock()
+		h.renewedAt = asked
+		h.chooseRoster(cores, granted)
+		h.mu.Unlock()
+	}
+	if behind {
+		h.readNewerSpec(ctx)
+	}
+	return quorum
+}
+
+// requestGrants asks every core machine at once, confirming a version of the spec. The
+// channel has a place for each answer, and the calls go on once the caller has enough.
+func (h *Holder) requestGrants(ctx context.Context, cores []register.Replica, version uint64) <-chan grant {
+	self := h.peer.Member(version)
 	if h.Status != nil {
 		self.Status = h.Status()
 	}
-	cctx, stop := context.WithTimeout(ctx, h.params.Duration/2)
-	type answer struct {
-		r   register.Replica
-		a   *wire.RenewAck
-		err error
-	}
-	ch := make(chan answer, len(cores))
+	ctx, stop := context.WithTimeout(ctx, h.params.Duration/2)
+	grants := make(chan grant, len(cores))
 	var wg sync.WaitGroup
 	for _, c := range cores {
 		wg.Go(func() {
-			r, err := h.peer.Call(cctx, c.Addr, &wire.Req{Ident: c.Ident, Op: &wire.Req_Renew{Renew: h.newRequest(c, self)}})
+			r, err := h.peer.Call(ctx, c.Addr, &wire.Req{Ident: c.Ident, Op: &wire.Req_Renew{Renew: h.newRequest(c, self)}})
 			if err != nil {
 				h.overtake(err, r)
-				ch <- answer{c, nil, err}
+				grants <- grant{from: c, err: err}
 				return
 			}
 			// The slowest core's list is kept up as well, or all of it would come
 			// again each time.
 			h.updateRoster(c, r.GetRenew())
-			ch <- answer{c, r.GetRenew(), nil}
+			grants <- grant{from: c, ack: r.GetRenew()}
 		})
 	}
 	go func() {
 		wg.Wait()
 		stop()
 	}()
-	granted, behind := map[register.Replica]bool{}, false
-	for range cores {
-		a := <-ch
-		if a.a == nil {
-			// A core of newer sets grants nothing to one that goes by older ones.
-			behind = behind || code.Of(a.err) == code.StaleSpec
-			continue
-		}
-		granted[a.r] = true
-		behind = behind || a.a.SpecVer > v.Version
-		if set.Quorum(granted) {
-			break
-		}
-	}
-	quorum := set.Quorum(granted)
-	if quorum {
-		h.mu.Lock()
-		h.renewedAt = asked
-		h.chooseRoster(cores, granted)
-		h.mu.Unlock()
-	}
-	if behind {
-		// News should have come down the tree; a core that knows better sends
-		// us to the register itself.
-		rctx, rstop := context.WithTimeout(ctx, h.params.Duration/2)
-		defer rstop()
-		if err := h.cluster.Read(rctx); err != nil {
-			h.peer.Log.Warn("newer spec can't be read", "err", err)
-		}
+	return grants
+}
+
+// readNewerSpec reads the spec at the register itself. It should have come by broadcast;
+// a core machine that has a newer one shows that it did not.
+func (h *Holder) readNewerSpec(ctx context.Context) {
+	ctx, stop := context.WithTimeout(ctx, h.params.Duration/2)
+	defer stop()
+	if err := h.cluster.Read(ctx); err != nil {
+		h.peer.Log.Warn("newer spec can't be read", "err", err)
 	}
-	return quorum
 }
 
 // overtake raises the number of this start above one that a core machine knows of. Of
--- a/internal/dataplane/proxy/loadbalancer.go
+++ b/internal/dataplane/proxy/loadbalancer.go
@@ -52,14 +52,27 @@
 	warmingUp   bool
 }
 
-// Pick finds the runner for a job: the one that its key points to, in this
-// node's zone first, unless it is much busier than the rest; without a key the
-// least busy. Room tells whether the one found has a place free.
+// Pick selects the runner for a job: the one that its key points to, in this node's zone
+// first, unless it is loaded much more than the rest; without a key the least loaded.
+// hasCapacity tells whether the one selected can take another job at once.
 func (l *Load) Pick(a Selection) (r *endpoints.Runner, hasCapacity bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	cs, trial := l.candidates(a)
+	if trial != nil {
+		return trial, true
+	}
+	if c := l.choose(a, cs); c != nil {
+		return c.runner, c.utilization < 1
+	}
+	return nil, false
+}
+
+// candidates are the runners that the job may be sent to. Where one of them is on trial
+// after an ejection, and this job is to be it, that runner is given instead.
+func (l *Load) candidates(a Selection) (cs []candidate, trial *endpoints.Runner) {
 	now := time.Now()
-	var cs, doubtful, out []candidate
+	var suspected, ejected []candidate
 	for _, r := range a.List.Of(a.Service.Name) {
 		if r.Draining || !a.Allowed(r) {
 			continue
@@ -78,35 +91,40 @@
 		c.cost = (c.utilization+one)*l.Watch.Slow(r.ID) - one
 		switch l.Watch.Suspicion(r.ID, a.Repeatable) {
 		case outlier.Out:
-			// The trial of an ejected runner is best a job that holds nothing anywhere.
+			// The trial of an ejected runner is best a job that has nothing cached anywhere.
 			if c.utilization < 1 && !c.warmingUp && l.Watch.Trial(r.ID, a.Repeatable && a.PreviousRunner == "") {
-				return r, true
+				return nil, r
 			}
-			out = append(out, c)
+			ejected = append(ejected, c)
 		case outlier.Once:
 			// One failure is not worth to read a program's prompts anew.
 			if r.ID == a.PreviousRunner {
 				cs = append(cs, c)
 			} else {
-				doubtful = append(doubtful, c)
+				suspected = append(suspected, c)
 			}
 		case outlier.Often:
-			doubtful = append(doubtful, c)
+			suspected = append(suspected, c)
 		default:
 			cs = append(cs, c)
 		}
 	}
-	// Where this node doubts many, the fault is rather its own; and where nobody else
-	// has a place, a doubtful runner is better than none.
-	n, free := len(cs)+len(doubtful), slices.ContainsFunc(cs, func(c candidate) bool { return c.utilization < 1 })
-	if 10*len(doubtful) > 3*n && n > 3 || !free {
-		cs = append(cs, doubtful...)
+	// Where this node suspects many, the fault is rather its own; and where no other has
+	// capacity, a suspected runner is better than none.
+	n, free := len(cs)+len(suspected), slices.ContainsFunc(cs, func(c candidate) bool { return c.utilization < 1 })
+	if 10*len(suspected) > 3*n && n > 3 || !free {
+		cs = append(cs, suspected...)
 	}
 	if len(cs) == 0 {
-		cs = out
+		cs = ejected
 	}
+	return cs, nil
+}
+
+// choose finds the best of the candidates; nil where none may be sent the job.
+func (l *Load) choose(a Selection, cs []candidate) *candidate {
 	if len(cs) == 0 {
-		return nil, false
+		return nil
 	}
 	sum := 0.0
 	for _, c := range cs {
@@ -114,31 +132,29 @@
 	}
 	mean := sum / float64(len(cs))
 	bound := mean*spread + 1/float64(max(cs[0].runner.Capacity, 1))
-	kept := max(mean*affinityBonus, mean+affinityMargin)
+	affinityBound := max(mean*affinityBonus, mean+affinityMargin)
 	for i := range cs {
-		if c := &cs[i]; c.runner.ID == a.PreviousRunner && !c.warmingUp && c.cost <= kept && c.utilization < 1 {
-			return c.runner, true
+		c := &cs[i]
+		if c.runner.ID == a.PreviousRunner && !c.warmingUp && c.cost <= affinityBound && c.utilization < 1 {
+			return c
 		}
 	}
 	if a.Prefix != "" {
 		for _, home := range []bool{true, false} {
 			if c := l.byPrefix(a, cs, home, bound); c != nil {
-				return c.runner, c.utilization < 1
+				return c
 			}
 		}
 	}
 	if a.Key != "" {
 		// Own zone first: a prefix is not read twice, nor sent between zones.
 		for _, home := range []bool{true, false} {
-			if c := l.byAffinity(a, cs, home, kept); c != nil {
-				return c.runner, c.utilization < 1
+			if c := l.byAffinity(a, cs, home, affinityBound); c != nil {
+				return c
 			}
 		}
 	}
-	if c := l.leastLoaded(a, cs); c != nil {
-		return c.runner, c.utilization < 1
-	}
-	return nil, false
+	return l.leastLoaded(a, cs)
 }
 
 func (b *runnerLoad) utilization(r *endpoints.Runner, s *spec.Service) float64 {
--- a/internal/kit/proxytest/backend.go
+++ b/internal/kit/proxytest/backend.go
@@ -359,35 +359,20 @@
 		return false
 	}
 	try := q.Header.Get(p.Try)
-	f := p.Plan.take(false)
-	times := 1.0
-	if f == None {
-		f, times = b.lasting()
-	}
+	f, times := b.nextFault()
 	b.mu.Lock()
 	b.received[try]++
 	b.mu.Unlock()
 	a := answer{http.StatusOK, http.Header{}}
 	a.head.Set(p.Try, try)
-	no := func(status int) bool {
-		a.status = status
+	if b.rejects(&a, q.Header.Get(p.Target), f) {
 		a.head.Set(p.NotRun, "1")
 		a.complete(c, "not run")
 		return true
 	}
-	if to := q.Header.Get(p.Target); f == Other || to != "" && to != p.ID {
-		return no(http.StatusMisdirectedRequest)
-	}
-	switch f {
-	case Drop:
-		return no(http.StatusServiceUnavailable)
-	case RateLimit:
-		a.head.Set("Retry-After", "2")
-		return no(http.StatusTooManyRequests)
-	}
 	seal := Seal(p.ID, try)
-	b.mu.Lock()
 	run := Run{time.Now(), p.ID, try, q.Method, q.RequestURI, q.Host, q.Header, string(body), seal}
+	b.mu.Lock()
 	b.runs = append(b.runs, run)
 	b.mu.Unlock()
 	a.head.Set(p.Seal, seal)
@@ -400,41 +385,75 @@
 	if p.Answer != nil {
 		return p.Answer(c, q, run)
 	}
+	if ended, keep := b.spoil(c, br, &a, f); ended {
+		return keep
+	}
+	on := false
+	if p.Streams(q) {
+		on = b.stream(c, q, a, try, f, times)
+	} else {
+		on = b.complete(c, a, Complete(p.ID, try, p.Bytes), f)
+	}
+	if f == Surplus {
+		io.WriteString(c, "bytes of nobody")
+	}
+	return on && f != ShutIdle
+}
+
+// nextFault is the fault of the next job, planned or lasting, and how many times longer
+// it makes the work.
+func (b *Backend) nextFault() (Fault, float64) {
+	if f := b.P.Plan.take(false); f != None {
+		return f, 1
+	}
+	return b.lasting()
+}
+
+// rejects tells whether a job is not run, and sets the status that says so.
+func (b *Backend) rejects(a *answer, target string, f Fault) bool {
+	switch {
+	case f == Other || target != "" && target != b.P.ID:
+		a.status = http.StatusMisdirectedRequest
+	case f == Drop:
+		a.status = http.StatusServiceUnavailable
+	case f == RateLimit:
+		a.head.Set("Retry-After", "2")
+		a.status = http.StatusTooManyRequests
+	default:
+		return false
+	}
+	return true
+}
+
+// spoil brings about a fault that comes before the answer or in its place. It tells
+// whether the job has ended with that, and whether the connection is kept.
+func (b *Backend) spoil(c net.Conn, br *bufio.Reader, a *answer, f Fault) (ended, keep bool) {
 	switch f {
 	case LoseAnswer:
-		return false
+		return true, false
 	case NoAnswer:
 		io.WriteString(c, "\x15\x03 this is no answer\r\n\r\n")
-		return true
+		return true, true
 	case Slow:
 		// Nothing more is heard on this connection than its end.
 		_, _ = io.Copy(io.Discard, br)
-		return false
+		return true, false
 	case Own500, Bare503:
 		a.status = http.StatusInternalServerError
 		if f == Bare503 {
 			a.status = http.StatusServiceUnavailable
 		}
 		a.complete(c, "its own trouble")
-		return true
+		return true, true
 	case NoSeal:
-		a.head.Del(p.Seal)
+		a.head.Del(b.P.Seal)
 	case LateAnswer:
-		o := answer{http.StatusOK, http.Header{}}
-		o.head.Set(p.Try, "earlier")
-		o.head.Set(p.Seal, Seal(p.ID, "earlier"))
-		o.complete(c, "an answer to an earlier job")
+		earlier := answer{http.StatusOK, http.Header{}}
+		earlier.head.Set(b.P.Try, "earlier")
+		earlier.head.Set(b.P.Seal, Seal(b.P.ID, "earlier"))
+		earlier.complete(c, "an answer to an earlier job")
 	}
-	on := false
-	if p.Streams(q) {
-		on = b.stream(c, q, a, try, f, times)
-	} else {
-		on = b.complete(c, a, Complete(p.ID, try, p.Bytes), f)
-	}
-	if f == Surplus {
-		io.WriteString(c, "bytes of nobody")
-	}
-	return on && f != ShutIdle
+	return false, false
 }
 
 func (b *Backend) complete(c net.Conn, a answer, body string, f Fault) bool {
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -236,92 +236,129 @@
 		http.Error(w, "{}", http.StatusBadRequest)
 		return
 	}
-	now := time.Now()
-	e := Entry{Job: j.Job, Work: Work(j.Prompt), Program: j.Program, Arrived: now}
+	e := Entry{Job: j.Job, Work: Work(j.Prompt), Program: j.Program, Arrived: time.Now()}
 	r.mu.Lock()
-	var o Order
+	o, admitted := r.admit(&e, j.Incarnation)
+	if !admitted {
+		refuse := r.reject(w, &e, o)
+		r.mu.Unlock()
+		refuse()
+		return
+	}
+	work := r.begin(j, o)
+	r.mu.Unlock()
+	// A stand-in finishes its work whether or not its caller is still there.
+	t := time.NewTimer(work.takes)
+	<-t.C
+	ans, alive := r.finish(&e, j, work)
+	if alive {
+		respond(w, o, ans)
+	}
+}
+
+// admit decides what becomes of a job: the order that it is carried out under, or why it
+// is rejected. r.mu is held.
+func (r *Runner) admit(e *Entry, incarnation string) (o Order, admitted bool) {
 	full := r.inFlight >= r.bears()
 	e.Over, e.WarmingUp = full, r.P.Up && r.bears() < r.P.Bears
 	switch {
-	case j.Incarnation != "" && j.Incarnation != r.incarnation():
+	case incarnation != "" && incarnation != r.incarnation():
 		e.Other, e.Over = true, false
-		r.log = append(r.log, e)
-		r.mu.Unlock()
-		failure(w, http.StatusPreconditionFailed, "Other", "meant for another process", runnerapi.Other)
-		return
+		return "", false
 	case !r.drained.IsZero():
 		e.Left, e.Refused, e.Over = true, false, false
-		r.log = append(r.log, e)
-		r.mu.Unlock()
-		failure(w, http.StatusServiceUnavailable, "Draining", "going away", runnerapi.Draining)
-		return
-	case full, now.Before(r.shut):
+		return "", false
+	case full, e.Arrived.Before(r.shut):
 		o = Refuse
 	case len(r.orders) > 0:
 		o, r.orders = r.orders[0], r.orders[1:]
 	}
-	if o == Refuse || o == RefuseSecs || o == RefuseDate || o == Raise {
-		e.Refused, e.Wait = true, time.Second
-		r.refused++
-		r.strikes++
-		n := r.strikes
-		switch o {
-		case RefuseSecs:
-			e.Wait = 2 * time.Second
-			w.Header().Set("Retry-After", "2")
-		case RefuseDate:
-			// By a clock an hour wrong: only the difference to Date counts.
-			wrong := now.Add(time.Hour).Truncate(time.Second).UTC()
-			e.Wait = 3 * time.Second
-			w.Header().Set("Date", wrong.Format(http.TimeFormat))
-			w.Header().Set("Retry-After", wrong.Add(3*time.Second).Format(http.TimeFormat))
-		}
-		e.Answered = time.Now()
-		r.log = append(r.log, e)
-		r.mu.Unlock()
-		if o == Raise {
-			failure(w, http.StatusServiceUnavailable, "UpstreamError", raised[n%len(raised)], "")
-			return
+	return o, o != Refuse && o != RefuseSecs && o != RefuseDate && o != Raise
+}
+
+// reject logs a job that was not admitted, and gives what writes the answer. r.mu is
+// held.
+func (r *Runner) reject(w http.ResponseWriter, e *Entry, o Order) (write func()) {
+	switch {
+	case e.Other:
+		r.log = append(r.log, *e)
+		return func() {
+			failure(w, http.StatusPreconditionFailed, "Other", "meant for another process", runnerapi.Other)
 		}
-		failure(w, http.StatusTooManyRequests, "Busy", "later", "")
-		return
+	case e.Left:
+		r.log = append(r.log, *e)
+		return func() { failure(w, http.StatusServiceUnavailable, "Draining", "going away", runnerapi.Draining) }
+	}
+	e.Refused, e.Wait = true, time.Second
+	r.refused++
+	r.strikes++
+	message := raised[r.strikes%len(raised)]
+	switch o {
+	case RefuseSecs:
+		e.Wait = 2 * time.Second
+		w.Header().Set("Retry-After", "2")
+	case RefuseDate:
+		// By a clock an hour wrong: only the difference to Date counts.
+		wrong := e.Arrived.Add(time.Hour).Truncate(time.Second).UTC()
+		e.Wait = 3 * time.Second
+		w.Header().Set("Date", wrong.Format(http.TimeFormat))
+		w.Header().Set("Retry-After", wrong.Add(e.Wait).Format(http.TimeFormat))
+	}
+	e.Answered = time.Now()
+	r.log = append(r.log, *e)
+	if o == Raise {
+		return func() { failure(w, http.StatusServiceUnavailable, "UpstreamError", message, "") }
 	}
+	return func() { failure(w, http.StatusTooManyRequests, "Busy", "later", "") }
+}
+
+// execution is one job at work.
+type execution struct {
+	gen       int // start of the process that it belongs to
+	takes     time.Duration
+	output    int64
+	prefixHit bool
+}
+
+// begin counts a job in and draws what it takes and puts out. r.mu is held.
+func (r *Runner) begin(j runnerapi.Request, o Order) execution {
 	r.inFlight++
-	gen := r.gen
-	prefixHit := r.cached(j.Parts)
-	take := r.P.Take/2 + time.Duration(r.rnd.Int64N(int64(r.P.Take)))
-	if r.P.Model && !prefixHit {
-		take += r.P.Take / 2
+	x := execution{gen: r.gen, prefixHit: r.cached(j.Parts)}
+	x.takes = r.P.Take/2 + time.Duration(r.rnd.Int64N(int64(r.P.Take)))
+	if r.P.Model && !x.prefixHit {
+		x.takes += r.P.Take / 2
 	}
-	out := int64(0)
 	if r.P.Model {
-		out = 1 + r.rnd.Int64N(max(j.MaxOutput, 1))
+		x.output = 1 + r.rnd.Int64N(max(j.MaxOutput, 1))
 	}
-	r.mu.Unlock()
 	if o == Slow {
-		take += 2 * time.Second
-	}
-	// A stand-in finishes its work whether or not its caller is still there.
-	t := time.NewTimer(take)
-	<-t.C
-	e.Ran, e.Output = true, out
-	ans := runnerapi.Response{
-		Job:       j.Job,
-		Text:      fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)),
-		Output:    out,
-		PrefixHit: prefixHit,
+		x.takes += 2 * time.Second
 	}
+	return x
+}
+
+// finish logs a job that has ended and makes its answer. It tells whether the process is
+// still the one that began it: one that was killed leaves the work half done.
+func (r *Runner) finish(e *Entry, j runnerapi.Request, x execution) (ans runnerapi.Response, alive bool) {
 	r.mu.Lock()
-	if gen != r.gen {
-		// The process died with this work half done.
-		r.mu.Unlock()
-		return
+	defer r.mu.Unlock()
+	if x.gen != r.gen {
+		return ans, false
 	}
 	r.inFlight--
-	ans.Prefixes = append([]string(nil), r.prefixes...)
-	e.Answered = time.Now()
-	r.log = append(r.log, e)
-	r.mu.Unlock()
+	e.Ran, e.Output, e.Answered = true, x.output, time.Now()
+	r.log = append(r.log, *e)
+	return runnerapi.Response{
+		Job:       j.Job,
+		Text:      fmt.Sprintf("work:%s;history:%s;end", e.Work, Digest(j.History)),
+		Output:    x.output,
+		PrefixHit: x.prefixHit,
+		Prefixes:  slices.Clone(r.prefixes),
+	}, true
+}
+
+// respond writes a job's answer, spoiled as ordered.
+func respond(w http.ResponseWriter, o Order, ans runnerapi.Response) {
 	if o == Mix {
 		ans.Job = "someone-else"
 	}
@@ -336,15 +373,15 @@
 	b = bend(o, ans, b)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	if o == Truncate {
-		_, _ = w.Write(b[:len(b)/2])
-		if f, ok := w.(http.Flusher); ok {
-			f.Flush()
-		}
-		hijack(w)
+	if o != Truncate {
+		_, _ = w.Write(b)
 		return
 	}
-	_, _ = w.Write(b)
+	_, _ = w.Write(b[:len(b)/2])
+	if f, ok := w.(http.Flusher); ok {
+		f.Flush()
+	}
+	hijack(w)
 }
 
 // bend spoils a whole answer b as ordered.
