--- a/cmd/damsontiller-control/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -147,7 +147,7 @@
 	}
 	sig, stop := startup.Signals()
 	defer stop()
-	// The duties outlive the signal: an order under way still needs them. A core
+	// The background tasks outlive the signal: an order under way still needs them. A core
 	// that does not serve yet has none.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -55,7 +55,7 @@
 	log := p.Log("damsontiller-data")
 	sig, stop := startup.Signals()
 	defer stop()
-	// The duties outlive the signal: what is under way still needs them.
+	// The background tasks outlive the signal: what is under way still needs them.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	e := edge.New(ctx, edge.DefaultParams, p.Node("edge", "", log))
@@ -67,7 +67,7 @@
 	served := make(chan error, 1)
 	hctx, hstop := context.WithCancel(context.Background())
 	defer hstop()
-	// The door answers from the start, if only that the node is not ready.
+	// The ingress answers from the start, if only that the node is not ready.
 	go func() { served <- web.Serve(hctx, p.HTTP, x, grace) }()
 	jctx, jstop := context.WithCancel(ctx)
 	defer jstop()
--- a/cmd/damsontiller-data/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -42,7 +42,7 @@
 	log := p.Log("damsontiller-data")
 	sig, stop := startup.Signals()
 	defer stop()
-	// The duties outlive the signal: what is under way still needs them.
+	// The background tasks outlive the signal: what is under way still needs them.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ep := edge.DefaultParams
--- a/cmd/damsontiller-faults/main.go
+++ b/cmd/damsontiller-faults/main.go
@@ -1,4 +1,4 @@
-// Command damsontiller-faults is the rehearsal kit: it starts a whole fleet on loopback, has
+// Command damsontiller-faults is the rehearsal kit: it starts an entire fleet on loopback, has
 // stand-in callers use it, causes failures, and judges what it saw.
 package main
 
--- a/cmd/damsontiller-mutants/mutant.go
+++ b/cmd/damsontiller-mutants/mutant.go
@@ -21,7 +21,7 @@
 	Day       string `toml:"day"`     // the bench day that breaks, if one does
 }
 
-// load reads a list of mutants and checks that each is whole and named once.
+// load reads a list of mutants and checks that each is complete and named once.
 func load(path string) ([]Mutant, error) {
 	var list struct {
 		Mutants []Mutant `toml:"mutant"`
--- a/cmd/damsontiller-mutants/mutants_test.go
+++ b/cmd/damsontiller-mutants/mutants_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestLoad: a list that is not whole is refused, naming what is wrong.
+// TestLoad: a list that is not complete is refused, naming what is wrong.
 func TestLoad(t *testing.T) {
 	complete := "[[mutant]]\nname='a'\nmechanism='m'\nfile='f.go'\nold='x'\nnew='y'\npackage='./p'\ntest='T'\n"
 	for _, c := range []struct{ text, names string }{
--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -45,7 +45,7 @@
 	PartnerLifetime: 16,
 }
 
-// Broadcaster is what a node has heard.
+// Broadcaster is what a node has received.
 type Broadcaster struct {
 	params   Params
 	peer     *peer.Peer
@@ -60,7 +60,7 @@
 	ticks    int
 }
 
-// New makes a board and answers News and Digest calls on pr.
+// New makes a broadcaster and answers News and Digest calls on pr.
 func New(params Params, pr *peer.Peer, members func() []*wire.Member) *Broadcaster {
 	broadcaster := &Broadcaster{
 		params:   params,
@@ -118,7 +118,7 @@
 	return all
 }
 
-// Head finds the item last heard.
+// Head finds the item last received.
 func (broadcaster *Broadcaster) Head(topic, key string) *wire.Item {
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
@@ -264,7 +264,7 @@
 	return at[broadcaster.partners[rand.IntN(len(broadcaster.partners))]]
 }
 
-// repair makes this board and a peer's alike. What it says grows with what differs,
+// repair makes this broadcaster and a peer's alike. What it says grows with what differs,
 // not with what there is: first the sum of all heads, then, if it differs, the sums
 // of buckets, then the heads in those buckets.
 func (broadcaster *Broadcaster) repair(ctx context.Context, addr string) {
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestRelayDies: with relays gone or hanging, all others hear within half a
+// TestRelayDies: with relays departed or hanging, all others hear within half a
 // second, and a hanging one hears once it is back.
 func TestRelayDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/broadcast/digest_test.go
+++ b/internal/coordination/broadcast/digest_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestDigestOfOlder: a neighbour of the version before sends all its heads at once,
-// and is told what it lacks and what is wanted of it.
+// and is given what it lacks and what is wanted of it.
 func TestDigestOfOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, end := newPair(t)
--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -59,7 +59,7 @@
 	applying chan struct{}
 	watchers []loop.Wakeup
 	changing chan struct{} // one change at a time from this process
-	// Discover looks elsewhere for a newer version, where the voters known here refuse
+	// Discover checks elsewhere for a newer version, where the voters known here refuse
 	// to deal with one so old. It is set before use.
 	Discover func(ctx context.Context) bool
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// Watch gives a kick that fires at every new version.
+// Watch gives a wake-up that fires at every new version.
 func (cluster *Cluster) Watch() loop.Wakeup {
 	k := loop.NewWakeup()
 	cluster.mu.Lock()
@@ -223,7 +223,7 @@
 }
 
 // StoresDigest is a digest of the sets of stores and of the version that made them so: a
-// change that was turned back and begun anew has another.
+// change that was reverted and begun anew has another.
 func (v *View) StoresDigest() uint64 {
 	h := uint64(fnvStart)
 	if v.StoresSince > 0 {
@@ -258,7 +258,7 @@
 	return h
 }
 
-// maxAttempts is how often voters may refuse one dealing with them for its old version.
+// maxAttempts is how often voters may refuse one request to them for its old version.
 const maxAttempts = 3
 
 // withVoters deals with the voters under the version in force. Voters that belong to
@@ -303,7 +303,7 @@
 	expect uint64,
 	f func(*spec.Cluster) error,
 ) (uint64, []byte, error) {
-	// Changes of one process that race each other only beat down each other's
+	// Changes of one process that race each other only outbid each other's
 	// ballots; they wait for their turn here.
 	select {
 	case cluster.changing <- struct{}{}:
--- a/internal/coordination/cluster/fuzz_test.go
+++ b/internal/coordination/cluster/fuzz_test.go
@@ -6,7 +6,7 @@
 	"damsontiller/internal/coordination/cluster"
 )
 
-// FuzzApply: a value from the wire or the disk is put in force whole or refused, and
+// FuzzApply: a value from the wire or the disk is put in force complete or refused, and
 // with one in force each question that is asked of it has an answer.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{}`), "k")
--- a/internal/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -9,7 +9,7 @@
 // Edit makes f's change of a cluster whose next version is ver, and writes into the
 // cluster which version last changed each of its sets. So every process knows the same
 // one, also a process that never saw the versions in between, and two changes between
-// the same sets can be told apart.
+// the same sets can be distinguished.
 func Edit(c *spec.Cluster, version uint64, f func(*spec.Cluster) error) error {
 	cores, nextCores := slices.Clone(c.Cores), slices.Clone(c.NextCores)
 	stores, nextStores := slices.Clone(c.Stores), slices.Clone(c.NextStores)
@@ -27,10 +27,10 @@
 	return nil
 }
 
-// MaxUsed is how many identities that were let go are listed at the most.
+// MaxUsed is how many identities that were removed are listed at the most.
 const MaxUsed = 64
 
-// pruneUsed cuts the list of identities that were let go. All that were ever in a set
+// pruneUsed cuts the list of identities that were removed. All that were ever in a set
 // were made under a lower version than the one of the cut, and are refused by that from
 // then on: see package membership.
 func pruneUsed(c *spec.Cluster, version uint64) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// pruneSpares keeps of those that were taken in beside the others only who is in a set.
+// pruneSpares keeps of those that were admitted beside the others only who is in a set.
 func pruneSpares(c *spec.Cluster) {
 	all := slices.Concat(c.Cores, c.NextCores, c.Stores, c.NextStores)
 	c.Spares = slices.DeleteFunc(c.Spares, func(ident string) bool {
--- a/internal/coordination/core/acknowledgement.go
+++ b/internal/coordination/core/acknowledgement.go
@@ -24,7 +24,7 @@
 }
 
 // knownMembers merges the members that a majority of core machines know: the newest
-// start of each, its highest confirmation, its shortest silence.
+// start of each, its highest confirmation, its shortest time without contact.
 func (c *Core) knownMembers(ctx context.Context) (map[string]*wire.Member, error) {
 	set := c.Cluster.Now().Cores()
 	ctx, stop := context.WithTimeout(ctx, time.Second)
@@ -62,7 +62,7 @@
 		}
 	}
 	// A lease is granted by a majority, so any majority knows of every node. The
-	// others are given a moment more: they may have heard of some later.
+	// others are given a moment more: they may have seen some later.
 	var most <-chan time.Time
 	for range cores {
 		select {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The fence's time runs while the silent are asked for.
+	// The fence's time runs while the unresponsive are asked for.
 	var over <-chan time.Time
 	if c.fencedByStores(all, ver, confirmed) {
 		t := time.NewTimer(storeclient.ReadWindow)
@@ -113,7 +113,7 @@
 		}
 		n++
 		go func() {
-			// A refused port: the process is gone, and a new one reads the
+			// A refused port: the process has exited, and a new one reads the
 			// spec at a majority before it serves.
 			ch <- probed{m.Id, c.portRefused(ctx, m.Addr)}
 		}()
--- a/internal/coordination/core/bootstrap.go
+++ b/internal/coordination/core/bootstrap.go
@@ -21,7 +21,7 @@
 // already. So no two first sets can be, unless every founder's disk is lost.
 
 // founder is where one of the first cores is; id is empty where only the address
-// is told.
+// is given.
 type founder struct{ addr, id string }
 
 // founders are all who must agree to the first set; none where this machine is not
@@ -58,7 +58,7 @@
 		}
 		if set != nil {
 			c.Cluster.SetInitialVoters(set)
-			// One proposes at a time, in the list's order, or they beat down each
+			// One proposes at a time, in the list's order, or they outbid each
 			// other's ballots; the later ones only if the earlier ones don't.
 			if try%max(len(fs), 1) == me {
 				if err := c.proposeFirst(ctx, set); err != nil {
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -11,27 +11,27 @@
 // Orders about zones and about retirement carry no number. One that lay unread at a
 // core that stood still would be carried out when the core goes on, long after its
 // sender went elsewhere, and could undo what was ordered since. So a core takes such
-// an order only if it has been in touch for longer than a sender waits for an answer:
-// what it reads then was sent while it was in touch.
+// an order only if it has been in contact for longer than a sender waits for an answer:
+// what it reads then was sent while it was in contact.
 
 const (
-	// contactCheckInterval is the time between two looks at whether this core is in touch.
+	// contactCheckInterval is the time between two checks whether this core is in contact.
 	contactCheckInterval = 500 * time.Millisecond
-	// contactGap is the time without a look after which this process stood still.
+	// contactGap is the time without a read after which this process stood still.
 	contactGap = 2 * contactCheckInterval
-	// contactSettleTime is how long this core must have been in touch again. Senders wait
+	// contactSettleTime is how long this core must have been in contact again. Senders wait
 	// for an answer for a second.
 	contactSettleTime = time.Second
 )
 
-// contactTracker notes when a process was last out of touch with a majority, or stood still.
+// contactTracker records when a process was last out of contact with a majority, or stood still.
 type contactTracker struct {
 	start     time.Time    // what the times below are counted from
-	lastCheck atomic.Int64 // the last look
-	lastLost  atomic.Int64 // when it was last found out of touch; 0: never
+	lastCheck atomic.Int64 // the last check
+	lastLost  atomic.Int64 // when it was last found out of contact; 0: never
 }
 
-// check looks at the clock; valid tells whether this core's lease runs.
+// check checks the clock; valid tells whether this core's lease runs.
 func (t *contactTracker) check(now time.Time, valid bool) {
 	at := int64(now.Sub(t.start))
 	last := t.lastCheck.Swap(at)
@@ -40,7 +40,7 @@
 	}
 }
 
-// established tells whether the process has been in touch for long enough.
+// established tells whether the process has been in contact for long enough.
 func (t *contactTracker) established(now time.Time, valid bool) bool {
 	at := int64(now.Sub(t.start))
 	last, lost := t.lastCheck.Load(), t.lastLost.Load()
@@ -53,11 +53,11 @@
 	return lost == 0 || at-lost > int64(contactSettleTime)
 }
 
-// checkContact is the duty that keeps touch up to date.
+// checkContact is the background task that keeps the contact tracker up to date.
 func (c *Core) checkContact(context.Context) { c.contact.check(time.Now(), c.Lease.Valid()) }
 
 // InContact refuses, for the moment, to work on an order that may be an old one: this
-// core is or was just out of touch, or the order's time is over.
+// core is or was just out of contact, or the order's time is over.
 func (c *Core) InContact(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	now := time.Now()
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -62,17 +62,17 @@
 	acceptor  *register.Acceptor
 	table     *lease.Table
 	keysMoved atomic.Int64 // keys moved in the change of a set under way
-	// What a set's duty is to look at again at once, and when a store that is in no
-	// set was last heard of for the first time.
+	// What the reconciler of a set is to check again at once, and when a store that is in no
+	// set was last seen for the first time.
 	wakeups         map[membership.Set]loop.Wakeup
 	lastNewcomer    atomic.Int64
-	knownIdentities sync.Map // identities heard of
+	knownIdentities sync.Map // identities seen
 	startedAt       time.Time
 	// founded is when this very process formed the set, if it did. It and tried, when
 	// keys could last not be moved, are touched by one goroutine at a time.
 	founded, lastTransferFailure time.Time
 	drainedVersion               atomic.Uint64  // the change of the cores after which Gate was last waited for
-	contact                      contactTracker // since when this core has been in touch with a majority
+	contact                      contactTracker // since when this core has been in contact with a majority
 	*node.Node
 }
 
--- a/internal/coordination/core/members.go
+++ b/internal/coordination/core/members.go
@@ -57,7 +57,7 @@
 	)
 }
 
-// getHealth tells what an operator should look at first.
+// getHealth tells what an operator should check first.
 func (c *Core) getHealth(x echo.Context) error {
 	// The sets whose cores are asked are those that a majority has in force.
 	if err := c.Cluster.Read(x.Request().Context()); err != nil {
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -157,8 +157,8 @@
 }
 
 // Change makes f's change of the cluster and waits, for as long as ctx lasts, until
-// it is in force. An error means that it was not chosen, or is in doubt; on a
-// conflict the version in force is told.
+// it is in force. An error means that it was not chosen, or is uncertain; on a
+// conflict the version in force is given.
 func (c *Core) Change(ctx context.Context, expect uint64, f func(*spec.Cluster) error) (Ack, error) {
 	ver, raw, err := c.Cluster.Change(ctx, expect, f)
 	if err != nil {
--- a/internal/coordination/core/persistence.go
+++ b/internal/coordination/core/persistence.go
@@ -13,12 +13,12 @@
 	LoadMetadata(key string) ([]byte, error)
 }
 
-// identityVersionKey is where a machine notes the version that its identity was made under.
+// identityVersionKey is where a machine records the version that its identity was made under.
 const identityVersionKey = "identity-version"
 
-// SaveIdentityVersion notes on disk under which version of the cluster this machine's identity
-// was made, before it is first told to anybody who could admit it. It is noted once and
-// never raised: what is let go and forgotten is refused by it (package membership).
+// SaveIdentityVersion records on disk under which version of the cluster this machine's identity
+// was made, before it is first given to anybody who could admit it. It is recorded once and
+// never raised: what is removed and forgotten is refused by it (package membership).
 func SaveIdentityVersion(n *node.Node, d MetadataStore, version uint64) error {
 	if err := d.SaveMetadata(identityVersionKey, binary.BigEndian.AppendUint64(nil, version)); err != nil {
 		return err
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// RestoreIdentityVersion takes up the version that was noted. A folder that an earlier release
-// has made has no note: its identity counts as made under version 0.
+// RestoreIdentityVersion takes up the version that was recorded. A folder that an earlier release
+// has made has no such record: its identity counts as made under version 0.
 func RestoreIdentityVersion(n *node.Node, d MetadataStore) error {
 	b, err := d.LoadMetadata(identityVersionKey)
 	if err != nil || len(b) < 8 {
@@ -40,7 +40,7 @@
 
 const clusterKey = "realm"
 
-// PersistCluster notes each spec on disk before it comes into force.
+// PersistCluster records each spec on disk before it comes into force.
 func PersistCluster(save func(string, []byte) error) func([]byte, uint64) error {
 	return func(raw []byte, ver uint64) error {
 		return save(clusterKey, append(binary.BigEndian.AppendUint64(nil, ver), raw...))
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -12,13 +12,13 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Sets that look after themselves: the first live core compares each set with the
+// Self-managed sets: the first live core compares each set with the
 // machines that are there, and changes it by one step at a time. What a set should be
 // is decided in package membership; here the machines are observed and asked, and the
 // register is changed.
 
 const (
-	// retryInterval is when a set's duty looks again at what it waits for.
+	// retryInterval is when the reconciler of a set checks again what it waits for.
 	retryInterval = 100 * time.Millisecond
 	// reviewTimeout bounds the time from the first observation to the change that rests on
 	// it: a core that was frozen in between begins nothing.
@@ -30,7 +30,7 @@
 	bootstrapPeriod = 6 * time.Second
 )
 
-// onRenewal lets the duty look at once where a renewal shows something new.
+// onRenewal wakes the reconciler at once where a renewal shows something new.
 func (c *Core) onRenewal(v *cluster.View, m *wire.Member) {
 	for set, wakeup := range c.wakeups {
 		change := membership.Of(&v.Cluster, set)
@@ -46,7 +46,7 @@
 	}
 }
 
-// firstSeen tells whether an identity is heard of for the first time.
+// firstSeen tells whether an identity is seen for the first time.
 func (c *Core) firstSeen(ident string) bool {
 	_, old := c.knownIdentities.LoadOrStore(ident, true)
 	return !old
@@ -69,7 +69,7 @@
 }
 
 // review compares a set with what it should be. It tells whether it has begun a change
-// of it, or aimed one that can't end elsewhere.
+// of it, or redirected one that can't end elsewhere.
 func (c *Core) review(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
 	ctx, stop := context.WithTimeout(ctx, reviewTimeout)
 	defer stop()
@@ -105,7 +105,7 @@
 	}
 }
 
-// members are the machines of a role, as this core has heard of them; of itself it
+// members are the machines of a role, as this core has seen them; of itself it
 // needs no renewal.
 func (c *Core) members(role string) []membership.Member {
 	var out []membership.Member
@@ -132,7 +132,7 @@
 	}
 }
 
-// probe asks some machines whether they are there. What a renewal told long ago is asked
+// probe asks some machines whether they are there. What a renewal reported long ago is asked
 // for again, so that a core that was itself out of reach takes nobody for absent.
 func (c *Core) probe(
 	ctx context.Context,
@@ -168,8 +168,8 @@
 	return out
 }
 
-// unresponsiveFor is for how long a machine has not been heard of. One never heard of by this
-// core counts as silent for as long as the core has run.
+// unresponsiveFor is for how long a machine has not been seen. One never seen by this
+// core counts as unresponsive for as long as the core has run.
 func (c *Core) unresponsiveFor(o membership.Observation, ident string) time.Duration {
 	least := time.Since(c.startedAt)
 	for _, m := range o.Members {
@@ -191,7 +191,7 @@
 	return stalled
 }
 
-// beginChange begins a change of a set, or aims one that can't end elsewhere.
+// beginChange begins a change of a set, or redirects one that can't end elsewhere.
 func (c *Core) beginChange(ctx context.Context, set membership.Set, was membership.Change, target membership.Target) {
 	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
 		return membership.BeginChange(r, set, was, target)
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -10,8 +10,8 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// WatchRemoval watches for the word that this machine's identity was let go: another took
-// its place while it was away. Where the sets look after themselves it then goes on
+// WatchRemoval watches for the removal of this machine's identity: another took
+// its place while it was away. Where the sets are self-managed it then goes on
 // as the stranger that it is, empty and under a new identity, and is taken in again.
 // A machine that operators sent away keeps its data as it is.
 func WatchRemoval(ctx context.Context, n *node.Node, d Disk, forget func()) {
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -16,18 +16,18 @@
 
 const (
 	// maxRetired bounds the names of retired stores that are remembered. A store whose
-	// name was forgotten and that still runs finds its identity let go, and comes back
+	// name was forgotten and that still runs finds its identity removed, and comes back
 	// as the empty stranger that it then is.
 	maxRetired = 256
-	// membershipSettleTime is the time after which a core that runs has heard of every node that
-	// is in touch: the length of a lease, in which a node renews several times.
+	// membershipSettleTime is the time after which a core that runs has seen every node that
+	// is in contact: the length of a lease, in which a node renews several times.
 	membershipSettleTime = 2500 * time.Millisecond
-	// admissionWindow is the silence up to which a store that is in no set may still be taken
+	// admissionWindow is the time without contact up to which a store that is in no set may still be taken
 	// in.
 	admissionWindow = 30 * time.Second
 )
 
-// Retire has a store emptied and let go. A repeated order for one that is let go, or
+// Retire has a store emptied and removed. A repeated order for one that is removed, or
 // is about to be, changes nothing. What it refuses for good rests on the register;
 // what rests on who is live at this moment is code.FewLive or code.NotHeard.
 func (c *Core) Retire(ctx context.Context, id string) error {
@@ -133,7 +133,7 @@
 }
 
 // confirmedUnknown tells whether a majority of the cores, each of which has run for long enough
-// to have heard of every node in touch, knows no store of a name.
+// to have seen every node in contact, knows no store of a name.
 func (c *Core) confirmedUnknown(ctx context.Context, id string) bool {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
--- a/internal/coordination/core/retire_test.go
+++ b/internal/coordination/core/retire_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestTouch: a process is steady only a second after it was last out of touch or
+// TestTouch: a process is steady only a second after it was last out of contact or
 // stood still.
 func TestTouch(t *testing.T) {
 	start := time.Now()
@@ -97,7 +97,7 @@
 	}
 	check(tracker, 2400, true, true)
 	check(tracker, 2400, false, false)
-	// It stood still: seen before the next look, and after it.
+	// It stood still: seen before the next check, and after it.
 	check(tracker, 22000, true, false)
 	tracker.check(at(22000), true)
 	check(tracker, 22001, true, false)
@@ -105,7 +105,7 @@
 		tracker.check(at(ms), true)
 		check(tracker, ms+1, true, ms+1 > 23000)
 	}
-	// It was out of touch.
+	// It was out of contact.
 	tracker.check(at(24500), false)
 	tracker.check(at(25000), true)
 	check(tracker, 25400, true, false)
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -18,7 +18,7 @@
 // new set stands alone. Each step may be done twice, so it does not matter who does
 // it, nor that it is only one.
 
-// isReconciler tells whether this core does the sets' duty.
+// isReconciler tells whether this core is the reconciler.
 func (c *Core) isReconciler(v *cluster.View) bool {
 	self := observed(c.Peer.Member(0))
 	return membership.IsReconciler(&v.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
@@ -131,7 +131,7 @@
 	c.broadcastAsync(ctx, ver, raw)
 }
 
-// broadcastAsync sends a version down the tree while the duty goes on.
+// broadcastAsync sends a version down the tree while the role goes on.
 func (c *Core) broadcastAsync(ctx context.Context, ver uint64, raw []byte) {
 	ctx = context.WithoutCancel(ctx)
 	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, ver, raw) })
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -91,7 +91,7 @@
 	if o.For != "" && old < 0 {
 		return code.New(code.NoMember, "%q is not in the set", o.For)
 	}
-	// Several may have come under that name; the one that lives and is not in
+	// Several may have come under that name; the one that is live and is not in
 	// the set is meant.
 	err := code.New(code.NoMember, "no %s %q has a lease", role, o.ID)
 	for _, m := range ms {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// abandon goes back to the old set, which has been whole all the while.
+// abandon goes back to the old set, which has been complete all the while.
 func (c *Core) abandon(r *spec.Cluster, set membership.Set, _ setOrder, _ []*wire.Member) error {
 	if !membership.Of(r, set).Running() {
 		return code.New(code.BadField, "no change of the %s is under way", set)
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -22,7 +22,7 @@
 type Params struct {
 	RenewInterval time.Duration // between renewals
 	Duration      time.Duration // of a lease
-	OrphanTimeout time.Duration // after which what a silent node left running is no longer counted
+	OrphanTimeout time.Duration // after which what an unresponsive node left running is no longer counted
 }
 
 // DefaultParams are the design's.
@@ -157,7 +157,7 @@
 	}
 }
 
-// roster is what this node has heard of one core machine's list.
+// roster is what this node has received of one core machine's list.
 type roster struct {
 	table, seen uint64
 	list        []*wire.Member // by id and address; never changed once made
@@ -170,7 +170,7 @@
 }
 
 // with is the list with some members put in or replaced. Its cost beside these is
-// one copy: nodes that come and go are heard of by all.
+// one copy: nodes that come and go are seen by all.
 func (o *roster) with(ms []*wire.Member) {
 	if len(ms) == 0 {
 		return
@@ -229,7 +229,7 @@
 	o.table, o.seen = a.Table, a.Seen
 	o.with(a.Members)
 	if a.Part && o.sum != a.MembersSum {
-		// Never seen; should it be, the whole list is asked for next.
+		// Never seen; should it be, the full list is asked for next.
 		h.peer.Log.Warn("list of members does not add up", "core", c.Addr)
 		o.table = 0
 	}
@@ -256,7 +256,7 @@
 }
 
 // Members is the list as last granted; it must not be changed. It says who is live,
-// not which spec each has confirmed or for how long it has been silent: that goes to
+// not which spec each has confirmed or for how long it has been unresponsive: that goes to
 // the cores only.
 func (h *Holder) Members() []*wire.Member {
 	h.mu.Lock()
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -74,7 +74,7 @@
 			if len(same.Members) != 0 || same.Seen != first.Seen {
 				t.Errorf("%d nodes: nothing came or went, and %d are told", n, len(same.Members))
 			}
-			// One starts anew, one is silent.
+			// One starts anew, one is unresponsive.
 			again := node(3)
 			again.Inc = 2
 			renew(t, tb, &wire.Renew{Self: again})
@@ -180,7 +180,7 @@
 	})
 }
 
-// TestNeighbourWithoutTables: a core machine of the version before gives the whole
+// TestNeighbourWithoutTables: a core machine of the version before gives the complete
 // list each time, and one that is asked by such a node does.
 func TestNeighbourWithoutTables(t *testing.T) {
 	tb := table(t, nil)
--- a/internal/coordination/lease/table.go
+++ b/internal/coordination/lease/table.go
@@ -19,7 +19,7 @@
 // acknowledgement forgets it; when it last renewed is memory only.
 //
 // Each change of what the nodes' lists show has a number. A renewal says up to
-// which number its sender has heard, and is answered with what changed since: what
+// which number its sender has received, and is answered with what changed since: what
 // it costs does not grow with the number of nodes.
 type Table struct {
 	params Params
@@ -37,7 +37,7 @@
 type entry struct {
 	member    *wire.Member
 	renewedAt time.Time
-	// renewedThisRun tells a renewal in this run from a note of an earlier one.
+	// renewedThisRun tells a renewal in this run from a record of an earlier one.
 	renewedThisRun bool
 
 	shown            *wire.Member // never changed once made
@@ -45,8 +45,8 @@
 	changed, renewed *list.Element
 }
 
-// NewTable makes a table from what was noted on disk before. Every node known
-// counts as heard of now: how long it had been silent is not known.
+// NewTable makes a table from what was recorded on disk before. Every node known
+// counts as seen now: how long it had been unresponsive is not known.
 func NewTable(params Params, saved map[string][]byte, save func(string, []byte) error) (*Table, error) {
 	t := &Table{
 		params:  params,
@@ -68,7 +68,7 @@
 	return t, nil
 }
 
-// MemberKeyPrefix is where members are noted.
+// MemberKeyPrefix is where members are recorded.
 const MemberKeyPrefix = "member/"
 
 func key(m *wire.Member) string { return m.Id + "@" + m.Addr }
@@ -147,8 +147,8 @@
 
 // overtaken tells whether a renewal is of an earlier start than the one whose lease
 // runs. Starts are numbered by the time of day, which may have been set back between
-// them: so once the later number has been silent for a lease's time, the earlier one
-// is taken for the start that lives. If it isn't, it only makes changes wait for it.
+// them: so once the later number has been unresponsive for a lease's time, the earlier one
+// is taken for the start that runs. If it isn't, it only makes changes wait for it.
 func (t *Table) overtaken(e *entry, m *wire.Member) bool {
 	return e != nil && m.Inc < e.member.Inc && time.Since(e.renewedAt) < t.params.Duration
 }
@@ -196,7 +196,7 @@
 		e = &entry{member: m}
 		t.entries[key(m)] = e
 	}
-	// While it was noted, a later start may have been heard.
+	// While it was recorded, a later start may have been seen.
 	if !t.overtaken(e, m) {
 		t.updateEntry(e, m)
 	}
@@ -213,7 +213,7 @@
 	return &wire.Resp{Op: &wire.Resp_Renew{Renew: a}}, nil
 }
 
-// List is every node known, with how long it has been silent.
+// List is every node known, with how long it has been unresponsive.
 func (t *Table) List() []*wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -62,7 +62,7 @@
 func (c Change) Running() bool { return len(c.Next) > 0 }
 
 // Is tells whether two observations are of the very same change. Equal sets are not
-// enough: a change may have been turned back and begun anew in between, and what was
+// enough: a change may have been reverted and begun anew in between, and what was
 // done for the first one says nothing about the second.
 func (c Change) Is(other Change) bool {
 	return c.Since == other.Since && slices.Equal(c.Now, other.Now) && slices.Equal(c.Next, other.Next)
@@ -89,7 +89,7 @@
 }
 
 // SetNext lets a set change to another than it was changing to, or to none where next is
-// empty. The present set has been whole all the while, so that costs nothing that
+// empty. The present set has been complete all the while, so that costs nothing that
 // anybody has done. A machine that was to come and is not any more has voted: should it
 // ever come back, it must be a stranger.
 func SetNext(c *spec.Cluster, set Set, next []spec.Machine) {
@@ -102,9 +102,9 @@
 	setMachines(c, set, was.Now, next)
 }
 
-// BeginChange begins a change of a set towards a goal, or aims one under way there. It does
+// BeginChange begins a change of a set towards a target, or redirects one under way there. It does
 // nothing, and answers cluster.ErrSame, where the cluster is not in the very change that
-// the goal was worked out for, or where a newcomer may not come any more.
+// the target was worked out for, or where a newcomer may not come any more.
 func BeginChange(c *spec.Cluster, set Set, was Change, target Target) error {
 	if !Of(c, set).Is(was) || !admissible(c, set, target) {
 		return cluster.ErrNoChange
--- a/internal/coordination/membership/cores_history_test.go
+++ b/internal/coordination/membership/cores_history_test.go
@@ -84,8 +84,8 @@
 }
 
 // TestFrozenCoreMover: a mover is frozen once a majority of the old cores has confirmed.
-// Meanwhile the change is turned back and the same one begun anew, which no core has
-// confirmed. The mover that wakes must not settle: whoever acts on the old set alone is
+// Meanwhile the change is reverted and the same one begun anew, which no core has
+// confirmed. The mover that wakes must not finish: whoever acts on the old set alone is
 // not refused yet, and {c2, c3, c4} is a majority of that while {c0, c1} is one of the
 // new.
 func TestFrozenCoreMover(t *testing.T) {
@@ -117,7 +117,7 @@
 }
 
 // TestSkippedCoreVersion: cores that saw the first change and the second one, but not
-// that it was turned back in between, refuse a proposer of the version in between.
+// that it was reverted in between, refuse a proposer of the version in between.
 func TestSkippedCoreVersion(t *testing.T) {
 	w, begin := fiveToThree(t)
 	all := []string{"c0", "c1", "c2", "c3", "c4"}
--- a/internal/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -20,7 +20,7 @@
 // The cores' model: the cluster's own register is changed by several proposers while the
 // set of its voters changes under them. Each acts by its own view, message by message,
 // and may be frozen between any two. The votes are the product's (reg.Acceptor), and so
-// are the edits, the quorums, what a voter refuses and when a change may settle. The two
+// are the edits, the quorums, what a voter refuses and when a change may finish. The two
 // rounds are played here, so that every message is the adversary's.
 
 type coreNode struct {
@@ -46,7 +46,7 @@
 type proposer struct {
 	view *cluster.Cluster
 	op   *proposal
-	// confirmed is what this mover has heard of each identity's version; seen is the
+	// confirmed is what this mover has seen each identity's version; seen is the
 	// view that it judges the change by.
 	confirmed map[string]uint64
 	seen      *cluster.View
@@ -135,7 +135,7 @@
 	w.log = append(w.log, fmt.Sprintf(format, args...))
 }
 
-// choose notes a version as acknowledged: it must be the only one of its number, and
+// choose records a version as acknowledged: it must be the only one of its number, and
 // hold every edit that was acknowledged before.
 func (w *coresWorld) choose(ver uint64, raw []byte) {
 	if old, ok := w.chosen[ver]; ok && string(old) != string(raw) {
@@ -334,7 +334,7 @@
 	}
 }
 
-// reconcile does the cores' duty: it begins a change, gathers confirmations, and settles.
+// reconcile is the reconciler of the cores: it begins a change, gathers confirmations, and finishes.
 func (w *coresWorld) reconcile(p *proposer) {
 	if p.seen == nil {
 		w.learn(p.view)
--- a/internal/coordination/membership/fill.go
+++ b/internal/coordination/membership/fill.go
@@ -73,8 +73,8 @@
 }
 
 // Sends tells whether a key falls to the other store and is held here, and whether it
-// is sent whole or by name and ballot only: the first of its holders that can be asked
-// sends it whole.
+// is sent in full or by name and ballot only: the first of its holders that can be asked
+// sends it complete.
 func (s Sender) Sends(key string) (wanted, withValue bool) {
 	now := cluster.Holders(s.View.Cluster.Stores, key, s.View.Copies())
 	next := cluster.Holders(s.View.NextStores, key, s.View.Copies())
--- a/internal/coordination/membership/identity.go
+++ b/internal/coordination/membership/identity.go
@@ -6,17 +6,17 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// An identity that was in a set and was let go must never be admitted again: whoever
+// An identity that was in a set and was removed must never be admitted again: whoever
 // comes with it may have voted, and what it holds is old. The register lists those that
-// were let go last. A list of all would grow with every disk that is replaced, so it is
+// were removed last. A list of all would grow with every disk that is replaced, so it is
 // cut, and the register keeps a floor in its place.
 //
-// A machine notes on its disk, once for each identity and before it first asks for a
+// A machine records on its disk, once for each identity and before it first asks for a
 // lease, which version of the cluster it knew then: the version that its identity was
-// made under. Whoever was admitted by version V had noted a lower one. So when the list
+// made under. Whoever was admitted by version V had recorded a lower one. So when the list
 // is cut by version F, the floor becomes F, and every identity that was ever in a set
 // before F has a lower version and is refused from then on, though nobody lists it. The
-// floor never falls and the note never changes, so that holds for ever. A newcomer below
+// floor never falls and the record never changes, so that holds for ever. A newcomer below
 // the floor that was in no set is refused as well; it takes a new identity, which costs
 // it nothing, as it holds nothing yet.
 
@@ -31,7 +31,7 @@
 	return !Has(allMachines(c), ident) && IdentityRefused(c, ident, madeUnder)
 }
 
-// markUsed notes that an identity is in no set any more.
+// markUsed records that an identity is in no set any more.
 func markUsed(c *spec.Cluster, ident string) {
 	if ident != "" && !slices.Contains(c.Used, ident) {
 		c.Used = append(c.Used, ident)
@@ -39,8 +39,8 @@
 }
 
 // admissible tells whether all machines of a next set are in a set already or may come
-// into one. A store that was retired between the look and the change may not: its
-// operator may have been told that it holds nothing and can be taken away.
+// into one. A store that was retired between the read and the change may not: its
+// operator may have been notified that it holds nothing and can be taken away.
 func admissible(c *spec.Cluster, set Set, target Target) bool {
 	inSet := allMachines(c)
 	return !slices.ContainsFunc(target.Machines, func(m spec.Machine) bool {
--- a/internal/coordination/membership/identity_test.go
+++ b/internal/coordination/membership/identity_test.go
@@ -52,7 +52,7 @@
 			CoresSince:  1,
 		},
 	}
-	departed := map[string]uint64{} // identities let go, and what each was made under
+	departed := map[string]uint64{} // identities removed, and what each was made under
 	madeUnder := map[string]uint64{"i1": 0, "i2": 0, "i3": 0, "k1": 0, "k2": 0, "k3": 0}
 	largest := 0
 	for i := range 1000 {
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestNoIdentityBack: whatever is begun, turned back, aimed elsewhere and settled, with
+// TestNoIdentityBack: whatever is begun, reverted, redirected elsewhere and settled, with
 // newcomers old and new, an identity that was in a set and is in none is refused.
 func TestNoIdentityBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// AbsentAfter is the silence after which a newcomer may take a machine's place.
+	// AbsentAfter is the time without contact after which a newcomer may take a machine's place.
 	AbsentAfter = 2 * time.Second
-	// ReplaceAfter is the silence after which a machine's place goes to one that was taken
+	// ReplaceAfter is the time without contact after which a machine's place goes to one that was taken
 	// in beside it before. It is longer than most restarts take.
 	ReplaceAfter = 3 * time.Second
 	// MinCores is how many cores are left at least.
@@ -38,10 +38,10 @@
 	UnresponsiveFor time.Duration
 }
 
-// WithSelf puts a core's own entry, as it is now, in the place of whatever renewals told
+// WithSelf puts a core's own entry, as it is now, in the place of whatever renewals reported
 // it of itself. It renews its lease at itself only while it is in the set, so its table
-// may still show an identity of its own that was let go: going by that, a core that has
-// just been aimed for would take itself for reborn and turn the change back.
+// may still show an identity of its own that was removed: going by that, a core that has
+// just been chosen as a target would take itself for reborn and turn the change back.
 func WithSelf(members []Member, self Member) []Member {
 	out := slices.DeleteFunc(slices.Clone(members), func(m Member) bool {
 		return m.Machine.ID == self.Machine.ID && m.Machine.Addr == self.Machine.Addr
@@ -57,11 +57,11 @@
 // A machine that was not asked counts as present.
 const (
 	Present  Presence = iota
-	Doubtful          // it does not answer, but has not been silent for long
+	Doubtful          // it does not answer, but has not been unresponsive for long
 	Absent
 )
 
-// PresenceOf judges a machine by whether it answered and how long it had been silent.
+// PresenceOf judges a machine by whether it answered and how long it had been unresponsive.
 func PresenceOf(answered bool, unresponsive time.Duration) Presence {
 	switch {
 	case answered:
@@ -82,32 +82,32 @@
 	// Forming tells that the cluster is so young that newcomers are machines of the
 	// first hour, which take nobody's place later.
 	Forming bool
-	// NewcomerAge is how long ago the last store came that had not been heard of before.
+	// NewcomerAge is how long ago the last store came that had not been seen before.
 	NewcomerAge time.Duration
 }
 
 // Target is what a set should be.
 type Target struct {
 	Machines []spec.Machine
-	// Spares are newcomers taken in beside the others, who may take the place of one of
+	// Spares are newcomers admitted beside the others, who may take the place of one of
 	// them later; Spent are those who do so now.
 	Spares, Promoted []string
 	// IdentityVersions are those of the newcomers, by identity.
 	IdentityVersions map[string]uint64
 }
 
-// Decision is a goal, or why there is none yet.
+// Decision is a target, or why there is none yet.
 type Decision struct {
 	Target
 	// Ask are the machines that must be asked whether they are there first.
 	Ask []spec.Machine
-	// Wait tells that the goal can't be said yet, or not all of it.
+	// Wait tells that the target can't be said yet, or not all of it.
 	Wait bool
 }
 
-// Decide works out what a set should be. A machine that is silent is never let go for
+// Decide works out what a set should be. A machine that is unresponsive is never removed for
 // that alone, for it may come back with what it holds; only a newcomer takes its place.
-// One that came while all were there is taken in beside them, and takes the place of
+// One that came while all were there is admitted beside them, and takes the place of
 // whoever goes next. So a set gets no smaller than it was, unless an operator retires a
 // store.
 func Decide(o Observation) Decision {
@@ -132,7 +132,7 @@
 	return p.decision()
 }
 
-// plan is a goal while it is worked out.
+// plan is a target while it is worked out.
 type plan struct {
 	Observation
 	now, want []spec.Machine
@@ -227,7 +227,7 @@
 	p.target.IdentityVersions[m.Machine.Ident] = m.IdentityVersion
 }
 
-// mayDrop tells whether one taken in beside the others could take a place now.
+// mayDrop tells whether one admitted beside the others could take a place now.
 func (p *plan) mayDrop() bool {
 	return len(p.spares) > 0 &&
 		slices.ContainsFunc(p.want, func(m spec.Machine) bool { return p.longUnresponsive(m.Ident) })
@@ -253,7 +253,7 @@
 
 // placeNewcomer finds a newcomer its place: that of its own name at an earlier address, that of
 // an absent machine, of its own zone if there is one, or one beside the others. It is
-// false where somebody is in doubt, whose place it could be.
+// false where somebody is uncertain, whose place it could be.
 func (p *plan) placeNewcomer(m Member) bool {
 	if i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return s.ID == m.Machine.ID }); i >= 0 {
 		p.placeRelocated(i, m)
@@ -295,7 +295,7 @@
 	return slices.IndexFunc(p.want, p.absent)
 }
 
-// dropAbsent gives the places of absent machines to those taken in beside them.
+// dropAbsent gives the places of absent machines to those admitted beside them.
 func (p *plan) dropAbsent() {
 	for _, ident := range p.spares {
 		i := slices.IndexFunc(p.want, func(s spec.Machine) bool {
@@ -340,7 +340,7 @@
 }
 
 // Stalled tells whether a change waits for a machine that will not bring it to an end,
-// because it is gone or has come back as another. Where that can't be said before some
+// because it has departed or has come back as another. Where that can't be said before some
 // have been asked, it gives these.
 func (c Change) Stalled(o Observation) (stalled bool, ask []spec.Machine) {
 	need := c.Receivers(cluster.Copies(o.Cluster))
@@ -361,9 +361,9 @@
 	return slices.ContainsFunc(need, func(m spec.Machine) bool { return o.Presence[m.Ident] == Absent }), nil
 }
 
-// IsReconciler tells whether a core does the sets' duty: the first by name of those that vote
-// and are heard of. Two at it at once would only do the same work twice, so one that has
-// missed a renewal is passed over.
+// IsReconciler tells whether a core is the reconciler: the first by name of those that vote
+// and are seen. Two at it at once would only do the same work twice, so one that has
+// missed a renewal is skipped.
 func IsReconciler(c *spec.Cluster, self spec.Machine, members []Member) bool {
 	voters := slices.Concat(c.Cores, c.NextCores)
 	for _, m := range members {
--- a/internal/coordination/membership/plan_test.go
+++ b/internal/coordination/membership/plan_test.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// memberSeen is a live member that has been silent for so long.
+// memberSeen is a live member that has been unresponsive for so long.
 func memberSeen(text string, unresponsive time.Duration) membership.Member {
 	return membership.Member{
 		Machine:         machine(text),
@@ -61,7 +61,7 @@
 	presence map[string]membership.Presence
 	forming  bool
 	quiet    time.Duration
-	want     string // identities of the goal
+	want     string // identities of the target
 	beside   string
 	spent    string
 	wait     bool
@@ -267,7 +267,7 @@
 
 // TestDecideProperties: whatever is observed, a set gets no smaller than it was but for
 // one beside the others, a retired store, and never below its least; nobody present and
-// nobody silent for less than ReplaceAfter loses a place but to its own next identity or by
+// nobody unresponsive for less than ReplaceAfter loses a place but to its own next identity or by
 // an operator's word; each name and address stands once; and nobody refused comes in.
 func TestDecideProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -335,7 +335,7 @@
 	return o
 }
 
-// TestStalled: a change is aimed elsewhere only where one that must gain keys is gone or
+// TestStalled: a change is redirected elsewhere only where one that must gain keys has departed or
 // has come back as another.
 func TestStalled(t *testing.T) {
 	c := &spec.Cluster{Stores: machinesOf(threeStores), NextStores: machinesOf("s1/a/i1 s2/b/i2 s4/c/i4")}
@@ -370,7 +370,7 @@
 	}
 }
 
-// TestLeads: the first by name of the voters that are heard of.
+// TestLeads: the first by name of the voters that are seen.
 func TestLeads(t *testing.T) {
 	c := &spec.Cluster{Cores: machinesOf("c1/a/i1 c2/b/i2 c3/c/i3")}
 	for _, tc := range []struct {
--- a/internal/coordination/membership/stores_history_test.go
+++ b/internal/coordination/membership/stores_history_test.go
@@ -11,7 +11,7 @@
 )
 
 // These are single histories of the stores' model, step by step: a store is removed, the
-// removal is turned back, and the very same one is begun anew.
+// removal is reverted, and the very same one is begun anew.
 
 // removal is a world of four stores in which one that holds a key is to go.
 type removal struct {
@@ -123,8 +123,8 @@
 }
 
 // TestFrozenMover: a mover is frozen once all keys have been brought. Meanwhile the
-// removal is turned back, a write is acknowledged by the old set alone, and the same
-// removal is begun anew. The mover that wakes must not settle on what was brought for
+// removal is reverted, a write is acknowledged by the old set alone, and the same
+// removal is begun anew. The mover that wakes must not finish on what was brought for
 // the first one.
 func TestFrozenMover(t *testing.T) {
 	r := newRemoval(t)
@@ -147,7 +147,7 @@
 }
 
 // TestSkippedVersion: stores that saw the first removal and the second one, but not that
-// it was turned back in between, must refuse a writer that acts on the set in between.
+// it was reverted in between, must refuse a writer that acts on the set in between.
 func TestSkippedVersion(t *testing.T) {
 	r := newRemoval(t)
 	r.begin()
@@ -186,7 +186,7 @@
 }
 
 // TestTooFewAnswer: a store that could ask only one of a key's three holders has not
-// got all that was acknowledged, and is not whole.
+// got all that was acknowledged, and is not complete.
 func TestTooFewAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		absent   int
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -105,7 +105,7 @@
 type mover struct {
 	view     *cluster.Cluster
 	seen     *cluster.View
-	complete map[string]bool // gainers that have told that they have all
+	complete map[string]bool // gainers that have reported that they have all
 	settles  bool
 	// thaw is the version at which one that was frozen goes on.
 	thaw int
@@ -622,7 +622,7 @@
 		}
 		return
 	}
-	// All have told; the order to settle is one more step.
+	// All have reported; the order to finish is one more step.
 	if !m.settles {
 		m.settles = true
 		if w.rnd.IntN(3) > 0 {
@@ -691,7 +691,7 @@
 	return next
 }
 
-// stepOperator turns a change back, or aims it elsewhere.
+// stepOperator turns a change back, or redirects it elsewhere.
 func (w *storesWorld) stepOperator() {
 	v := w.current()
 	if len(v.NextStores) == 0 {
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -1,5 +1,5 @@
 // Package node is what every process of the system is: a peer with a lease,
-// the spec in force, and an ear for news.
+// the spec in force, and a subscription to updates.
 package node
 
 import (
@@ -91,7 +91,7 @@
 	return r.GetHello(), nil
 }
 
-// Go runs a duty of this process in its own goroutine until ctx ends.
+// Go runs a role of this process in its own goroutine until ctx ends.
 func (n *Node) Go(ctx context.Context, f func(context.Context)) {
 	n.wg.Add(1)
 	go func() {
@@ -100,11 +100,11 @@
 	}()
 }
 
-// Wait returns once every duty has ended.
+// Wait returns once every background task has ended.
 func (n *Node) Wait() { n.wg.Wait() }
 
 // SetSeeds gives the node other addresses to ask for the cluster: those it started
-// with may be gone.
+// with may have departed.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	n.seeds = seeds
@@ -212,7 +212,7 @@
 	return n.Cluster.Read(ctx)
 }
 
-// Run starts the standing duties.
+// Run starts the background tasks.
 func (n *Node) Run(ctx context.Context) {
 	n.Go(ctx, n.Lease.Run)
 	n.Go(ctx, func(ctx context.Context) { loop.Every(ctx, n.Params.Lease.RenewInterval, nil, n.refreshCluster) })
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -36,7 +36,7 @@
 	server   *transport.Server
 
 	ident  atomic.Pointer[identity]
-	starts sync.Map // the latest start heard of at each address
+	starts sync.Map // the latest start seen at each address
 }
 
 // identity is what the process's data folder stands for, and the version of the cluster
@@ -47,7 +47,7 @@
 }
 
 // Ident is the identity that this process has now. It changes only where a machine
-// that was let go comes back as a stranger.
+// that was removed comes back as a stranger.
 func (peer *Peer) Ident() string { return peer.ident.Load().name }
 
 // IdentityVersion is the version of the cluster that the identity was made under.
@@ -71,7 +71,7 @@
 	}
 }
 
-// New makes a peer with a fresh incarnation. Handlers are set before Serve.
+// New makes a peer with a new incarnation. Handlers are set before Serve.
 func New(self *wire.Member, n transport.Net, p transport.Params, log hclog.Logger) *Peer {
 	c := &transport.Partitions{}
 	peer := &Peer{
@@ -170,11 +170,11 @@
 	return b
 }
 
-// staleReadTimeout is for how long nothing is heard on a connection to a process that has
+// staleReadTimeout is for how long nothing is received on a connection to a process that has
 // started anew since.
 const staleReadTimeout = 250 * time.Millisecond
 
-// observeStart notes the start that a caller is of. What was sent to an earlier one may wait
+// observeStart records the start that a caller is of. What was sent to an earlier one may wait
 // for long until the network notices: a machine without power refuses nothing.
 func (peer *Peer) observeStart(q *wire.Req) {
 	if q.From == "" || q.Inc == 0 {
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -22,7 +22,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// EpochGuard remembers the highest epoch of a duty seen here.
+// EpochGuard remembers the highest epoch of a role seen here.
 type EpochGuard struct {
 	mu        sync.Mutex
 	highest   uint64
@@ -54,7 +54,7 @@
 	return guard.highest
 }
 
-// ObserveContact takes another's word that it heard a good epoch so long ago.
+// ObserveContact takes another's report that it received a good epoch so long ago.
 func (guard *EpochGuard) ObserveContact(quiet time.Duration) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// SinceContact is how long nobody with a good epoch has been heard.
+// SinceContact is how long nobody with a good epoch has been seen.
 func (guard *EpochGuard) SinceContact() time.Duration {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
@@ -73,7 +73,7 @@
 	return time.Since(guard.contactAt)
 }
 
-// Role is one duty as seen by one member.
+// Role is one role as seen by one member.
 type Role struct {
 	Name    string
 	Peer    *peer.Peer
@@ -81,9 +81,9 @@
 	Lease   *lease.Holder
 	Stores  *storeclient.Client
 	Epochs  *EpochGuard
-	// Work does the duty until ctx ends.
+	// Work does the role until ctx ends.
 	Work func(ctx context.Context, epoch uint64)
-	// SuspectAfter after which a successor looks whether the holder's port is gone.
+	// SuspectAfter after which a successor checks whether the holder's port is closed.
 	SuspectAfter time.Duration
 
 	stop  context.CancelFunc
@@ -91,7 +91,7 @@
 	epoch uint64
 
 	mu          sync.Mutex
-	confirmedAt time.Time // before the last look that showed our epoch as the last
+	confirmedAt time.Time // before the last check that showed our epoch as the last
 }
 
 // SinceConfirmed is how long ago our epoch was surely the last.
@@ -110,7 +110,7 @@
 	role.mu.Unlock()
 }
 
-// confirm looks whether our epoch is still the last.
+// confirm checks whether our epoch is still the last.
 func (role *Role) confirm(ctx context.Context) {
 	asked := time.Now()
 	ctx, stop := context.WithTimeout(ctx, 500*time.Millisecond)
@@ -145,7 +145,7 @@
 	return out
 }
 
-// Run takes and leaves the duty until ctx ends.
+// Run takes and leaves the role until ctx ends.
 func (role *Role) Run(ctx context.Context) {
 	loop.Every(ctx, 250*time.Millisecond, role.Cluster.Watch(), role.step)
 	role.release()
@@ -159,7 +159,7 @@
 		role.confirm(ctx)
 	}
 	// A higher epoch has been seen: nobody listens to ours any more. Whose turn
-	// it is takes the duty anew, under one that is higher still.
+	// it is takes the role anew, under one that is higher still.
 	if role.stop != nil && role.Epochs.Highest() > role.epoch {
 		role.release()
 	}
@@ -168,9 +168,9 @@
 	}
 }
 
-// isElected: the first live member has the duty. A first one that nobody within reach
-// has heard of late, and that does not answer, is passed over before its lease
-// ends. Should it only be slow, the epoch keeps the two apart.
+// isElected: the first live member has the role. A first one that nobody within reach
+// has seen of late, and that does not answer, is skipped before its lease
+// ends. Should it only be slow, the epoch separates the two.
 func (role *Role) isElected(ctx context.Context) bool {
 	o := Order(role.Cluster.Now(), role.Lease.Members())
 	for _, m := range o {
--- a/internal/coordination/storeclient/client.go
+++ b/internal/coordination/storeclient/client.go
@@ -23,7 +23,7 @@
 	health   health
 }
 
-// failure numbers what went wrong; only a change in doubt is 'unknown'.
+// failure numbers what went wrong; only an uncertain change is 'unknown'.
 func failure(err error) error {
 	switch {
 	case err == nil:
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-// maxCatchUps is how often one dealing with the stores may learn of a newer spec.
+// maxCatchUps is how often one request to the stores may learn of a newer spec.
 const maxCatchUps = 3
 
 // withVersion does something at a key's stores under the spec in force here. Stores
@@ -95,7 +95,7 @@
 	return state, err
 }
 
-// ReadWindow is how long a look at the stores may be old when a pass rests on it.
+// ReadWindow is how long a read of the stores may be old when a pass rests on it.
 const ReadWindow = 200 * time.Millisecond
 
 // ReadStrict is a majority read under the newest spec of those stores; it tells which
@@ -215,7 +215,7 @@
 }
 
 // GetBlob finds an immutable value. One copy is proof enough that it is there;
-// only a majority of the old set, which is whole until a change has ended,
+// only a majority of the old set, which is complete until a change has ended,
 // proves that it is not.
 func (client *Client) GetBlob(ctx context.Context, key string) ([]byte, error) {
 	val, _, err := client.GetBlobTimeLeft(ctx, key)
--- a/internal/coordination/storeclient/health.go
+++ b/internal/coordination/storeclient/health.go
@@ -9,8 +9,8 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// health is what the last dealings with the stores showed. A node that can't
-// reach a majority says so at its door at once; nobody waits for a time-out to
+// health is what the last requests to the stores showed. A node that can't
+// reach a majority says so at its ingress at once; nobody waits for a time-out to
 // learn what the node knows already.
 type health struct {
 	mu                       sync.Mutex
--- a/internal/dataplane/assignment/assigner.go
+++ b/internal/dataplane/assignment/assigner.go
@@ -27,17 +27,17 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params are the dealer's times.
+// Params are the assigner's times.
 type Params struct {
 	Poll        time.Duration // between reports
-	Term        time.Duration // of dealt slots
-	WarmupStep  time.Duration // between two doublings of a fresh runner's share
-	WarmupStart int           // slots a fresh runner starts with
-	// WarmAfter: a runner up this long that bears well is not fresh to a new dealer.
+	Term        time.Duration // of assigned slots
+	WarmupStep  time.Duration // between two doublings of a warming runner's share
+	WarmupStart int           // slots a warming runner starts with
+	// WarmAfter: a runner up this long that bears well is not warming up to a new assigner.
 	WarmAfter time.Duration
 	// Transport carries the requests for reports; nil means the ordinary way.
 	Transport http.RoundTripper
-	// LastState is the last news of a runner, by which a new dealer knows how far a
+	// LastState is the last update of a runner, by which a new assigner knows how far a
 	// process had warmed up.
 	LastState func(name string) (State, bool)
 	// SinceConfirmed is how long ago this tenure was surely the last.
@@ -53,7 +53,7 @@
 	WarmAfter:   20 * time.Second,
 }
 
-// State is what the tree hears of a runner.
+// State is what is broadcast of a runner.
 type State struct {
 	spec.Runner
 	State       string   `json:"state"`
@@ -70,8 +70,8 @@
 	refused  int64
 	misses   int
 	known    bool
-	// base bounds the sum dealt until every edge has been heard: what those
-	// heard held when first heard.
+	// base bounds the sum assigned until every edge has reported: what those
+	// that have held when they first reported.
 	base int
 	// unaccounted is work seen at the opening that no edge accounted for.
 	unaccounted int
@@ -82,13 +82,13 @@
 type share struct {
 	incarnation   string // of the process it is a share of
 	plain, urgent int
-	used          int // at the edge's last word
+	used          int // at the edge's last report
 	expired       bool
 	orphaned      int
 }
 
 // edge is one start of an edge node; past is set once another start of the
-// same node has been heard.
+// same node has been received.
 type edge struct {
 	id         string
 	backlog    map[string]int // jobs waiting or under way, by route
@@ -102,7 +102,7 @@
 	return e.superseded || now.Sub(e.reportedAt) >= term
 }
 
-// Assigner is one tenure of the duty.
+// Assigner is one tenure of the role.
 type Assigner struct {
 	params Params
 	node   *node.Node
@@ -113,15 +113,15 @@
 	mu          sync.Mutex
 	start       time.Time // of this tenure
 	seq         uint64
-	allReported bool // every edge has been heard or is gone
+	allReported bool // every edge has reported or has departed
 	runners     map[string]*runner
 	edges       map[uint64]*edge // by incarnation
 	opened      time.Time
 	listed      []runnerapi.Listed
 }
 
-// boundOrphans bounds what edges that are gone have left running: each may have
-// used its whole share up to the end of its term, but never more than the
+// boundOrphans bounds what edges that have departed have left running: each may have
+// used its entire share up to the end of its term, but never more than the
 // runner reports at any time since.
 func (assigner *Assigner) boundOrphans(now time.Time, o *runner, load int) {
 	o.unaccounted = min(o.unaccounted, load)
@@ -138,7 +138,7 @@
 	}
 }
 
-// checkAllReported opens the dealing once no edge is left that could hold shares unknown
+// checkAllReported opens the assignment once no edge is left that could hold shares unknown
 // to this tenure.
 func (assigner *Assigner) checkAllReported(ctx context.Context) {
 	assigner.mu.Lock()
@@ -147,9 +147,9 @@
 	if open {
 		return
 	}
-	// A former holder dealt for three quarters of a term after its epoch was
+	// A former holder assigned for three quarters of a term after its epoch was
 	// over, at the most, and those shares have a term: then no edge that was not
-	// heard has any, frozen or cut off. What it left running the runners report.
+	// received has any, frozen or partitioned. What it left running the runners report.
 	for _, m := range assigner.node.Lease.Members() {
 		if m.Role != "edge" || time.Since(assigner.start) > 2*assigner.params.Term {
 			continue
@@ -165,8 +165,8 @@
 	assigner.node.Log.Info("dealing is open", "epoch", assigner.epoch)
 }
 
-// open opens the dealing. Work that runs now and that no edge accounts for was
-// left by edges that are gone.
+// open opens the assignment. Work that runs now and that no edge accounts for was
+// left by edges that have departed.
 func (assigner *Assigner) open() {
 	assigner.mu.Lock()
 	defer assigner.mu.Unlock()
@@ -182,7 +182,7 @@
 	}
 }
 
-// Report answers one edge. raise is whether this dealer's lease is valid.
+// Report answers one edge. raise is whether this assigner's lease is valid.
 func (assigner *Assigner) Report(id string, inc uint64, q *wire.Deal, raise bool) *wire.DealAck {
 	assigner.mu.Lock()
 	defer assigner.mu.Unlock()
@@ -251,8 +251,8 @@
 	return out
 }
 
-// available is how many more slots of a runner may be dealt: what it can bear, less
-// what the edges hold, less work left behind by edges that are gone.
+// available is how many more slots of a runner may be assigned: what it can bear, less
+// what the edges hold, less work left behind by edges that have departed.
 func (assigner *Assigner) available(o *runner, now time.Time) int {
 	total := o.Limit
 	if !assigner.allReported {
@@ -262,7 +262,7 @@
 		s := e.shares[o.Name]
 		switch {
 		case s.incarnation != o.Incarnation:
-			// Of a process that is gone.
+			// Of a process that has departed.
 		case !s.expired:
 			total -= s.plain + s.urgent
 		case now.Sub(e.reportedAt) < assigner.node.Params.Lease.OrphanTimeout:
--- a/internal/dataplane/assignment/assigner_test.go
+++ b/internal/dataplane/assignment/assigner_test.go
@@ -66,8 +66,8 @@
 	return n
 }
 
-// TestSumNeverExceeds plays edges that ask, work, go silent, restart and are
-// late, under one dealer after another, while the runner's strength changes.
+// TestSumNeverExceeds plays edges that ask, work, go unresponsive, restart and are
+// late, under one assigner after another, while the runner's strength changes.
 // At no moment may the shares of all edges together exceed what it bears at
 // most.
 func TestSumNeverExceeds(t *testing.T) {
@@ -159,7 +159,7 @@
 			}
 		case 7:
 			e.cut = !e.cut
-		case 8: // a new dealer that knows nothing; the old one is gone
+		case 8: // a new assigner that knows nothing; the old one has departed
 			assigner = newDispatcher(assigner.epoch + 1)
 			note()
 			reported = map[int]bool{}
--- a/internal/dataplane/assignment/polling.go
+++ b/internal/dataplane/assignment/polling.go
@@ -106,7 +106,7 @@
 	return rep, false
 }
 
-// observe takes one report; it gives news where the state has changed.
+// observe takes one report; it gives an update where the state has changed.
 func (assigner *Assigner) observe(now time.Time, r spec.Runner, rep *runnerapi.Report, departed bool) *wire.Item {
 	assigner.mu.Lock()
 	defer assigner.mu.Unlock()
@@ -125,8 +125,8 @@
 	} else {
 		o.misses = 0
 		if rep.Incarnation != o.Incarnation {
-			// Another process at the same address: nothing that was dealt of the
-			// one before counts, and it is fresh whatever that one bore.
+			// Another process at the same address: nothing that was assigned of the
+			// one before counts, and it is warming up whatever that one bore.
 			o.Incarnation, o.known, o.Limit, o.base, o.unaccounted = rep.Incarnation, false, 0, 0, 0
 		}
 		assigner.boundOrphans(now, o, rep.Load)
@@ -150,7 +150,7 @@
 	return s
 }
 
-// warmUp sets what may be dealt: a fresh runner starts with few and doubles
+// warmUp sets what may be assigned: a warming runner starts with few and doubles
 // while its own reports show no refusals.
 func (assigner *Assigner) warmUp(now time.Time, o *runner, rep *runnerapi.Report) {
 	switch {
@@ -169,12 +169,12 @@
 			o.Limit = rep.Concurrency
 		}
 	case rep.Refused > o.refused:
-		// It refused: stay, and look again after a while.
+		// It refused: stay, and check again after a while.
 		o.refused, o.warmedAt = rep.Refused, now
 	case now.Sub(o.warmedAt) >= assigner.params.WarmupStep:
 		o.Limit, o.warmedAt = o.Limit*2, now
 	}
-	// What edges held when a new dealer first heard them, the one before it had
+	// What edges held when a new assigner first received them, the one before it had
 	// warmed the process up to.
 	o.Limit = min(max(o.Limit, o.base), o.Concurrency)
 }
--- a/internal/dataplane/assignment/service.go
+++ b/internal/dataplane/assignment/service.go
@@ -22,7 +22,7 @@
 	current *Assigner
 }
 
-// New makes the duty's local end.
+// New makes the role's local end.
 func New(p Params, n *node.Node, f *singleton.EpochGuard) *Service {
 	d := &Service{params: p, node: n, epochs: f}
 	n.Peer.Handle(&wire.Req_Deal{}, d.assign)
@@ -74,12 +74,12 @@
 		}, err
 	}
 	if e := q.GetDeal().GetEpoch(); e > assigner.epoch {
-		// The asker has dealt with a later holder: this tenure is over.
+		// The asker has assigned with a later holder: this tenure is over.
 		d.epochs.Observe(e)
 		d.set(nil)
 		return nil, code.New(code.OldEpoch, "epoch %d is over", assigner.epoch)
 	}
-	// A dealer is replaced by a higher epoch, which it may not have heard of. It
+	// An assigner is replaced by a higher epoch, which it may not have seen. It
 	// stops raising well before the shares of edges that left it run out here.
 	a := assigner.Report(q.Id, q.Inc, q.GetDeal(), d.params.SinceConfirmed() < d.params.Term*3/4)
 	return &wire.Resp{Op: &wire.Resp_Deal{Deal: a}}, nil
--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -23,7 +23,7 @@
 // Params bound the backlog.
 type Params struct {
 	Most     int           // jobs waiting
-	Tick     time.Duration // between looks at deadlines and cooldowns
+	Tick     time.Duration // between checks deadlines and cooldowns
 	CallTime time.Duration // what a call itself needs
 }
 
@@ -47,7 +47,7 @@
 	directory *balancer.Directory
 	selector  *policy.Selector
 	slots     *slots.Table
-	in        chan *waiter // a nil one only asks to look again
+	in        chan *waiter // a nil one only asks to check again
 	n         atomic.Int64
 	stop      atomic.Bool
 	mu        sync.Mutex
@@ -88,12 +88,12 @@
 	}
 }
 
-// Notify asks to look again: slots were dealt or given back.
+// Notify asks to check again: slots were assigned or given back.
 func (b *Backlog) Notify() {
 	select {
 	case b.in <- nil:
 	default:
-		// It is full of work to look at already.
+		// It is full of work to check already.
 	}
 }
 
@@ -221,7 +221,7 @@
 				e.err = job.Bad(code.NoRunner, "no runner is left for %s", c.Route)
 				e.err.Wait = time.Second
 			case least > 0 && !c.Fits(least, b.p.CallTime):
-				// A wait that can't fit is told at once.
+				// A wait that can't fit is reported at once.
 				e.err = cooldown.Cooling(least)
 			default:
 				none = append(none, n)
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -31,7 +31,7 @@
 	avoid       time.Time
 	prefixes    map[string]bool
 	cooldownKey string
-	incarnation string // of the process last told of
+	incarnation string // of the process last reported of
 }
 
 // Directory is the directory of runners, by index.
@@ -49,7 +49,7 @@
 	states  map[string]assignment.State
 }
 
-// New makes the directory and listens for news of runners.
+// New makes the directory and listens for updates of runners.
 func New(
 	n *node.Node,
 	runners *intern.Table,
@@ -78,7 +78,7 @@
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	if old, ok := directory.states[s.Name]; ok && old.Incarnation != s.Incarnation {
-		// What was seen of the process before says nothing about this one.
+		// What was seen the process before says nothing about this one.
 		if ix := directory.Runners.Ix(s.Name); ix < len(directory.entries) {
 			directory.entries[ix].avoid = time.Time{}
 		}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// LastState is the last news heard of a runner.
+// LastState is the last update seen a runner.
 func (directory *Directory) LastState(name string) (assignment.State, bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
@@ -110,7 +110,7 @@
 	return len(routes) >= len(directory.node.Cluster.Now().Spec.Routes)
 }
 
-// rebuild brings the entries in line with the spec in force and the news.
+// rebuild brings the entries in line with the spec in force and the update.
 func (directory *Directory) rebuild() {
 	v := directory.node.Cluster.Now()
 	if directory.version == v.Version {
@@ -147,18 +147,18 @@
 }
 
 // Avoid keeps a runner from being picked for a while: this node has seen that
-// it leaves or is gone, and the dealer has not yet said so.
+// it leaves or has departed, and the assigner has not yet said so.
 func (directory *Directory) Avoid(ix int, t time.Duration) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.entries[ix].avoid = time.Now().Add(t)
 }
 
-// SetPrefixes notes the prefixes that a runner says it holds.
+// SetPrefixes records the prefixes that a runner says it holds.
 func (directory *Directory) SetPrefixes(ix int, prefixes []string) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	// The list is the whole of what it holds now; what it let go is let go.
+	// The list is all of what it holds now; what it released is released.
 	cached := make(map[string]bool, len(prefixes))
 	for _, p := range prefixes {
 		cached[p] = true
@@ -201,7 +201,7 @@
 		if least < 0 || w < least {
 			least = w
 		}
-		// A process seen leaving, or whose slots are for the one before it, is no
+		// A process seen draining, or whose slots are for the one before it, is no
 		// candidate now, and may be one soon.
 		if w > 0 || !directory.cooldowns.Allowed(e.cooldownKey) || now.Before(e.avoid) ||
 			directory.slots.Incarnation(ix) != e.incarnation {
@@ -256,7 +256,7 @@
 	return e.listed && !e.draining && e.incarnation == incarnation && !directory.node.Cluster.Now().Spec.Empty(e.Zone)
 }
 
-// Finished takes note of how an picked runner's call ended.
+// Finished records how an picked runner's call ended.
 func (directory *Directory) Finished(r job.Runner, a job.Answer) {
 	directory.cooldowns.EndCall(r.Cool, a.Err == nil)
 }
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -1,8 +1,8 @@
-// Package budget keeps each program's one budget of output and time, whole over all
-// nodes: a turn reserves its largest output before it is passed and settles to
-// the true figure after. A reservation nobody settles counts as spent. The time a
-// program has left is the least that any node has heard, counted down since by the
-// stores; a helper spends from the program at the root, and does not outlive it.
+// Package budget keeps each program's one budget of output and time, complete over all
+// nodes: a turn reserves its largest output before it is passed and commits to
+// the true figure after. A reservation nobody commits counts as spent. The time a
+// program has left is the least that any node has received, counted down since by the
+// stores; a sub-agent spends from the program at the root, and does not outlive it.
 package budget
 
 import (
@@ -23,10 +23,10 @@
 	Spent int64            `json:"spent"`
 	Open  map[string]int64 `json:"open,omitempty"`
 	// LeftMs is the time that the program had left at the last write; Timed, that
-	// it has been heard.
+	// it has been received.
 	LeftMs int64 `json:"left_ms,omitempty"`
 	Timed  bool  `json:"timed,omitempty"`
-	// Root is set for a helper, which has no budget of its own.
+	// Root is set for a sub-agent, which has no budget of its own.
 	Root string `json:"root,omitempty"`
 	// Home is the runner that last read the program's prompts and may hold them still.
 	Home string `json:"home,omitempty"`
@@ -67,7 +67,7 @@
 	}
 }
 
-// Policy reserves before a model turn and settles after it.
+// Policy reserves before a model turn and commits after it.
 type Policy struct {
 	Stores *storeclient.Client
 	// Pre is the deadline of reserving, Write of one try at settling.
@@ -206,7 +206,7 @@
 	if subagent {
 		return code.New(code.BadProgram, "program %q has ended", c.Root)
 	}
-	// The time that was heard is over and the program asks again: it has more than
+	// The time that was received is over and the program asks again: it has more than
 	// it said, as one that goes on with a kept conversation after days. Its output
 	// budget goes on; its time starts anew.
 	v.Timed = false
@@ -214,14 +214,14 @@
 	return nil
 }
 
-// bound ends a job with its program, by the least that was heard of its time.
+// bound ends a job with its program, by the least that was seen its time.
 func (p Policy) bound(c *job.Ctx, v Value) {
 	if end := time.Now().Add(time.Duration(v.LeftMs) * time.Millisecond); end.Before(c.AnswerBy) {
 		c.AnswerBy = end
 	}
 }
 
-// root finds the program whose budget a job spends from. A helper's is written down
+// root finds the program whose budget a job spends from. A sub-agent's is written down
 // with its first turn, so that helpers of its own find it too.
 func (p Policy) root(c *job.Ctx) error {
 	if c.Root = c.Program; c.StartedBy == "" {
@@ -266,7 +266,7 @@
 
 var errKnown = errors.New("the helper is known")
 
-// Tree bounds a helper's tool calls by the program at the root.
+// Tree bounds a sub-agent's tool calls by the program at the root.
 type Tree struct{ Policy }
 
 // Do is the policy.
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestCompleteBudget: whatever turns come, settle, fail or are lost, in any order, what
+// TestCompleteBudget: whatever turns come, commits, fail or are lost, in any order, what
 // is put out never passes the budget: each puts out no more than it reserved,
-// and one that nobody settles counts as spent.
+// and one that nobody commits counts as spent.
 func TestCompleteBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		total := rapid.Int64Range(1, 500).Draw(rt, "total")
@@ -31,10 +31,10 @@
 					spent := rapid.Int64Range(0, n).Draw(rt, "spent")
 					out += spent
 					v.Settle(id, spent)
-					v.Settle(id, spent) // and settles once
+					v.Settle(id, spent) // and commits once
 				case 1: // never run
 					v.Settle(id, 0)
-				case 2: // ran, and nobody heard: the reservation stays
+				case 2: // ran, and nobody received: the reservation stays
 					out += n
 				default:
 					continue
--- a/internal/dataplane/call/call.go
+++ b/internal/dataplane/call/call.go
@@ -33,10 +33,10 @@
 	Cooldowns *cooldown.Manager
 	Directory *balancer.Directory
 	Slots     *slots.Table
-	// OnDeparture tells the dealer that a runner seems to leave.
+	// OnDeparture tells the assigner that a runner seems to leave.
 	OnDeparture func(runner, why string)
 	Web         *http.Client
-	// Avoid is how long a runner seen leaving is not picked here.
+	// Avoid is how long a runner seen draining is not picked here.
 	Avoid time.Duration
 }
 
@@ -75,7 +75,7 @@
 type Cool struct{ Cooldowns *cooldown.Manager }
 
 // Do is the policy. Where the wait fits, the job goes back to the backlog and
-// waits there; where it does not, the caller is told at once.
+// waits there; where it does not, the caller is notified at once.
 func (p Cool) Do(c *job.Ctx, next job.Next) job.Answer {
 	c.At(job.Picked)
 	c.Looked = time.Now()
@@ -147,7 +147,7 @@
 	if err != nil {
 		return job.Bad(code.BadField, "%w", err)
 	}
-	// What has been passed is heard to its end, whether or not its caller is
+	// What has been passed is received to its end, whether or not its caller is
 	// still there: its result is worth keeping.
 	ctx, stop := context.WithDeadline(context.WithoutCancel(c), c.AnswerBy)
 	defer stop()
@@ -282,7 +282,7 @@
 		return a
 	}
 	if pr.State == runnerapi.Other {
-		// Its successor answered: nothing ran, and the dealer should know.
+		// Its successor answered: nothing ran, and the assigner should know.
 		p.departs(c, "another process answers")
 		a := job.Bad(code.NoRunner, "runner %s is another process by now", c.Runner.Name)
 		a.Again = true
--- a/internal/dataplane/call/call_test.go
+++ b/internal/dataplane/call/call_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestSentOnce: a connection that was used before ends as a job goes out on it, at any
-// byte of the request, or once it has come whole: the library never sends it again.
+// byte of the request, or once it has come complete: the library never sends it again.
 func TestSentOnce(t *testing.T) {
 	for at := 1; at <= requestSize(t, "second"); at++ {
 		l := &pipeListener{}
--- a/internal/dataplane/conversation/conversation.go
+++ b/internal/dataplane/conversation/conversation.go
@@ -79,7 +79,7 @@
 	if c.Follows == "" {
 		return nil
 	}
-	// Stores that don't answer by then are out of reach: the caller is told,
+	// Stores that don't answer by then are out of reach: the caller is notified,
 	// and not held until its own deadline.
 	ctx, stop := context.WithTimeout(c, min(p.Read, c.Left()))
 	defer stop()
--- a/internal/dataplane/cooldown/gate.go
+++ b/internal/dataplane/cooldown/gate.go
@@ -26,7 +26,7 @@
 }
 
 // gate bounds the calls of one key that this node has under way at once, after
-// a cooldown: one at first, twice as many with each good answer. A whole backlog
+// a cooldown: one at first, twice as many with each good answer. A entire backlog
 // let loose at once would only be refused again.
 type gate struct {
 	limit, inFlight int
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -21,7 +21,7 @@
 
 // Params are the worker's times.
 type Params struct {
-	Read     time.Duration // deadline of a look at the deadline
+	Read     time.Duration // deadline of a read of the deadline
 	Write    time.Duration // deadline of installing one
 	CallTime time.Duration // what a call itself needs after a wait
 	Snapshot SnapshotParams
@@ -46,7 +46,7 @@
 
 	mu sync.Mutex
 	// until is what this node has seen, on its own clock. It only ever saves
-	// a look: a deadline seen is in force, one not seen proves nothing.
+	// a read: a deadline seen is in force, one not seen proves nothing.
 	until map[string]time.Time
 	// gates let few through first once a cooldown has ended.
 	gates map[string]*gate
@@ -66,7 +66,7 @@
 	polls, reads, unverified atomic.Uint64
 }
 
-// New makes the desk and listens for what others spread.
+// New makes the manager and listens for what others spread.
 func New(p Params, n *node.Node, t *storeclient.Client) *Manager {
 	manager := &Manager{
 		params:       p,
--- a/internal/dataplane/cooldown/schedule.go
+++ b/internal/dataplane/cooldown/schedule.go
@@ -21,7 +21,7 @@
 
 func regKey(key string) string { return Prefix + key }
 
-// WaitMs is a wait in whole milliseconds, never shorter.
+// WaitMs is a wait in full milliseconds, never shorter.
 func WaitMs(w time.Duration) int64 { return (w + time.Millisecond - 1).Milliseconds() }
 
 func decode(b []byte) (value, error) {
--- a/internal/dataplane/cooldown/snapshot.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -13,15 +13,15 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// SnapshotParams are the times of the stores' word, on which a node that passes many
+// SnapshotParams are the times of the stores' snapshot, on which a node that passes many
 // jobs rests in place of a majority read for each.
 type SnapshotParams struct {
 	Interval    time.Duration // between two askings
 	Timeout     time.Duration // deadline of one
 	MaxAge      time.Duration // an answer asked for longer ago is no word any more
 	IdleAfter   time.Duration // so long after the last job nobody is asked
-	ReadTimeout time.Duration // deadline of a look where there is no fresh word
-	ShareWindow time.Duration // a look begun no longer ago serves the next job as well
+	ReadTimeout time.Duration // deadline of a read where there is no recent snapshot
+	ShareWindow time.Duration // a read begun no longer ago serves the next job as well
 	WriteWait   time.Duration // how long a refused job waits for its cooldown to be written
 }
 
@@ -41,7 +41,7 @@
 	answeredAt map[register.Replica]time.Time // when the newest answer was asked for
 	observed   map[string]*observed           // by cooldown key
 
-	// freshStores are the stores whose answers are fresh, until one of them isn't; ok is
+	// freshStores are the stores whose answers are recent, until one of them isn't; ok is
 	// whether they are a majority of a key's holders, under one spec.
 	freshStores map[register.Replica]bool
 	until       time.Time
@@ -51,7 +51,7 @@
 	lastPoll time.Time // last
 	lastUsed time.Time // by a job, last
 	reads    map[string]*sharedRead
-	// lastFailure is when a look last failed, fails how many did in a row.
+	// lastFailure is when a read last failed, fails how many did in a row.
 	lastFailure time.Time
 	failures    int
 }
@@ -61,7 +61,7 @@
 // long enough. A store that took it late, by repair, must not make it longer.
 type observed struct {
 	version         uint64
-	endsByOperation map[uint64]time.Time // by the mark of the change: of one version there may be several values, one chosen
+	endsByOperation map[uint64]time.Time // by the operation id of the change: of one version there may be several values, one chosen
 }
 
 // retention is how long a cooldown that is over is known to be over.
@@ -89,7 +89,7 @@
 	return end
 }
 
-// observe notes one register of one store's answer, and tells whether it is news.
+// observe records one register of one store's answer, and tells whether it is new.
 func (w *snapshot) observe(key string, ver, op uint64, end time.Time) bool {
 	t := w.observed[key]
 	switch {
@@ -167,7 +167,7 @@
 // maxKeys bounds what is remembered of keys by heart.
 const maxKeys = 4096
 
-// RunSnapshot keeps the stores' word fresh while there are jobs, until ctx ends.
+// RunSnapshot keeps the stores' snapshot recent while there are jobs, until ctx ends.
 func (manager *Manager) RunSnapshot(ctx context.Context) {
 	loop.Every(ctx, manager.params.Snapshot.Interval, manager.wakeup, func(ctx context.Context) {
 		now := time.Now()
@@ -216,7 +216,7 @@
 }
 
 // Remaining gives the wait that a call of the key must still keep to, 0 for none. It
-// rests on the stores' fresh word, or else on one look. A node whom the stores do
+// rests on the stores' recent snapshot, or else on one check. A node whom the stores do
 // not answer goes by what it knows: docs/cooldown.md says why. The job has so much
 // time left.
 func (manager *Manager) Remaining(ctx context.Context, key string, left time.Duration) time.Duration {
@@ -428,7 +428,7 @@
 // Stats are counts since the start, for the cost of a job.
 type Stats struct {
 	Polls      uint64 // askings of single stores for their word
-	Reads      uint64 // majority reads where there was no fresh word
+	Reads      uint64 // majority reads where there was no recent snapshot
 	Unverified uint64 // jobs that went on without either
 }
 
--- a/internal/dataplane/cooldown/snapshot_test.go
+++ b/internal/dataplane/cooldown/snapshot_test.go
@@ -113,7 +113,7 @@
 }
 
 // TestSnapshotIsFresh: the word covers a key while a majority of its holders has answered,
-// so a whole zone may be away; what is not covered is looked up.
+// so an entire zone may be away; what is not covered is looked up.
 func TestSnapshotIsFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -157,7 +157,7 @@
 	})
 }
 
-// TestClear: what one desk writes another keeps to, by the word or by a look; what
+// TestClear: what one manager writes another keeps to, by the snapshot or by a read; what
 // is left is never less than what the refusal asked for.
 func TestClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -315,8 +315,8 @@
 	})
 }
 
-// BenchmarkClear is the processor's time for one job's look at the cooldown: by a
-// fresh word, and by a majority read at three stores, whose share is in the figure.
+// BenchmarkClear is the processor's time for one job's check of the cooldown: by a
+// recent snapshot, and by a majority read at three stores, whose share is in the figure.
 func BenchmarkClear(b *testing.B) {
 	ctx, stop := context.WithCancel(b.Context())
 	defer stop()
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -1,5 +1,5 @@
 // Package edge is the data plane's edge role: it joins the parts of a job's
-// way, in one fixed order, and runs their duties.
+// way, in one fixed order, and runs their background tasks.
 package edge
 
 import (
@@ -44,14 +44,14 @@
 	Assignment   assignment.Params
 	Backlog      backlog.Params
 	SlotInterval time.Duration // between two requests for slots
-	ReadTimeout  time.Duration // deadline of one dealing with the tier before a pass
+	ReadTimeout  time.Duration // deadline of one request to the tier before a pass
 	WriteTimeout time.Duration // deadline of one write to the tier after it
 	// Point is called at each numbered point of a job's way, for tests.
 	Point            func(job.Point, *job.Ctx)
 	LateWriteTimeout time.Duration // for writing down what is known past a deadline
-	OpenTimeout      time.Duration // until the door opens even without slots
+	OpenTimeout      time.Duration // until ingress opens even without slots
 	RecordedJobs     int           // answered jobs remembered for records of the traffic
-	// ProxyOnly leaves out what named turns and tools need: no slots are dealt, and no
+	// ProxyOnly leaves out what named turns and tools need: no slots are assigned, and no
 	// runner of the spec is asked.
 	ProxyOnly bool
 }
@@ -90,7 +90,7 @@
 	ready      atomic.Bool
 	// joined: a member with the spec as a majority has it.
 	joined atomic.Bool
-	// When slots were last dealt to this node, and first in this spell; the asking
+	// When slots were last assigned to this node, and first in this spell; the asking
 	// goroutine's own.
 	lastGrant, firstGrant time.Time
 	stopping              atomic.Bool
@@ -135,7 +135,7 @@
 	}
 
 	// The way of a job, in the one place where it is fixed. What stands
-	// further out is written down first and settled last.
+	// further out is written down first and committed last.
 	rest := []job.Policy{
 		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.Keys},
 		call.Retry{CallTime: params.Cooldown.CallTime},
@@ -177,7 +177,7 @@
 	return e
 }
 
-// checkOpen tells whether the door is open.
+// checkOpen tells whether ingress is open.
 func (e *Edge) checkOpen() error {
 	switch {
 	case !e.ready.Load():
@@ -328,7 +328,7 @@
 	return s
 }
 
-// Start listens, joins, and opens the door. ctx ends the duties; jobs under
+// Start listens, joins, and opens ingress. ctx ends the background tasks; jobs under
 // way are given their time by the HTTP server.
 func (e *Edge) Start(ctx context.Context) error {
 	if err := e.Peer.Serve(ctx); err != nil {
@@ -353,7 +353,7 @@
 	return nil
 }
 
-// Stop closes the door and answers what waits; what runs is left to end.
+// Stop closes ingress and answers what waits; what runs is left to end.
 func (e *Edge) Stop() {
 	e.stopping.Store(true)
 	e.backlog.Stop()
@@ -370,8 +370,8 @@
 	}
 }
 
-// updateOpen opens the door with the first slots of every route after a start, and after a spell in
-// which this node had none because it was frozen or cut off: whoever came before
+// updateOpen opens ingress with the first slots of every route after a start, and after a spell in
+// which this node had none because it was frozen or partitioned: whoever came before
 // would only wait here for what other edges have. Where there are hardly any
 // slots it opens all the same, for those who wait make some come.
 func (e *Edge) updateOpen(at time.Time, some bool) {
@@ -392,7 +392,7 @@
 		r, err := e.Peer.CallFor(ctx, e.params.Assignment.Term/4, m.Addr, &wire.Req{Op: &wire.Req_Deal{Deal: &wire.Deal{
 			Epoch: e.Epochs.Highest(), Held: e.slots.Report(), Waiting: e.backlog.Waiting()}}})
 		if err != nil {
-			// Not the dealer, or not there: the next in order may be.
+			// Not the assigner, or not there: the next in order may be.
 			if a := r.GetDeal(); a != nil && m.Id != e.Peer.Self.Id {
 				e.Epochs.ObserveContact(time.Duration(a.QuietMs) * time.Millisecond)
 			}
@@ -410,7 +410,7 @@
 	}
 }
 
-// reportDeparture tells the dealer; it looks for itself at once.
+// reportDeparture tells the assigner; it checks for itself at once.
 func (e *Edge) reportDeparture(runner, why string) {
 	e.Log.Info("runner seems to leave", "runner", runner, "why", why)
 	go func() {
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Run keeps the roll, the load of its runners and the stores' word on cooldowns
+// Run keeps the endpoint list, the load of its runners and the stores' snapshot on cooldowns
 // until ctx ends.
 func (r *Proxy) Run(ctx context.Context, list loadreport.List) {
 	r.edge.Go(ctx, func(ctx context.Context) { r.loadReport.Run(ctx, list) })
--- a/internal/dataplane/endpoints/endpoints.go
+++ b/internal/dataplane/endpoints/endpoints.go
@@ -17,13 +17,13 @@
 	Revision string `json:"revision,omitempty"` // of its software
 	Capacity int    `json:"room"`               // requests at once
 	Draining bool   `json:"leaving,omitempty"`
-	// WarmupRemainingMs is how much longer it is fresh, counted from when the list was read.
+	// WarmupRemainingMs is how much longer it is warming up, counted from when the list was read.
 	WarmupRemainingMs int64 `json:"cold_ms,omitempty"`
 	// Models are the versions of the weights it holds, by model.
 	Models map[string]int64 `json:"models,omitempty"`
 }
 
-// List is one reading of the roll. It is never changed once made.
+// List is one reading of the endpoint list. It is never changed once made.
 type List struct {
 	ReadAt    time.Time // when the reading was asked for, on this node's clock
 	Runners   []Runner
@@ -53,7 +53,7 @@
 // Store holds the newest list.
 type Store struct{ current atomic.Pointer[List] }
 
-// New makes a roll that nobody is on.
+// New makes an endpoint store that nobody is on.
 func New() *Store {
 	r := &Store{}
 	r.current.Store(NewList(time.Time{}, nil))
@@ -80,7 +80,7 @@
 func (r *Store) Confirm(at time.Time) {
 	old := r.current.Load()
 	if at.After(old.ReadAt) {
-		// A runner's time left counts from the reading that told it.
+		// A runner's time left counts from the reading that reported it.
 		l := *old
 		l.ReadAt = at
 		r.current.CompareAndSwap(old, &l)
--- a/internal/dataplane/idempotency/idempotency.go
+++ b/internal/dataplane/idempotency/idempotency.go
@@ -177,7 +177,7 @@
 
 // release lets the claim go and says whether it surely did. Its write trips every
 // request of the key that read the claim before, and buries a start of this
-// job's own that is still in doubt. stubborn keeps on trying.
+// job's own that is still uncertain. stubborn keeps on trying.
 func (p Policy) release(c *job.Ctx, stubborn bool) bool {
 	to := value{State: Free, Hash: c.Hash, Job: c.ID}
 	for try := 0; try < 60; try++ {
--- a/internal/dataplane/intern/intern.go
+++ b/internal/dataplane/intern/intern.go
@@ -1,4 +1,4 @@
-// Package intern maps names to dense indices as they come in at the door, so
+// Package intern maps names to dense indices as they come in at ingress, so
 // that everything behind it works on small arrays.
 package intern
 
--- a/internal/dataplane/job/job.go
+++ b/internal/dataplane/job/job.go
@@ -20,7 +20,7 @@
 	ID      string
 	Origin  string // who asked: the remote address
 	Program string
-	// StartedBy is the program that started this one, a helper; Root is the one at
+	// StartedBy is the program that started this one, a sub-agent; Root is the one at
 	// the beginning, whose budget both spend. Ends is when the program ends by its
 	// caller's word, on the local clock.
 	StartedBy string
@@ -42,21 +42,21 @@
 	// AnswerBy is the earlier of the caller's wait and the program's end, on the
 	// local clock, counted from arrival.
 	AnswerBy time.Time
-	View     *cluster.View // the spec in force at the door
+	View     *cluster.View // the spec in force at ingress
 	Log      hclog.Logger
 	// Runner is set once picked.
 	Runner Runner
-	// Passed is when it was last passed to a runner.
+	// Passed is when it was last forwarded to a runner.
 	Passed time.Time
 	// Order is its place within its class, by the policy; Whys tell how each of its
 	// choices came to be.
 	Order float64
 	Whys  []Why
-	// Looked is when the look at its cooldown was asked for, Ver the spec it was
+	// Looked is when the read at its cooldown was asked for, Ver the spec it was
 	// answered under: what the pass rests on.
 	Looked time.Time
 	Ver    uint64
-	// ClaimVer is the claim's version as read at the door; Started tells that it
+	// ClaimVer is the claim's version as read at ingress; Started tells that it
 	// says 'started' for this job, Sure that no request with its key that came
 	// before this one's answer can run any more.
 	ClaimVer uint64
@@ -74,7 +74,7 @@
 
 // The points, in order.
 const (
-	Taken            Point = iota + 1 // parsed at the door
+	Taken            Point = iota + 1 // parsed at ingress
 	Claimed                           // its claim is read
 	Read                              // its history is there
 	Reserved                          // its budget is reserved
@@ -138,7 +138,7 @@
 // Left is the time until the deadline.
 func (c *Ctx) Left() time.Duration { return time.Until(c.AnswerBy) }
 
-// Fits tells whether a wait leaves room for the call itself.
+// Fits tells whether a wait leaves capacity for the call itself.
 func (c *Ctx) Fits(wait, callTime time.Duration) bool { return wait+callTime <= c.Left() }
 
 // Answer is what becomes of a job.
@@ -151,7 +151,7 @@
 	Again bool
 }
 
-// Good is a whole answer.
+// Good is a complete response.
 func Good(body json.RawMessage) Answer { return Answer{Body: body} }
 
 // Bad is a numbered failure.
--- a/internal/dataplane/loadreport/loadreport.go
+++ b/internal/dataplane/loadreport/loadreport.go
@@ -1,7 +1,7 @@
-// Package loadreport is how busy each runner is by the word of all edges, and which
+// Package loadreport is how loaded each runner is as reported by all edges, and which
 // runners there are, at a cost that grows with edges and not with edges times
 // runners: each edge tells one of them, the first live in order, what it has under
-// way, and hears what all others have; that one alone reads the list of runners.
+// way, and receives what all others have; that one alone reads the list of runners.
 // Nothing that must hold rests on it, so it needs no epoch: two that count at once
 // only count less well, and an edge that reaches nobody reads the list itself.
 package loadreport
@@ -57,7 +57,7 @@
 	mu       sync.Mutex
 	reports  map[string]edgeReport // by edge
 	lastRead time.Time             // when the last own reading was asked for
-	body     []byte                // the roll as it is handed on
+	body     []byte                // the endpoint list as it is handed on
 	sum      uint64
 }
 
@@ -144,7 +144,7 @@
 	return report.outliers.Verdict(now)
 }
 
-// report tells the one that counts, and hears.
+// report tells the one that counts, and receives.
 func (report *LoadReport) report(ctx context.Context, addr string, own []*wire.Busy) bool {
 	report.mu.Lock()
 	sum := report.sum
@@ -231,8 +231,8 @@
 	report.publish(at, l.Runners, body, h.Sum64())
 }
 
-// roundWarmup is the roll with fresh times rounded up, so that a runner that warms up
-// does not make a new roll of each reading.
+// roundWarmup is the endpoint list with warm-up times rounded up, so that a runner that warms up
+// does not make a new endpoint list of each reading.
 func roundWarmup(all []endpoints.Runner) []endpoints.Runner {
 	out := make([]endpoints.Runner, len(all))
 	copy(out, all)
@@ -244,7 +244,7 @@
 	return out
 }
 
-// others sums up what all but one have under way, as last heard.
+// others sums up what all but one have under way, as last received.
 func (report *LoadReport) others(but string) map[string]proxy.InFlight {
 	report.mu.Lock()
 	defer report.mu.Unlock()
--- a/internal/dataplane/outlier/detector.go
+++ b/internal/dataplane/outlier/detector.go
@@ -20,7 +20,7 @@
 // one that fails now and then.
 var windows = [...]int{slotCount, 6, 2}
 
-// expectedCarry is the part of an even trouble seen in a longer window that is expected in a
+// expectedCarry is the part of an even fault seen in a longer window that is expected in a
 // shorter one, where a few failures more or less are chance.
 const expectedCarry = 0.3
 
@@ -31,7 +31,7 @@
 	mu       sync.Mutex
 	runners  map[string]*track
 	services map[string]*baseline
-	edges    map[string]time.Time // heard lately
+	edges    map[string]time.Time // received lately
 	decided  time.Time
 	ejected  int
 	slow     map[string]float64
@@ -45,7 +45,7 @@
 	trials []time.Time // under way, by when they were given out
 }
 
-// NewDetector makes a detector that has heard nothing.
+// NewDetector makes a detector that has received nothing.
 func NewDetector(params Params) *Detector {
 	return &Detector{
 		params:   params,
@@ -55,7 +55,7 @@
 	}
 }
 
-// Report takes what an edge has counted since it last told.
+// Report takes what an edge has counted since it last reported.
 func (d *Detector) Report(edge string, cs map[string]Count, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,7 +185,7 @@
 		}
 	}
 	most := min(max(int(d.params.MaxEjectedShare*float64(len(rs))), 1), len(rs)-1)
-	// Where runners have gone or load has come, the least bad ones are needed.
+	// Where runners have left or load has come, the least bad ones are needed.
 	slices.SortFunc(out, func(a, b suspect) int { return cmp.Compare(a.rate, b.rate) })
 	for len(out) > 0 && (len(out) > most || capacity < total*d.params.Headroom) {
 		t := ts[out[0].i]
@@ -238,7 +238,7 @@
 			sum += s
 		}
 		if sum > float64(len(cs)+departed)/2 && len(cs)+departed > 2 {
-			// Most are alike: it is the service's trouble, and no runner's.
+			// Most are alike: it is the service's fault, and no runner's.
 			continue
 		}
 		for k, c := range cs {
@@ -314,7 +314,7 @@
 	return (xs[len(xs)/2] + xs[(len(xs)-1)/2]) / 2
 }
 
-// Verdict is what an edge is to hear. It may hold trials, which are the edge's own.
+// Verdict is what an edge is to receive. It may hold trials, which are the edge's own.
 func (d *Detector) Verdict(now time.Time) Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dataplane/outlier/outlier.go
+++ b/internal/dataplane/outlier/outlier.go
@@ -2,7 +2,7 @@
 // (outlier detection), never by what they say of themselves. Each edge sees too few
 // jobs at one runner to tell, so a Watch counts what it saw and a Detector, at the
 // edge that counts for all, sums the counts up, compares each runner with the others
-// of its service and ejects the outliers for a while. Every edge hears the verdict.
+// of its service and ejects the outliers for a while. Every edge receives the verdict.
 package outlier
 
 import (
@@ -36,15 +36,15 @@
 // Ejected is a runner that gets no jobs, but for a trial.
 type Ejected struct {
 	ID    string
-	Trial bool // whoever hears this may send it one job
+	Trial bool // whoever receives this may send it one job
 }
 
 // Params are the settings of a detector and a watch.
 type Params struct {
 	MaxEjectedShare float64       // of a service's runners that may be ejected; one always
-	Headroom        float64       // times the load that the room of those left must be
-	Chance          float64       // that a healthy runner looks so bad in one window
-	Confidence      float64       // that it is one that fails often, and not part of an even trouble
+	Headroom        float64       // times the load that the capacity of those left must be
+	Chance          float64       // that a healthy runner appears so bad in one window
+	Confidence      float64       // that it is one that fails often, and not part of an even fault
 	Retry           time.Duration // until the first trial of an ejected runner; doubled while it fails
 	MaxRetry        time.Duration // until any further trial
 	Trial           time.Duration // how long an edge may put off a trial
@@ -53,8 +53,8 @@
 	Interval        time.Duration // between two decisions
 	SlowFactor      float64       // times the middle of its service's pace from which a runner is slow
 	SuspectTime     time.Duration // how long an edge by itself keeps away from a runner after one failure
-	VerdictLifetime time.Duration // how long a verdict stands where no other is heard
-	MinHang         time.Duration // the least silence that is a failure of the runner
+	VerdictLifetime time.Duration // how long a verdict stands where no other is received
+	MinHang         time.Duration // the shortest stall that is a failure of the runner
 }
 
 // DefaultParams are the design's.
@@ -96,7 +96,7 @@
 }
 
 // The rates of failures that a runner may have, beside that of a healthy one: low
-// ones are those of a trouble that many share (an answer lost now and then), from
+// ones are those of a fault that many share (an answer lost now and then), from
 // grey on it is better to leave the runner.
 var rates = [...]float64{0, 0.02, 0.06, 0.2, 0.35, 0.65, 0.97}
 
--- a/internal/dataplane/outlier/outlier_test.go
+++ b/internal/dataplane/outlier/outlier_test.go
@@ -255,7 +255,7 @@
 	})
 }
 
-// TestEven: of a trouble that most runners share, none is ejected for it.
+// TestEven: of a fault that most runners share, none is ejected for it.
 func TestEven(t *testing.T) {
 	sites(t, func(t *testing.T, make func() *fleet) {
 		for _, rate := range []float64{0.03, 0.054, 0.08} {
@@ -273,7 +273,7 @@
 				return true
 			})
 			t.Logf("rate %v: %d at most, %d times", rate, most, f.ever)
-			// One by chance, of a trouble as the sites have it.
+			// One by chance, of a fault as the sites have it.
 			if rate < 0.06 && (most > 1 || f.ever > 2) {
 				t.Errorf("rate %v: %d ejected at once, %d times one", rate, most, f.ever)
 			}
@@ -366,7 +366,7 @@
 	})
 }
 
-// TestOneEdge: what one edge alone sees is its own trouble.
+// TestOneEdge: what one edge alone sees is its own fault.
 func TestOneEdge(t *testing.T) {
 	f := andina()
 	f.fails = func(int, time.Duration) float64 { return 0 }
@@ -378,7 +378,7 @@
 	}
 }
 
-// TestBound: whatever comes, no more runners are out than may be, and the room of
+// TestBound: whatever comes, no more runners are out than may be, and the capacity of
 // those left bears the load.
 func TestBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/dataplane/outlier/watch.go
+++ b/internal/dataplane/outlier/watch.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Watch is what one edge saw of the runners, and what it heard of them.
+// Watch is what one edge saw of the runners, and what it seen them.
 type Watch struct {
 	params Params
 
 	mu        sync.Mutex
-	counts    map[string]Count // not told yet
+	counts    map[string]Count // not reported yet
 	local     map[string]*local
 	typical   map[string]*typical // by path
 	ejected   map[string]bool
@@ -78,7 +78,7 @@
 	o.until = o.last.Add(min(w.params.SuspectTime<<min(o.consecutive-1, 10), w.params.MaxRetry))
 }
 
-// Hung tells whether a silence is the runner's: one much longer than is typical.
+// Hung tells whether a stall is the runner's: one much longer than is typical.
 func (w *Watch) Hung(path string, idle time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,15 +86,15 @@
 	return t != nil && t.n >= minSamples && idle >= w.params.MinHang && idle.Seconds() > 8*math.Exp(t.first.median)
 }
 
-// Suspicion is how much this edge doubts a runner.
+// Suspicion is how much this edge suspects a runner.
 type Suspicion int
 
-// The doubts.
+// The suspects.
 const (
 	None  Suspicion = iota
 	Once            // one failure just now
 	Often           // several in a row
-	Out             // ejected, by the word of all
+	Out             // ejected, as reported by all
 )
 
 // Suspicion tells how much a runner is to be kept away from. What may be repeated may
@@ -194,7 +194,7 @@
 	return out
 }
 
-// RestoreCounts gives back what could not be told.
+// RestoreCounts gives back what could not be reported.
 func (w *Watch) RestoreCounts(cs map[string]Count) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/dataplane/policy/policy.go
+++ b/internal/dataplane/policy/policy.go
@@ -1,7 +1,7 @@
 // Package policy decides, among what every promise still allows, which job goes
 // first and which runner is picked: by the built-in rules, or by the policy
 // program that is live for the job's program. It can only order and rank; claims,
-// budgets, cooldowns, slots, leaving runners and emptied zones are out of its
+// budgets, cooldowns, slots, draining runners and emptied zones are out of its
 // reach, for it never sees what they have ruled out.
 package policy
 
@@ -32,7 +32,7 @@
 	Rank(c *job.Ctx, r *script.Runner) (float64, error)
 }
 
-// builtin: a held prefix saves the whole prefill and counts most; then room; then
+// builtin: a held prefix saves the entire prefill and counts most; then capacity; then
 // the zone. Jobs go by their deadlines.
 type builtin struct{}
 
--- a/internal/dataplane/proxy/budget.go
+++ b/internal/dataplane/proxy/budget.go
@@ -14,9 +14,9 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Budgets keeps the output budget that a program's own callers state, whole over
-// all nodes: a turn reserves the most it may put out, and settles to what it did.
-// What nobody settles counts as spent.
+// Budgets keeps the output budget that a program's own callers state, complete over
+// all nodes: a turn reserves the most it may put out, and commits to what it did.
+// What nobody commits counts as spent.
 type Budgets struct {
 	stores     *storeclient.Client
 	params     BudgetParams
--- a/internal/dataplane/proxy/conversation.go
+++ b/internal/dataplane/proxy/conversation.go
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// Do is the policy: the runner gets the whole chain, and the answer ends only
+// Do is the policy: the runner gets the entire chain, and the answer ends only
 // once the turn is kept.
 func (c *Turns) Do(j *Job, w *Response, next Next) Answer {
 	if !j.Path.Kept {
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/proxy/fuzz_test.go
@@ -13,8 +13,8 @@
 
 // taken is what became of bytes that were read as a runner's answer.
 type taken struct {
-	success bool // handed on as a whole success
-	refused bool // taken for the word that the job did not run
+	success bool // handed on as a unit success
+	refused bool // taken for the statement that the job did not run
 	used    int  // bytes read for it
 	body    string
 }
@@ -45,7 +45,7 @@
 	return taken{success: a.success(), used: len(b) - left.Len() - c.br.Buffered(), body: w.Body.String()}
 }
 
-// FuzzAnswer: whatever a runner sends, reading it ends; and where it is taken for a whole
+// FuzzAnswer: whatever a runner sends, reading it ends; and where it is taken for a complete
 // success or for a refusal, no shorter beginning of it would have been.
 func FuzzAnswer(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nTry: a\r\nSeal: s\r\n"
--- a/internal/dataplane/proxy/handler.go
+++ b/internal/dataplane/proxy/handler.go
@@ -32,10 +32,10 @@
 	MaxBody     int64         // bytes of a body taken where the table says nothing
 	Margin      time.Duration // the deadline lies so far before the caller's
 	StartupWait time.Duration // how long a job waits for a node that has just come up
-	HoldShare   float64       // part of its aim that a job is held for a free place
+	HoldShare   float64       // part of its latency target that a job is held for a free place
 	Avoid       time.Duration // how long a runner that could not be reached is kept away from
-	Overload    float64       // times its room that a runner may be sent, where all are full
-	Idle        float64       // part of its room under which a runner has no reason to refuse
+	Overload    float64       // times its capacity that a runner may be sent, where all are full
+	Idle        float64       // part of its capacity under which a runner has no reason to refuse
 	ListMaxAge  time.Duration // how old a reading of the list may be to prove a runner warm
 	Turns       TurnParams
 	Budgets     BudgetParams
@@ -57,7 +57,7 @@
 	Pool:        DefaultPool,
 }
 
-// Dependencies are what a door is joined to.
+// Dependencies are what a handler is joined to.
 type Dependencies struct {
 	Self      *wire.Member
 	View      func() *cluster.View
@@ -90,7 +90,7 @@
 	*spec.Index
 }
 
-// New makes a door.
+// New makes a handler.
 func New(p Params, parts Dependencies) *Handler {
 	handler := &Handler{params: p, parts: parts, freeSlots: newBroadcast(), counts: map[string]int64{}}
 	handler.next = Chain(handler.forward, parts.Policies...)
@@ -141,7 +141,7 @@
 		time.Since(j.Arrived),
 	)
 	if response.begun || j.Err() != nil {
-		// What has begun must not look whole.
+		// What has begun must not appear complete.
 		panic(http.ErrAbortHandler)
 	}
 	handler.refuse(w, a)
@@ -225,7 +225,7 @@
 	return p
 }
 
-// body reads a whole body.
+// body reads an entire body.
 func body(r *http.Request, most int64) ([]byte, error) {
 	if r.ContentLength > most {
 		return nil, code.New(code.TooLarge, "more than %d bytes", most)
@@ -250,7 +250,7 @@
 	return b, nil
 }
 
-// draw is a job's lot where a path has several services: the same for all jobs of
+// draw is a job's draw where a path has several services: the same for all jobs of
 // one program, so that what a runner holds of it stays of use.
 func (j *Job) draw() uint64 {
 	k := j.Program
--- a/internal/dataplane/proxy/job.go
+++ b/internal/dataplane/proxy/job.go
@@ -18,7 +18,7 @@
 // a turn whose name could not be kept must not run.
 const MaxName = 256
 
-// PromptPart is a piece of a prompt that several jobs may share.
+// PromptPart is a part of a prompt that several jobs may share.
 type PromptPart struct {
 	ID     string
 	Tokens int64
@@ -49,7 +49,7 @@
 	Path     *spec.Path
 	Service  *spec.Service
 	Req      *http.Request
-	Body     []byte // whole
+	Body     []byte // complete
 }
 
 // Left is the time until the deadline.
@@ -63,7 +63,7 @@
 // ResponseInfo is what a runner's answer says beside its body.
 type ResponseInfo struct {
 	Attempt         string // whose answer it is; empty: it does not say
-	Sealed          bool   // the runner's own mark is on it
+	Sealed          bool   // the runner's own seal is on it
 	NotRun          bool   // it did not run the job and never will
 	Other           bool   // it is another runner than the one meant; it did not run the job
 	WarmupRemaining time.Duration
@@ -74,7 +74,7 @@
 	// ReadRequest fills a job from a request's head; a failure names the header.
 	ReadRequest(r *http.Request, j *Job) error
 	// WriteRequest writes what goes to a runner beside the caller's own headers: the try's
-	// name, the runner meant, the time left, the rank (0 first).
+	// name, the runner meant, the time left, the precedence (0 first).
 	WriteRequest(h http.Header, j *Job, to *endpoints.Runner, left time.Duration, rank int)
 	// WriteResume asks a runner to begin after an event.
 	WriteResume(h http.Header, after string)
--- a/internal/dataplane/proxy/load.go
+++ b/internal/dataplane/proxy/load.go
@@ -12,7 +12,7 @@
 )
 
 // Load is the load of each runner: what this node has under way, what the
-// others had when last heard, and what to keep away from for a moment.
+// others had when last received, and what to keep away from for a moment.
 type Load struct {
 	Watch *outlier.Watch // of how the runners do
 
@@ -24,11 +24,11 @@
 	requests   int   // jobs of this node under way
 	prefilling int   // of them, those without a first event: their prompts are to be read
 	tokens     int64 // of prompts and outputs
-	// Of the other nodes, as last heard.
+	// Of the other nodes, as last received.
 	remote        int
 	remoteTokens  int64
 	avoidUntil    time.Time
-	warmingUntil  time.Time // fresh until then, by its own word
+	warmingUntil  time.Time // warming up until then, by its own report
 	warmupLimiter *rate.Limiter
 	warmupRate    float64
 	used          time.Time
@@ -85,14 +85,14 @@
 	}
 }
 
-// MarkWarmingUp takes a runner's own word that it is fresh.
+// MarkWarmingUp takes a runner's own report that it is warming up.
 func (l *Load) MarkWarmingUp(id string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(id).warmingUntil = time.Now().Add(d)
 }
 
-// BelowCapacity tells whether a runner has less under way than so many times its room.
+// BelowCapacity tells whether a runner has less under way than so many times its capacity.
 func (l *Load) BelowCapacity(r *endpoints.Runner, s *spec.Service, times float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/proxy/loadbalancer.go
+++ b/internal/dataplane/proxy/loadbalancer.go
@@ -17,19 +17,19 @@
 	Service        *spec.Service
 	List           *endpoints.List
 	Zone           string // this node's
-	Key            string // jobs of one key go to one runner; empty: to the least busy
+	Key            string // jobs of one key go to one runner; empty: to the least loaded
 	PreviousRunner string // the runner that the job's program ran on last
 	Prefix         string // what its prompt begins with; empty: nothing shared
 	Allowed        func(*endpoints.Runner) bool
-	WarmingUp      func(*endpoints.Runner) bool // it is fresh
-	WarmupShares   func(*endpoints.Runner) int  // among how many nodes its rate is dealt; 0: this node has no part
-	// Repeatable jobs go to a doubtful runner earlier: they can go on elsewhere.
+	WarmingUp      func(*endpoints.Runner) bool // it is warming up
+	WarmupShares   func(*endpoints.Runner) int  // among how many nodes its rate is assigned; 0: this node has no part
+	// Repeatable jobs go to a suspected runner earlier: they can go on elsewhere.
 	Repeatable bool
 }
 
 // How far above the middle a runner may be: spread times, for a job that it holds
 // nothing of; for one whose prompts it holds, half as much again or a fifth of its
-// room, for to read them anew elsewhere costs more than a few jobs beside it.
+// capacity, for to read them anew elsewhere costs more than a few jobs beside it.
 const (
 	spread         = 1.25
 	affinityBonus  = 1.5
@@ -37,7 +37,7 @@
 )
 
 // prefixCandidates is how many runners a shared part points to: so many read it, and the least
-// busy of them is picked.
+// loaded of them is picked.
 const prefixCandidates = 3
 
 // prefillWeight is what a job whose prompt is still to be read weighs beside one that puts
@@ -47,8 +47,8 @@
 type candidate struct {
 	runner      *endpoints.Runner
 	load        *runnerLoad
-	utilization float64 // of its room in use
-	cost        float64 // how busy it is in the eyes of one more job: a slow runner is longer at each
+	utilization float64 // of its capacity in use
+	cost        float64 // how loaded it is in the eyes of one more job: a slow runner is longer at each
 	warmingUp   bool
 }
 
@@ -184,7 +184,7 @@
 	return best
 }
 
-// byPrefix finds the least busy of the few runners that a shared part points to.
+// byPrefix finds the least loaded of the few runners that a shared part points to.
 func (l *Load) byPrefix(a Selection, cs []candidate, home bool, bound float64) *candidate {
 	type at struct {
 		c *candidate
@@ -213,7 +213,7 @@
 	return c.cost + float64((prefillWeight-1)*c.load.prefilling)/float64(max(c.runner.Capacity, 1))
 }
 
-// leastLoaded finds the least busy; of equals one of this zone, then any.
+// leastLoaded finds the least loaded; of equals one of this zone, then any.
 func (l *Load) leastLoaded(a Selection, cs []candidate) *candidate {
 	for len(cs) > 0 {
 		best, n := -1, 0
--- a/internal/dataplane/proxy/outlier_test.go
+++ b/internal/dataplane/proxy/outlier_test.go
@@ -14,7 +14,7 @@
 
 // TestPickOutliers: an ejected runner is picked for its trial and where nobody
 // else is left, a doubted one where nobody else has a place; a slow one once the
-// others are so many times as busy.
+// others are so many times as loaded.
 func TestPickOutliers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, list := NewLoad(), runners(4, 4, "a")
@@ -75,7 +75,7 @@
 		for _, f := range done {
 			f()
 		}
-		// Who doubts many is at fault itself.
+		// Who suspects many is at fault itself.
 		l.Watch.Failure("i-a1")
 		seen := map[string]bool{}
 		for range 100 {
--- a/internal/dataplane/proxy/pass.go
+++ b/internal/dataplane/proxy/pass.go
@@ -11,7 +11,7 @@
 type attemptResult struct {
 	outcome retry.Outcome
 	good    bool // of an answered one: a success
-	sent    bool // a byte may have gone out
+	sent    bool // a byte may have been sent
 	err     error
 	wait    time.Duration // when the caller may come back, of a job that did not run
 }
@@ -41,7 +41,7 @@
 	return a
 }
 
-// forward is the end of the way: pick, send, and the word on what became of it.
+// forward is the end of the way: pick, send, and the outcome of it.
 func (handler *Handler) forward(j *Job, w *Response) Answer {
 	s := &attempts{tried: map[string]bool{}}
 	for {
--- a/internal/dataplane/proxy/pool.go
+++ b/internal/dataplane/proxy/pool.go
@@ -16,7 +16,7 @@
 )
 
 // Pool keeps connections to runners. One job at a time is on a connection, and it
-// is used again only after a clean end: whole answer, not a byte more.
+// is used again only after a clean end: complete response, not a byte more.
 type Pool struct {
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
 	params PoolParams
@@ -92,7 +92,7 @@
 	return c
 }
 
-// put gives a connection back after a whole answer.
+// put gives a connection back after a complete response.
 func (p *Pool) put(r *endpoints.Runner, c *conn, rest time.Duration) {
 	if rest <= 0 || c.br.Buffered() > 0 || c.c.SetDeadline(time.Time{}) != nil {
 		c.c.Close()
@@ -144,7 +144,7 @@
 	return p.made
 }
 
-// clean looks, without waiting, whether the other side has closed an idle
+// clean checks, without waiting, whether the other side has closed an idle
 // connection or said something that nobody asked for.
 func (c *conn) clean() bool {
 	s, ok := c.c.(syscall.Conn)
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -26,7 +26,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestPickByWeight: every service gets its weight, one lot always the same.
+// TestPickByWeight: every service gets its weight, one draw always the same.
 func TestPickByWeight(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var to []spec.Share
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestTruncatedEvent: of an event that is cut nothing is passed, and no cut looks like an
+// TestTruncatedEvent: of an event that is cut nothing is passed, and no truncation resembles an
 // end.
 func TestTruncatedEvent(t *testing.T) {
 	complete := "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata: d\n\n"
@@ -297,7 +297,7 @@
 	}
 }
 
-// TestRest: how long a connection may be idle, by the runner's word.
+// TestRest: how long a connection may be idle, by what the runner states.
 func TestRest(t *testing.T) {
 	p := NewPool(DefaultPool, nil)
 	for _, tc := range []struct {
@@ -360,7 +360,7 @@
 	}
 }
 
-// TestProven: only an answer that says where it ends can be known to be whole.
+// TestProven: only an answer that says where it ends can be known to be complete.
 func TestProven(t *testing.T) {
 	for s, want := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                 true,
@@ -424,7 +424,7 @@
 }
 
 // TestPickHome: jobs of one key go to one runner of this node's zone, elsewhere
-// only once those are much busier or full; jobs without a key to the least busy.
+// only once those are much more loaded or full; jobs without a key to the least loaded.
 func TestPickHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, list := NewLoad(), runners(8, 3, "a", "b")
@@ -516,7 +516,7 @@
 	})
 }
 
-// TestWarmupRate: in no second do all nodes together send a fresh runner more than half
+// TestWarmupRate: in no second do all nodes together send a warming runner more than half
 // again its rate and five: of six nodes and more also while their views of who is
 // there differ by two, of fewer while all see the same who come and go.
 func TestWarmupRate(t *testing.T) {
@@ -636,7 +636,7 @@
 	}
 }
 
-// TestRefills: a zone in use again is told from one that always was.
+// TestRefills: a zone in use again is distinguished from one that always was.
 func TestRefills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var z refillTimes
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -14,7 +14,7 @@
 
 // Answer is what becomes of a job.
 type Answer struct {
-	Good bool  // whole, and the runner's own
+	Good bool  // complete, and the runner's own
 	Err  error // numbered
 	// Wait is when the caller may come back, of a job that did not run.
 	Wait time.Duration
@@ -44,18 +44,18 @@
 }
 
 // Response is the way back to the caller. Once it has begun, the answer can only end
-// whole or be broken off.
+// complete or be broken off.
 type Response struct {
 	w       http.ResponseWriter
 	begun   bool
 	collect bool
 	text    bytes.Buffer
 	events  int
-	runner  string    // the runner whose answer is passed on
+	runner  string    // the runner whose answer is forwarded
 	first   func()    // called at the first event
 	wrote   bool      // more than the head
 	moved   time.Time // when the job was sent or the last event came
-	last    string    // id of the last event passed on; empty: it has none
+	last    string    // id of the last event forwarded; empty: it has none
 }
 
 // Begun tells whether the caller has seen the head.
@@ -67,10 +67,10 @@
 	return !response.begun || resumable && (response.last != "" || !response.wrote)
 }
 
-// Events counts the events passed on.
+// Events counts the events forwarded.
 func (response *Response) Events() int { return response.events }
 
-// Collect keeps the data of what is passed on; Text gives it.
+// Collect keeps the data of what is forwarded; Text gives it.
 func (response *Response) Collect()     { response.collect = true }
 func (response *Response) Text() []byte { return response.text.Bytes() }
 
@@ -120,7 +120,7 @@
 // errCaller: the caller can't be written to any more.
 var errCaller = errors.New("the caller has gone")
 
-// stream passes events on as they come, whole ones only, so that another run can
+// stream passes events on as they come, complete ones only, so that another run can
 // go on after the last. It ends without a failure only where the runner ended.
 func (response *Response) stream(r *http.Response) error {
 	br := bufio.NewReaderSize(r.Body, 2048)
@@ -142,7 +142,7 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		// What ends without a blank line is passed on and is no event.
+		// What ends without a blank line is forwarded and is no event.
 		complete := err == nil && blank(l) && len(ev) > len(l)
 		if complete || err != nil && len(ev) > 0 {
 			// Counted first: of a write that fails the caller may still get all.
@@ -198,8 +198,8 @@
 	}
 }
 
-// maxBuffered is what of an answer is held to prove that it is whole before its head
-// is passed on; a longer one is passed as it comes and broken off if it breaks off.
+// maxBuffered is what of an answer is held to prove that it is complete before its head
+// is forwarded; a longer one is passed as it comes and broken off if it breaks off.
 const maxBuffered = 256 << 10
 
 // complete passes an answer on that is no stream.
--- a/internal/dataplane/proxy/selection.go
+++ b/internal/dataplane/proxy/selection.go
@@ -12,7 +12,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// pickByWeight is the service that a lot falls to.
+// pickByWeight is the service that a draw falls to.
 func pickByWeight(to []spec.Share, draw uint64) string {
 	sum := int64(0)
 	for _, s := range to {
@@ -52,7 +52,7 @@
 }
 
 // refillTimes remembers since when zones are in use again: their runners may have
-// gone cold while they were not.
+// lost their caches while they were not.
 type refillTimes struct {
 	mu    sync.Mutex
 	empty map[string]bool
@@ -108,7 +108,7 @@
 				if time.Since(l.ReadAt) < warmingUp {
 					return true
 				}
-				// Since its zone is in use again it may be cold, until a list read well
+				// Since its zone is in use again it may be warming up, until a list read well
 				// after says that it is not.
 				s := handler.zoneRefills.observe(v.Spec.EmptyZones, r.Zone)
 				return !s.IsZero() && l.ReadAt.Before(s.Add(handler.params.ListMaxAge)) &&
@@ -122,7 +122,7 @@
 
 func cooldownKey(r *endpoints.Runner) string { return "runner/" + r.ID }
 
-// shares is among how many nodes a fresh runner's rate is dealt, 0 where this one
+// shares is among how many nodes a warming runner's rate is assigned, 0 where this one
 // has no part: the few edges that the runner's id points to.
 func (handler *Handler) shares(r *endpoints.Runner, perS float64) int {
 	most := WarmupNodes
@@ -147,8 +147,8 @@
 	return min(n, most)
 }
 
-// selectRunner waits for a runner with a free place, as long as a part of the job's aim,
-// and then gives whichever may be sent more than its room.
+// selectRunner waits for a runner with a free place, as long as a part of the job's latency target,
+// and then gives whichever may be sent more than its capacity.
 func (handler *Handler) selectRunner(j *Job, tried map[string]bool) (*endpoints.Runner, Answer) {
 	latencyTarget := time.Duration(j.Path.LatencyTargetMs) * time.Millisecond
 	if latencyTarget == 0 {
@@ -164,7 +164,7 @@
 		left := min(time.Until(until), j.Left())
 		if r == nil {
 			// Where a cooldown is all that stands in the way, a job is held as long as
-			// for a place and no longer: else it hears at once when to come back.
+			// for a place and no longer: else it receives at once when to come back.
 			if soon, all := handler.cooling(j, tried); all > 0 && (soon <= 0 || soon > left) {
 				return nil, Refuse(
 					code.New(code.Cooling, "all runners of %s are cooling down for %d ms", j.Service.Name, cooldown.WaitMs(all)),
--- a/internal/dataplane/proxy/send.go
+++ b/internal/dataplane/proxy/send.go
@@ -27,7 +27,7 @@
 
 	admitted    *cooldown.Admission
 	nothingSent bool      // the caller has seen nothing of an answer yet
-	events      int       // passed on before it
+	events      int       // forwarded before it
 	sentAt      time.Time // when the request began to go out
 	firstAt     time.Time // when its first event came; zero: none has
 
@@ -56,7 +56,7 @@
 	return x.do()
 }
 
-// unreachable sorts out a failed dial: nothing went out. The runner may be gone, or have
+// unreachable sorts out a failed dial: nothing went out. The runner may have departed, or have
 // too many connections.
 func (x *exchange) unreachable(ctx context.Context, err error) attemptResult {
 	if ctx.Err() == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// watch lets the connection hear of the deadline, and of a caller that has gone.
+// watch lets the connection observe the deadline, and of a caller that has left.
 func (x *exchange) watch(ctx context.Context) {
 	_ = x.c.c.SetDeadline(x.j.AnswerBy)
 	x.unwatch = context.AfterFunc(ctx, func() { _ = x.c.c.SetDeadline(time.Unix(1, 0)) })
@@ -117,7 +117,7 @@
 	return x.handle(a)
 }
 
-// stillAllowed looks right before the first byte whether the job may still go out: an edge that
+// stillAllowed checks right before the first byte whether the job may still go out: an edge that
 // slept wakes up here, and nothing goes out past the deadline, nor to a runner that may
 // not be sent to any more.
 func (x *exchange) stillAllowed() (attemptResult, bool) {
@@ -161,7 +161,7 @@
 	return attemptResult{outcome: retry.Answered, good: a.success(), sent: true}
 }
 
-// handOn passes an answer to the caller, as it comes or whole.
+// handOn passes an answer to the caller, as it comes or complete.
 func (x *exchange) handOn(a *reply) error {
 	if x.j.Path.Kind == spec.Stream && a.success() {
 		return x.w.stream(a.Response)
@@ -211,7 +211,7 @@
 // maxRefusal bounds what is read past of a refusal, to use its connection again.
 const maxRefusal = 64 << 10
 
-// classifyRefusal sorts out a clear word that the job did not run.
+// classifyRefusal sorts out a clear statement that the job did not run.
 func (x *exchange) classifyRefusal(a *reply) attemptResult {
 	s := x.applyRefusal(a)
 	if n, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxRefusal)); err == nil && n < maxRefusal {
@@ -220,13 +220,13 @@
 	return s
 }
 
-// applyRefusal is what a clear word means for the job and for its runner.
+// applyRefusal is what a clear statement means for the job and for its runner.
 func (x *exchange) applyRefusal(a *reply) attemptResult {
 	s := attemptResult{outcome: retry.NotRun, sent: true, wait: refusedWait}
 	load := x.handler.parts.Load
 	switch {
 	case a.info.Other:
-		// Somebody else has the address: the runner is gone.
+		// Somebody else has the address: the runner has departed.
 		load.Avoid(x.r.ID, 10*x.handler.params.Avoid)
 		s.err = code.New(code.NoRunner, "runner %s is gone from its address", x.r.ID)
 	case x.j.View.Spec.Cooldown.Refusal(a.StatusCode):
@@ -235,7 +235,7 @@
 	default:
 		if a.info.WarmupRemaining == 0 && x.r.WarmupRemainingMs == 0 &&
 			load.BelowCapacity(x.r, x.j.Service, x.handler.params.Idle) {
-			// It has room and refuses all the same.
+			// It has capacity and refuses all the same.
 			load.Watch.Failure(x.r.ID)
 		}
 		load.Avoid(x.r.ID, x.handler.params.Avoid/20)
--- a/internal/dataplane/proxy/verdict.go
+++ b/internal/dataplane/proxy/verdict.go
@@ -9,7 +9,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// notRunStatuses are the statuses by which callers hear that a job did not run.
+// notRunStatuses are the statuses by which callers learn that a job did not run.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
@@ -35,7 +35,7 @@
 }
 
 // hasKnownEnd tells whether an answer says where it ends; one that ends with its
-// connection can't be told from one that was cut off.
+// connection can't be distinguished from one that was truncated.
 func hasKnownEnd(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 || r.Request.Method == http.MethodHead
 }
@@ -55,17 +55,17 @@
 	}
 }
 
-// hung tells whether nothing has been heard of the job for far longer than is usual.
+// hung tells whether nothing has been received of the job for far longer than is usual.
 func (x *exchange) hung() bool {
 	return x.handler.parts.Load.Watch.Hung(x.j.Path.Name, time.Since(x.w.moved))
 }
 
-// outcomeOfLoss sorts out a send without a whole answer: it may have run.
+// outcomeOfLoss sorts out a send without a complete response: it may have run.
 func (x *exchange) outcomeOfLoss(err error) attemptResult {
 	load := x.handler.parts.Load
 	ended := x.j.Err() == nil && !isBroken(err)
 	if ended || x.hung() {
-		// Who hears nothing for very long hears it from a runner that hangs.
+		// Who receives nothing for very long receives it from a runner that hangs.
 		load.Watch.Failure(x.r.ID)
 	}
 	if ended {
--- a/internal/dataplane/proxy/warmup.go
+++ b/internal/dataplane/proxy/warmup.go
@@ -6,12 +6,12 @@
 	"golang.org/x/time/rate"
 )
 
-// WarmupNodes is how many nodes a fresh runner's rate is dealt to. Each may send one at
+// WarmupNodes is how many nodes a warming runner's rate is assigned to. Each may send one at
 // once on top of its part of the rate, so they are few; who they are follows from
 // the runner's id, the same on every node.
 const WarmupNodes = 4
 
-// cold tells whether this node may send a fresh runner one more job now.
+// warming up tells whether this node may send a warming runner one more job now.
 func (b *runnerLoad) allowWarmup(perS float64, nodes int) bool {
 	if perS <= 0 || nodes == 0 {
 		return false
@@ -30,7 +30,7 @@
 
 // rateShare is one node's part of a rate. A second holds as many jobs as its part rounded
 // up. Where views of the members differ by two, two more nodes take a part, so a part
-// that is hardly more than a whole number is that number: six parts of a quarter each
+// that is hardly more than an integer is that number: six parts of a quarter each
 // then stay within half again the rate and five.
 func rateShare(perS float64, nodes int) float64 {
 	r := perS / float64(nodes)
--- a/internal/dataplane/retry/retry_test.go
+++ b/internal/dataplane/retry/retry_test.go
@@ -6,7 +6,7 @@
 	"damsontiller/internal/dataplane/retry"
 )
 
-// TestAllowed: the whole table.
+// TestAllowed: the entire table.
 func TestAllowed(t *testing.T) {
 	for _, c := range []struct {
 		outcome          retry.Outcome
--- a/internal/dataplane/runnerapi/runnerapi.go
+++ b/internal/dataplane/runnerapi/runnerapi.go
@@ -36,7 +36,7 @@
 	DeadlineMs  int64    `json:"cutoff_ms"`
 }
 
-// Response is a runner's whole answer to a job.
+// Response is a runner's complete response to a job.
 type Response struct {
 	Job       string   `json:"job"`
 	Text      string   `json:"text"`
--- a/internal/dataplane/slots/slots.go
+++ b/internal/dataplane/slots/slots.go
@@ -43,7 +43,7 @@
 }
 
 // Update replaces the shares. asked is when the request for them was made: the
-// term is counted from then, so that it ends here before it ends at the dealer.
+// term is counted from then, so that it ends here before it ends at the assigner.
 func (table *Table) Update(asked time.Time, term time.Duration, granted []*wire.Slot) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // Acquire takes a slot; urgent work takes an urgent one first, so that plain ones
-// stay for the rest. The slot is one of the process whose mark is handed back.
+// stay for the rest. The slot is one of the process whose incarnation is handed back.
 func (table *Table) Acquire(ix int, urgent bool) (Kind, string, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -98,7 +98,7 @@
 	return free, used
 }
 
-// Release gives a slot back; one of a process that is gone is gone with it.
+// Release gives a slot back; one of a process that has departed has departed with it.
 func (table *Table) Release(ix int, incarnation string, k Kind) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
--- a/internal/dataplane/store/cooldowns.go
+++ b/internal/dataplane/store/cooldowns.go
@@ -13,11 +13,11 @@
 )
 
 // cooldowns is the disk as the acceptor sees it, with what is left of each cooldown
-// in memory: the edges ask for it too often to look on the disk each time.
+// in memory: the edges ask for it too often to check on the disk each time.
 type cooldowns struct {
 	*storage.Engine
 	mu sync.Mutex
-	// all are the cooldowns among the registers, until their value is let go: one
+	// all are the cooldowns among the registers, until their value is released: one
 	// that is over and is saved again by a vote does not begin anew.
 	all   map[string]*wait
 	force map[string]*wait // those of all that may be in force
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Copies are compared by digests over ranges and mended from the newer. A range
+// Copies are compared by digests over ranges and repaired from the newer. A range
 // is a bucket of keys by hash, of those that both stores hold. Each store asks
 // one other at a time, and only for what it lacks itself.
 
--- a/internal/dataplane/store/transfer.go
+++ b/internal/dataplane/store/transfer.go
@@ -32,7 +32,7 @@
 	pageWait = 2 * time.Second
 	// stragglerWait is how long a store is waited for once the others are enough.
 	stragglerWait = 500 * time.Millisecond
-	// transferHold is how long an order is held before it is told how far it is.
+	// transferHold is how long an order is held before it is given how far it is.
 	transferHold = 2 * time.Second
 )
 
@@ -83,7 +83,7 @@
 	}
 	f := q.GetFill()
 	if s.Cluster.Now().Version < f.Spec {
-		// The news of it has not come here yet.
+		// The update of it has not come here yet.
 		rctx, stop := context.WithTimeout(ctx, time.Second)
 		defer stop()
 		if err := s.Cluster.Read(rctx); err != nil {
@@ -179,7 +179,7 @@
 			last,
 		)
 	}
-	// What only its name has come of, since whoever was to send it is gone or has
+	// What only its name has come of, since whoever was to send it has departed or has
 	// an older one.
 	for kind, all := range lacks.all {
 		if err := s.rest(ctx, f, kind, all); err != nil {
--- a/internal/dataplane/traffic/client.go
+++ b/internal/dataplane/traffic/client.go
@@ -58,11 +58,11 @@
 	WaitMillis int64  `json:"wait_ms"`
 }
 
-// Check looks at a success; it may find it wrong, or see that something was
+// Check checks a success; it may find it wrong, or see that something was
 // forgotten.
 type Check func(*Ask, Answer)
 
-// Client asks as the users' programs do, and keeps a ledger.
+// Client asks as the users' programs do, and keeps a log.
 type Client struct {
 	Web *http.Client
 
@@ -86,7 +86,7 @@
 }
 
 // Ask asks, and asks again as such callers do: another edge where nobody
-// answers, and later where it is told to come back within a third of the time.
+// answers, and later where it is given to come back within a third of the time.
 // The first two edges are of the caller's own zone.
 func (c *Client) Ask(
 	ctx context.Context,
@@ -140,7 +140,7 @@
 // Once asks one edge once; a says how it went.
 func (c *Client) Once(ctx context.Context, a *Ask, path string, b []byte, end time.Time, check Check) Answer {
 	var ans Answer
-	// A caller waits a little longer than it says, to hear the last word.
+	// A caller waits a little longer than it says, to receive the last report.
 	rctx, cancel := context.WithTimeout(ctx, a.Wait+500*time.Millisecond)
 	defer cancel()
 	q, err := http.NewRequestWithContext(rctx, http.MethodPost, "http://"+a.Edge+path, io.NopCloser(bytes.NewReader(b)))
--- a/internal/dataplane/traffic/play.go
+++ b/internal/dataplane/traffic/play.go
@@ -142,7 +142,7 @@
 	Late, Cooldown     int
 }
 
-// Report sums a ledger up.
+// Report sums a log up.
 type Report struct {
 	Asks    int
 	Codes   map[string]int
--- a/internal/dataplane/traffic/record.go
+++ b/internal/dataplane/traffic/record.go
@@ -72,7 +72,7 @@
 	poll := func(ctx context.Context, first bool) {
 		edges, err := Edges(ctx, web, cores)
 		if err != nil {
-			// The next look may find one; what is missed is counted.
+			// The next check may find one; what is missed is counted.
 			return
 		}
 		for _, e := range edges {
@@ -124,7 +124,7 @@
 	return append(near, far...)
 }
 
-// Asks is the day as a ledger, for the same report that a replay gets.
+// Asks is the day as a log, for the same report that a replay gets.
 func (d *Day) Asks() []Ask {
 	var out []Ask
 	for _, r := range d.Rows {
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Chunk is what an edge hands out of its tape.
+// Chunk is what an edge hands out of its recorder.
 type Chunk struct {
 	Next int   `json:"next"`
 	Lost int   `json:"lost"` // rows that were forgotten before they were asked for
@@ -137,7 +137,7 @@
 	Start  string `json:"start"`
 }
 
-// Tail tells a whole file from a truncated one.
+// Tail tells an entire file from a truncated one.
 type Tail struct {
 	End  bool   `json:"end"`
 	Rows int    `json:"rows"`
@@ -200,7 +200,7 @@
 	return code.New(code.BadDay, "line %d: %s", line, fmt.Sprintf(format, a...))
 }
 
-// Read reads a whole day file. One that is truncated or changed is refused,
+// Read reads an entire day file. One that is truncated or changed is refused,
 // and the line is named.
 func Read(r io.Reader) (*Day, error) {
 	in := bufio.NewReader(r)
--- a/internal/dataplane/turnapi/handler.go
+++ b/internal/dataplane/turnapi/handler.go
@@ -82,7 +82,7 @@
 	Call   job.Next
 	// Point goes with each job; see job.Point.
 	Point func(job.Point, *job.Ctx)
-	// OnAnswer hears of every job answered, for records of the traffic.
+	// OnAnswer is notified of every job answered, for records of the traffic.
 	OnAnswer func(c *job.Ctx, a job.Answer, took time.Duration)
 
 	jobs   atomic.Uint64
@@ -154,11 +154,11 @@
 	}
 	status := code.Code(p.Code).Status()
 	if a.Wait == 0 && status == http.StatusServiceUnavailable {
-		// Whoever is sent away is told when to come back.
+		// Whoever is sent away is given when to come back.
 		a.Wait = time.Second
 	}
 	if a.Wait > 0 {
-		// Callers read whole seconds and nothing finer: round up, so that
+		// Callers read full seconds and nothing finer: round up, so that
 		// nobody is back too soon.
 		x.Response().Header().Set("Retry-After", strconv.FormatInt(int64(math.Ceil(a.Wait.Seconds())), 10))
 		p.WaitMs = a.Wait.Milliseconds()
--- a/internal/dataplane/turnapi/handler_test.go
+++ b/internal/dataplane/turnapi/handler_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestWhenToComeBack: whole seconds rounded up for those who read only the
+// TestWhenToComeBack: full seconds rounded up for those who read only the
 // header, and the finer truth in the body.
 func TestWhenToComeBack(t *testing.T) {
 	w, p := serve(t, good(), func(c *job.Ctx) job.Answer {
--- a/internal/kit/checker/checker.go
+++ b/internal/kit/checker/checker.go
@@ -75,7 +75,7 @@
 }
 
 // Total counts the breaches of the list. Urgent answers are lines of their own:
-// on a shared machine their time is no pass mark.
+// on a shared machine their time is no pass token.
 func (v Verdict) Total() int {
 	n := 0
 	for l := Twice; l <= Recovery; l++ {
@@ -227,7 +227,7 @@
 	}
 }
 
-// runners: leaving ones, emptied zones, fresh ones.
+// runners: leaving ones, emptied zones, new one.
 func (c *Case) runners(v Verdict) {
 	for _, r := range c.Runs {
 		if r.WarmingUp && r.Over {
--- a/internal/kit/checker/checker_test.go
+++ b/internal/kit/checker/checker_test.go
@@ -384,7 +384,7 @@
 		tc.do(&c)
 		v := checker.Judge(c)
 		if tc.row == 0 && len(v) == 0 {
-			continue // no breach, though it looks like one
+			continue // no breach, though it checks like one
 		}
 		if len(v[tc.row]) == 0 || len(v) != 1 {
 			t.Errorf("%s: want only line %d (%s):\n%s", tc.what, tc.row, checker.Names[tc.row], v)
@@ -399,7 +399,7 @@
 }
 
 // longerWait is a refusal at a time, in milliseconds, that installs a second, and a
-// caller who is told eight of it at 38 s.
+// caller who is answered eight of it at 38 s.
 func longerWait(c *checker.Case, refused int) {
 	c.Runs = append(
 		c.Runs,
--- a/internal/kit/checker/cooldowns.go
+++ b/internal/kit/checker/cooldowns.go
@@ -10,11 +10,11 @@
 	"damsontiller/internal/transport/code"
 )
 
-// wait is a cooldown as somebody was told of it, of one key.
+// wait is a cooldown as somebody was notified of it, of one key.
 type wait struct{ from, to time.Time }
 
-// reportedWaits gathers every wait that a node was told or told a caller, by key: a
-// runner's own word with each refusal, at least the schedule's first; and for a
+// reportedWaits gathers every wait that a node learned of or reported to a caller, by key: a
+// runner's own report with each refusal, at least the schedule's first; and for a
 // tool, whose key is one, the wait that a caller was given.
 func (c *Case) reportedWaits() map[string][]wait {
 	c.received = map[string][]wait{}
@@ -30,7 +30,7 @@
 			continue
 		}
 		if ks := c.keys(a.Route); len(ks) == 1 {
-			// It was worked out before it was heard.
+			// It was worked out before it was received.
 			end := a.Done.Add(a.BodyRetryAfter - noise)
 			c.received[ks[0]] = append(c.received[ks[0]], wait{a.Done, end})
 			if c.lengthened(ks[0], a.Done) {
@@ -45,7 +45,7 @@
 }
 
 // lengthened tells whether a store was killed between the last refusal of a key and a
-// time. Started anew it counts the cooldown from its start, so that what is told then
+// time. Started anew it counts the cooldown from its start, so that what is answered then
 // is longer than what was installed, by as much as the store asked is late: two nodes
 // tell different ends, and neither is early before the one that was installed.
 func (c *Case) lengthened(key string, at time.Time) bool {
@@ -130,7 +130,7 @@
 	return out
 }
 
-// until is the end of the longest wait of a key that somebody had been told
+// until is the end of the longest wait of a key that somebody had been answered
 // for longer than slack at a time.
 func (c *Case) until(key string, at time.Time, slack time.Duration) time.Time {
 	var end time.Time
@@ -142,7 +142,7 @@
 	return end
 }
 
-// cooldowns: no call within a wait that some node has been told; and nobody
+// cooldowns: no call within a wait that some node has been answered; and nobody
 // who can't outlast the wait is left sleeping.
 func (c *Case) cooldowns(v Verdict) {
 	for _, r := range c.Runs {
--- a/internal/kit/checker/records.go
+++ b/internal/kit/checker/records.go
@@ -8,13 +8,13 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Run is a line of a runner's ledger, with whose it is.
+// Run is a line of a runner's log, with whose it is.
 type Run struct {
 	runner.Entry
 	Runner spec.Runner
 }
 
-// Runs gathers the ledgers of all stand-ins.
+// Runs gathers the log of all stand-ins.
 func Runs(rs []*runner.Runner) []Run {
 	var out []Run
 	for _, r := range rs {
@@ -54,7 +54,7 @@
 	Audit   Verdict // what was read back at the end and was not as promised
 
 	waits    map[string][]wait // what binds everybody, by key
-	received map[string][]wait // what callers were told, by key; it excuses only
+	received map[string][]wait // what callers were answered, by key; it excuses only
 	sched    map[string][]wait
 	ps       []*chunk
 }
--- a/internal/kit/checker/recovery.go
+++ b/internal/kit/checker/recovery.go
@@ -84,9 +84,9 @@
 	return ps
 }
 
-// BackAfter is the time from a failure until service is whole for good, that is
+// BackAfter is the time from a failure until service is complete for good, that is
 // until the next failure: the last work that was not served, in any two seconds
-// in which fewer than nineteen of twenty were. A caller whose edge is gone asks
+// in which fewer than nineteen of twenty were. A caller whose edge has departed asks
 // another; what counts is whether its work was served in the end. It is not back
 // where the last two seconds of all were such.
 func (c *Case) BackAfter(at time.Time) (time.Duration, bool) {
@@ -184,10 +184,10 @@
 	}
 }
 
-// Everything is how a hard event's name begins where the whole fleet went down.
+// Everything is how a hard event's name begins where the entire fleet went down.
 const Everything = "everything"
 
-// allDown: it came while the whole fleet was starting again.
+// allDown: it came while the entire fleet was starting again.
 func (c *Case) allDown(a client.Ask) bool {
 	return slices.ContainsFunc(c.Events, func(e Event) bool {
 		return e.Kind == Hard && strings.HasPrefix(e.ID, Everything) && !a.Sent.Before(e.At) &&
--- a/internal/kit/client/client.go
+++ b/internal/kit/client/client.go
@@ -1,5 +1,5 @@
 // Package client is the stand-in callers: sessions by seed at a deployment's
-// rates, and a ledger of all they asked and were told.
+// rates, and a log of all they asked and were answered.
 package client
 
 import (
@@ -18,7 +18,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Ask is a line of the callers' ledger.
+// Ask is a line of the callers' log.
 type Ask = traffic.Ask
 
 // Kind shapes the sessions of one kind.
@@ -221,7 +221,7 @@
 	}
 }
 
-// checking holds past and the words for the look at an answer.
+// checking holds past and the words for the check of an answer.
 func checking(past []Said, words string) traffic.Check {
 	return func(a *Ask, ans traffic.Answer) {
 		Verify(a, ans, past)
@@ -241,8 +241,8 @@
 	return runner.Digest(lines)
 }
 
-// Verify looks whether a success is this job's whole answer, and whether the
-// runner was given the whole history.
+// Verify checks whether a success is this job's complete response, and whether the
+// runner was given the complete history.
 func Verify(a *Ask, ans traffic.Answer, past []Said) {
 	head, rest, _ := strings.Cut(ans.Text, ";")
 	hist, tail, _ := strings.Cut(rest, ";")
@@ -255,12 +255,12 @@
 	}
 }
 
-// Filler makes the words of a replayed row: the mark of its work, then filler.
+// Filler makes the words of a replayed row: the token of its work, then filler.
 func Filler(r traffic.Row, work string) string {
 	return "work:" + work + ";" + strings.Repeat("w", max(r.Words-len(work)-6, 0))
 }
 
-// Look looks at a replayed answer as Verify does.
+// Look checks a replayed answer as Verify does.
 func Look(a *Ask, ans traffic.Answer, past []traffic.Line) {
 	var said []Said
 	for _, l := range past {
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet starts a whole deployment on loopback: real processes of the
+// Package fleet starts a complete deployment on loopback: real processes of the
 // product, each on an address of its own, and stand-in runners in this one.
 // It ends only processes that it started, by their ids.
 package fleet
@@ -49,7 +49,7 @@
 	Deploy string // folder with spec.json
 	Bin    string // folder with the programs
 	Dir    string // folder for data and logs
-	Net    int    // second octet; 0 looks for a free one
+	Net    int    // second octet; 0 checks for a free one
 	Seed   uint64
 	Bears  int
 	Edges  int  // 0 means six
@@ -278,7 +278,7 @@
 	return ""
 }
 
-// Status is an edge's own word.
+// Status is an edge's own report.
 type Status struct {
 	ID     string           `json:"id"`
 	Ready  bool             `json:"ready"`
@@ -364,7 +364,7 @@
 	return 0, last
 }
 
-// Partition cuts machines off from others, both ways; also are told of no cut of
+// Partition cuts machines off from others, both ways; also have no partition of
 // theirs, which joins them again.
 func (f *Fleet) Partition(of []*Machine, from []*Machine, also ...*Machine) error {
 	set := func(m *Machine, others []*Machine) error {
--- a/internal/kit/harness/harness.go
+++ b/internal/kit/harness/harness.go
@@ -1,5 +1,5 @@
 // Package harness runs a fleet under traffic, causes failures, and has the judge
-// read the ledgers.
+// read the log.
 package harness
 
 import (
@@ -295,7 +295,7 @@
 	return n
 }
 
-// Return brings a drained runner back as a fresh process.
+// Return brings a drained runner back as a new process.
 func (r *Rig) Return(name string) error {
 	n := r.Runner(name)
 	n.Stop()
--- a/internal/kit/harness/scenarios.go
+++ b/internal/kit/harness/scenarios.go
@@ -161,7 +161,7 @@
 }
 
 // operators: of two that expect the same version one wins, and the other is
-// told the version in force.
+// answered the version in force.
 func operators(ctx context.Context, r *Rig) error {
 	for range 10 {
 		var s struct {
--- a/internal/kit/proxytest/backend.go
+++ b/internal/kit/proxytest/backend.go
@@ -26,26 +26,26 @@
 	None           Fault = iota
 	Drop                 // 1: refuses without running
 	LoseAnswer           // 2: runs, and its answer is lost
-	Truncate             // 3: runs, and its answer is cut midway, of a stream before its first event
+	Truncate             // 3: runs, and its answer is truncated midway, of a stream before its first event
 	NoAnswer             // 4: runs, and sends bytes that are no answer
-	Surplus              // 5: a whole answer, and bytes after it
+	Surplus              // 5: a complete response, and bytes after it
 	LateAnswer           // 6: a late answer to an earlier job before the due one
-	NoSeal               // 7: a success without its mark
+	NoSeal               // 7: a success without its token
 	Other                // 8: another runner has the address
 	RateLimit            // 9: refuses by a rate limit, and says when to come back
-	TruncateStream       // 10: a stream is cut midway of an event, after Params.Before of them
-	ShutIdle             // 11: a whole answer; the connection is closed without a word afterwards
+	TruncateStream       // 10: a stream is truncated midway of an event, after Params.Before of them
+	ShutIdle             // 11: a complete response; the connection is closed without a word afterwards
 	Slow                 // 12: runs, and its first byte is later than anybody waits
 	Own500               // 13: runs, and answers 500
-	Bare503              // 14: runs, and answers 503 without the word that it did not
+	Bare503              // 14: runs, and answers 503 without the statement that it did not
 	NoDial               // 15: refuses the connection
 	Faults         = int(NoDial)
 )
 
-// The troubles that last until another is set, by number.
+// The faults that last until another is set, by number.
 const (
 	SlowBy Fault = NoDial + 1 + iota // 16: takes so many times as long
-	Grey                             // 17: fails a share of its jobs, by a 500 of its own and by a cut in turns; its health answer is good
+	Grey                             // 17: fails a share of its jobs, by a 500 of its own and by a partition in turns; its health answer is good
 	Lies                             // 18: fails all jobs (1) or none (0), and its health answer says the reverse
 	Flaps                            // 19: down and up by turns, a period of so many seconds, down first
 )
@@ -86,13 +86,13 @@
 	Plan   *Plan // nil: one of its own
 	ID     string
 	Addr   string
-	Bytes  int           // of a whole answer
+	Bytes  int           // of a complete response
 	Events int           // of a stream
 	Before int           // events before fault 10
 	Pace   time.Duration // between events
 	Work   time.Duration // until the first byte
 	Health string        // path of the health answer; empty: it has none
-	Chunks bool          // whole answers come in chunks
+	Chunks bool          // complete response come in chunks
 	NoEnd  bool          // answers say nowhere where they end: they end with the connection
 	// Streams tells whether a request is answered by events.
 	Streams func(*http.Request) bool
@@ -137,7 +137,7 @@
 	x         float64
 	since     time.Time
 	fraction  float64 // of a job that is due to fail
-	truncated bool    // the last that failed was cut
+	truncated bool    // the last that failed was truncated
 }
 
 // New makes a stand-in and lets it listen.
@@ -208,7 +208,7 @@
 	return b.fault == Flaps && time.Since(b.since)%p < p/2
 }
 
-// lasting is the fault that its trouble brings about for one job, and how many times
+// lasting is the fault that its fault brings about for one job, and how many times
 // as long it takes.
 func (b *Backend) lasting() (Fault, float64) {
 	b.mu.Lock()
@@ -326,10 +326,10 @@
 	_, _ = w.Write(x.Bytes())
 }
 
-// Seal is the mark of one run at one runner.
+// Seal is the token of one run at one runner.
 func Seal(runner, try string) string { return runner + "." + try }
 
-// Complete is the body of a whole answer.
+// Complete is the body of a complete response.
 func Complete(runner, try string, n int) string {
 	s := runner + "/" + try + "/"
 	return (s + strings.Repeat("0123456789", n/10+1))[:max(n, len(s))]
@@ -435,7 +435,7 @@
 		io.WriteString(c, "\x15\x03 this is no answer\r\n\r\n")
 		return true, true
 	case Slow:
-		// Nothing more is heard on this connection than its end.
+		// Nothing more is received on this connection than its end.
 		_, _ = io.Copy(io.Discard, br)
 		return true, false
 	case Own500, Bare503:
--- a/internal/kit/proxytest/callers_test.go
+++ b/internal/kit/proxytest/callers_test.go
@@ -133,7 +133,7 @@
 	return received{try: try, status: res.StatusCode, head: res.Header, body: string(b), truncated: err != nil}
 }
 
-// judgeUnheard holds jobs whose answers were not heard against what ran.
+// judgeUnheard holds jobs whose answers were not received against what ran.
 func (c *caller) judgeUnheard(jobs []asked) error {
 	for _, q := range jobs {
 		if err := c.r.judge(q.kind, received{try: q.try, truncated: true}); err != nil {
@@ -149,9 +149,9 @@
 }
 
 // TestManyCallers: thirty callers with kept connections, two of which may rest at each of
-// three runners, while runners' connections are closed, reset or fall silent at random
+// three runners, while runners' connections are closed, reset or fall unresponsive at random
 // bytes and runners bring about every numbered fault: what may run once runs once, every
-// success is the caller's own and whole, and no promise is broken.
+// success is the caller's own and complete, and no promise is broken.
 func TestManyCallers(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -218,7 +218,7 @@
 	return fs
 }
 
-// checkLog looks through all that ran, in the end: also what a caller gave up on.
+// checkLog checks through all that ran, in the end: also what a caller gave up on.
 func checkLog(t *testing.T, r *rig) {
 	runs := map[string]int{}
 	kind := map[string]string{}
@@ -264,7 +264,7 @@
 }
 
 // TestKeptEveryByte: a kept turn whose runner's connection is lost at any byte of its
-// answer runs once, and can be followed only where its caller got it whole.
+// answer runs once, and can be followed only where its caller got it complete.
 func TestKeptEveryByte(t *testing.T) {
 	cutter := &proxytest.Cutter{}
 	inBubble(t, func(p *proxytest.Params) { p.Events, p.Wrap = 2, cutter.Wrap }, func(t *testing.T, f *fleet) {
--- a/internal/kit/proxytest/fleet_test.go
+++ b/internal/kit/proxytest/fleet_test.go
@@ -21,7 +21,7 @@
 )
 
 // fleet is three stores, three cores and edges on simulated time, each edge with a
-// door before the same stand-ins.
+// ingress before the same stand-ins.
 type fleet struct {
 	t    *testing.T
 	ctx  context.Context
@@ -69,7 +69,7 @@
 	return f
 }
 
-// at is an edge's door; an edge that was started anew has a new one.
+// at is an edge's ingress; an edge that was started anew has a new one.
 func (f *fleet) at(id string) *rig {
 	if r := f.rigs[id]; r != nil {
 		return r
@@ -127,7 +127,7 @@
 }
 
 // TestKeptFaults: each fault at a kept turn: it runs once at most, what is promised
-// is true, and only a whole answer can be followed.
+// is true, and only a complete response can be followed.
 func TestKeptFaults(t *testing.T) {
 	plan := &proxytest.Plan{}
 	inBubble(t, func(p *proxytest.Params) { p.Plan = plan }, func(t *testing.T, f *fleet) {
@@ -232,8 +232,8 @@
 	})
 }
 
-// TestNotKept: a turn that could not be kept does not end whole, though all of its
-// events have gone out.
+// TestNotKept: a turn that could not be kept does not end complete, though all of its
+// events have been sent.
 func TestNotKept(t *testing.T) {
 	var f *fleet
 	truncated := func(string, int) {}
@@ -260,7 +260,7 @@
 	})
 }
 
-// TestRenewed: a chain whose turns come slower than one is kept stays whole: those
+// TestRenewed: a chain whose turns come slower than one is kept stays complete: those
 // before are renewed, also by an edge that could not renew them at its first try.
 func TestRenewed(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, f *fleet) {
@@ -471,7 +471,7 @@
 }
 
 // TestKeptWhileSetChanges: while stores are taken into the set and keys move, every
-// turn that ran is kept and answered whole, and can be followed.
+// turn that ran is kept and answered complete, and can be followed.
 func TestKeptWhileSetChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleetOf(t, nil, sim.Params{Deploy: "../../../deploy/andina", Seed: 1, Edges: 3, Found: true})
@@ -534,8 +534,8 @@
 	})
 }
 
-// TestKeptThroughRestart: two stores are gone when a run ends and back a moment
-// later: the turn is kept all the same, and its answer ends whole.
+// TestKeptThroughRestart: two stores have departed when a run ends and back a moment
+// later: the turn is kept all the same, and its answer ends complete.
 func TestKeptThroughRestart(t *testing.T) {
 	var f *fleet
 	fault := func(string, int) {}
--- a/internal/kit/proxytest/harness_test.go
+++ b/internal/kit/proxytest/harness_test.go
@@ -120,7 +120,7 @@
 	return t
 }
 
-// rig is one door before some stand-ins.
+// rig is one ingress before some stand-ins.
 type rig struct {
 	t         testing.TB
 	handler   *proxy.Handler
@@ -226,7 +226,7 @@
 	r.endpoints.Replace(endpoints.NewList(time.Now(), all))
 }
 
-// stop ends the door, then its stand-ins if they are its own.
+// stop ends ingress, then its stand-ins if they are its own.
 func (r *rig) stop() {
 	_ = r.http.Close()
 	r.pool.Retain(func(string) bool { return false })
--- a/internal/kit/proxytest/ingress_test.go
+++ b/internal/kit/proxytest/ingress_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestFaults brings each fault about for each kind of job, at the runner that the
-// job is sent to first, on a fresh connection and on one that was used before;
+// job is sent to first, on a new connection and on one that was used before;
 // the next job on whatever connections are left is served as if nothing had been.
 func TestFaults(t *testing.T) {
 	for _, w := range want {
@@ -87,7 +87,7 @@
 	}
 	plan.Set()
 	if made := r.made(); !used && f != proxytest.NoDial {
-		// One connection a runner that was sent to; those without a clean end are gone.
+		// One connection a runner that was sent to; those without a clean end have departed.
 		clean := f == proxytest.None || f == proxytest.Drop || f == proxytest.Other || f == proxytest.RateLimit ||
 			f == proxytest.Own500
 		first := r.received(x.try)
@@ -120,7 +120,7 @@
 					f := proxytest.Fault(f)
 					n := 5
 					if f == proxytest.RateLimit {
-						// With no other left it is told when the first is clear again.
+						// With no other left it is answered when the first is clear again.
 						n = tries
 					}
 					r := newRig(t, farm(n, nil))
--- a/internal/kit/proxytest/outlier_test.go
+++ b/internal/kit/proxytest/outlier_test.go
@@ -144,7 +144,7 @@
 	return float64(e.sent[e.bs[i].P.ID]) * runners / float64(max(e.all, 1))
 }
 
-// TestOutliers brings each lasting trouble about at one runner of twelve: it is left
+// TestOutliers brings each lasting fault about at one runner of twelve: it is left
 // soon, by what becomes of jobs alone, and is used again once it is well.
 func TestOutliers(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/kit/proxytest/pipe.go
+++ b/internal/kit/proxytest/pipe.go
@@ -166,7 +166,7 @@
 func (c *conn) LocalAddr() net.Addr  { return position(c.addr) }
 func (c *conn) RemoteAddr() net.Addr { return position(c.addr) }
 
-// SyscallConn lets others look at the connection as at a socket, without waiting.
+// SyscallConn lets others check the connection as at a socket, without waiting.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return raw{c}, nil }
 
 type raw struct{ c *conn }
--- a/internal/kit/proxytest/shape_test.go
+++ b/internal/kit/proxytest/shape_test.go
@@ -24,7 +24,7 @@
 	return s.String()
 }
 
-// good is the whole answer to a run.
+// good is the complete response to a run.
 func good(run proxytest.Run) string {
 	return message(
 		200,
@@ -102,8 +102,8 @@
 	{"a blank line first", func(r proxytest.Run) string { return "\r\n" + good(r) }, 502},
 }
 
-// TestShapes: whatever a runner that ran a job sends for it, on a fresh connection or on
-// one used before, a job that may run once runs once; what its caller hears is the whole
+// TestShapes: whatever a runner that ran a job sends for it, on a new connection or on
+// one used before, a job that may run once runs once; what its caller hears is the complete
 // answer that names it, or a failure that promises nothing; and the job after it on the
 // same connections hears its own answer.
 func TestShapes(t *testing.T) {
--- a/internal/kit/proxytest/truncate.go
+++ b/internal/kit/proxytest/truncate.go
@@ -13,7 +13,7 @@
 const (
 	Closed       Loss = iota // ended in good order
 	Reset                    // what is on its way is lost as well
-	Unresponsive             // nothing more is heard, and it stays open
+	Unresponsive             // nothing more is received, and it stays open
 	Losses       = int(Unresponsive) + 1
 )
 
@@ -65,7 +65,7 @@
 		err = net.ErrClosed
 	}
 	if through > 0 {
-		// Those before the cut arrive.
+		// Those before the partition arrive.
 		return through, nil
 	}
 	return 0, err
@@ -109,7 +109,7 @@
 	return through, true
 }
 
-// lose makes the connection go bad. One that falls silent is heard on until the other
+// lose makes the connection go bad. One that falls unresponsive is received on until the other
 // side gives up.
 func (c *truncatedConn) lose() {
 	switch c.k.how() {
--- a/internal/kit/proxytest/truncate_test.go
+++ b/internal/kit/proxytest/truncate_test.go
@@ -10,7 +10,7 @@
 	"damsontiller/internal/kit/proxytest"
 )
 
-// truncationRig is a door before small stand-ins whose connections can be spoiled at any byte.
+// truncationRig is a handler before small stand-ins whose connections can be spoiled at any byte.
 func truncationRig(t *testing.T, cutter *proxytest.Cutter, chunks bool) *rig {
 	return newRig(t, farm(2, func(p *proxytest.Params) {
 		p.Bytes, p.Events, p.Chunks, p.Wrap = 40, 3, chunks, cutter.Wrap
@@ -43,7 +43,7 @@
 
 // checkTruncated is what a caller may hear of a job whose first exchange broke off: a job that
 // may run twice is served unless nobody noticed in time; of another one a success only
-// where the runner's whole answer came, a failure that promises nothing, or a break.
+// where the runner's complete response came, a failure that promises nothing, or a break.
 func (r *rig) checkTruncated(kind string, x received, answer bool, loss proxytest.Loss) error {
 	runs := len(r.runs(x.try))
 	switch {
@@ -64,8 +64,8 @@
 }
 
 // TestEveryByte closes, resets or silences a runner's connection at every byte of a
-// request and of an answer, for each kind of job, on a fresh connection and on one that
-// was used before. What may run once is sent once; every success is one runner's whole
+// request and of an answer, for each kind of job, on a new connection and on one that
+// was used before. What may run once is sent once; every success is one runner's complete
 // answer; a status that promises 'not run' never comes for what may have run; and the
 // job after it is served.
 func TestEveryByte(t *testing.T) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// sizes measures a whole exchange of a kind.
+// sizes measures a complete exchange of a kind.
 func sizes(t *testing.T, r *rig, cutter *proxytest.Cutter, kind string) (request, answer int) {
 	t.Helper()
 	const never = 1 << 30
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -41,7 +41,7 @@
 	Long       Order = "long"        // run, then answer more than any edge takes
 )
 
-// Entry is one line of the ledger.
+// Entry is one line of the log.
 type Entry struct {
 	Job, Work, Program string
 	Arrived            time.Time
@@ -202,7 +202,7 @@
 	_ = json.NewEncoder(w).Encode(rep)
 }
 
-// Work finds the caller's mark in a job's words.
+// Work finds the caller's token in a job's words.
 func Work(words string) string {
 	_, rest, ok := strings.Cut(words, "work:")
 	if !ok {
@@ -384,7 +384,7 @@
 	hijack(w)
 }
 
-// bend spoils a whole answer b as ordered.
+// bend spoils a complete response b as ordered.
 func bend(o Order, ans runnerapi.Response, b []byte) []byte {
 	switch o {
 	case Garble:
@@ -437,7 +437,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// cached tells whether the whole prefix is held, and takes in every run of
+// cached tells whether the complete prefix is held, and takes in every run of
 // leading parts.
 func (r *Runner) cached(parts []string) bool {
 	prefixHit := len(parts) > 0
--- a/internal/kit/scale/churn.go
+++ b/internal/kit/scale/churn.go
@@ -12,7 +12,7 @@
 )
 
 type change struct {
-	ack   time.Duration // until the operator was told that it is in force
+	ack   time.Duration // until the operator was answered that it is in force
 	all   time.Duration // until the last node had it
 	nodes int
 }
--- a/internal/kit/scale/hollow.go
+++ b/internal/kit/scale/hollow.go
@@ -26,9 +26,9 @@
 // Kinds of hollow nodes.
 const (
 	// Member is what every process of the system is, and no more: lease, spec,
-	// news.
+	// updates.
 	Member = "member"
-	// Edge is the product's whole edge without callers: it also asks for slots.
+	// Edge is the product's complete edge without callers: it also asks for slots.
 	Edge = "edge"
 )
 
@@ -167,7 +167,7 @@
 		e := edge.New(ctx, edge.DefaultParams, p)
 		n, begin = e.Node, e.Start
 	} else {
-		// Not an edge to the others: it holds no slots and takes no duty.
+		// Not an edge to the others: it holds no slots and takes no role.
 		p.Self.Role = "hollow"
 		n = node.New(p)
 		begin = func(ctx context.Context) error {
@@ -204,7 +204,7 @@
 	}()
 }
 
-// see notes when a version, and every one below it, was first in force.
+// see records when a version, and every one below it, was first in force.
 func (h *hollow) see(ver uint64) {
 	now := time.Now().UnixNano()
 	h.mu.Lock()
@@ -258,7 +258,7 @@
 	seen  map[string][]int64 // when those who watch missed a node
 }
 
-// watchers is how many nodes of a process look out for one that was killed.
+// watchers is how many nodes of a process watch for one that was killed.
 const watchers = 4
 
 // Hollow runs a process of hollow nodes: it reads its setup and then orders from
@@ -356,7 +356,7 @@
 	return w
 }
 
-// watch has some nodes look out for another, until each misses it or a while is
+// watch has some nodes watch for another, until each misses it or a while is
 // over.
 func (c *crowd) watch(id string) {
 	c.mu.Lock()
--- a/internal/kit/scale/scale.go
+++ b/internal/kit/scale/scale.go
@@ -29,7 +29,7 @@
 	realBytes    = 96 << 20  // a real process
 	hollowBytes  = 24 << 20  // a hollow process, and
 	nodeBytes    = 2 << 20   // each node in it
-	edgeBytes    = 4 << 20   // the same with the whole edge
+	edgeBytes    = 4 << 20   // the same with the complete edge
 	pairBytes    = 300       // what each node keeps of each other
 	runnerBytes  = 128 << 10 // a stand-in runner
 	nodeFiles    = 96        // descriptors of a node
@@ -148,7 +148,7 @@
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	// What forming has set off is let go by first.
+	// What forming has set off has to end first.
 	if !loop.Wait(ctx, p.SettleTime) {
 		return nil, ctx.Err()
 	}
@@ -177,7 +177,7 @@
 	r.row("%s", f)
 }
 
-// load says how busy the whole machine is: others may use it as well.
+// load says how loaded the complete machine is: others may use it as well.
 func (r *run) load(when string) {
 	if b, err := os.ReadFile("/proc/loadavg"); err == nil {
 		var v float64
@@ -318,7 +318,7 @@
 	r.f.Stop()
 }
 
-// tell says what the troubles showed.
+// tell says what the faults showed.
 func (r *run) tell() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -343,7 +343,7 @@
 	three("failure.noticed", r.notices)
 }
 
-// rest says what is left on disk, and how whole the fleet is at the end.
+// rest says what is left on disk, and how complete the fleet is at the end.
 func (r *run) rest(ctx context.Context) error {
 	for _, role := range []string{"core", "store"} {
 		var vs []float64
--- a/internal/kit/sim/audit.go
+++ b/internal/kit/sim/audit.go
@@ -20,7 +20,7 @@
 	s.mu.Unlock()
 }
 
-// Sample notes the spec version at each edge, until ctx ends.
+// Sample records the spec version at each edge, until ctx ends.
 func (s *Sim) Sample(ctx context.Context) {
 	loop.Every(ctx, 200*time.Millisecond, nil, func(context.Context) {
 		s.mu.Lock()
@@ -86,7 +86,7 @@
 	s.mu.Unlock()
 }
 
-// Judge reads the ledgers.
+// Judge reads the log.
 func (s *Sim) Judge() (checker.Verdict, *checker.Case) {
 	c := &checker.Case{
 		Spec:  &s.Spec,
--- a/internal/kit/sim/bootstrap_test.go
+++ b/internal/kit/sim/bootstrap_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestFound: three founders that are told three addresses form one set, whichever
+// TestFound: three founders that are answered three addresses form one set, whichever
 // comes when; nobody founds without all of them.
 func TestFound(t *testing.T) {
 	t.Parallel()
--- a/internal/kit/sim/brief_test.go
+++ b/internal/kit/sim/brief_test.go
@@ -82,7 +82,7 @@
 	})
 }
 
-// fate is what one asker of a key was told, and when.
+// fate is what one asker of a key was answered, and when.
 type fate struct {
 	sent, done time.Time
 	said
@@ -105,7 +105,7 @@
 	return f
 }
 
-// once checks that a key's work ran at most once, and that nobody was told 'not
+// once checks that a key's work ran at most once, and that nobody was answered 'not
 // run' of work that had run or that ran with nobody asking again.
 func once(t *testing.T, s *sim.Sim, what, key string, fs ...*fate) {
 	t.Helper()
@@ -237,7 +237,7 @@
 		wg.Wait()
 		tools(runner.RefuseSecs)
 		ask(t, s, "e2", "/v1/calls/assets", `{"args":{}}`, nil)
-		// The route cools down; e2 knows it at its door.
+		// The route cools down; e2 knows it at its ingress.
 		b := asker(t, s, &wg, "e2", "lost", "1")
 		wg.Wait()
 		if b.Code != int(code.InProgress) && b.Code != int(code.Cooling) {
@@ -245,7 +245,7 @@
 		}
 		once(t, s, "early drop", "lost", a, b)
 		time.Sleep(4 * time.Second)
-		// A runner refuses clearly, and the stores are gone before the claim is
+		// A runner refuses clearly, and the stores have departed before the claim is
 		// freed: an ask that is still under way elsewhere must not be betrayed.
 		tools(runner.Raise, runner.Raise)
 		p.set("e1", job.ResponseReceived, func(*job.Ctx) {
@@ -258,7 +258,7 @@
 		s.Partition([]string{"e1"}, []string{"s1", "s2", "s3"}, false)
 		once(t, s, "free that fails", "nofree", c, d)
 		time.Sleep(31 * time.Second)
-		// An ask that has read its claim is held up, and a later one is told that
+		// An ask that has read its claim is held up, and a later one is answered that
 		// it did not run: then the first must not run any more.
 		tools()
 		p.set("e3", job.Picked, func(*job.Ctx) { time.Sleep(time.Second) })
@@ -277,7 +277,7 @@
 }
 
 // TestNever03Forgets: every store loses its disk, one after the other, each
-// admitted anew before the next; no turn of the whole run is forgotten.
+// admitted anew before the next; no turn of the complete run is forgotten.
 func TestNever03Forgets(t *testing.T) {
 	t.Parallel()
 	run(t, "andina", 3, 60*time.Second, func(ctx context.Context, s *sim.Sim) {
@@ -395,7 +395,7 @@
 	})
 }
 
-// TestNever05Complete: every way in which a runner's 200 may not be its whole
+// TestNever05Complete: every way in which a runner's 200 may not be its complete
 // answer; none is passed on as a success.
 func TestNever05Complete(t *testing.T) {
 	t.Parallel()
@@ -423,7 +423,7 @@
 	})
 }
 
-// TestNever06Draining: edges are frozen or cut off at the moment of the news, and
+// TestNever06Draining: edges are frozen or partitioned at the moment of the update, and
 // jobs wait across it.
 func TestNever06Draining(t *testing.T) {
 	t.Parallel()
@@ -447,7 +447,7 @@
 	})
 }
 
-// TestNever07Emptied: a zone is emptied while one edge is frozen, one is cut off
+// TestNever07Emptied: a zone is emptied while one edge is frozen, one is partitioned
 // from the core only, and the backlogs are full; the order is acknowledged within
 // two seconds and holds.
 func TestNever07Emptied(t *testing.T) {
@@ -567,7 +567,7 @@
 }
 
 // TestNever09WarmingUp: runners are replaced in place within one report interval,
-// many at once, under a crowd, and the dealer dies meanwhile.
+// many at once, under a crowd, and the assigner dies meanwhile.
 func TestNever09WarmingUp(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -613,7 +613,7 @@
 }
 
 // TestNever11Early: an edge is frozen with a job at each point between its
-// runner's choice and the first byte, while another edge is refused and told
+// runner's choice and the first byte, while another edge is refused and answered
 // to wait; no call is made within that wait.
 func TestNever11Early(t *testing.T) {
 	t.Parallel()
@@ -658,7 +658,7 @@
 	})
 }
 
-// TestNever11Tier: a wait is kept while stores restart, are cut off and are
+// TestNever11Tier: a wait is kept while stores restart, are partitioned and are
 // slow; and it is one for all routes of an account.
 func TestNever11Tier(t *testing.T) {
 	t.Parallel()
@@ -694,7 +694,7 @@
 	})
 }
 
-// TestNever12Recovery: the core is away for long, the dealing edge dies
+// TestNever12Recovery: the core is away for long, the assignment edge dies
 // meanwhile, and runners are replaced; service goes on.
 func TestNever12Recovery(t *testing.T) {
 	t.Parallel()
@@ -716,7 +716,7 @@
 	})
 }
 
-// TestStateExpired: claims, budgets and cooldowns past their keeping times are let go,
+// TestStateExpired: claims, budgets and cooldowns past their keeping times are removed,
 // and said to be past; no repair by a store that was away brings them back to be
 // run again, and nothing within its time goes.
 func TestStateExpired(t *testing.T) {
--- a/internal/kit/sim/chaos_test.go
+++ b/internal/kit/sim/chaos_test.go
@@ -71,7 +71,7 @@
 		if id := down[role]; id != "" {
 			up(t, ctx, s, id)
 			delete(down, role)
-			// The set must be whole again before another may go.
+			// The set must be complete again before another may go.
 			time.Sleep(4 * time.Second)
 		}
 	}
@@ -122,7 +122,7 @@
 				continue
 			}
 		case 6:
-			// One machine is cut off from all others for a while. It counts as
+			// One machine is partitioned from all others for a while. It counts as
 			// the one of its role that is away.
 			role := []string{"edge", "store", "core"}[rnd.IntN(3)]
 			back(role)
--- a/internal/kit/sim/config.go
+++ b/internal/kit/sim/config.go
@@ -25,7 +25,7 @@
 	operatorGivesUp  = 40 * time.Second
 )
 
-// ConfigOrder is a whole configuration, as an operator sends it.
+// ConfigOrder is an entire configuration, as an operator sends it.
 type ConfigOrder struct {
 	Base, Revision uint64
 	Body           string
@@ -85,7 +85,7 @@
 	replies map[string]map[int]int // statuses, for the log of a run
 }
 
-// NewConfigLog makes a log of a fleet without a configuration yet; fail is told of
+// NewConfigLog makes a log of a fleet without a configuration yet; fail is answered of
 // each breach.
 func NewConfigLog(s *Sim, fail func(string, ...any)) *ConfigLog {
 	return &ConfigLog{
@@ -148,7 +148,7 @@
 	"}",
 ) + `,"retained":true,"retention-s":36000.0}`
 
-// configBody writes a whole configuration whose content tells who made it.
+// configBody writes an entire configuration whose content tells who made it.
 func configBody(revision uint64, author int) string {
 	routes := []string{
 		configRoute("repeatable", Repeatable, "idempotent", 4000),
@@ -170,7 +170,7 @@
 }
 
 // Next is a new order on the newest configuration. With skip the number is not the
-// next one; author tells orders of one number apart.
+// next one; author distinguishes orders of one number.
 func (c *ConfigLog) Next(skip uint64, author int) ConfigOrder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -363,14 +363,14 @@
 	c.fail("an invalid order (%s) had no clear answer", bad.how)
 }
 
-// uncertain notes that something newer than the newest acknowledged may be in force.
+// uncertain records that something newer than the newest acknowledged may be in force.
 func (c *ConfigLog) uncertain() {
 	c.mu.Lock()
 	c.known = false
 	c.mu.Unlock()
 }
 
-// resolve reads what is in force where that is in doubt, so that the next order
+// resolve reads what is in force where that is uncertain, so that the next order
 // builds on it.
 func (c *ConfigLog) resolve(op *Operator) {
 	c.mu.Lock()
--- a/internal/kit/sim/cooldown_test.go
+++ b/internal/kit/sim/cooldown_test.go
@@ -265,7 +265,7 @@
 // bound is how soon after a cooldown is written every node keeps to it.
 var bound = cooldown.DefaultSnapshot.MaxAge + 20*time.Millisecond
 
-// warm passes some jobs at every edge, so that each has a fresh word.
+// warm passes some jobs at every edge, so that each has a recent snapshot.
 func (f *rawFleet) warm(of ...string) {
 	for range 3 {
 		for _, e := range of {
@@ -278,7 +278,7 @@
 }
 
 // TestCooldownSnapshot: a refusal that one edge sees is kept to by all others within the
-// bound, though no news reaches them; the one who saw it stops at once. What is
+// bound, though no update reaches them; the one who saw it stops at once. What is
 // left goes back with each refusal, which is not held.
 func TestCooldownSnapshot(t *testing.T) {
 	t.Parallel()
@@ -531,7 +531,7 @@
 	)
 }
 
-// TestCoolStoreAway: with one store frozen the word stays fresh. Without a majority
+// TestCoolStoreAway: with one store frozen the word stays recent. Without a majority
 // jobs go on, none of them late, and what other nodes tell is kept to.
 func TestCoolStoreAway(t *testing.T) {
 	t.Parallel()
@@ -577,7 +577,7 @@
 			if slow > 4 || a.Unverified == before.Unverified {
 				t.Errorf("%d slow jobs, %+v", slow, a)
 			}
-			// The others' refusal reaches it by news.
+			// The others' refusal reaches it by updates.
 			rs[0].set(oneRefusal("2"))
 			f.job("e1", 4*time.Second)
 			time.Sleep(50 * time.Millisecond)
@@ -614,7 +614,7 @@
 		spec.Cooldown{},
 		func(_ context.Context, f *rawFleet, rs []*stand) {
 			f.warm(edges...)
-			// No news reaches it before it has to decide.
+			// No update reaches it before it has to decide.
 			f.Partition([]string{"e2"}, f.Rest("e2", "s1", "s2", "s3"), true)
 			time.Sleep(200 * time.Millisecond)
 			f.warm("e2")
--- a/internal/kit/sim/disk_test.go
+++ b/internal/kit/sim/disk_test.go
@@ -54,7 +54,7 @@
 // TestDisks: the disk of a core, of a store and of both is full, answers nothing, is
 // slow or fails a write or a sync, again and again, with changes of the configuration
 // going on. The fleet goes on, no process ends, and the machines are back by themselves.
-// Without DISK_SEARCHES only full and stalled disks of both are gone through.
+// Without DISK_SEARCHES only full and stalled disks of both are run.
 func TestDisks(t *testing.T) {
 	faults := map[string]func(s *sim.Sim, id string, on bool){
 		"full":  func(s *sim.Sim, id string, on bool) { s.DiskFull(id, on) },
--- a/internal/kit/sim/faults.go
+++ b/internal/kit/sim/faults.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Faults are all that a mix draws from: the kinds of trouble that the users' bench
+// Faults are all that a mix draws from: the kinds of fault that the users' bench
 // lists, each with its how after a slash.
 var Faults = slices.Concat(
 	machineFaults,
--- a/internal/kit/sim/faults_disk.go
+++ b/internal/kit/sim/faults_disk.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// diskFaults trouble one counted machine's disk.
+// diskFaults fault one counted machine's disk.
 var diskFaults = []Fault{
 	{"disk_slow", Counted, func(d *Draw) { d.faultDisk(slowDisk) }},
 	{"disk_full", Counted, func(d *Draw) { d.faultDisk(fullDisk) }},
 	{"disk_stall", Counted, func(d *Draw) { d.faultDisk(stalledDisk) }},
 }
 
-// diskFault troubles a machine's disk for a time.
+// diskFault faults a machine's disk for a time.
 type diskFault func(s *Sim, id string, length time.Duration)
 
 // slowSync is the time that each call to a slow disk takes.
--- a/internal/kit/sim/faults_membership.go
+++ b/internal/kit/sim/faults_membership.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// retire adds a store, has another emptied and let go, and takes it away once it is;
+// retire adds a store, has another emptied and removed, and takes it away once it is;
 // wipe: another loses its disk right after.
 func (d *Draw) retire(wipe bool) {
 	d.add("store")
--- a/internal/kit/sim/faults_network.go
+++ b/internal/kit/sim/faults_network.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// networkFaults cut, reset and rename.
+// networkFaults partition, reset and rename.
 var networkFaults = []Fault{
 	{"core_cut", Counted, partitionCounted},
 	{"core_cut/one_way", Counted, partitionCountedOneWay},
@@ -52,7 +52,7 @@
 	d.Sim.PartitionOneWay(from, to, false)
 }
 
-// partitionCountedSeeds has new seeds begin with the one that is cut off while some other
+// partitionCountedSeeds has new seeds begin with the one that is partitioned while some other
 // machines are started anew.
 func partitionCountedSeeds(d *Draw) {
 	d.partitionRandom(func(id string, _ []string) {
@@ -73,7 +73,7 @@
 	d.nameSeeds()
 }
 
-// partitionCountedBoth starts the one that is cut off anew, then the others that count, one
+// partitionCountedBoth starts the one that is partitioned anew, then the others that count, one
 // by one.
 func partitionCountedBoth(d *Draw) {
 	d.partitionRandom(func(id string, others []string) {
@@ -93,7 +93,7 @@
 	})
 }
 
-// partitionCountedMeet sends changes to the core machine that is cut off, during the cut
+// partitionCountedMeet sends changes to the core machine that is partitioned, during the partition
 // and as it returns.
 func partitionCountedMeet(d *Draw) {
 	id := d.member("core")
--- a/internal/kit/sim/faults_runner.go
+++ b/internal/kit/sim/faults_runner.go
@@ -10,7 +10,7 @@
 	"damsontiller/internal/kit/runner"
 )
 
-// runnerFaults trouble back ends.
+// runnerFaults fault back ends.
 var runnerFaults = []Fault{
 	{"srv_crash", Runners, func(d *Draw) { d.downAndUp(d.someRunners(0.15), nil) }},
 	{"srv_crash/dark", Runners, func(d *Draw) { d.downAndUp(d.someRunners(0.15), unresponsive) }},
@@ -67,14 +67,14 @@
 }
 
 // backendFault is what the stand-ins of raw jobs have meanwhile: the faults of the
-// next jobs, or a trouble that lasts.
+// next jobs, or a fault that lasts.
 type backendFault struct {
 	next  []proxytest.Fault
 	lasts proxytest.Fault
 	x     float64
 }
 
-// backendFaults are the same kinds of trouble for the runners of raw jobs.
+// backendFaults are the same kinds of fault for the runners of raw jobs.
 var backendFaults = map[string]backendFault{
 	"srv_crash":       {lasts: proxytest.Flaps, x: 8},
 	"srv_slow":        {lasts: proxytest.SlowBy, x: 4},
@@ -103,7 +103,7 @@
 	"cold_return":        {next: []proxytest.Fault{proxytest.NoDial, proxytest.NoDial, proxytest.NoDial}},
 }
 
-// faultBackends gives two stand-ins of raw jobs the trouble of a fault's name, if
+// faultBackends gives two stand-ins of raw jobs the fault of a fault's name, if
 // it has any, for some seconds.
 func (d *Draw) faultBackends(name string) {
 	t, ok := backendFaults[name]
@@ -130,10 +130,10 @@
 	d.wait(500*time.Millisecond, 3*time.Second)
 }
 
-// troubled wraps a runner's handler; its end is told by done.
+// troubled wraps a runner's handler; its end is answered by done.
 type troubled func(h http.Handler, done <-chan struct{}) http.Handler
 
-// downAndUp ends runners' processes for a while. With trouble they are replaced by
+// downAndUp ends runners' processes for a while. With fault they are replaced by
 // processes that stand there and have it.
 func (d *Draw) downAndUp(names []string, fault troubled) {
 	done := make(chan struct{})
--- a/internal/kit/sim/faults_test.go
+++ b/internal/kit/sim/faults_test.go
@@ -113,7 +113,7 @@
 			cores := []string{"c1", "c2", "c3"}
 			s.Partition(cores, s.Rest(cores...), true)
 			time.Sleep(15 * time.Second)
-			// No change is acknowledged that a cut-off node would betray.
+			// No change is acknowledged that a partitioned node would betray.
 			if st, a, _ := s.Zone("a", true); st == http.StatusOK {
 				t.Errorf("acknowledged through a cut: %+v", a)
 			}
@@ -337,7 +337,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		s.Disk("s1", -1, 0)
-		// What it has not taken meanwhile is mended from the others.
+		// What it has not taken meanwhile is repaired from the others.
 		before := s.Store("s1").Repaired()
 		if !sim.Until(12*time.Second, func() bool { return s.Store("s1").Repaired() > before }) {
 			t.Error("nothing was mended")
--- a/internal/kit/sim/history_test.go
+++ b/internal/kit/sim/history_test.go
@@ -215,7 +215,7 @@
 }
 
 // TestHistoryLong: the register's value and the time to be current after a thousand
-// changes are those after one; a thousand identities let go are the one thing that
+// changes are those after one; a thousand identities removed are the one thing that
 // makes it larger.
 func TestHistoryLong(t *testing.T) {
 	t.Parallel()
--- a/internal/kit/sim/loadreport_test.go
+++ b/internal/kit/sim/loadreport_test.go
@@ -88,7 +88,7 @@
 			if len(c.endpoints.Current().Runners) != 2 {
 				t.Errorf("%s has %d runners", id, len(c.endpoints.Current().Runners))
 			}
-			// A fresh runner is never taken for warm sooner than it says.
+			// A warming runner is never taken for warm sooner than it says.
 			if r := c.endpoints.Current().Get("i-2"); r == nil ||
 				time.Duration(r.WarmupRemainingMs)*time.Millisecond < 2300*time.Millisecond {
 				t.Errorf("%s: fresh for %+v", id, r)
@@ -121,7 +121,7 @@
 }
 
 // TestLoadReportAlone: an edge that reaches nobody reads the list itself, before what it
-// has is older than draining allows; so do all where the one that counts is gone.
+// has is older than draining allows; so do all where the one that counts has departed.
 func TestLoadReportAlone(t *testing.T) {
 	tallied(t, func(_ context.Context, s *sim.Sim, cs map[string]*clerk, _ *[]endpoints.Runner, _ *bool) {
 		before := cs["e3"].reads
--- a/internal/kit/sim/machine.go
+++ b/internal/kit/sim/machine.go
@@ -232,7 +232,7 @@
 	if l == nil {
 		return
 	}
-	// Nothing that it does from now on is heard by others: what is not on the disk as
+	// Nothing that it does from now on is received by others: what is not on the disk as
 	// it is kept may not be promised.
 	close(l.dead)
 	s.Net.Freeze(m.Addr)
--- a/internal/kit/sim/measure_test.go
+++ b/internal/kit/sim/measure_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestRepairTraffic measures what it costs to mend a store that missed some
+// TestRepairTraffic measures what it costs to repair a store that missed some
 // turns: messages against keys missed, and what an idle comparison costs.
 func TestRepairTraffic(t *testing.T) {
 	t.Parallel()
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestUncertain measures how much keyed work is left in doubt when edges die under a
-// crowd: of the keyed works asked of a dead edge, those whose callers were told
+// TestUncertain measures how much keyed work is left uncertain when edges die under a
+// crowd: of the keyed works asked of a dead edge, those whose callers were answered
 // elsewhere that the outcome is not known.
 func TestUncertain(t *testing.T) {
 	t.Parallel()
--- a/internal/kit/sim/membership_test.go
+++ b/internal/kit/sim/membership_test.go
@@ -21,7 +21,7 @@
 // shorter of the platform's two figures (`sync-time-s`).
 const syncTime = 4200 * time.Millisecond
 
-// writePause is what a ledger's writer rests between two writes.
+// writePause is what a log's writer rests between two writes.
 const writePause = 50 * time.Millisecond
 
 // log writes registers and blobs through edges all the while, and remembers what was
@@ -133,7 +133,7 @@
 	t.Logf("%s; %s after %s", cores, stores, took)
 }
 
-// failureMode is what makes a living machine silent, and what ends it.
+// failureMode is what makes a living machine unresponsive, and what ends it.
 type failureMode struct {
 	name       string
 	begin, end func(s *sim.Sim, id string)
@@ -161,8 +161,8 @@
 }
 
 // TestUnresponsiveStoreReplaced: a store taken in beside the others takes the place of one
-// that lives and is silent for 20 s. A second store is lost in that time, and a third
-// once the second is back. The silent one wakes with its half-made writes and its data:
+// that lives and is unresponsive for 20 s. A second store is lost in that time, and a third
+// once the second is back. The unresponsive one wakes with its half-made writes and its data:
 // it comes back as a stranger, and nothing acknowledged is lost.
 func TestUnresponsiveStoreReplaced(t *testing.T) {
 	t.Parallel()
@@ -202,7 +202,7 @@
 	launch(t, ctx, s, false, id)
 }
 
-// TestUnresponsiveCoreReplaced is the same for the cores, whose register must stay whole.
+// TestUnresponsiveCoreReplaced is the same for the cores, whose register must stay complete.
 func TestUnresponsiveCoreReplaced(t *testing.T) {
 	t.Parallel()
 	for i, mode := range failureModes {
@@ -234,7 +234,7 @@
 	}
 }
 
-// TestPartitionedStoreStaysMember: a store whose renewals are heard, but that hears nothing
+// TestPartitionedStoreStaysMember: a store whose renewals are received, but that hears nothing
 // itself, keeps its place though another stands beside. Nothing is lost by it.
 func TestPartitionedStoreStaysMember(t *testing.T) {
 	t.Parallel()
@@ -393,7 +393,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// forget has the register cut its list of identities that were let go.
+// forget has the register partition its list of identities that were removed.
 func forget(t *testing.T, ctx context.Context, s *sim.Sim) {
 	t.Helper()
 	_, _, err := s.Core("c1").Cluster.Change(ctx, 0, func(c *spec.Cluster) error {
@@ -410,9 +410,9 @@
 	}
 }
 
-// TestForgottenIdentity: machines whose identity was let go and is not listed any more
+// TestForgottenIdentity: machines whose identity was removed and is not listed any more
 // come back as strangers: one that was off and has its disk, and ones that were frozen
-// all the while. Members keep their identities across the cut and a restart, and
+// all the while. Members keep their identities across the partition and a restart, and
 // newcomers are taken in.
 func TestForgottenIdentity(t *testing.T) {
 	t.Parallel()
