--- a/internal/kit/sim/mix.go
+++ b/internal/kit/sim/mix.go
@@ -14,7 +14,7 @@
 )
 
 // SyncTime is for how long a counted machine is taken as lost after its return: the
-// next loss may come then, whether or not the fleet is whole again.
+// next loss may come then, whether or not the fleet is complete again.
 const SyncTime = 4200 * time.Millisecond
 
 // Family groups faults that are drawn by one goroutine, one after another.
@@ -25,13 +25,13 @@
 const (
 	Counted   Family = iota // lose one machine with a disk, or one zone, at a time
 	Edges                   // lose edges, in any number
-	Runners                 // trouble back ends
+	Runners                 // fault back ends
 	Operators               // order changes
 	Families
 )
 
-// Fault is one kind of trouble. Its name is the bench's kind and, after a slash, its
-// how. Run returns once the trouble is over; what a counted fault returns after, the
+// Fault is one kind of fault. Its name is the bench's kind and, after a slash, its
+// how. Run returns once the fault is over; what a counted fault returns after, the
 // sync time follows.
 type Fault struct {
 	Name   string
@@ -92,7 +92,7 @@
 	wrong   []string
 }
 
-// NewMix makes a mix over a fleet that runs and whose sets look after themselves.
+// NewMix makes a mix over a fleet that runs and whose sets are self-managed.
 func NewMix(ctx context.Context, s *Sim, seed uint64) *Mix {
 	m := &Mix{
 		Sim:     s,
@@ -180,7 +180,7 @@
 	return left[0], true
 }
 
-// retireFromUse forgets a machine that is gone for good.
+// retireFromUse forgets a machine that has departed for good.
 func (m *Mix) retireFromUse(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -314,7 +314,7 @@
 }
 
 // WaitBackground checks, once all faults are over, what must hold then: sets as large as
-// before and whole, the newest acknowledged configuration in force, zones as
+// before and complete, the newest acknowledged configuration in force, zones as
 // acknowledged, kept turns there.
 func (m *Mix) WaitBackground() {
 	Until(20*time.Second, func() bool { return m.Complete() == "" })
@@ -341,5 +341,5 @@
 	m.up(ids...)
 }
 
-// Forget counts a machine as gone for good.
+// Forget counts a machine as departed for good.
 func (m *Mix) Forget(id string) { m.retireFromUse(id) }
--- a/internal/kit/sim/mix_test.go
+++ b/internal/kit/sim/mix_test.go
@@ -17,7 +17,7 @@
 	"damsontiller/internal/kit/sim"
 )
 
-// mixed runs a fleet that looks after itself, with a first configuration, under
+// mixed runs a fleet that is self-managed, with a first configuration, under
 // traffic, turns that are kept and operators who read back; then do causes faults.
 // It fails the test on any breach once all is over.
 func mixed(t *testing.T, seed uint64, traffic time.Duration, do func(m *sim.Mix)) *sim.Mix {
@@ -75,7 +75,7 @@
 	t.Helper()
 	v, c := m.Sim.Judge()
 	// How late an urgent answer is while machines are lost is not the matter here. Nor
-	// is a planned stop that meets other trouble: what it owes, it owes in calm times
+	// is a planned stop that meets another fault: what it owes, it owes in calm times
 	// only, and those are in TestFaults and TestNever10.
 	delete(v, checker.Urgent)
 	delete(v, checker.Planned)
--- a/internal/kit/sim/network.go
+++ b/internal/kit/sim/network.go
@@ -21,7 +21,7 @@
 }
 
 // partitioned cuts or joins each pair by one way of the network's, and keeps note of who
-// is apart.
+// is separate.
 func (s *Sim) partitioned(way func(a, b string, on bool), of, from []string, on bool) {
 	s.mu.Lock()
 	for _, a := range of {
--- a/internal/kit/sim/operators_test.go
+++ b/internal/kit/sim/operators_test.go
@@ -91,7 +91,7 @@
 }
 
 // TestSameKey: one keyed job asked at every edge at once runs once; whoever is
-// not given its result is told that it may have run.
+// not given its result is answered that it may have run.
 func TestSameKey(t *testing.T) {
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
@@ -167,7 +167,7 @@
 }
 
 // TestSharedCooldown: one worker's refusal holds back all; a wait that fits is
-// waited out, one that does not is told at once with the time to come back.
+// waited out, one that does not is answered at once with the time to come back.
 func TestSharedCooldown(t *testing.T) {
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
@@ -232,7 +232,7 @@
 }
 
 // TestBudget: turns at all edges at once stay within one budget, and then are
-// told that it is spent.
+// answered that it is spent.
 func TestBudget(t *testing.T) {
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
@@ -271,8 +271,8 @@
 	})
 }
 
-// TestTurns: a conversation goes on at any edge; unknown and past are told
-// apart; another program's turn is unknown.
+// TestTurns: a conversation goes on at any edge; unknown and past are answered
+// separate; another program's turn is unknown.
 func TestTurns(t *testing.T) {
 	t.Parallel()
 	quiet(t, func(_ context.Context, s *sim.Sim) {
--- a/internal/kit/sim/orders_test.go
+++ b/internal/kit/sim/orders_test.go
@@ -28,7 +28,7 @@
 	head   http.Header
 }
 
-// clear tells whether an operator takes an answer for the last word.
+// clear tells whether an operator takes an answer for the last report.
 func (r reply) clear() bool {
 	return r.status == http.StatusOK || r.status >= 400 && r.status < 500 && r.status != http.StatusRequestTimeout
 }
@@ -342,8 +342,8 @@
 	})
 }
 
-// TestRetireUnheard: a name is unknown only by the word of cores that have run for
-// long enough to have heard of it.
+// TestRetireUnheard: a name is unknown only as reported by cores that have run for
+// long enough to have seen it.
 func TestRetireUnheard(t *testing.T) {
 	t.Parallel()
 	selfManaged(t, 14, func(ctx context.Context, s *sim.Sim) {
--- a/internal/kit/sim/policy_test.go
+++ b/internal/kit/sim/policy_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestPolicyOrders: what is wrong with a program, an approval or a roll-out is
+// TestPolicyOrders: what is wrong with a program, an approval or an rollout is
 // refused by number and changes nothing.
 func TestPolicyOrders(t *testing.T) {
 	t.Parallel()
@@ -96,7 +96,7 @@
 // TestPolicyLive: a program that is live decides, on every edge for the same share
 // of programs; one that fails falls back to the built-in, counted; the trace tells
 // which; and no promise is weakened while it is rolled out through the death of
-// the dealing edge.
+// the assignment edge.
 func TestPolicyLive(t *testing.T) {
 	t.Parallel()
 	run(t, "andina", 51, 30*time.Second, func(ctx context.Context, s *sim.Sim) {
--- a/internal/kit/sim/proxy.go
+++ b/internal/kit/sim/proxy.go
@@ -117,7 +117,7 @@
 }
 
 // RawLog sends raw jobs and judges the answers: what may run once runs once, what is
-// said not to have run has not, an answer is the whole one of this very job, a turn
+// said not to have run has not, an answer is the complete one of this very job, a turn
 // that was kept is found.
 type RawLog struct {
 	sim  *Sim
@@ -129,7 +129,7 @@
 	wg   sync.WaitGroup
 }
 
-// NewRawLog makes an empty log; fail is told of each breach.
+// NewRawLog makes an empty log; fail is called with each breach.
 func NewRawLog(s *Sim, seed uint64, fail func(string, ...any)) *RawLog {
 	return &RawLog{sim: s, fail: fail, rnd: rand.New(rand.NewPCG(seed, 7))}
 }
@@ -189,7 +189,7 @@
 	j.seal, j.echo = r.Header.Get(headerSeal), r.Header.Get(headerAttempt)
 }
 
-// Served counts the jobs that were answered whole with success.
+// Served counts the jobs that were answered complete with success.
 func (l *RawLog) Served() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/kit/sim/repair_test.go
+++ b/internal/kit/sim/repair_test.go
@@ -19,7 +19,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// selfManaged runs a fleet whose sets look after themselves, once it stands.
+// selfManaged runs a fleet whose sets are self-managed, once it stands.
 func selfManaged(t *testing.T, seed uint64, do func(ctx context.Context, s *sim.Sim)) {
 	t.Helper()
 	found(t, seed, func(ctx context.Context, s *sim.Sim) {
@@ -256,7 +256,7 @@
 	})
 }
 
-// TestRepairBack: a machine whose place was taken while it was silent comes back, with
+// TestRepairBack: a machine whose place was taken while it was unresponsive comes back, with
 // its disk and its identity; it goes on as a stranger and is taken in beside the
 // other.
 func TestRepairBack(t *testing.T) {
@@ -422,7 +422,7 @@
 				stop()
 				s.Stop()
 				v, _ := s.Judge()
-				// How late an urgent answer may be while a store is gone is not the matter
+				// How late an urgent answer may be while a store has departed is not the matter
 				// here.
 				delete(v, checker.Urgent)
 				if v.Total() > 0 {
@@ -437,7 +437,7 @@
 	in := map[string][]string{"core": {"c1", "c2", "c3"}, "store": {"s1", "s2", "s3"}}
 	spare := map[string][]string{"core": {"c4", "c5"}, "store": {"s4", "s5"}}
 	var did []string
-	// whole: every machine in use is of its set, as it is, and nothing changes.
+	// complete: every machine in use is of its set, as it is, and nothing changes.
 	complete := func() bool {
 		v := s.Cluster()
 		for role, set := range map[string][]spec.Machine{"core": v.Cluster.Cores, "store": v.Cluster.Stores} {
--- a/internal/kit/sim/sim.go
+++ b/internal/kit/sim/sim.go
@@ -1,4 +1,4 @@
-// Package sim is a whole fleet in one process, on simulated time and a
+// Package sim is an entire fleet in one process, on simulated time and a
 // simulated network, for tests inside a testing/synctest bubble. It runs the
 // product's own code: only the network, the disks and the clock are not real.
 package sim
--- a/internal/kit/sim/sim_test.go
+++ b/internal/kit/sim/sim_test.go
@@ -88,8 +88,8 @@
 }
 
 // TestDealerSuperseded: once any edge has seen a later epoch, the holder takes
-// the duty anew. It used to go on under the old one, refused by all, and no
-// slot was dealt any more.
+// the role anew. It used to go on under the old one, refused by all, and no
+// slot was assigned any more.
 func TestDealerSuperseded(t *testing.T) {
 	t.Parallel()
 	run(t, "andina", 2, 20*time.Second, func(_ context.Context, s *sim.Sim) {
--- a/internal/kit/sim/turns.go
+++ b/internal/kit/sim/turns.go
@@ -26,10 +26,10 @@
 	asked int
 }
 
-// NewTurnLog makes an empty log; fail is told of each turn that is lost.
+// NewTurnLog makes an empty log; fail is called with each turn that is lost.
 func NewTurnLog(s *Sim, fail func(string, ...any)) *TurnLog { return &TurnLog{sim: s, fail: fail} }
 
-// turnAnswer is what a caller is told.
+// turnAnswer is what a caller is answered.
 type turnAnswer struct {
 	Turn string `json:"turn"`
 	Code int    `json:"code"`
--- a/internal/kit/sim/worst_test.go
+++ b/internal/kit/sim/worst_test.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// untroubled runs a fleet that looks after itself, with a first configuration and
+// untroubled runs a fleet that is self-managed, with a first configuration and
 // without traffic, and fails the test on whatever do finds.
 func untroubled(t *testing.T, seed uint64, do func(ctx context.Context, m *sim.Mix)) {
 	t.Helper()
@@ -78,7 +78,7 @@
 	{"hears nothing", func(s *sim.Sim, ids, others []string, on bool) { s.PartitionOneWay(others, ids, on) }},
 }
 
-// TestWorstPartitioned: two of five core machines are cut off together for 25 s, one of
+// TestWorstPartitioned: two of five core machines are partitioned together for 25 s, one of
 // them starts anew there with seeds that name only the two. Orders and questions go
 // to them all the while, as the majority goes on: they tell no old configuration,
 // acknowledge nothing, refuse nothing. Joined again they are right within three
--- a/internal/platform/control/control_test.go
+++ b/internal/platform/control/control_test.go
@@ -346,7 +346,7 @@
 			}
 		}
 		f.inForce(2, table(8, b2, c))
-		// A whole one and a part that look alike are two orders.
+		// A complete one and a part that are alike are two orders.
 		if got := f.replace(0, "3", change); got != 412 {
 			t.Errorf("the same body as a whole: %d", got)
 		}
@@ -435,7 +435,7 @@
 				t.Errorf("%s: %d %s after %s", c[1], s, b, took)
 			}
 		}
-		// The others go on; the one cut off holds with them once it is back.
+		// The others go on; the one partitioned holds with them once it is back.
 		if got := f.replace(1, "1", next); got != 200 {
 			t.Errorf("at the majority: %d", got)
 		}
--- a/internal/platform/control/fuzz_config_test.go
+++ b/internal/platform/control/fuzz_config_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// FuzzFullTable: whatever operators send as a whole configuration, it is refused or is
+// FuzzFullTable: whatever operators send as an entire configuration, it is refused or is
 // kept as they wrote it, and read back from its own text as the same.
 func FuzzFullTable(f *testing.F) {
 	f.Add([]byte(table(5, route("r1", "/a/", toS), route("r2", "/b/", split))))
--- a/internal/platform/control/operate.go
+++ b/internal/platform/control/operate.go
@@ -1,4 +1,4 @@
-// Package control is the door of the platform's operators on a core machine.
+// Package control is the interface of the platform's operators on a core machine.
 package control
 
 import (
@@ -22,7 +22,7 @@
 
 // Bounds of one order.
 const (
-	// An operator goes to another node after a second of silence.
+	// An operator goes to another node after a second of time without contact.
 	orderWait = 800 * time.Millisecond
 	maxOrder  = 3 << 20
 )
@@ -51,7 +51,7 @@
 }
 
 // status is how the platform spells a failure. What is not clearly wrong with the
-// order is never told as refused for good: 503 sends the operator to another node.
+// order is never reported as refused for good: 503 sends the operator to another node.
 func status(c code.Code) int {
 	switch c {
 	case code.SpecConflict:
@@ -94,7 +94,7 @@
 
 func modify(b []byte) (uint64, func(spec.Table) spec.Table, error) { return Patch(b) }
 
-// change takes a configuration, whole or in part.
+// change takes a configuration, complete or in part.
 func (o *Handler) change(
 	x echo.Context,
 	kind string,
--- a/internal/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -30,7 +30,7 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// Operators send orders to cores that are cut off, frozen, restarted and wiped, lose
+// Operators send orders to cores that are partitioned, frozen, restarted and wiped, lose
 // answers and send again; every answer that a core gives is written down, also those
 // that are lost on their way, and the history is checked at the end.
 
@@ -96,7 +96,7 @@
 	machines []*machine
 	addrs    []string
 	began    time.Time
-	calm     time.Time // from when on the next trouble may come
+	calm     time.Time // from when on the next fault may come
 
 	mu      sync.Mutex
 	orders  []*order
@@ -193,7 +193,7 @@
 const patience = time.Second
 
 // call sends a request to a machine as an operator does. Status 0 is no answer. The
-// request goes on after its sender has given up, and on is told its answer whenever
+// request goes on after its sender has given up, and on is given its answer whenever
 // it comes.
 func (l *lab) call(at int, method, path, on, body string, answer func(status int, body string)) int {
 	m := l.machines[at]
@@ -363,7 +363,7 @@
 	}
 }
 
-// free tells whether trouble may come now; it holds off the next one for a while.
+// free tells whether a fault may come now; it holds off the next one for a while.
 func (l *lab) free(lasts time.Duration) bool {
 	if time.Now().Before(l.calm) {
 		return false
@@ -372,7 +372,7 @@
 	return true
 }
 
-// settle is how long after a trouble the next one may come; mend, after a lost disk.
+// settle is how long after a fault the next one may come; repair, after a lost disk.
 const (
 	settleTime = time.Second
 	repairTime = 8 * time.Second
@@ -492,7 +492,7 @@
 		for _, a := range p.actions {
 			l.do(a)
 		}
-		// All troubles end and all operators come to an end.
+		// All faults end and all operators come to an end.
 		time.Sleep(time.Until(l.calm) + 30*time.Second)
 		l.last()
 		for _, m := range l.machines {
--- a/internal/platform/control/table.go
+++ b/internal/platform/control/table.go
@@ -14,11 +14,11 @@
 
 var kinds = map[string]string{"idempotent": spec.Repeatable, "non_idempotent": spec.Once, "streaming": spec.Stream}
 
-// weightUnit makes whole weights of shares, which may be fractions.
+// weightUnit makes integer weights of shares, which may be fractions.
 const weightUnit = 1e6
 
 func decode(b []byte, into easyjson.Unmarshaler) error {
-	// The generated readers skip over what they don't know without a look at it.
+	// The generated readers skip over what they don't know without a read of it.
 	if !json.Valid(b) {
 		return code.New(code.BadJSON, "the body is not JSON")
 	}
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Whole reads a whole configuration.
+// Whole reads an entire configuration.
 func Whole(b []byte) (spec.Table, error) {
 	var w fullTable
 	if err := decode(b, &w); err != nil {
--- a/internal/platform/control/wire.go
+++ b/internal/platform/control/wire.go
@@ -4,7 +4,7 @@
 
 //go:generate go tool easyjson wire.go
 
-// fullTable is an operators' whole configuration; its items are kept as written.
+// fullTable is an operators' entire configuration; its items are kept as written.
 //
 //easyjson:json
 type fullTable struct {
@@ -34,7 +34,7 @@
 	Services []string `json:"service-table"`
 }
 
-// routeItem is a route; figures may come whole or as fractions.
+// routeItem is a route; figures may be integers or fractions.
 //
 //easyjson:json
 type routeItem struct {
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -136,7 +136,7 @@
 	return p, nil
 }
 
-// within bounds a figure, so that it can be turned into a whole number.
+// within bounds a figure, so that it can be changed into an integer.
 func within(f, least, most float64) float64 { return min(max(f, least), most) }
 
 // runner translates an entry; one that names no runner at an address is none.
--- a/internal/platform/headers/fuzz_headers_test.go
+++ b/internal/platform/headers/fuzz_headers_test.go
@@ -56,7 +56,7 @@
 }
 
 // FuzzAnswer: whatever a runner's headers hold, a wait is at least 0, and only its
-// own word or another runner's says that the job did not run.
+// own report or another runner's says that the job did not run.
 func FuzzAnswer(f *testing.F) {
 	f.Add("9c41", "seal", "1", "1500.5", 429)
 	f.Add("", "", "", "-1", 421)
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -147,7 +147,7 @@
 // WriteResume asks a runner to begin after an event.
 func (Codec) WriteResume(h http.Header, after string) { h.Set(hLastEvent, after) }
 
-// ReadResponse reads an answer's head. Only the runner's own word, or that it is not the
+// ReadResponse reads an answer's head. Only the runner's own report, or that it is not the
 // runner meant, states that the job did not run.
 func (Codec) ReadResponse(r *http.Response) proxy.ResponseInfo {
 	w := proxy.ResponseInfo{
--- a/internal/platform/headers/headers_test.go
+++ b/internal/platform/headers/headers_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestReadResponse: only the runner's own word says that it did not run the job.
+// TestReadResponse: only the runner's own report says that it did not run the job.
 func TestReadResponse(t *testing.T) {
 	for _, c := range []struct {
 		status int
--- a/internal/platform/params.go
+++ b/internal/platform/params.go
@@ -23,7 +23,7 @@
 const Env = "DAMSONTILLER_CONFIG"
 
 // Params are the fields of the settings file that the product needs; others are
-// left aside. Figures may come whole or as fractions.
+// left aside. figures may be integers or fractions.
 type Params struct {
 	ID      string            `toml:"node-name"`
 	IP      string            `toml:"ip"`
@@ -194,7 +194,7 @@
 	return out
 }
 
-// Copies is how many stores hold a key so that a majority outlives the losses told.
+// Copies is how many stores hold a key so that a majority outlives the losses given.
 func (p *Params) Copies() int { return 2*p.Tolerance.Machines + 1 }
 
 // Contact is how long nothing may happen to a machine that is in touch.
@@ -240,7 +240,7 @@
 	}
 	q, err := Load(w.path)
 	if err != nil {
-		// The next look reads it again: it may be half written.
+		// The next check reads it again: it may be half written.
 		w.wrong(err)
 		return
 	}
--- a/internal/platform/params_test.go
+++ b/internal/platform/params_test.go
@@ -48,7 +48,7 @@
 	return f
 }
 
-// TestLoad: fields are read, figures whole or not; what the product does not know
+// TestLoad: fields are read, figures may be integers or fractions; what the product does not know
 // is left aside, what the file leaves out has the page's figure.
 func TestLoad(t *testing.T) {
 	p, err := Load(write(t, settings+"\n[later]\nnew = [1, \"x\"]\n"))
@@ -72,7 +72,7 @@
 	if p.Grace() != 8500*time.Millisecond || p.Contact() != 3*time.Second || p.Bounds.SyncS != 4.3 {
 		t.Errorf("grace %s, contact %s, sync %v", p.Grace(), p.Contact(), p.Bounds.SyncS)
 	}
-	// Only at the first start of all, and only those whom all are told.
+	// Only at the first start of all, and only those whom all are given.
 	for _, c := range [][2]string{{"initial-start = true", "initial-start = false"}, {`ip = "10.1.0.34"`, `ip = "10.1.0.35"`}} {
 		if q, err := Load(write(t, strings.Replace(settings, c[0], c[1], 1))); err != nil || q.Founds() {
 			t.Errorf("%s: founds, %v", c[1], err)
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestPoll: a changed file is told once, a broken one is not and is read again
-// once it is whole.
+// TestPoll: a changed file is given once, a broken one is not and is read again
+// once it is complete.
 func TestPoll(t *testing.T) {
 	f := write(t, settings)
 	p, err := Load(f)
--- a/internal/platform/resting.go
+++ b/internal/platform/resting.go
@@ -24,7 +24,7 @@
 	updateDelay = 10 * time.Second
 )
 
-// idleLimiter closes callers' connections on which no whole request head has come for
+// idleLimiter closes callers' connections on which no entire request head has come for
 // the idle limit and the header limit together, counted from the accept or from the last
 // answer. A limit that has been replaced still holds for the connections that began to
 // rest under it, so a change closes none that its client may yet take up.
@@ -114,7 +114,7 @@
 	return longest
 }
 
-// restLimit is how long a connection may go without a whole request head.
+// restLimit is how long a connection may go without an entire request head.
 func restLimit(t spec.Limits) time.Duration {
 	idle, header := defaultIdle, defaultHeader
 	if t.IdleMs > 0 {
--- a/internal/platform/resting_test.go
+++ b/internal/platform/resting_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestIdleClosed: a connection without a whole request head is closed once the limits
-// that hold are over, be it silent, fresh or sending its head for ever; a lowered limit
+// TestIdleClosed: a connection without an entire request head is closed once the limits
+// that hold are over, be it unresponsive, recent or sending its head for ever; a lowered limit
 // holds in the end, and a request under way is left alone.
 func TestIdleClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -11,7 +11,7 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Fit keeps the process within the memory told, with room for what the collector
+// Fit keeps the process within the memory given, with space for what the collector
 // does not see: stacks, buffers of the kernel, the program itself.
 func (p *Params) Fit() {
 	if m := p.Limits.MemoryMB; m > 0 {
@@ -26,7 +26,7 @@
 // stopped calling itself ready: it asks each second, and twice.
 const missed = 3 * time.Second
 
-// Front is the callers' door: it opens before the node is ready and outlives its
+// Front is the callers' listener: it opens before the node is ready and outlives its
 // stop, as the platform is late to learn of either.
 type Front struct {
 	Addr    string
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -16,7 +16,7 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// TestReady: the node's own word, on the platform's question only.
+// TestReady: the node's own report, on the platform's question only.
 func TestReady(t *testing.T) {
 	var why error
 	h := Ready(func() error { return why })
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestFrontStop: told to stop, the door still takes those whom the platform sends
+// TestFrontStop: once stopped, ingress still takes those whom the platform sends
 // until it has missed the node, tells them to come elsewhere next time, then
 // takes nobody; what runs ends, unless it outlasts the grace.
 func TestFrontStop(t *testing.T) {
--- a/internal/proto/register/acceptor.go
+++ b/internal/proto/register/acceptor.go
@@ -102,7 +102,7 @@
 	return err
 }
 
-// recordFailedSave notes a record whose write failed, unless it surely was not written.
+// recordFailedSave records a record whose write failed, unless it surely was not written.
 func (a *Acceptor) recordFailedSave(key string, written *wire.Rec) {
 	r, err := a.disk.Load(key)
 	if err == nil && wire.CompareBallots(r.Promised, written.Promised) != 0 {
@@ -178,7 +178,7 @@
 	return err
 }
 
-// RetentionFunc tells whether a record is past its time; whole, whether nothing need be
+// RetentionFunc tells whether a record is past its time; complete, whether nothing need be
 // remembered of it any more.
 type RetentionFunc func(r *wire.Rec) (expired, remove bool)
 
@@ -254,7 +254,7 @@
 
 // age counts from when this process took the cell. One found on disk counts
 // from the start of the process: after a restart a wait is counted again in
-// whole rather than cut short.
+// complete rather than cut short.
 func (a *Acceptor) age(key string, operation uint64) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proto/register/change.go
+++ b/internal/proto/register/change.go
@@ -11,7 +11,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// maxOperations bounds the marks in a cell. A proposer that finds its mark gone from
+// maxOperations bounds the operation ids in a cell. A proposer that finds its operation id missing from
 // a cell that many versions on can't tell, and says so.
 const maxOperations = 32
 
@@ -33,7 +33,7 @@
 
 // Change replaces the value by what f makes of it. A nil f only writes back.
 // An error that wraps ErrMaybe means the change may be in force. The state
-// handed back has the change in it, and perhaps later ones; what f noted on the
+// handed back has the change in it, and perhaps later ones; what f recorded on the
 // side may come from a call of f whose value was not the one chosen, so a
 // caller reads what was decided from the state.
 func (p *Proposer) Change(ctx context.Context, set Set, key string, f UpdateFunc) (State, error) {
--- a/internal/proto/register/fill.go
+++ b/internal/proto/register/fill.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return 0, err
 		}
-		// Of one value the copy that was let go is the one that counts.
+		// Of one value the copy that was expired is the one that counts.
 		n := wire.CompareBallots(c.Rec.GetAccepted(), r.Accepted)
 		if n < 0 || n == 0 && (!c.Rec.GetCell().GetPast() || r.Cell.GetPast()) {
 			continue
--- a/internal/proto/register/fill_test.go
+++ b/internal/proto/register/fill_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestFill: a copy is taken where it is newer than what is here, also below what was
-// promised, and the promise stays; a value that was let go goes before the same whole.
+// promised, and the promise stays; a value that was expired goes before the same complete.
 func TestFill(t *testing.T) {
 	d := &disk{all: map[string][]byte{}}
 	a := register.NewAcceptor(d)
--- a/internal/proto/register/model_test.go
+++ b/internal/proto/register/model_test.go
@@ -32,7 +32,7 @@
 // modelKey is the register that all clients change.
 const modelKey = "k"
 
-// fault is one kind of trouble that the adversary may cause.
+// fault is one kind of fault that the adversary may cause.
 type fault int
 
 const (
@@ -187,7 +187,7 @@
 	waiting    []*message
 	machines   []*machine
 	views      []view
-	used       map[string]bool // identities that were let go
+	used       map[string]bool // identities that were expired
 	filled     map[string]map[string]bool
 	idents     int
 	floors     map[string]*floor
@@ -390,7 +390,7 @@
 	v, err := h.answer(at, m.request)
 	switch code.Of(err) {
 	case code.WrongIdentity, code.NotVoting, code.StaleSpec:
-		// Refused without a look at the record: that none is taken later rests on the
+		// Refused without a read of the record: that none is taken later rests on the
 		// transport, which sends the frame of a call once.
 		h.waiting = slices.DeleteFunc(h.waiting, func(o *message) bool { return o.answered == nil && o.served == m.served })
 	}
@@ -569,7 +569,7 @@
 	return true
 }
 
-// learn puts the newest view in force at a machine. One that was let go comes back
+// learn puts the newest view in force at a machine. One that was expired comes back
 // as a stranger.
 func (h *history) learn(m *machine) {
 	m.view = len(h.views) - 1
@@ -727,7 +727,7 @@
 	return !slices.ContainsFunc(h.clients, func(c *modelClient) bool { return !c.done })
 }
 
-// heal ends all trouble and brings everybody up to date.
+// heal ends all faults and brings everybody up to date.
 func (h *history) heal() {
 	h.faulty = false
 	for _, m := range h.machines {
@@ -737,7 +737,7 @@
 	}
 }
 
-// last reads through a fresh proposer once all is well, and lets what is still under
+// last reads through a new proposer once all is well, and lets what is still under
 // way arrive.
 func (h *history) last() {
 	c := &modelClient{id: len(h.clients), random: rand.New(rand.NewPCG(h.seed, 99)), clock: -20 * time.Hour}
@@ -812,7 +812,7 @@
 	c.done = true
 }
 
-// operate makes one read or change and notes what came of it.
+// operate makes one read or change and records what came of it.
 func (h *history) operate(
 	c *modelClient,
 	p *register.Proposer,
@@ -902,7 +902,7 @@
 	h.ops = append(h.ops, op)
 }
 
-// check holds the whole history against the promises.
+// check holds the complete history against the promises.
 func (h *history) check() {
 	seen := longest(h.ops)
 	for _, outcome := range h.allRefused {
--- a/internal/proto/register/prepared.go
+++ b/internal/proto/register/prepared.go
@@ -40,13 +40,13 @@
 
 const (
 	// preparedLifetime is far below the shortest time that state may be kept: what was
-	// written within it has not been let go by any voter.
+	// written within it has not been expired by any voter.
 	preparedLifetime = 10 * time.Second
 	maxPrepared      = 2048
 	maxPreparedBytes = 1 << 20 // bytes of values, of which one may be a sixteenth
 )
 
-// preparedCache holds the latest of them, oldest let go first.
+// preparedCache holds the latest of them, oldest expired first.
 type preparedCache struct {
 	mu     sync.Mutex
 	byKey  map[string]*list.Element
@@ -79,7 +79,7 @@
 	}
 }
 
-// take hands out a key's, and forgets it. One made with other voters is worth
+// take hands out a key's, and removes it. One made with other voters is worth
 // nothing: its promises are theirs.
 func (s *preparedCache) take(key string, set Set) *preparedBallot {
 	s.mu.Lock()
--- a/internal/proto/register/prepared_test.go
+++ b/internal/proto/register/prepared_test.go
@@ -135,7 +135,7 @@
 	if v, err = acc(20, 5); err != nil || v.Promised.GetN() != 20 || v.Accepted.GetN() != 20 {
 		t.Errorf("%v %v", v, err)
 	}
-	// What has been let go takes nothing that was worked out from it.
+	// What has been expired takes nothing that was worked out from it.
 	if _, err := acc(30, 40); err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 }
 
 // TestOneRoundUncertain: a change in one round that every voter refused was not made, and
-// that is said; one that a voter may have taken is in doubt, and is made once.
+// that is said; one that a voter may have taken is uncertain, and is made once.
 func TestOneRoundUncertain(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -202,7 +202,7 @@
 				mu.Lock()
 				s := stage
 				mu.Unlock()
-				// Fault: of the accept only some hear, and after it the network is gone.
+				// Fault: of the accept only some hear, and after it the network is down.
 				if s == 1 && (q.GetAcc() == nil || !strings.Contains(tc.reach, addr)) {
 					<-ctx.Done()
 					return nil, ctx.Err()
@@ -254,7 +254,7 @@
 			if tc.rival {
 				want++
 			}
-			// What was in doubt may have been made as well.
+			// What was uncertain may have been made as well.
 			if got != want && !(tc.maybe && got == want+1) {
 				t.Errorf("%s: the register says %d, want %d", tc.name, got, want)
 			}
--- a/internal/proto/register/proposer.go
+++ b/internal/proto/register/proposer.go
@@ -50,7 +50,7 @@
 	OneRound, OneRoundMissed atomic.Uint64
 	// RoundTimeout is how long one round waits for a majority.
 	RoundTimeout time.Duration
-	// Clock gives the time of day that ballots follow, Random the marks of changes
+	// Clock gives the time of day that ballots follow, Random the operation ids of changes
 	// and the lengths of pauses. Tests replace them before the first call.
 	Clock    func() time.Time
 	Random   func() uint64
@@ -77,7 +77,7 @@
 	}
 	st, err := p.Change(ctx, set, key, nil)
 	if errors.Is(err, ErrMaybe) {
-		// A write-back changes nothing, so its doubt is only a failed read.
+		// A write-back changes nothing, so its uncertainty is only a failed read.
 		err = fmt.Errorf("read %s: %w", key, ErrNoQuorum)
 	}
 	return st, err
--- a/internal/proto/register/register_test.go
+++ b/internal/proto/register/register_test.go
@@ -167,7 +167,7 @@
 	close(ch)
 }
 
-// crash restarts an acceptor: memory gone, disk kept.
+// crash restarts an acceptor: memory lost, disk kept.
 func (w *world) crash(addr string) {
 	w.work.Lock()
 	defer w.work.Unlock()
@@ -217,7 +217,7 @@
 }
 
 // play runs rivals over a lossy network with acceptors that crash and freeze, and
-// checks the history. A change in doubt may take effect at any time after it began,
+// checks the history. A change uncertain may take effect at any time after it began,
 // or never.
 func play(t *testing.T, seed uint64, tr trial) (sum loadReport) {
 	synctest.Test(t, func(t *testing.T) {
@@ -295,7 +295,7 @@
 			}
 		})
 		wg.Wait()
-		// A last read over a whole network shows which doubtful changes took
+		// A last read over a complete network shows which doubtful changes took
 		// effect.
 		w.mu.Lock()
 		w.lose = 0
@@ -476,7 +476,7 @@
 	})
 }
 
-// TestAge: a restarted replica counts a timed value's whole age again, and the
+// TestAge: a restarted replica counts a timed value's complete age again, and the
 // reader takes the youngest.
 func TestAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proto/register/round.go
+++ b/internal/proto/register/round.go
@@ -77,7 +77,7 @@
 }
 
 // ask sends the request to every voter. The calls outlive an early return: a laggard
-// should still hear of it. over is closed when no answer is waited for any more.
+// should still receive it. over is closed when no answer is waited for any more.
 func (p *Proposer) ask(
 	ctx context.Context,
 	all []Replica,
@@ -132,8 +132,8 @@
 		if g.err != nil {
 			continue
 		}
-		// Of one value some copies may have let go before the others; what one has
-		// let go is past for all.
+		// Of one value some copies may have expired before the others; what one has
+		// expired is past for all.
 		v := g.resp.GetView()
 		if n := wire.CompareBallots(v.GetAccepted(), top.GetAccepted()); top == nil || n > 0 ||
 			n == 0 && v.GetCell().GetPast() {
--- a/internal/proto/register/size_test.go
+++ b/internal/proto/register/size_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestRecordSize: what a voter keeps of a key does not grow with the number of its
-// changes: the marks of the last ones are kept, and no log.
+// changes: the operation ids of the last ones are kept, and no log.
 func TestRecordSize(t *testing.T) {
 	d := newModelDisk()
 	a := register.NewAcceptor(d)
--- a/internal/proto/register/unsynced_test.go
+++ b/internal/proto/register/unsynced_test.go
@@ -99,7 +99,7 @@
 		var failed atomic.Bool
 		call := func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			if failed.Load() && q.GetAcc() == nil {
-				// Nothing else is heard of it.
+				// Nothing else is known of it.
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -120,14 +120,14 @@
 }
 
 // TestRefusedTwice: an accept that was taken and promised the next ballot refuses its
-// own repetition. The change is then in doubt, and not refused.
+// own repetition. The change is then uncertain, and not refused.
 func TestRefusedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, set := newWorld(1, 3, 0)
 		var repeated atomic.Int32
 		call := func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
 			if repeated.Load() > 0 {
-				// Nothing else is heard of it.
+				// Nothing else is known of it.
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
--- a/internal/proto/register/window_test.go
+++ b/internal/proto/register/window_test.go
@@ -56,7 +56,7 @@
 
 // TestFrozenProposer: a proposer stands still after its accept, while others change the
 // key any number of times. Its change is made once at the most, is recognised for as
-// long as its mark is kept, and is in doubt from then on.
+// long as its operation id is kept, and is uncertain from then on.
 func TestFrozenProposer(t *testing.T) {
 	for _, short := range []bool{false, true} {
 		for _, reach := range []string{"none", "a2", "a0 a1 a2"} {
@@ -163,7 +163,7 @@
 	})
 }
 
-// TestAbsurdBallot: a record whose ballot can't be gone over keeps its key from being
+// TestAbsurdBallot: a record whose ballot can't be exceeded keeps its key from being
 // changed; a proposer that met it never uses a ballot twice, nor one lower than before.
 func TestAbsurdBallot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proto/spec/check.go
+++ b/internal/proto/spec/check.go
@@ -127,7 +127,7 @@
 	return s.checkState()
 }
 
-// checkState: what is let go must not be needed any more by anyone who may still
+// checkState: what is removed must not be needed any more by anyone who may still
 // ask.
 func (s *Spec) checkState() error {
 	for _, f := range []struct {
--- a/internal/proto/spec/table_test.go
+++ b/internal/proto/spec/table_test.go
@@ -241,7 +241,7 @@
 	return t
 }
 
-// BenchmarkIndex: what one look-up costs among ten paths and among thousands.
+// BenchmarkIndex: what one check-up costs among ten paths and among thousands.
 func BenchmarkIndex(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		t := many(n)
--- a/internal/proto/spec/taken.go
+++ b/internal/proto/spec/taken.go
@@ -7,7 +7,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// OrderDigest stands for the whole content of an operator's order.
+// OrderDigest stands for the entire content of an operator's order.
 type OrderDigest [16]byte
 
 const (
@@ -114,7 +114,7 @@
 	return decodeTaken(r.TakenFloor, r.TakenLog, r.Table.Revision)
 }
 
-// remember notes an order as taken.
+// remember records an order as taken.
 func (r *Cluster) remember(orders takenOrders, revision uint64, digest OrderDigest) {
 	orders.add(takenOrder{revision, digest.short()})
 	r.Taken = nil
@@ -122,7 +122,7 @@
 	r.TakenLog = orders.encode()
 }
 
-// Replace puts a whole table in the place of the one on which it builds. An order that
+// Replace puts an entire table in the place of the one on which it builds. An order that
 // was taken before, under the same revision and digest, is good again and changes
 // nothing; same tells so. Where that isn't remembered any more, the order is neither
 // taken nor refused: the failure is code.Forgotten.
--- a/internal/proto/spec/types.go
+++ b/internal/proto/spec/types.go
@@ -53,7 +53,7 @@
 	Share  int    `json:"share"`
 }
 
-// Approval is an operator's word on a rehearsal: of which text, on which day,
+// Approval is an operator's decision on a rehearsal: of which text, on which day,
 // with which figures.
 //
 //easyjson:json
@@ -140,7 +140,7 @@
 	Ident string `json:"ident,omitempty"`
 }
 
-// Cluster is the register's whole value.
+// Cluster is the register's entire value.
 //
 //easyjson:json
 type Cluster struct {
@@ -153,7 +153,7 @@
 	// stores, the next ones included, are these; 0 where an earlier release wrote them.
 	CoresSince  uint64 `json:"cores_since,omitempty"`
 	StoresSince uint64 `json:"stores_since,omitempty"`
-	// Used are the identities that were let go last; none may come back. Earlier ones are
+	// Used are the identities that were removed last; none may come back. Earlier ones are
 	// refused since they were made under a version below IdentityFloor.
 	Used          []string `json:"used,omitempty"`
 	IdentityFloor uint64   `json:"identity_floor,omitempty"`
@@ -167,7 +167,7 @@
 	Taken      []Taken `json:"taken,omitempty"`
 	// Copies is how many stores hold each key; 0 means 3.
 	Copies int `json:"copies,omitempty"`
-	// SelfManaged: the sets look after themselves; no operator takes machines in.
+	// SelfManaged: the sets are self-managed; no operator takes machines in.
 	SelfManaged bool `json:"tended,omitempty"`
 	// Spares are the identities that were taken in beside the others, whose places
 	// they may still take.
@@ -199,7 +199,7 @@
 	Order string `json:"order,omitempty"`
 }
 
-// Put is a whole replacement with the version it expects.
+// Put is an entire replacement with the version it expects.
 //
 //easyjson:json
 type Put struct {
--- a/internal/state/storage/blob.go
+++ b/internal/state/storage/blob.go
@@ -21,7 +21,7 @@
 	return engine.uptimeBefore + time.Since(engine.start)
 }
 
-// Tick keeps the lived time. What a crash loses of it only keeps turns longer.
+// Tick keeps the uptime. What a crash loses of it only keeps turns longer.
 func (engine *Engine) Tick() error {
 	return engine.put(uptimeKey, binary.BigEndian.AppendUint64(nil, uint64(engine.Uptime())))
 }
--- a/internal/state/storage/bulk.go
+++ b/internal/state/storage/bulk.go
@@ -11,11 +11,11 @@
 
 // Many keys at once, for a store that brings copies to another.
 
-// SelectFunc tells of a key whether its copy is wanted, and whether whole or only by name.
+// SelectFunc tells of a key whether its copy is wanted, and whether complete or only by name.
 type SelectFunc func(key string) (wanted, withValue bool)
 
 // Copies gives copies of a kind after a key, in order, until about so many bytes are
-// gathered. The last key looked at is told where there are more.
+// gathered. The last key examined is given where there are more.
 func (engine *Engine) Copies(
 	kind wire.List_Kind,
 	after string,
@@ -70,7 +70,7 @@
 		if err := proto.Unmarshal(raw, g); err != nil {
 			return nil, code.New(code.DiskFailure, "blob %s: %w", key, err)
 		}
-		// That one is past goes along: who asks for it is told so.
+		// That one is past is passed along: who asks for it gets that answer.
 		if g.AgeMs = now - g.AgeMs; g.State == wire.Got_HERE && g.AgeMs > g.KeepMs {
 			g.State, g.Val = wire.Got_PAST, nil
 		}
@@ -125,7 +125,7 @@
 			return 0, err
 		}
 		// Both are counted by this engine's clock from here on. The end of one may lie
-		// before this engine began: its age is then more than what was lived.
+		// before this engine began: its age is then more than the uptime.
 		at := now - g.AgeMs
 		if old != nil && (g.State != wire.Got_HERE || old.State == wire.Got_HERE && old.AgeMs+old.KeepMs >= at+g.KeepMs) {
 			continue
--- a/internal/state/storage/bulk_test.go
+++ b/internal/state/storage/bulk_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestBulk: what goes page by page from one folder to another is all there, with the
-// time that it has left; of what is not wanted whole only the name goes.
+// time that it has left; of what is not wanted complete only the name goes.
 func TestBulk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := open(t, vfs.NewMem(), "s1"), open(t, vfs.NewMem(), "s2")
@@ -76,7 +76,7 @@
 		if c, err := a.Copy(wire.List_REGISTERS, "none"); c != nil || err != nil {
 			t.Errorf("a copy of nothing: %v %v", c, err)
 		}
-		// Twenty minutes were promised, ten have gone by, in all.
+		// Twenty minutes were promised, ten have passed, in all.
 		time.Sleep(9 * time.Minute)
 		for k, want := range map[string]wire.Got_State{"k05": wire.Got_PAST, "k18": wire.Got_PAST, "k19": wire.Got_HERE, "k50": wire.Got_NONE} {
 			for name, engine := range map[string]*storage.Engine{"a": a, "b": b} {
--- a/internal/state/storage/device.go
+++ b/internal/state/storage/device.go
@@ -14,7 +14,7 @@
 
 // Times and bounds of a device.
 const (
-	// spaceRetryPause is the pause before a write that found no room is tried again.
+	// spaceRetryPause is the pause before a write that found no space is tried again.
 	spaceRetryPause = 50 * time.Millisecond
 	// readTimeout is how long a read waits for a disk that does not answer.
 	readTimeout = 500 * time.Millisecond
@@ -30,20 +30,20 @@
 )
 
 // device is the file system that one instance of the database writes through. The
-// database must not see a disk without room, since it takes any failed write for the
-// end of the process; so a write that finds no room waits here until there is some.
+// database must not see a disk without space, since it takes any failed write for the
+// end of the process; so a write that finds no space waits here until there is some.
 // Any other failure of a write or a sync fences the device: from then on it changes
 // nothing any more, so that a new instance can be opened on the same folder.
 //
 // The database also ends the process, past any recovery, where its log can't be closed
-// or begun anew. So what fails with the log is said to have gone well; whoever has
+// or begun anew. So what fails with the log is reported as successful; whoever has
 // committed anything asks the device for its failure before believing it.
 type device struct {
 	vfs.FS
-	withoutDatabase bool // there is no database behind it that needs to be told what is not so
+	withoutDatabase bool // there is no database behind it that needs to be shown what is not so
 	fenced          chan struct{}
 
-	spaceWaiters atomic.Int32 // changes that wait for room
+	spaceWaiters atomic.Int32 // changes that wait for space
 	stalledReads atomic.Int32 // reads that the disk has not answered in time
 	discarding   atomic.Bool  // everything is said to go well, so that the database can be closed
 	readSlots    chan struct{}
@@ -92,7 +92,7 @@
 	}
 }
 
-// waitsForSpace tells whether a change waits for room.
+// waitsForSpace tells whether a change waits for space.
 func (d *device) waitsForSpace() bool { return d.spaceWaiters.Load() > 0 }
 
 // failure is what the device was fenced for, or nil.
@@ -182,7 +182,7 @@
 // then gets to the end of whatever it is at, and can be closed.
 func (d *device) startDiscarding() { d.discarding.Store(true) }
 
-// suppressesErrors tells whether a change that was not made is said to have gone well.
+// suppressesErrors tells whether a change that was not made is reported as successful.
 func (d *device) suppressesErrors(log bool) bool {
 	return !d.withoutDatabase && (log || d.discarding.Load()) && d.failure() != nil
 }
@@ -206,7 +206,7 @@
 	sleep(refusalPause)
 }
 
-// change hands a change to the disk, as often as it takes to find room.
+// change hands a change to the disk, as often as it takes to find space.
 func (d *device) change(do func() error) error {
 	waiting := false
 	defer func() {
@@ -224,7 +224,7 @@
 		case err == nil || isBenign(err):
 			return err
 		case !isNoSpace(err), d.discarding.Load() && !d.withoutDatabase:
-			// Opening without room fails as a whole, and is tried again as a whole.
+			// Opening without space fails as a unit, and is tried again as a unit.
 			d.fence(err)
 			return err
 		}
@@ -318,7 +318,7 @@
 	}
 }
 
-// recordReadError notes a read that failed, and hands its failure back.
+// recordReadError records a read that failed, and hands its failure back.
 func (d *device) recordReadError(err error) error {
 	if err == nil || errors.Is(err, io.EOF) || isBenign(err) {
 		return err
--- a/internal/state/storage/devicefile.go
+++ b/internal/state/storage/devicefile.go
@@ -18,7 +18,7 @@
 	once   sync.Once
 }
 
-// outcome is what the database is told of a write or sync.
+// outcome is what the database is shown of a write or sync.
 func (f *deviceFile) outcome(err error) error {
 	if err != nil && f.device.suppressesErrors(f.log) {
 		return nil
@@ -26,7 +26,7 @@
 	return err
 }
 
-// Write writes all of p, however often the disk runs out of room meanwhile.
+// Write writes all of p, however often the disk runs out of space meanwhile.
 func (f *deviceFile) Write(p []byte) (int, error) {
 	done := 0
 	err := f.device.change(func() error {
@@ -51,7 +51,7 @@
 	return done, err
 }
 
-// Preallocate asks for room in advance. Whether it is given shows at the write.
+// Preallocate asks for space in advance. Whether it is given shows at the write.
 func (f *deviceFile) Preallocate(off, length int64) error {
 	if f.device.begin() {
 		_ = f.File.Preallocate(off, length)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Stat looks at the file. A log is asked for its size as it is begun anew.
+// Stat checks the file. A log is asked for its size as it is begun anew.
 func (f *deviceFile) Stat() (vfs.FileInfo, error) {
 	info, err := f.File.Stat()
 	if err == nil || !f.log {
--- a/internal/state/storage/devicefs.go
+++ b/internal/state/storage/devicefs.go
@@ -89,7 +89,7 @@
 	return names, d.recordReadError(err)
 }
 
-// Stat looks at a file.
+// Stat checks a file.
 func (d *device) Stat(name string) (vfs.FileInfo, error) {
 	info, err := d.FS.Stat(name)
 	return info, d.recordReadError(err)
--- a/internal/state/storage/diskspace.go
+++ b/internal/state/storage/diskspace.go
@@ -9,12 +9,12 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Room watches how much room the disk has and how long it takes to sync.
+// diskSpace watches how much space the disk has and how long it takes to sync.
 type diskSpace struct {
 	minFree             atomic.Int64 // free bytes below which no new key is taken
-	free                atomic.Int64 // at the last look; -1 where it can't be told
-	slowestSync         atomic.Int64 // longest sync since the last look, nanoseconds
-	previousSlowestSync atomic.Int64 // the same, of the look before
+	free                atomic.Int64 // at the last check; -1 where it can't be told
+	slowestSync         atomic.Int64 // longest sync since the last check, nanoseconds
+	previousSlowestSync atomic.Int64 // the same, of the check before
 	// Faults of the rehearsal kit: pretended free bytes (-1: none pretended),
 	// and a delay of each sync.
 	simulatedFree  atomic.Int64
@@ -36,7 +36,7 @@
 	engine.MeasureDisk()
 }
 
-// MeasureDisk measures the room again; a duty calls it each second.
+// MeasureDisk measures the space again; a role calls it each second.
 func (engine *Engine) MeasureDisk() {
 	free, minFree := int64(-1), engine.params.MinFree
 	if u, err := engine.base.GetDiskUsage(engine.params.Dir); err == nil {
@@ -53,7 +53,7 @@
 	engine.space.previousSlowestSync.Store(engine.space.slowestSync.Swap(0))
 }
 
-// NearlyFull tells whether room is kept for what is here already.
+// NearlyFull tells whether space is kept for what is here already.
 func (engine *Engine) NearlyFull() bool {
 	f := engine.space.free.Load()
 	return f >= 0 && f < engine.space.minFree.Load()
@@ -95,7 +95,7 @@
 	}
 }
 
-// recordSync notes how long a sync took.
+// recordSync records how long a sync took.
 func (engine *Engine) recordSync(took time.Duration) {
 	for d := int64(took); ; {
 		old := engine.space.slowestSync.Load()
--- a/internal/state/storage/engine.go
+++ b/internal/state/storage/engine.go
@@ -61,7 +61,7 @@
 	opening chan struct{}
 
 	mu           sync.Mutex
-	uptimeBefore time.Duration // lived before this start
+	uptimeBefore time.Duration // uptime before this start
 	start        time.Time
 	// uncertainWrites are the records whose last write may or may not be on the disk. They are
 	// not written again before that is known and was read.
@@ -155,7 +155,7 @@
 		MaxManifestFileSize: 1 << 20,
 		MaxOpenFiles:        256,
 		// A level more at sizes like these, and small files: a compaction then needs
-		// only a few MB of room for what it makes beside what it replaces.
+		// only a few MB of space for what it makes beside what it replaces.
 		LBaseMaxBytes:               8 << 20,
 		CompactionConcurrencyRange:  func() (int, int) { return 1, 1 },
 		MemTableStopWritesThreshold: 2,
--- a/internal/state/storage/engine_test.go
+++ b/internal/state/storage/engine_test.go
@@ -191,7 +191,7 @@
 }
 
 // TestNearlyFull: no new keys are taken, what is held goes on, and operators
-// are told; with room again all is as before.
+// are told; with space again all is as before.
 func TestNearlyFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, err := storage.Open(
@@ -284,7 +284,7 @@
 }
 
 // TestReplacedIdentity: a register past its time is emptied, keeps its promises and says that
-// it is past; after the grave it is gone; what is newer stays.
+// it is past; after the tombstone retention it is removed; what is newer stays.
 func TestReplacedIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := open(t, vfs.NewMem(), "s1")
--- a/internal/state/storage/faultfs/faultfs.go
+++ b/internal/state/storage/faultfs/faultfs.go
@@ -1,4 +1,4 @@
-// Package faultfs is a file system that fails as told: a disk without room, one that
+// Package faultfs is a file system that fails as set: a disk without space, one that
 // answers nothing, one that is slow, and one that fails a single write or sync. It is
 // for tests only.
 package faultfs
@@ -26,7 +26,7 @@
 	Remove             // removes a file
 )
 
-// FS is a file system that can be told to fail.
+// FS is a file system that can be set to fail.
 type FS struct {
 	vfs.FS
 	mu      sync.Mutex
@@ -55,7 +55,7 @@
 // New makes a file system over inner that does not fail yet.
 func New(inner vfs.FS) *FS { return &FS{FS: inner, fail: map[point]error{}} }
 
-// Full sets whether the disk has no room: a write takes half of its bytes and says
+// Full sets whether the disk has no space: a write takes half of its bytes and says
 // that there is no space left.
 func (f *FS) Full(on bool) {
 	f.mu.Lock()
@@ -124,7 +124,7 @@
 	f.at = on
 }
 
-// call counts a call, and waits and fails as told.
+// call counts a call, and waits and fails as set.
 func (f *FS) call(kind Kind, name string) error {
 	f.mu.Lock()
 	f.count[kind]++
@@ -214,7 +214,7 @@
 	return f.change(Write, to, func() error { return f.FS.Link(from, to) })
 }
 
-// MkdirAll makes a folder; one that is there takes no room.
+// MkdirAll makes a folder; one that is there takes no space.
 func (f *FS) MkdirAll(dir string, perm os.FileMode) error {
 	kind := Write
 	if _, err := f.FS.Stat(dir); err == nil {
@@ -251,7 +251,7 @@
 	name string
 }
 
-// part writes half of p where there is no room for all.
+// part writes half of p where there is no space for all.
 func (f *file) part(p []byte, err error, write func([]byte) (int, error)) (int, error) {
 	if err == nil {
 		return write(p)
--- a/internal/state/storage/faults_test.go
+++ b/internal/state/storage/faults_test.go
@@ -65,8 +65,8 @@
 	time.Sleep(time.Minute)
 }
 
-// TestFull: without room nothing new is written and the answer is numbered, what was
-// synced is read, what was caught half-way is in doubt and not seen, and with room all
+// TestFull: without space nothing new is written and the answer is numbered, what was
+// synced is read, what was caught half-way is uncertain and not seen, and with space all
 // goes on.
 func TestFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -110,7 +110,7 @@
 		if s := engine.Status(); strings.Contains(s, "no writes taken") {
 			t.Errorf("with room again: %q", s)
 		}
-		// What was in doubt is not written over before it was read.
+		// What was uncertain is not written over before it was read.
 		if err := engine.Save("caught", record(1)); code.Of(err) != code.DiskStalled {
 			t.Errorf("written without having been read: %v", err)
 		}
@@ -311,7 +311,7 @@
 	}
 }
 
-// TestCloseFull: closing does not wait for a disk without room.
+// TestCloseFull: closing does not wait for a disk without space.
 func TestCloseFull(t *testing.T) {
 	for _, stall := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -333,7 +333,7 @@
 	}
 }
 
-// TestUnsureAge: a timed cell whose write was in doubt, and which turns out to be kept,
+// TestUnsureAge: a timed cell whose write was uncertain, and which turns out to be kept,
 // has not been held since the start of the process.
 func TestUnsureAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/state/storage/instance.go
+++ b/internal/state/storage/instance.go
@@ -239,7 +239,7 @@
 
 // submit hands edits to the writer and waits for their sync, for as long as limit
 // says. The write is given where it may have been begun: its outcome is known once it
-// is settled.
+// is resolved.
 func (i *instance) submit(limit time.Duration, edits []edit) (*write, error) {
 	if err := i.rejection(limit); err != nil {
 		return nil, err
@@ -298,7 +298,7 @@
 	}
 }
 
-// resolve ends the doubt about the writes of a failed instance, once another has been
+// resolve ends the uncertainty about the writes of a failed instance, once another has been
 // opened from what the disk holds.
 func (i *instance) resolve() {
 	i.mu.Lock()
--- a/internal/state/storage/metadata.go
+++ b/internal/state/storage/metadata.go
@@ -1,16 +1,16 @@
 package storage
 
-// SaveMetadata keeps a small fact of the process's own; Noted reads it.
+// SaveMetadata keeps a small fact of the process's own; LoadMetadata reads it.
 func (engine *Engine) SaveMetadata(key string, b []byte) error {
 	return engine.put(metadataPrefix+"n/"+key, b)
 }
 
-// LoadMetadata reads what Note kept; nil where there is nothing.
+// LoadMetadata reads what SaveMetadata kept; nil where there is nothing.
 func (engine *Engine) LoadMetadata(key string) ([]byte, error) {
 	return engine.get(metadataPrefix + "n/" + key)
 }
 
-// ListMetadata lists what is noted under a prefix.
+// ListMetadata lists what is recorded under a prefix.
 func (engine *Engine) ListMetadata(prefix string) (map[string][]byte, error) {
 	out := map[string][]byte{}
 	pre := metadataPrefix + "n/" + prefix
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -9,7 +9,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// writeRecords writes records of the acceptor. One whose earlier write is in doubt is not
+// writeRecords writes records of the acceptor. One whose earlier write is uncertain is not
 // written: what it would be made from may not be what the disk holds.
 func (engine *Engine) writeRecords(limit time.Duration, edits ...edit) error {
 	engine.mu.Lock()
@@ -31,8 +31,8 @@
 	return err
 }
 
-// clearResolved ends the doubt about a record that is about to be read, if its last write has
-// been settled: what is read then is what the disk holds.
+// clearResolved ends the uncertainty about a record that is about to be read, if its last write has
+// been resolved: what is read then is what the disk holds.
 func (engine *Engine) clearResolved(key string) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
--- a/internal/state/storage/reopen.go
+++ b/internal/state/storage/reopen.go
@@ -18,7 +18,7 @@
 	}
 	lock.Close()
 	options := engine.options(dev)
-	// An identity whose data are gone must not begin anew without them: they held what
+	// An identity whose data have departed must not begin anew without them: they held what
 	// it had promised.
 	options.ErrorIfNotExists = !engine.withoutDatabase
 	i, err := openInstance(engine.path("db"), dev, options)
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -180,7 +180,7 @@
 	return good, lost
 }
 
-// TestTruncatedAnswer: of an answer that is cut at any byte, or of a call, nothing is handed
+// TestTruncatedAnswer: of an answer that is truncated at any byte, or of a call, nothing is handed
 // on, and the call is not sent again.
 func TestTruncatedAnswer(t *testing.T) {
 	body := []byte("the whole answer")
--- a/internal/transport/batch_test.go
+++ b/internal/transport/batch_test.go
@@ -16,7 +16,7 @@
 )
 
 // flood makes calls of all sizes at once, some of them given up, and checks that
-// each gets its own answer, whole.
+// each gets its own answer, complete.
 func flood(t *testing.T, call func(ctx context.Context, b []byte) ([]byte, error)) {
 	t.Helper()
 	var wg sync.WaitGroup
--- a/internal/transport/code/code.go
+++ b/internal/transport/code/code.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// Code is a result number. Its hundreds say who speaks: 1 the door, 2 drops
+// Code is a result number. Its hundreds say who speaks: 1 ingress, 2 drops
 // (nothing ran), 3 outcomes of a passed job, 4 control, 5 the wire, 6 start.
 type Code int
 
@@ -103,7 +103,7 @@
 	Ran    string
 }
 
-// Table is the whole list. Ran tells a caller whether the work may have run.
+// Table is the full list. Ran tells a caller whether the work may have run.
 var Table = []Row{
 	{OK, "ok", 200, "yes"},
 	{BadJSON, "bad_json", 400, "no"},
--- a/internal/transport/cuts.go
+++ b/internal/transport/cuts.go
@@ -10,7 +10,7 @@
 	swallowed int
 }
 
-// Set replaces the cut addresses.
+// Set replaces the partitioned addresses.
 func (partitions *Partitions) Set(addrs []string) {
 	partitions.mu.Lock()
 	defer partitions.mu.Unlock()
@@ -20,7 +20,7 @@
 	}
 }
 
-// Has tells whether addr is cut off, and counts that the fault took effect.
+// Has tells whether addr is partitioned, and counts that the fault took effect.
 func (partitions *Partitions) Has(addr string) bool {
 	if partitions == nil {
 		return false
@@ -34,7 +34,7 @@
 	return false
 }
 
-// Swallowed counts the calls a cut has swallowed.
+// Swallowed counts the calls a partition has swallowed.
 func (partitions *Partitions) Swallowed() int {
 	partitions.mu.Lock()
 	defer partitions.mu.Unlock()
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -74,7 +74,7 @@
 }
 
 // write is one call to the system. A connection that isn't TCP gets one Write as
-// well, so that in a simulated network a frame is lost whole or not at all.
+// well, so that in a simulated network a frame is lost in full or not at all.
 func (o *batch) write(c net.Conn) error {
 	if len(o.parts) == 0 {
 		_, err := c.Write(o.b)
--- a/internal/transport/hub.go
+++ b/internal/transport/hub.go
@@ -23,7 +23,7 @@
 	Unacknowledged time.Duration
 	Backlog        int           // frames waiting to be written on one connection
 	Inflight       int           // calls served at once, all connections together
-	Idle           time.Duration // after which a connection without calls is let go; 0 means never
+	Idle           time.Duration // after which a connection without calls is closed; 0 means never
 }
 
 // DefaultParams suit machines of one city.
@@ -58,7 +58,7 @@
 // for every node.
 const readBuffer = 4 << 10
 
-// ErrRefused means nobody listens at the address: the process there is gone.
+// ErrRefused means nobody listens at the address: the process there has exited.
 var ErrRefused = errors.New("port refused")
 
 // ErrLost means the call may or may not have been taken.
@@ -92,7 +92,7 @@
 	used    time.Time // when a call last began or ended
 	// lastReceived is when something last came in, or when it was dialled.
 	lastReceived time.Time
-	idle         bool         // let go: no call may begin on it any more
+	idle         bool         // closed: no call may begin on it any more
 	spare        []chan frame // empty, for later calls
 	err          error
 }
@@ -102,7 +102,7 @@
 
 // Call sends body to addr and waits for the answer until ctx ends.
 func (h *Hub) Call(ctx context.Context, addr string, body []byte) ([]byte, error) {
-	// A cut swallows the call, as a lost packet would.
+	// A partition swallows the call, as a lost packet would.
 	if h.partitions.Has(addr) {
 		<-ctx.Done()
 		return nil, fmt.Errorf("%w: %s: %w", ErrLost, addr, ctx.Err())
@@ -114,7 +114,7 @@
 	}
 	ch := l.begin(f.id)
 	for ch == nil {
-		// It was let go as idle just now; nothing has been sent on it.
+		// It was closed as idle just now; nothing has been sent on it.
 		if l, err = h.link(ctx, addr); err != nil {
 			return nil, err
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-// Drop ends a connection on which nothing has been heard for a while: its other end
+// Drop ends a connection on which nothing has been received for a while: its other end
 // is known to have started anew, and what is sent would only wait for the network to
 // notice.
 func (h *Hub) Drop(addr string, quiet time.Duration) {
@@ -170,7 +170,7 @@
 }
 
 // begin registers a call and gives the place where its answer will be; none if the
-// connection was let go as idle.
+// connection was closed as idle.
 func (l *link) begin(id uint64) (ch chan frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -304,7 +304,7 @@
 		}
 		l.mu.Lock()
 		l.lastReceived = time.Now()
-		// An answer nobody waits for any more is let go.
+		// An answer nobody waits for any more is closed.
 		if ch := l.pending[f.id]; ch != nil {
 			delete(l.pending, f.id)
 			l.used = time.Now()
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// TestIdle: a connection on which nothing is asked for a while is let go once
+// TestIdle: a connection on which nothing is asked for a while is closed once
 // another is dialled; one with a call under way is not, and a later call to the
 // same address dials anew.
 func TestIdle(t *testing.T) {
@@ -109,7 +109,7 @@
 	return c.Conn.Close()
 }
 
-// TestIdleRace: calls that begin as their connection is let go are all answered.
+// TestIdleRace: calls that begin as their connection is closed are all answered.
 func TestIdleRace(t *testing.T) {
 	var bad atomic.Int64
 	var last atomic.Value
@@ -128,7 +128,7 @@
 		for i := range peers {
 			wg.Go(func() {
 				for range 200 {
-					// Right about when the connection is let go.
+					// Right about when the connection is closed.
 					time.Sleep(time.Second + time.Duration(i)*time.Microsecond)
 					if _, err := h.Call(t.Context(), fmt.Sprintf("s%d", i), []byte("x")); err != nil {
 						t.Errorf("s%d: %v", i, err)
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop holds the few loops every duty runs in, so that stop, tick and
+// Package loop holds the few loops every background task runs in, so that stop, tick and
 // input are selected on in one place only.
 package loop
 
@@ -10,7 +10,7 @@
 // Wakeup wakes a loop early. It holds one wake-up; more are the same wake-up.
 type Wakeup chan struct{}
 
-// NewWakeup makes a kick.
+// NewWakeup makes a wake-up.
 func NewWakeup() Wakeup { return make(Wakeup, 1) }
 
 // Notify wakes the loop without waiting.
@@ -21,7 +21,7 @@
 	}
 }
 
-// Every runs step at once, then at each period and each kick, until ctx ends.
+// Every runs step at once, then at each period and each wake-up, until ctx ends.
 func Every(ctx context.Context, period time.Duration, wakeup Wakeup, step func(context.Context)) {
 	step(ctx)
 	Take(ctx, wakeup, period, func() { step(ctx) }, func(struct{}) { step(ctx) })
@@ -47,7 +47,7 @@
 	}
 }
 
-// Wait sleeps for d or until ctx ends; it tells whether the whole time passed.
+// Wait sleeps for d or until ctx ends; it tells whether the entire time passed.
 func Wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/transport/memnet/memnet.go
+++ b/internal/transport/memnet/memnet.go
@@ -121,7 +121,7 @@
 	return transport.Net{
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			n.Stand(host)
-			// Through a cut nothing comes back, not even a refusal.
+			// Through a partition nothing comes back, not even a refusal.
 			if n.isPartitioned(host, addr) || n.isPartitioned(addr, host) {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -172,7 +172,7 @@
 	if d := c.n.pause(); d > 0 {
 		loop.Wait(context.Background(), d)
 	}
-	// What is written into a cut is lost; the writer can't tell.
+	// What is written into a partition is lost; the writer can't tell.
 	if c.n.isPartitioned(c.from, c.to) {
 		return len(b), nil
 	}
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -125,7 +125,7 @@
 		if err != nil {
 			if n := code.Of(err); n != code.Unknown {
 				s.bad(err)
-				// A neighbour of another version is told before it is let go.
+				// A neighbour of another version is told before it is closed.
 				if n == code.WireVersion {
 					_, _ = c.Write(headOf(nil, frame{kind: kindAlien}))
 				}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -16,7 +16,7 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// echo serves at addr and counts connections let go for speaking badly.
+// echo serves at addr and counts connections closed for speaking badly.
 func echo(t *testing.T, n transport.Net, addr string, bad *atomic.Int64, last *atomic.Value) *transport.Server {
 	t.Helper()
 	ln, err := n.Listen(addr)
@@ -110,7 +110,7 @@
 	})
 }
 
-// TestFaults: a refused port, a cut and a lost connection are told apart.
+// TestFaults: a refused port, a partition and a lost connection are told apart.
 func TestFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
@@ -206,7 +206,7 @@
 	})
 }
 
-// TestDrop: a connection on which nothing has been heard for a while can be let go, so
+// TestDrop: a connection on which nothing has been received for a while can be closed, so
 // that the next call dials anew; one that is in use is left alone.
 func TestDrop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
