--- a/cmd/internal/startup/startup.go
+++ b/cmd/internal/startup/startup.go
@@ -59,14 +59,14 @@
 	fs.StringVar(&p.Data, "data", "", "data folder, where this process keeps anything")
 	fs.StringVar(&p.Seeds, "seeds", "", "up to three addresses of other processes, with commas between")
 	fs.StringVar(&p.Level, "log", "info", "least level logged: debug, info, warn, error")
-	fs.BoolVar(&p.Faults, "faults", false, "let the rehearsal kit cut this process off (never in service)")
+	fs.BoolVar(&p.Faults, "faults", false, "let the fault kit partition this process (never in service)")
 	fs.DurationVar(&p.Renew, "renew", d.RenewInterval, "time between renewals of the lease")
 	fs.DurationVar(&p.Lasts, "lasts", d.Duration, "time a lease lasts")
 	fs.DurationVar(
 		&p.OrphanTimeout,
 		"hold",
 		d.OrphanTimeout,
-		"time after which what a silent edge left running is no longer counted",
+		"time after which what an unresponsive edge left running is no longer counted",
 	)
 	fs.Int64Var(&p.MinFree, "min-free", 64, "MiB of free disk below which a store or core takes no new key")
 	fs.StringVar(&p.file, "params", "", "settings file: a JSON object of flag names and values; flags go before it")
--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -98,7 +98,7 @@
 		}
 		if f := broadcaster.handlers[i.Topic]; f != nil {
 			if err := f(i); err != nil {
-				broadcaster.peer.Log.Warn("news not taken", "topic", i.Topic, "key", i.Key, "err", err)
+				broadcaster.peer.Log.Warn("update not applied", "topic", i.Topic, "key", i.Key, "err", err)
 				all = false
 				continue
 			}
@@ -196,7 +196,7 @@
 					ch <- r.GetNews().GetTook()
 					return
 				}
-				broadcaster.peer.Log.Debug("relay passed over", "child", child.Id, "err", err)
+				broadcaster.peer.Log.Debug("relay skipped", "child", child.Id, "err", err)
 				part = rest
 			}
 			ch <- nil
--- a/internal/coordination/core/acknowledgement.go
+++ b/internal/coordination/core/acknowledgement.go
@@ -8,6 +8,7 @@
 	"damsontiller/internal/coordination/membership"
 	"damsontiller/internal/coordination/singleton"
 	"damsontiller/internal/coordination/storeclient"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
@@ -17,74 +18,85 @@
 // broadcastSpec sends a version down the tree and gives the ids that took it.
 func (c *Core) broadcastSpec(ctx context.Context, ver uint64, raw []byte) map[string]bool {
 	confirmed := map[string]bool{}
-	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: "spec", Seq: ver, Body: raw}) {
+	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: keys.SpecTopic, Seq: ver, Body: raw}) {
 		confirmed[id] = true
 	}
 	return confirmed
 }
 
+// membersTimeout is how long the core machines have to say which members they know.
+const membersTimeout = time.Second
+
+// membersAnswer is what one core machine knows of the members.
+type membersAnswer struct {
+	core register.Replica
+	ack  *wire.MembersAck
+	err  error
+}
+
+// askMembers asks all core machines which members they know. The channel has a place for
+// each answer.
+func (c *Core) askMembers(ctx context.Context, cores []register.Replica) <-chan membersAnswer {
+	answers := make(chan membersAnswer, len(cores))
+	for _, core := range cores {
+		go func() {
+			request := &wire.Req{Ident: core.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}}
+			response, err := c.Peer.Call(ctx, core.Addr, request)
+			answers <- membersAnswer{core, response.GetMembers(), err}
+		}()
+	}
+	return answers
+}
+
 // knownMembers merges the members that a majority of core machines know: the newest
 // start of each, its highest confirmation, its shortest time without contact.
 func (c *Core) knownMembers(ctx context.Context) (map[string]*wire.Member, error) {
 	set := c.Cluster.Now().Cores()
-	ctx, stop := context.WithTimeout(ctx, time.Second)
+	ctx, stop := context.WithTimeout(ctx, membersTimeout)
 	defer stop()
-	type answer struct {
-		r   register.Replica
-		ms  []*wire.Member
-		err error
-	}
 	cores := set.All()
-	ch := make(chan answer, len(cores))
-	for _, m := range cores {
-		go func() {
-			r, err := c.Peer.Call(
-				ctx,
-				m.Addr,
-				&wire.Req{Ident: m.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}},
-			)
-			ch <- answer{m, r.GetMembers().GetMembers(), err}
-		}()
-	}
-	all := map[string]*wire.Member{}
+	answers := c.askMembers(ctx, cores)
+	members := map[string]*wire.Member{}
 	answered := map[register.Replica]bool{}
-	take := func(a answer) {
-		if a.err != nil {
-			return
-		}
-		answered[a.r] = true
-		for _, m := range a.ms {
-			k := m.Id + "@" + m.Addr
-			o := all[k]
-			if o == nil || m.Inc > o.Inc {
-				all[k] = m
-			} else if m.Inc == o.Inc {
-				o.SpecVer = max(o.SpecVer, m.SpecVer)
-				o.SilentMs = min(o.SilentMs, m.SilentMs)
-				o.Live = o.Live || m.Live
-			}
-		}
-	}
 	// A lease is granted by a majority, so any majority knows of every node. The
 	// others are given a moment more: they may have seen some later.
-	var most <-chan time.Time
+	var stragglers <-chan time.Time
 	for range cores {
 		select {
-		case a := <-ch:
-			take(a)
-		case <-most:
-			return all, nil
+		case a := <-answers:
+			if a.err == nil {
+				answered[a.core] = true
+				mergeMembers(members, a.ack.GetMembers())
+			}
+		case <-stragglers:
+			return members, nil
 		}
-		if most == nil && set.Quorum(answered) {
+		if stragglers == nil && set.Quorum(answered) {
 			t := time.NewTimer(stragglerWait)
 			defer t.Stop()
-			most = t.C
+			stragglers = t.C
 		}
 	}
 	if !set.Quorum(answered) {
 		return nil, code.New(code.CoreUnreachable, "%d of %d core machines answered", len(answered), len(cores))
 	}
-	return all, nil
+	return members, nil
+}
+
+// mergeMembers adds what one more core machine knows to what others do.
+func mergeMembers(members map[string]*wire.Member, more []*wire.Member) {
+	for _, m := range more {
+		key := m.Id + "@" + m.Addr
+		known := members[key]
+		switch {
+		case known == nil || m.Inc > known.Inc:
+			members[key] = m
+		case m.Inc == known.Inc:
+			known.SpecVer = max(known.SpecVer, m.SpecVer)
+			known.SilentMs = min(known.SilentMs, m.SilentMs)
+			known.Live = known.Live || m.Live
+		}
+	}
 }
 
 // stragglerWait is how long a core machine that is slower than a majority is waited for.
--- a/internal/coordination/core/binding.go
+++ b/internal/coordination/core/binding.go
@@ -42,6 +42,6 @@
 		}
 		return
 	}
-	c.Log.Info("stores bound", "version", ver)
+	c.Log.Info("stores bound to their identities", "version", ver)
 	c.broadcastSpec(ctx, ver, raw)
 }
--- a/internal/coordination/core/bootstrap.go
+++ b/internal/coordination/core/bootstrap.go
@@ -53,7 +53,7 @@
 			return err
 		}
 		if c.Cluster.Now().Version > 0 {
-			c.founded = time.Now()
+			c.reconciler.founded = time.Now()
 			return nil
 		}
 		if set != nil {
@@ -64,7 +64,7 @@
 				if err := c.proposeFirst(ctx, set); err != nil {
 					c.Log.Info("first set not chosen yet", "err", err)
 				} else {
-					c.founded = time.Now()
+					c.reconciler.founded = time.Now()
 					return nil
 				}
 			}
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -55,25 +55,41 @@
 	AckTimeout time.Duration
 }
 
+// Intervals of a core's background tasks.
+const (
+	diskCheckInterval = time.Second
+	bindInterval      = 500 * time.Millisecond
+	reconcileInterval = 500 * time.Millisecond
+)
+
 // Core is one control-plane process.
 type Core struct {
-	params    Params
-	disk      Disk
-	acceptor  *register.Acceptor
-	table     *lease.Table
-	keysMoved atomic.Int64 // keys moved in the change of a set under way
-	// What the reconciler of a set is to check again at once, and when a store that is in no
-	// set was last seen for the first time.
-	wakeups         map[membership.Set]loop.Wakeup
-	lastNewcomer    atomic.Int64
-	knownIdentities sync.Map // identities seen
-	startedAt       time.Time
-	// founded is when this very process formed the set, if it did. It and tried, when
-	// keys could last not be moved, are touched by one goroutine at a time.
-	founded, lastTransferFailure time.Time
-	drainedVersion               atomic.Uint64  // the change of the cores after which Gate was last waited for
-	contact                      contactTracker // since when this core has been in contact with a majority
 	*node.Node
+	params         Params
+	disk           Disk
+	acceptor       *register.Acceptor
+	table          *lease.Table
+	startedAt      time.Time
+	drainedVersion atomic.Uint64  // the change of the cores after which Gate was last waited for
+	contact        contactTracker // since when this core has been in contact with a majority
+	reconciler     reconcilerState
+}
+
+// reconcilerState is what the reconcilers of the two sets remember between their steps.
+type reconcilerState struct {
+	// wakeups has a reconciler check its set again at once. The map never changes.
+	wakeups map[membership.Set]loop.Wakeup
+	// lastNewcomer is when a store that is in no set was last seen for the first time, in
+	// Unix nanoseconds; knownIdentities are those seen so far.
+	lastNewcomer    atomic.Int64
+	knownIdentities sync.Map
+	keysMoved       atomic.Int64 // in the change of a set under way
+	// founded is when this very process formed the set; zero: it did not. It is set
+	// before the reconcilers begin.
+	founded time.Time
+	// lastTransferFailure is when keys could last not be transferred. Only the stores'
+	// reconciler uses it.
+	lastTransferFailure time.Time
 }
 
 // New makes a core over its disk.
@@ -81,11 +97,11 @@
 	np.Persist = PersistCluster(d.SaveMetadata)
 	c := &Core{params: p, disk: d, acceptor: register.NewAcceptor(d), Node: node.New(np), startedAt: time.Now()}
 	c.contact.start = c.startedAt
-	c.wakeups = map[membership.Set]loop.Wakeup{
+	c.reconciler.wakeups = map[membership.Set]loop.Wakeup{
 		membership.Cores:  c.Cluster.Watch(),
 		membership.Stores: c.Cluster.Watch(),
 	}
-	c.lastNewcomer.Store(time.Now().UnixNano())
+	c.reconciler.lastNewcomer.Store(time.Now().UnixNano())
 	c.Lease.Status = func() string {
 		c.drain()
 		return d.Status()
@@ -158,13 +174,13 @@
 	}
 	c.Run(ctx)
 	c.Go(ctx, func(ctx context.Context) {
-		loop.Every(ctx, time.Second, nil, func(context.Context) { c.disk.MeasureDisk() })
+		loop.Every(ctx, diskCheckInterval, nil, func(context.Context) { c.disk.MeasureDisk() })
 	})
-	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, 500*time.Millisecond, nil, c.bindStores) })
+	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, bindInterval, nil, c.bindStores) })
 	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, contactCheckInterval, nil, c.checkContact) })
-	for set, wakeup := range c.wakeups {
+	for set, wakeup := range c.reconciler.wakeups {
 		c.Go(ctx, func(ctx context.Context) {
-			loop.Every(ctx, 500*time.Millisecond, wakeup, func(ctx context.Context) { c.reconcile(ctx, set) })
+			loop.Every(ctx, reconcileInterval, wakeup, func(ctx context.Context) { c.reconcile(ctx, set) })
 		})
 	}
 	c.Go(ctx, func(ctx context.Context) { WatchRemoval(ctx, c.Node, c.disk, c.acceptor.Reset) })
--- a/internal/coordination/core/explain.go
+++ b/internal/coordination/core/explain.go
@@ -77,7 +77,7 @@
 		)
 	}
 	for _, z := range s.EmptyZones {
-		add("empty_zones "+z, "no work to its runners; its edges deal last")
+		add("empty_zones "+z, "no work to its runners; its edges are last in line to assign slots")
 	}
 	add(
 		"cooldown",
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -49,7 +49,7 @@
 			metrics.Row{
 				Name:  "keys_moved",
 				Help:  "Keys moved in the last change of a set.",
-				Value: float64(c.keysMoved.Load()),
+				Value: float64(c.reconciler.keysMoved.Load()),
 			},
 		)
 	})
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -32,12 +32,12 @@
 
 // onRenewal wakes the reconciler at once where a renewal shows something new.
 func (c *Core) onRenewal(v *cluster.View, m *wire.Member) {
-	for set, wakeup := range c.wakeups {
+	for set, wakeup := range c.reconciler.wakeups {
 		change := membership.Of(&v.Cluster, set)
 		known := membership.Has(change.Now, m.GetIdent()) || membership.Has(change.Next, m.GetIdent())
 		newcomer := m.GetRole() == set.Role() && !known
 		if newcomer && set == membership.Stores && c.firstSeen(m.Ident) {
-			c.lastNewcomer.Store(time.Now().UnixNano())
+			c.reconciler.lastNewcomer.Store(time.Now().UnixNano())
 		}
 		// A confirmation may be the last that a change waits for.
 		if newcomer || change.Running() {
@@ -48,7 +48,7 @@
 
 // firstSeen tells whether an identity is seen for the first time.
 func (c *Core) firstSeen(ident string) bool {
-	_, old := c.knownIdentities.LoadOrStore(ident, true)
+	_, old := c.reconciler.knownIdentities.LoadOrStore(ident, true)
 	return !old
 }
 
@@ -64,7 +64,7 @@
 	}
 	if change.Running() {
 		c.advanceChange(ctx, v, set, change)
-		time.AfterFunc(retryInterval, c.wakeups[set].Notify)
+		time.AfterFunc(retryInterval, c.reconciler.wakeups[set].Notify)
 	}
 }
 
@@ -80,7 +80,7 @@
 		decision = membership.Decide(o)
 	}
 	if decision.Wait {
-		time.AfterFunc(retryInterval, c.wakeups[set].Notify)
+		time.AfterFunc(retryInterval, c.reconciler.wakeups[set].Notify)
 		return false
 	}
 	if change.Running() {
@@ -100,8 +100,8 @@
 		Set:         set,
 		Cluster:     &v.Cluster,
 		Members:     c.members(set.Role()),
-		Forming:     time.Since(c.founded) <= bootstrapPeriod,
-		NewcomerAge: time.Since(time.Unix(0, c.lastNewcomer.Load())),
+		Forming:     time.Since(c.reconciler.founded) <= bootstrapPeriod,
+		NewcomerAge: time.Since(time.Unix(0, c.reconciler.lastNewcomer.Load())),
 	}
 }
 
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -24,7 +24,7 @@
 		// From here on nobody reaches the old identity; what is under way ends first.
 		n.Peer.SetIdent("", 0)
 		n.Gate.Drain()
-		if err := d.ReplaceIdentity("the identity was let go"); err != nil {
+		if err := d.ReplaceIdentity("the identity was removed from the set"); err != nil {
 			n.Log.Error("no new identity", "err", err)
 			return
 		}
@@ -36,10 +36,10 @@
 			return
 		}
 		if err := PersistCluster(d.SaveMetadata)(v.Raw(), v.Version); err != nil {
-			n.Log.Error("spec not kept", "err", err)
+			n.Log.Error("spec not saved", "err", err)
 		}
 		n.Peer.SetIdent(d.Ident(), v.Version)
-		n.Log.Warn("let go, back as a stranger", "was", was, "ident", d.Ident())
+		n.Log.Warn("removed from the set, back under a new identity", "was", was, "ident", d.Ident())
 		n.Lease.RenewNow()
 	})
 }
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -52,7 +52,7 @@
 	case err != nil:
 		return err
 	}
-	c.Log.Info("store is to go", "id", id, "version", ver)
+	c.Log.Info("store retiring", "id", id, "version", ver)
 	c.broadcastAsync(ctx, ver, raw)
 	return nil
 }
@@ -67,7 +67,7 @@
 		there = there || m.Id == id && isStore(m)
 	}
 	if !in && !there {
-		return code.New(code.NotSeen, "no store %q has been heard of", id)
+		return code.New(code.NotSeen, "no store %q has been seen", id)
 	}
 	if err := enoughLeft(r, id, known); in && err != nil {
 		return err
@@ -135,36 +135,19 @@
 // confirmedUnknown tells whether a majority of the cores, each of which has run for long enough
 // to have seen every node in contact, knows no store of a name.
 func (c *Core) confirmedUnknown(ctx context.Context, id string) bool {
-	ctx, stop := context.WithTimeout(ctx, time.Second)
+	ctx, stop := context.WithTimeout(ctx, membersTimeout)
 	defer stop()
 	set := c.Cluster.Now().Cores()
-	type answer struct {
-		core    register.Replica
-		members *wire.MembersAck
-		err     error
-	}
 	cores := set.All()
-	answers := make(chan answer, len(cores))
-	for _, core := range cores {
-		go func() {
-			resp, err := c.Peer.Call(
-				ctx,
-				core.Addr,
-				&wire.Req{Ident: core.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}},
-			)
-			answers <- answer{core, resp.GetMembers(), err}
-		}()
-	}
+	answers := c.askMembers(ctx, cores)
+	isStore := func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() }
 	witnesses := map[register.Replica]bool{}
 	for range cores {
 		a := <-answers
-		if a.err != nil || a.members.GetUpMs() < membershipSettleTime.Milliseconds() {
+		if a.err != nil || a.ack.GetUpMs() < membershipSettleTime.Milliseconds() {
 			continue
 		}
-		if slices.ContainsFunc(
-			a.members.GetMembers(),
-			func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() },
-		) {
+		if slices.ContainsFunc(a.ack.GetMembers(), isStore) {
 			return false
 		}
 		witnesses[a.core] = true
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -55,12 +55,12 @@
 // keysTransferred has the keys brought to the next stores, and tells whether they are. Each
 // renewal comes by here; a try that failed is not made again at once.
 func (c *Core) keysTransferred(ctx context.Context, v *cluster.View, change membership.Change) bool {
-	if time.Since(c.lastTransferFailure) < retryInterval {
+	if time.Since(c.reconciler.lastTransferFailure) < retryInterval {
 		return false
 	}
 	if err := c.transferKeys(ctx, v, change); err != nil {
-		c.Log.Info("set not moved yet", "set", membership.Stores, "moved", c.keysMoved.Load(), "err", err)
-		c.lastTransferFailure = time.Now()
+		c.Log.Info("keys not transferred yet", "set", membership.Stores, "moved", c.reconciler.keysMoved.Load(), "err", err)
+		c.reconciler.lastTransferFailure = time.Now()
 		return false
 	}
 	return true
@@ -110,7 +110,7 @@
 			last = code.New(code.SetChanging, "keys are on their way")
 		}
 	}
-	c.keysMoved.Store(keys)
+	c.reconciler.keysMoved.Store(keys)
 	return last
 }
 
@@ -123,11 +123,11 @@
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
-			c.Log.Warn("set not settled", "set", set, "err", err)
+			c.Log.Warn("set change not finished", "set", set, "err", err)
 		}
 		return
 	}
-	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", c.keysMoved.Load())
+	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", c.reconciler.keysMoved.Load())
 	c.broadcastAsync(ctx, ver, raw)
 }
 
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -41,7 +41,7 @@
 			"next_cores":  v.NextCores,
 			"stores":      v.Cluster.Stores,
 			"next_stores": v.NextStores,
-			"moved":       c.keysMoved.Load(),
+			"moved":       c.reconciler.keysMoved.Load(),
 		},
 	)
 }
@@ -111,7 +111,7 @@
 			err = code.New(code.InSet, "%s is in the set already", o.ID)
 			continue
 		case membership.IdentityRefused(r, m.Ident, m.IdentityVersion):
-			err = code.New(code.UsedIdentity, "%s comes with an identity that was let go", o.ID)
+			err = code.New(code.UsedIdentity, "%s comes with an identity that was removed", o.ID)
 			continue
 		case slices.ContainsFunc(now.Now, func(s spec.Machine) bool { return s.ID == o.ID && o.For != o.ID }):
 			err = code.New(code.InSet, "the set has a machine %s; admit it in that one's place", o.ID)
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -14,6 +14,7 @@
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/coordination/peer"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
@@ -63,7 +64,7 @@
 	n.Cluster.Discover = n.askSeeds
 	n.Lease = lease.NewHolder(p.Lease, n.Peer, n.Cluster)
 	n.Broadcast = broadcast.New(p.Broadcast, n.Peer, n.Lease.Members)
-	n.Broadcast.Handle("spec", func(i *wire.Item) error { return n.Cluster.Apply(i.Seq, i.Body) })
+	n.Broadcast.Handle(keys.SpecTopic, func(i *wire.Item) error { return n.Cluster.Apply(i.Seq, i.Body) })
 	n.Peer.Handle(&wire.Req_Hello{}, n.hello)
 	return n
 }
@@ -145,7 +146,7 @@
 			continue
 		}
 		if err := n.Cluster.Apply(h.ClusterVer, h.Cluster); err != nil {
-			n.Log.Warn("cluster of a seed not taken", "err", err)
+			n.Log.Warn("cluster of a seed not applied", "err", err)
 			continue
 		}
 		found = true
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -126,7 +126,7 @@
 		ln,
 		peer.params,
 		peer.answer,
-		func(err error) { peer.Log.Warn("connection let go", "code", int(code.Of(err)), "why", code.Text(err)) },
+		func(err error) { peer.Log.Warn("connection closed", "code", int(code.Of(err)), "why", code.Text(err)) },
 	)
 	return nil
 }
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -15,6 +15,7 @@
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/coordination/peer"
 	"damsontiller/internal/coordination/storeclient"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
@@ -125,7 +126,7 @@
 	role.Epochs.Observe(st.Version)
 }
 
-func (role *Role) key() string { return "duty/" + role.Name }
+func (role *Role) key() string { return keys.Singleton(role.Name) }
 
 // Order lists the live edge members; those in emptied zones come last.
 func Order(v *cluster.View, ms []*wire.Member) []*wire.Member {
@@ -204,13 +205,13 @@
 		return []byte(role.Peer.Self.Id), false, nil
 	})
 	if err != nil {
-		role.Peer.Log.Warn("duty can't be taken", "duty", role.Name, "err", err)
+		role.Peer.Log.Warn("singleton role not acquired", "role", role.Name, "err", err)
 		return
 	}
 	if role.Epochs.Admit(st.Version) != nil {
 		return
 	}
-	role.Peer.Log.Info("duty taken", "duty", role.Name, "epoch", st.Version)
+	role.Peer.Log.Info("singleton role acquired", "role", role.Name, "epoch", st.Version)
 	wctx, wstop := context.WithCancel(ctx)
 	role.stop, role.ended, role.epoch = wstop, make(chan struct{}), st.Version
 	role.markConfirmed(asked)
@@ -227,5 +228,5 @@
 	role.stop()
 	<-role.ended
 	role.stop = nil
-	role.Peer.Log.Info("duty left", "duty", role.Name)
+	role.Peer.Log.Info("singleton role released", "role", role.Name)
 }
--- a/internal/coordination/storeclient/client.go
+++ b/internal/coordination/storeclient/client.go
@@ -82,7 +82,7 @@
 	for range n {
 		if g := <-ch; g.err == nil && g.hello.GetClusterVer() > client.Cluster.Now().Version {
 			if err := client.Cluster.Apply(g.hello.ClusterVer, g.hello.Cluster); err != nil {
-				client.Peer.Log.Warn("spec of a store not taken", "err", err)
+				client.Peer.Log.Warn("spec of a store not applied", "err", err)
 			}
 			return
 		}
--- a/internal/dataplane/assignment/assigner.go
+++ b/internal/dataplane/assignment/assigner.go
@@ -162,7 +162,7 @@
 		}
 	}
 	assigner.open()
-	assigner.node.Log.Info("dealing is open", "epoch", assigner.epoch)
+	assigner.node.Log.Info("assignment is open", "epoch", assigner.epoch)
 }
 
 // open opens the assignment. Work that runs now and that no edge accounts for was
--- a/internal/dataplane/assignment/service.go
+++ b/internal/dataplane/assignment/service.go
@@ -34,7 +34,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.current == nil {
-		return nil, code.New(code.NotHolder, "%s does not deal", d.node.Peer.Self.Id)
+		return nil, code.New(code.NotHolder, "%s does not hold the assigner role", d.node.Peer.Self.Id)
 	}
 	return d.current, nil
 }
--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/backlog/backlog.go
@@ -204,9 +204,9 @@
 		case b.stop.Load():
 			e.err = stopping
 		case c.Err() != nil:
-			e.err = job.Bad(code.DeadlinePassed, "the caller has gone")
+			e.err = job.Bad(code.DeadlinePassed, "the caller has disconnected")
 		case c.Left() < b.p.CallTime:
-			e.err = job.Bad(code.DeadlinePassed, "no slot came free in time")
+			e.err = job.Bad(code.DeadlinePassed, "no slot was free in time")
 		case slices.Contains(none, n):
 			e.err, over = b.hopeless(c, waiting[c.Route], now)
 		default:
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -13,6 +13,7 @@
 
 	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -103,7 +104,7 @@
 	}
 	if len(st.Value) > 0 {
 		if err := json.Unmarshal(st.Value, &v); err != nil {
-			return v, code.New(code.Garbled, "purse: %w", err)
+			return v, code.New(code.Garbled, "budget: %w", err)
 		}
 	}
 	return v, nil
@@ -189,10 +190,10 @@
 			return
 		}
 	}
-	c.Log.Warn("reservation not settled, it counts as spent", "program", c.Root)
+	c.Log.Warn("reservation not committed, it counts as spent", "program", c.Root)
 }
 
-func key(program string) string { return "purse/" + program }
+func key(program string) string { return keys.Budget(program) }
 
 // begin takes a job's word of the time its program has left.
 func (v *Value) begin(c *job.Ctx, age time.Duration) error {
@@ -255,7 +256,7 @@
 		case len(st.Value) > 0:
 			return nil, false, code.New(
 				code.BadProgram,
-				"%q runs already, and not as a helper of %q",
+				"%q runs already, and not as a sub-agent of %q",
 				c.Program,
 				c.Root,
 			)
@@ -267,12 +268,12 @@
 		err = nil
 	}
 	if code.Of(err) == code.OutcomeUnknown {
-		err = code.New(code.StoresUnreachable, "the helper could not be written down: %w", err)
+		err = code.New(code.StoresUnreachable, "the sub-agent could not be recorded: %w", err)
 	}
 	return err
 }
 
-var errKnown = errors.New("the helper is known")
+var errKnown = errors.New("the sub-agent is known")
 
 // Tree bounds a sub-agent's tool calls by the program at the root.
 type Tree struct{ Policy }
--- a/internal/dataplane/call/call.go
+++ b/internal/dataplane/call/call.go
@@ -113,17 +113,17 @@
 	r := c.Runner
 	switch w := p.Cooldowns.KnownWait(r.Cool); {
 	case c.Err() != nil, c.Left() <= 0:
-		return job.Bad(code.DeadlinePassed, "no time is left, or the caller has gone"), false
+		return job.Bad(code.DeadlinePassed, "no time is left, or the caller has disconnected"), false
 	case time.Since(c.Looked) > storeclient.ReadWindow:
-		return back("the look at the cooldown is too old")
+		return back("the read of the cooldown is too old")
 	case p.Cooldowns.Spec() != c.Ver:
-		return back("the spec has changed since the look")
+		return back("the spec has changed since the read")
 	case w > 0:
 		return waits(w), false
 	case !p.Slots.Valid(r.Ix, r.Incarnation):
 		return back("the slot's term is over")
 	case !p.Directory.Eligible(r.Ix, r.Incarnation):
-		return back("the runner leaves, is emptied, or is another process")
+		return back("the runner is draining, its zone is emptied, or it is another process")
 	}
 	return job.Answer{}, true
 }
@@ -295,8 +295,8 @@
 		return a
 	}
 	if pr.State == runnerapi.Draining {
-		p.departs(c, "it drains")
-		a := job.Bad(code.NoRunner, "runner %s drains", c.Runner.Name)
+		p.departs(c, "it is draining")
+		a := job.Bad(code.NoRunner, "runner %s is draining", c.Runner.Name)
 		a.Again = true
 		return a
 	}
--- a/internal/dataplane/conversation/conversation.go
+++ b/internal/dataplane/conversation/conversation.go
@@ -11,6 +11,7 @@
 
 	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/transport/code"
 )
 
@@ -33,7 +34,7 @@
 	Background job.Background
 }
 
-func key(id string) string { return "turn/" + id }
+func key(id string) string { return keys.Turn(id) }
 
 // Do is the policy.
 func (p Policy) Do(c *job.Ctx, next job.Next) job.Answer {
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -13,6 +13,7 @@
 
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/storeclient"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
@@ -80,7 +81,7 @@
 		writes:       map[string]*write{},
 		wakeup:       loop.NewWakeup(),
 	}
-	n.Broadcast.Handle("cool", manager.onBroadcast)
+	n.Broadcast.Handle(keys.CooldownTopic, manager.onBroadcast)
 	return manager
 }
 
@@ -146,7 +147,7 @@
 		manager.mu.Lock()
 		manager.unwritten[key] = time.Now().Add(w)
 		manager.mu.Unlock()
-		manager.node.Log.Warn("cooldown kept until the tier is back", "key", key, "wait", w, "err", err)
+		manager.node.Log.Warn("cooldown kept until the stores are back", "key", key, "wait", w, "err", err)
 	}
 	manager.extend(key, w)
 	manager.broadcast(key, w)
@@ -202,7 +203,7 @@
 	manager.mu.Lock()
 	manager.seq++
 	i := &wire.Item{
-		Topic: "cool",
+		Topic: keys.CooldownTopic,
 		Key:   manager.node.Peer.Self.Id + "/" + key,
 		Epoch: manager.node.Peer.Self.Inc,
 		Seq:   manager.seq,
--- a/internal/dataplane/cooldown/schedule.go
+++ b/internal/dataplane/cooldown/schedule.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"time"
 
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
@@ -17,7 +18,7 @@
 }
 
 // Prefix is what the registers' keys begin with.
-const Prefix = "cool/"
+const Prefix = keys.CooldownPrefix
 
 func regKey(key string) string { return Prefix + key }
 
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -32,6 +32,7 @@
 	"damsontiller/internal/dataplane/trace"
 	"damsontiller/internal/dataplane/traffic"
 	"damsontiller/internal/dataplane/turnapi"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -115,7 +116,7 @@
 	e.backlog = backlog.New(params.Backlog, e.directory, e.slots, e.selector)
 	params.Assignment.LastState = e.directory.LastState
 	e.assigner = &singleton.Role{
-		Name:         "deal",
+		Name:         keys.AssignerRole,
 		Peer:         e.Peer,
 		Cluster:      e.Cluster,
 		Lease:        e.Lease,
@@ -167,7 +168,7 @@
 	e.API = &turnapi.Handler{
 		Params: params.API,
 		ID:     np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36),
-		Log:    e.Log.Named("door"),
+		Log:    e.Log.Named("turnapi"),
 		View:   e.Cluster.Now,
 		Ready:  e.checkOpen,
 		Point:  params.Point,
@@ -267,10 +268,8 @@
 		)
 	}
 	for k, n := range s.Slots {
-		out = append(
-			out,
-			metrics.Row{Name: "slots", Help: "Slots held of a runner.", Label: "runner", Of: k, Value: float64(n)},
-		)
+		const help = "Slots that this edge has of a runner."
+		out = append(out, metrics.Row{Name: "slots", Help: help, Label: "runner", Of: k, Value: float64(n)})
 	}
 	for k, n := range s.Cooling {
 		out = append(
@@ -410,7 +409,7 @@
 		}
 		a := r.GetDeal()
 		if err := e.Epochs.Admit(a.Epoch); err != nil {
-			e.Log.Warn("dealer refused", "id", m.Id, "err", err)
+			e.Log.Warn("assigner refused", "id", m.Id, "err", err)
 			continue
 		}
 		e.slots.Update(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
--- a/internal/dataplane/idempotency/idempotency.go
+++ b/internal/dataplane/idempotency/idempotency.go
@@ -13,6 +13,7 @@
 
 	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -47,7 +48,7 @@
 	Background job.Background
 }
 
-func key(c *job.Ctx) string { return "claim/" + c.Program + "/" + c.Key }
+func key(c *job.Ctx) string { return keys.Claim(c.Program, c.Key) }
 
 // errTaken ends a change that found the claim another's.
 var errTaken = errors.New("claim is another's")
@@ -131,7 +132,7 @@
 	case errors.Is(err, errTaken) && now.taken():
 		return inProgress(c, now)
 	case errors.Is(err, errTaken):
-		return job.Bad(code.Overtaken, "another request with this key was told that it did not run")
+		return job.Bad(code.Overtaken, "another request with this key was answered that it did not run")
 	case code.Of(err) == code.OutcomeUnknown:
 		// Perhaps it says 'started'. Nothing was passed and nothing will be under
 		// it; it is freed when the tier lets us.
--- a/internal/dataplane/loadreport/loadreport.go
+++ b/internal/dataplane/loadreport/loadreport.go
@@ -189,7 +189,7 @@
 func (report *LoadReport) adopt(at time.Time, body []byte, sum uint64) {
 	var all []endpoints.Runner
 	if err := json.Unmarshal(body, &all); err != nil {
-		report.node.Log.Warn("roll not taken", "err", err)
+		report.node.Log.Warn("endpoint list not applied", "err", err)
 		return
 	}
 	report.publish(at, all, body, sum)
@@ -223,7 +223,7 @@
 	l := endpoints.NewList(at, all)
 	body, err := json.Marshal(roundWarmup(l.Runners))
 	if err != nil {
-		report.node.Log.Warn("list of runners not handed on", "err", err)
+		report.node.Log.Warn("list of runners not forwarded", "err", err)
 		return
 	}
 	h := fnv.New64a()
--- a/internal/dataplane/proxy/budget.go
+++ b/internal/dataplane/proxy/budget.go
@@ -9,6 +9,7 @@
 	"damsontiller/internal/coordination/storeclient"
 	"damsontiller/internal/dataplane/budget"
 	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -56,7 +57,7 @@
 	return c
 }
 
-func budgetKey(program string) string { return "purse/raw/" + program }
+func budgetKey(program string) string { return keys.ProxyBudget(program) }
 
 func readBudget(st register.State) (budget.Value, error) {
 	var v budget.Value
@@ -64,7 +65,7 @@
 		return v, nil
 	}
 	if err := json.Unmarshal(st.Value, &v); err != nil {
-		return v, code.New(code.Garbled, "purse: %w", err)
+		return v, code.New(code.Garbled, "budget: %w", err)
 	}
 	return v, nil
 }
--- a/internal/dataplane/proxy/conversation.go
+++ b/internal/dataplane/proxy/conversation.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/storeclient"
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
@@ -58,7 +59,7 @@
 
 func (t *turn) bytes() int { return len(t.In) + len(t.Out) + 32*len(t.Before) + 200 }
 
-func turnKey(id string) string { return "turn/" + id }
+func turnKey(id string) string { return keys.Turn(id) }
 
 func (c *Turns) get(id string) *turn {
 	c.mu.Lock()
@@ -136,7 +137,7 @@
 	}
 	if err != nil {
 		// The turn is there, so what led to it must be: not found is not sure.
-		return nil, code.New(code.StoresUnreachable, "turn %s: what came before: %w", id, err)
+		return nil, code.New(code.StoresUnreachable, "turn %s: the turns before it: %w", id, err)
 	}
 	return out, nil
 }
--- a/internal/dataplane/proxy/response.go
+++ b/internal/dataplane/proxy/response.go
@@ -120,7 +120,7 @@
 }
 
 // errCaller: the caller can't be written to any more.
-var errCaller = errors.New("the caller has gone")
+var errCaller = errors.New("the caller has disconnected")
 
 // stream passes events on as they come, complete ones only, so that another run can
 // go on after the last. It ends without a failure only where the runner ended.
--- a/internal/dataplane/proxy/selection.go
+++ b/internal/dataplane/proxy/selection.go
@@ -199,7 +199,7 @@
 		loop.Until(ctx, free)
 		stop()
 		if j.Err() != nil {
-			return nil, Refuse(code.New(code.DeadlinePassed, "the caller has gone"), 0)
+			return nil, Refuse(code.New(code.DeadlinePassed, "the caller has disconnected"), 0)
 		}
 	}
 }
--- a/internal/dataplane/proxy/send.go
+++ b/internal/dataplane/proxy/send.go
@@ -228,7 +228,7 @@
 	case a.info.Other:
 		// Somebody else has the address: the runner has departed.
 		load.Avoid(x.r.ID, 10*x.handler.params.Avoid)
-		s.err = code.New(code.NoRunner, "runner %s is gone from its address", x.r.ID)
+		s.err = code.New(code.NoRunner, "runner %s is no longer at its address", x.r.ID)
 	case x.j.View.Spec.Cooldown.Refusal(a.StatusCode):
 		s.wait = x.handler.parts.Cooldowns.RecordRefusal(x.j, cooldownKey(x.r), cooldown.RetryAfter(a.Header))
 		s.err = code.New(code.RunnerDrop, "runner %s refused with status %d", x.r.ID, a.StatusCode)
--- a/internal/dataplane/proxy/verdict.go
+++ b/internal/dataplane/proxy/verdict.go
@@ -22,7 +22,7 @@
 func (x *exchange) unusable(a *reply) error {
 	switch {
 	case a.success() && !a.info.Sealed:
-		return code.New(code.Incomplete, "a success from %s without its mark", x.r.ID)
+		return code.New(code.Incomplete, "a success from %s without its seal", x.r.ID)
 	case !hasKnownEnd(a.Response):
 		return code.New(code.Incomplete, "an answer from %s that does not say where it ends", x.r.ID)
 	case notRunStatuses[a.StatusCode]:
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -111,10 +111,10 @@
 	for _, kind := range []wire.List_Kind{wire.List_REGISTERS, wire.List_BLOBS} {
 		n, err := s.pull(ctx, m, kind)
 		if n > 0 {
-			s.Log.Info("copies mended", "from", m.ID, "kind", kind, "keys", n)
+			s.Log.Info("replicas repaired", "from", m.ID, "kind", kind, "keys", n)
 		}
 		if err != nil {
-			s.Log.Debug("copies not compared", "with", m.ID, "err", err)
+			s.Log.Debug("replicas not compared", "with", m.ID, "err", err)
 			return
 		}
 	}
--- a/internal/dataplane/store/store.go
+++ b/internal/dataplane/store/store.go
@@ -124,7 +124,7 @@
 	s.Go(ctx, func(ctx context.Context) {
 		loop.Every(ctx, 5*time.Second, nil, func(context.Context) {
 			if err := s.v.Tick(); err != nil {
-				s.Log.Error("lived time not kept", "err", err)
+				s.Log.Error("uptime not saved", "err", err)
 			}
 		})
 	})
@@ -139,7 +139,7 @@
 func (s *Store) expireBlobs(context.Context) {
 	e, f, err := s.v.ExpireBlobs()
 	if err != nil {
-		s.Log.Error("sweep failed", "err", err)
+		s.Log.Error("expiry of blobs failed", "err", err)
 	} else if e+f > 0 {
 		s.Log.Info("turns past their time", "emptied", e, "forgotten", f)
 	}
@@ -176,8 +176,8 @@
 		}
 	}
 	if err != nil {
-		s.Log.Error("state past its time not let go", "err", err)
+		s.Log.Error("expired state not removed", "err", err)
 	} else if n > 0 {
-		s.Log.Info("state past its time let go", "keys", n)
+		s.Log.Info("expired state removed", "keys", n)
 	}
 }
--- a/internal/dataplane/store/transfer.go
+++ b/internal/dataplane/store/transfer.go
@@ -275,7 +275,7 @@
 ) error {
 	for _, kind := range []wire.List_Kind{wire.List_REGISTERS, wire.List_BLOBS} {
 		if err := s.pages(ctx, f, m, kind, absent, lacks, rate); err != nil {
-			s.Log.Info("keys not brought", "from", m.ID, "err", err)
+			s.Log.Info("keys not transferred", "from", m.ID, "err", err)
 			return err
 		}
 	}
--- /dev/null
+++ b/internal/proto/keys/keys.go
@@ -0,0 +1,51 @@
+// Package keys spells the keys of registers and blobs at the stores, and the topics of
+// broadcast items. Both are stored or sent, so they keep their spelling, also where the
+// code has come to use another word.
+package keys
+
+// Prefixes of the keys of registers.
+const (
+	// ClaimPrefix is that of claims: idempotency keys and what became of their work.
+	ClaimPrefix = "claim/"
+	// BudgetPrefix is that of the budgets of programs, once called purses.
+	BudgetPrefix = "purse/"
+	// CooldownPrefix is that of cooldowns.
+	CooldownPrefix = "cool/"
+	// SingletonPrefix is that of the epochs of singleton roles, once called duties.
+	SingletonPrefix = "duty/"
+)
+
+// turnPrefix is that of the blobs that hold turns of conversations.
+const turnPrefix = "turn/"
+
+// proxyBudgets separates the budgets of proxied requests, whose programs are named by
+// their callers, from those of named turns.
+const proxyBudgets = BudgetPrefix + "raw/"
+
+// Topics of broadcast items.
+const (
+	// SpecTopic is that of versions of the spec register.
+	SpecTopic = "spec"
+	// CooldownTopic is that of cooldowns just installed.
+	CooldownTopic = "cool"
+)
+
+// AssignerRole names the singleton role that assigns the runners' capacity.
+const AssignerRole = "deal"
+
+// Claim is the key of a claim: of a program and its idempotency key.
+func Claim(program, idempotencyKey string) string {
+	return ClaimPrefix + program + "/" + idempotencyKey
+}
+
+// Budget is the key of a program's budget.
+func Budget(program string) string { return BudgetPrefix + program }
+
+// ProxyBudget is the key of the budget of a program of proxied requests.
+func ProxyBudget(program string) string { return proxyBudgets + program }
+
+// Singleton is the key of a singleton role's epoch.
+func Singleton(role string) string { return SingletonPrefix + role }
+
+// Turn is the key of a turn's blob.
+func Turn(id string) string { return turnPrefix + id }
--- a/internal/proto/script/script.go
+++ b/internal/proto/script/script.go
@@ -83,7 +83,7 @@
 		return nil, code.New(code.BadPolicy, "%d characters, limit %d", len(s.Rank)+len(s.Order), MaxText)
 	}
 	if strings.TrimSpace(s.Rank+s.Order) == "" {
-		return nil, code.New(code.BadPolicy, "neither rank nor order says anything")
+		return nil, code.New(code.BadPolicy, "neither rank nor order is given")
 	}
 	var out Script
 	for _, p := range []struct {
--- a/internal/proto/spec/check.go
+++ b/internal/proto/spec/check.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/transport/code"
 )
 
@@ -131,6 +132,7 @@
 // checkState: what is removed must not be needed any more by anyone who may still
 // ask.
 func (s *Spec) checkState() error {
+	longestCooldown := s.Cooldown.Cap() + s.Cooldown.Quiet()
 	for _, f := range []struct {
 		name string
 		v    int64
@@ -138,9 +140,9 @@
 		over time.Duration
 	}{
 		{"longest_wait_s", s.StateKeeping.LongestWaitS, s.LongestWait(), time.Second},
-		{"claims_s", s.StateKeeping.ClaimsS, s.StateKeep("claim/"), s.LongestWait()},
-		{"purses_s", s.StateKeeping.BudgetsS, s.StateKeep("purse/"), s.LongestWait()},
-		{"cooldowns_s", s.StateKeeping.CooldownsS, s.StateKeep("cool/"), s.Cooldown.Cap() + s.Cooldown.Quiet()},
+		{"claims_s", s.StateKeeping.ClaimsS, s.StateKeep(keys.ClaimPrefix), s.LongestWait()},
+		{"purses_s", s.StateKeeping.BudgetsS, s.StateKeep(keys.BudgetPrefix), s.LongestWait()},
+		{"cooldowns_s", s.StateKeeping.CooldownsS, s.StateKeep(keys.CooldownPrefix), longestCooldown},
 	} {
 		if f.v < 0 || f.v > MaxKeepS {
 			return bad("state_keeping."+f.name, "%d is not within 0 and %d", f.v, MaxKeepS)
--- a/internal/proto/spec/defaults.go
+++ b/internal/proto/spec/defaults.go
@@ -1,6 +1,7 @@
 package spec
 
 import (
+	"damsontiller/internal/proto/keys"
 	"slices"
 	"strings"
 	"time"
@@ -21,13 +22,12 @@
 // StateKeep is how long a register at the stores is kept after its last write; 0
 // is for good.
 func (s *Spec) StateKeep(key string) time.Duration {
-	k, _, _ := strings.Cut(key, "/")
-	switch k {
-	case "claim":
+	switch {
+	case strings.HasPrefix(key, keys.ClaimPrefix):
 		return secs(s.StateKeeping.ClaimsS, 8*day)
-	case "purse":
+	case strings.HasPrefix(key, keys.BudgetPrefix):
 		return secs(s.StateKeeping.BudgetsS, 8*day)
-	case "cool":
+	case strings.HasPrefix(key, keys.CooldownPrefix):
 		return secs(s.StateKeeping.CooldownsS, day)
 	}
 	return 0
--- a/internal/state/storage/instance.go
+++ b/internal/state/storage/instance.go
@@ -264,7 +264,7 @@
 
 // Why a write was not begun, or not answered in time.
 var (
-	errNoSpace     = errors.New("the disk has no room")
+	errNoSpace     = errors.New("the disk has no space")
 	errQueueFull   = errors.New("too many writes wait for the disk")
 	errSyncTimeout = errors.New("the disk has not synced in time")
 )
