--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -59,7 +59,8 @@
 		return false
 	}
 	if err := c.transferKeys(ctx, v, change); err != nil {
-		c.Log.Info("keys not transferred yet", "set", membership.Stores, "moved", c.reconciler.keysMoved.Load(), "err", err)
+		moved := c.reconciler.keysMoved.Load()
+		c.Log.Info("keys not transferred yet", "set", membership.Stores, "moved", moved, "err", err)
 		c.reconciler.lastTransferFailure = time.Now()
 		return false
 	}
@@ -127,7 +128,8 @@
 		}
 		return
 	}
-	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", c.reconciler.keysMoved.Load())
+	moved := c.reconciler.keysMoved.Load()
+	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", moved)
 	c.broadcastAsync(ctx, ver, raw)
 }
 
