--- a/internal/dataplane/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -21,7 +21,7 @@
 
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/singleton"
-	"damsontiller/internal/dataplane/runnerapi"
+	"damsontiller/internal/dataplane/request/runnerapi"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/loop"
--- a/internal/dataplane/assignment/assigner_test.go
+++ b/internal/dataplane/balancing/assignment/assigner_test.go
@@ -11,9 +11,9 @@
 
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/coordination/node"
-	"damsontiller/internal/dataplane/intern"
-	"damsontiller/internal/dataplane/runnerapi"
-	"damsontiller/internal/dataplane/slots"
+	"damsontiller/internal/dataplane/balancing/intern"
+	"damsontiller/internal/dataplane/balancing/slots"
+	"damsontiller/internal/dataplane/request/runnerapi"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport"
--- a/internal/dataplane/assignment/polling.go
+++ b/internal/dataplane/balancing/assignment/polling.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"time"
 
-	"damsontiller/internal/dataplane/runnerapi"
+	"damsontiller/internal/dataplane/request/runnerapi"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
--- a/internal/dataplane/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"damsontiller/internal/dataplane/balancer"
+	"damsontiller/internal/dataplane/balancing/balancer"
+	"damsontiller/internal/dataplane/balancing/policy"
+	"damsontiller/internal/dataplane/balancing/slots"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/policy"
-	"damsontiller/internal/dataplane/slots"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
 )
--- a/internal/dataplane/endpoints/endpoints_test.go
+++ b/internal/dataplane/balancing/endpoints/endpoints_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
 // TestList: runners by service and id, in one order on every node.
--- a/internal/dataplane/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -16,9 +16,9 @@
 
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/singleton"
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/outlier"
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/balancing/outlier"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
--- a/internal/dataplane/outlier/detector.go
+++ b/internal/dataplane/balancing/outlier/detector.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
 // A window is some slots long; counts older than the longest are base rate.
--- a/internal/dataplane/outlier/outlier_test.go
+++ b/internal/dataplane/balancing/outlier/outlier_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
 // fleet is a service as an evening has it: jobs come to its runners by chance, each
--- a/internal/dataplane/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -15,7 +15,7 @@
 	"github.com/hashicorp/go-hclog"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/proto/script"
 )
 
--- a/internal/dataplane/slots/slots.go
+++ b/internal/dataplane/balancing/slots/slots.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/intern"
+	"damsontiller/internal/dataplane/balancing/intern"
 	"damsontiller/internal/proto/wire"
 )
 
--- a/internal/dataplane/cooldown/precheck.go
+++ b/internal/dataplane/cooldown/precheck.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/transport/code"
 )
 
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/loadreport"
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/balancing/loadreport"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
 )
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/programs/budget/budget.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/storeclient"
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
--- a/internal/dataplane/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"damsontiller/internal/coordination/storeclient"
-	"damsontiller/internal/dataplane/assignment"
-	"damsontiller/internal/dataplane/balancer"
+	"damsontiller/internal/dataplane/balancing/assignment"
+	"damsontiller/internal/dataplane/balancing/balancer"
+	"damsontiller/internal/dataplane/balancing/slots"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/retry"
-	"damsontiller/internal/dataplane/runnerapi"
-	"damsontiller/internal/dataplane/slots"
+	"damsontiller/internal/dataplane/request/job"
+	"damsontiller/internal/dataplane/request/retry"
+	"damsontiller/internal/dataplane/request/runnerapi"
 	"damsontiller/internal/transport/code"
 )
 
--- a/internal/dataplane/call/call_test.go
+++ b/internal/dataplane/request/call/call_test.go
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 )
 
 // pipeListener hands out the runner's ends of connections in memory.
--- a/internal/dataplane/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"damsontiller/internal/coordination/storeclient"
-	"damsontiller/internal/dataplane/budget"
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/programs/budget"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/proto/keys"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/transport/code"
--- a/internal/dataplane/proxy/fuzz_test.go
+++ b/internal/dataplane/request/proxy/fuzz_test.go
@@ -7,7 +7,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/proto/spec"
 )
 
--- a/internal/dataplane/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -17,8 +17,8 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
--- a/internal/dataplane/proxy/job.go
+++ b/internal/dataplane/request/proxy/job.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/proto/spec"
 )
 
--- a/internal/dataplane/proxy/load.go
+++ b/internal/dataplane/request/proxy/load.go
@@ -6,8 +6,8 @@
 
 	"golang.org/x/time/rate"
 
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/outlier"
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/balancing/outlier"
 	"damsontiller/internal/proto/spec"
 )
 
--- a/internal/dataplane/proxy/loadbalancer.go
+++ b/internal/dataplane/request/proxy/loadbalancer.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/outlier"
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/balancing/outlier"
 	"damsontiller/internal/proto/spec"
 )
 
--- a/internal/dataplane/proxy/pass.go
+++ b/internal/dataplane/request/proxy/pass.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"damsontiller/internal/dataplane/retry"
+	"damsontiller/internal/dataplane/request/retry"
 	"damsontiller/internal/transport/code"
 )
 
--- a/internal/dataplane/proxy/pool.go
+++ b/internal/dataplane/request/proxy/pool.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
 // Pool keeps connections to runners. One job at a time is on a connection, and it
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/request/proxy/proxy_test.go
@@ -20,7 +20,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/proto/wire"
 	"damsontiller/internal/transport/code"
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/request/proxy/request.go
@@ -7,7 +7,7 @@
 	"net/url"
 	"strings"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
 // request is the job as it goes to a runner: as it came, under the same name, to
--- a/internal/dataplane/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/endpoints"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 	"damsontiller/internal/transport/loop"
--- a/internal/dataplane/proxy/send.go
+++ b/internal/dataplane/request/proxy/send.go
@@ -6,10 +6,10 @@
 	"io"
 	"time"
 
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/balancing/outlier"
 	"damsontiller/internal/dataplane/cooldown"
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/outlier"
-	"damsontiller/internal/dataplane/retry"
+	"damsontiller/internal/dataplane/request/retry"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
--- a/internal/dataplane/retry/retry_test.go
+++ b/internal/dataplane/request/retry/retry_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"damsontiller/internal/dataplane/retry"
+	"damsontiller/internal/dataplane/request/retry"
 )
 
 // TestAllowed: the entire table.
--- a/internal/dataplane/turnapi/handler.go
+++ b/internal/dataplane/request/turnapi/handler.go
@@ -20,7 +20,7 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/web"
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
--- a/internal/dataplane/turnapi/handler_test.go
+++ b/internal/dataplane/request/turnapi/handler_test.go
@@ -12,8 +12,8 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/web"
-	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/turnapi"
+	"damsontiller/internal/dataplane/request/job"
+	"damsontiller/internal/dataplane/request/turnapi"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
 )
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/transport/code"
 )
 
--- a/internal/dataplane/traffic/client.go
+++ b/internal/dataplane/traffic/client.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"damsontiller/internal/dataplane/turnapi"
+	"damsontiller/internal/dataplane/request/turnapi"
 	"damsontiller/internal/transport/loop"
 )
 
--- a/internal/dataplane/traffic/traffic_test.go
+++ b/internal/dataplane/traffic/traffic_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"damsontiller/internal/coordination/cluster"
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/dataplane/traffic"
 	"damsontiller/internal/transport/code"
 )
--- a/internal/kit/proxytest/callers_test.go
+++ b/internal/kit/proxytest/callers_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/kit/proxytest"
 )
 
--- a/internal/kit/proxytest/fleet_test.go
+++ b/internal/kit/proxytest/fleet_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"damsontiller/internal/coordination/storeclient"
-	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/request/job"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/kit/proxytest"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/wire"
--- a/internal/kit/proxytest/ingress_test.go
+++ b/internal/kit/proxytest/ingress_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/kit/proxytest"
 )
 
--- a/internal/kit/proxytest/outlier_test.go
+++ b/internal/kit/proxytest/outlier_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/balancing/loadreport"
 	"damsontiller/internal/dataplane/edge"
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/loadreport"
 	"damsontiller/internal/kit/proxytest"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/transport/loop"
--- a/internal/kit/rehearsal/rehearsal.go
+++ b/internal/kit/rehearsal/rehearsal.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"damsontiller/internal/dataplane/policy"
+	"damsontiller/internal/dataplane/balancing/policy"
 	"damsontiller/internal/dataplane/traffic"
 	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/client"
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/runnerapi"
+	"damsontiller/internal/dataplane/request/runnerapi"
 	"damsontiller/internal/proto/spec"
 )
 
--- a/internal/kit/sim/audit.go
+++ b/internal/kit/sim/audit.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"damsontiller/internal/coordination/storeclient"
-	"damsontiller/internal/dataplane/budget"
 	"damsontiller/internal/dataplane/edge"
+	"damsontiller/internal/dataplane/programs/budget"
 	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/transport/loop"
 )
--- a/internal/kit/sim/brief_test.go
+++ b/internal/kit/sim/brief_test.go
@@ -13,8 +13,8 @@
 
 	"damsontiller/internal/coordination/cluster"
 	"damsontiller/internal/coordination/storeclient"
-	"damsontiller/internal/dataplane/job"
-	"damsontiller/internal/dataplane/turnapi"
+	"damsontiller/internal/dataplane/request/job"
+	"damsontiller/internal/dataplane/request/turnapi"
 	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/kit/sim"
--- a/internal/kit/sim/chaos_test.go
+++ b/internal/kit/sim/chaos_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/kit/sim"
--- a/internal/kit/sim/cooldown_test.go
+++ b/internal/kit/sim/cooldown_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"damsontiller/internal/coordination/web"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/dataplane/cooldown"
 	"damsontiller/internal/dataplane/edge"
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/register"
 	"damsontiller/internal/proto/spec"
--- a/internal/kit/sim/loadreport_test.go
+++ b/internal/kit/sim/loadreport_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/balancing/loadreport"
 	"damsontiller/internal/dataplane/edge"
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/loadreport"
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/kit/sim"
 )
 
--- a/internal/kit/sim/machine.go
+++ b/internal/kit/sim/machine.go
@@ -16,7 +16,7 @@
 	"damsontiller/internal/coordination/node"
 	"damsontiller/internal/coordination/web"
 	"damsontiller/internal/dataplane/edge"
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/dataplane/store"
 	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/platform/control"
--- a/internal/kit/sim/operators_test.go
+++ b/internal/kit/sim/operators_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"damsontiller/internal/coordination/web"
-	"damsontiller/internal/dataplane/runnerapi"
-	"damsontiller/internal/dataplane/turnapi"
+	"damsontiller/internal/dataplane/request/runnerapi"
+	"damsontiller/internal/dataplane/request/turnapi"
 	"damsontiller/internal/kit/runner"
 	"damsontiller/internal/kit/sim"
 	"damsontiller/internal/proto/spec"
--- a/internal/kit/sim/proxy.go
+++ b/internal/kit/sim/proxy.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/kit/proxytest"
 )
 
--- a/internal/kit/sim/sim.go
+++ b/internal/kit/sim/sim.go
@@ -18,7 +18,7 @@
 
 	"damsontiller/internal/coordination/lease"
 	"damsontiller/internal/dataplane/edge"
-	"damsontiller/internal/dataplane/job"
+	"damsontiller/internal/dataplane/request/job"
 	"damsontiller/internal/kit/checker"
 	"damsontiller/internal/kit/client"
 	"damsontiller/internal/kit/proxytest"
--- a/internal/kit/sim/turns.go
+++ b/internal/kit/sim/turns.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"damsontiller/internal/dataplane/turnapi"
+	"damsontiller/internal/dataplane/request/turnapi"
 )
 
 // keptTurn is a turn whose answer its caller was given.
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -12,7 +12,7 @@
 	"time"
 	"unicode/utf8"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/platform"
 	"damsontiller/internal/proto/spec"
 	"damsontiller/internal/transport/code"
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
+	"damsontiller/internal/dataplane/balancing/endpoints"
 	"damsontiller/internal/transport/code"
 )
 
--- a/internal/platform/headers/fuzz_headers_test.go
+++ b/internal/platform/headers/fuzz_headers_test.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"testing"
 
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/proto/wire"
 )
 
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -9,8 +9,8 @@
 	"time"
 	"unicode/utf8"
 
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/platform"
 	"damsontiller/internal/transport/code"
 )
--- a/internal/platform/headers/headers_test.go
+++ b/internal/platform/headers/headers_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"damsontiller/internal/dataplane/endpoints"
-	"damsontiller/internal/dataplane/proxy"
+	"damsontiller/internal/dataplane/balancing/endpoints"
+	"damsontiller/internal/dataplane/request/proxy"
 	"damsontiller/internal/transport/code"
 )
 
