--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -45,7 +45,7 @@
 	PartnerLifetime: 16,
 }
 
-// Broadcaster is what a node has received.
+// Broadcaster holds the newest item of each topic and key that this node has received.
 type Broadcaster struct {
 	params   Params
 	peer     *peer.Peer
@@ -60,7 +60,7 @@
 	ticks    int
 }
 
-// New makes a broadcaster and answers News and Digest calls on pr.
+// New makes a broadcaster and handles News and Digest calls on pr.
 func New(params Params, pr *peer.Peer, members func() []*wire.Member) *Broadcaster {
 	broadcaster := &Broadcaster{
 		params:   params,
@@ -75,15 +75,17 @@
 	return broadcaster
 }
 
-// Handle sets what happens with new items of a topic. An item whose handler fails
-// is not taken, nor confirmed, and will be offered again.
+// Handle sets what happens with new items of a topic. An item whose handler fails is
+// neither kept nor confirmed, and will be offered again. Handlers are set before the node
+// starts.
 func (broadcaster *Broadcaster) Handle(topic string, f func(*wire.Item) error) {
 	broadcaster.handlers[topic] = f
 }
 
 func itemName(i *wire.Item) string { return i.Topic + "/" + i.Key }
 
-// Apply keeps newer items; it tells whether all are now here.
+// Apply keeps the items that are newer than those held, and reports whether all are held
+// now.
 func (broadcaster *Broadcaster) Apply(items []*wire.Item) bool {
 	// One taker at a time, so that handlers see each topic in rising order.
 	broadcaster.applying <- struct{}{}
@@ -118,15 +120,15 @@
 	return all
 }
 
-// Head finds the item last received.
+// Head is the newest item received of a topic and key.
 func (broadcaster *Broadcaster) Head(topic, key string) *wire.Item {
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
 	return broadcaster.items[topic+"/"+key]
 }
 
-// Publish takes the items here and sends them to all other members. It gives
-// the ids known to have taken them.
+// Publish applies the items here and sends them to all other live members. It returns the
+// ids of those known to have applied them.
 func (broadcaster *Broadcaster) Publish(ctx context.Context, items ...*wire.Item) []string {
 	var accepted []string
 	if broadcaster.Apply(items) {
@@ -151,7 +153,7 @@
 	return out
 }
 
-// relay takes items and hands them on.
+// relay applies items and forwards them to its part of the tree.
 func (broadcaster *Broadcaster) relay(ctx context.Context, q *wire.Req) (*wire.Resp, error) {
 	n := q.GetNews()
 	var accepted []string
@@ -166,9 +168,9 @@
 	return &wire.Resp{Op: &wire.Resp_News{News: &wire.NewsAck{Took: accepted}}}, nil
 }
 
-// push splits targets among children and gathers who took the items. It
-// answers in time even if a child hangs; the child's share is then reached in
-// the background through the next node in it.
+// push splits targets among children and gathers who has applied the items. It returns in
+// time even if a child hangs; its part of the targets is then reached in the background
+// through the next node in it.
 func (broadcaster *Broadcaster) push(
 	ctx context.Context,
 	items []*wire.Item,
@@ -218,7 +220,7 @@
 	return accepted
 }
 
-// split cuts a list in zone order into at most n runs of like length.
+// split divides a list in zone order into at most n runs of like length.
 func split(list []*wire.Member, n int) [][]*wire.Member {
 	var out [][]*wire.Member
 	for i := 0; i < n && len(list) > 0; i++ {
@@ -229,7 +231,7 @@
 	return out
 }
 
-// Run compares digests with one of a few partners at each period.
+// Run exchanges digests with one of a few partners at each interval, until ctx ends.
 func (broadcaster *Broadcaster) Run(ctx context.Context) {
 	loop.Every(ctx, broadcaster.params.DigestInterval, nil, func(ctx context.Context) {
 		if m := broadcaster.partner(); m != nil {
@@ -238,9 +240,9 @@
 	})
 }
 
-// partner draws one. Partners are a few random members, so that the connections
-// of a node do not grow with their number; now and then one is replaced, so that
-// in time every two nodes compare.
+// partner selects one of the partners. They are a few random members, so that the
+// connections of a node do not grow with their number; now and then one is replaced, so
+// that in time every two nodes compare.
 func (broadcaster *Broadcaster) partner() *wire.Member {
 	ms := broadcaster.members()
 	at := map[string]*wire.Member{}
@@ -272,9 +274,9 @@
 	return at[broadcaster.partners[rand.IntN(len(broadcaster.partners))]]
 }
 
-// repair makes this broadcaster and a peer's alike. What it says grows with what differs,
-// not with what there is: first the sum of all heads, then, if it differs, the sums
-// of buckets, then the heads in those buckets.
+// repair is anti-entropy with one peer: afterwards both hold the same items. Its messages
+// grow with the differences and not with the items held: first the sum of all heads; if
+// that differs, the sums of buckets; then the heads in the buckets that differ.
 func (broadcaster *Broadcaster) repair(ctx context.Context, addr string) {
 	r, err := broadcaster.peer.CallFor(
 		ctx,
@@ -321,7 +323,7 @@
 	}
 }
 
-// digestOf is a number for an item's name and version, and another for its name alone.
+// digestOf hashes an item's name and version, and its name alone.
 func digestOf(i *wire.Item) (ver, key uint64) {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, itemName(i))
@@ -351,7 +353,7 @@
 	return out
 }
 
-// inBuckets is which buckets a digest is about.
+// inBuckets selects the items that a digest is about.
 func inBuckets(q *wire.Digest) func(*wire.Item) bool {
 	if len(q.Buckets) == 0 || q.Of == 0 {
 		return func(*wire.Item) bool { return true }
@@ -379,7 +381,7 @@
 	return out
 }
 
-// perBucket is how many items share a bucket, on average.
+// perBucket is the average number of items in a bucket.
 const perBucket = 8
 
 func (broadcaster *Broadcaster) answerDigest(_ context.Context, q *wire.Req) (*wire.Resp, error) {
--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -23,7 +23,7 @@
 // defaultCopies is how many stores hold each key where the cluster does not say.
 const defaultCopies = 3
 
-// View is one version of the cluster. It is never changed once made.
+// View is one version of the cluster. It is immutable.
 type View struct {
 	Version uint64
 	// StoresVersion is the version since which the sets of stores are these. All processes
@@ -49,7 +49,8 @@
 // Raw is the register's value.
 func (v *View) Raw() []byte { return v.raw }
 
-// Cluster holds the version in force in this process.
+// Cluster holds the version in force in this process. Its methods may be called
+// concurrently.
 type Cluster struct {
 	proposer *register.Proposer
 	current  atomic.Pointer[View]
@@ -64,8 +65,8 @@
 	Discover func(ctx context.Context) bool
 }
 
-// New makes an empty cluster; keep, if set, puts each version on disk before it
-// comes into force.
+// New makes an empty cluster. persist, if set, stores each version on disk before it comes
+// into force.
 func New(proposer *register.Proposer, persist func(raw []byte, version uint64) error) *Cluster {
 	cluster := &Cluster{
 		proposer: proposer,
@@ -89,7 +90,7 @@
 	}
 }
 
-// Watch gives a wake-up that fires at every new version.
+// Watch returns a wake-up that is notified of every new version.
 func (cluster *Cluster) Watch() loop.Wakeup {
 	k := loop.NewWakeup()
 	cluster.mu.Lock()
@@ -98,7 +99,7 @@
 	return k
 }
 
-// Apply puts a version in force if it is higher than the one that is.
+// Apply puts a version in force if it is higher than the present one.
 func (cluster *Cluster) Apply(version uint64, raw []byte) error {
 	cluster.applying <- struct{}{}
 	defer func() { <-cluster.applying }()
@@ -142,7 +143,8 @@
 	return out
 }
 
-// Stores is the voters of one key: two groups while the set changes.
+// Stores is the voters of one key: two groups while the set changes; nil where fewer
+// stores have an identity than the key has replicas.
 func (v *View) Stores(key string) register.Set {
 	g := Holders(v.Cluster.Stores, key, v.Copies())
 	if g == nil {
@@ -155,9 +157,9 @@
 	return set
 }
 
-// Holders are the stores of a set that hold a key: rendezvous order over those
-// whose identity is known, spread over zones. Each round takes the first that is
-// left of each zone, so that no zone has two more than another that has any left.
+// Holders are the stores of a set that hold a key, by rendezvous hashing over those whose
+// identity is known, spread over zones: each round takes the first that is left of each
+// zone, so that no zone has two more than another that has any left.
 func Holders(set []spec.Machine, key string, defaultCopies int) []spec.Machine {
 	type candidate struct {
 		m    *spec.Machine
@@ -192,7 +194,8 @@
 	return got
 }
 
-// MaxHolders is the most of a key's holders that could be among some machines of a set.
+// MaxHolders is the largest number of a key's replicas that could be on some machines of a
+// set.
 func MaxHolders(set, some []spec.Machine, defaultCopies int) int {
 	zones, in := map[string]int{}, map[string]int{}
 	for _, m := range set {
@@ -222,8 +225,8 @@
 	return min(worst, defaultCopies, len(set))
 }
 
-// StoresDigest is a digest of the sets of stores and of the version that made them so: a
-// change that was reverted and begun anew has another.
+// StoresDigest hashes the sets of stores and the version that made them so: a change that
+// was reverted and begun anew has another.
 func (v *View) StoresDigest() uint64 {
 	h := uint64(fnvStart)
 	if v.StoresSince > 0 {
@@ -258,12 +261,12 @@
 	return h
 }
 
-// maxAttempts is how often voters may refuse one request to them for its old version.
+// maxAttempts bounds how often voters may refuse one request for its old version.
 const maxAttempts = 3
 
-// withVoters deals with the voters under the version in force. Voters that belong to
-// newer sets refuse, so that nobody acts on an old one alone; then whoever knows
-// better is asked, and it is done anew.
+// withVoters runs do with the voters under the version in force. Voters of newer sets
+// refuse, so that no request acts on an old one alone; then a newer version is discovered
+// and do is run again.
 func (cluster *Cluster) withVoters(ctx context.Context, do func(context.Context, register.Set) error) error {
 	for attempt := 1; ; attempt++ {
 		v := cluster.Now()
@@ -277,7 +280,8 @@
 	}
 }
 
-// Read fetches the cluster at a majority and puts it in force.
+// Read reads the cluster at a majority and puts it in force. The error has
+// code.CoreUnreachable.
 func (cluster *Cluster) Read(ctx context.Context) error {
 	var state register.State
 	err := cluster.withVoters(ctx, func(ctx context.Context, set register.Set) (err error) {
@@ -293,11 +297,13 @@
 	return cluster.Apply(state.Version, state.Value)
 }
 
-// ErrNoChange tells that a change would change nothing.
+// ErrNoChange is returned by the function of a change that would change nothing.
 var ErrNoChange = errors.New("nothing to change")
 
-// Change works a new cluster out of the one chosen last. It answers with the
-// version and value now chosen; expect 0 means whichever version there is.
+// Change computes a new cluster from the one chosen last by f. It returns the version and
+// value now chosen. A nonzero expect is the version that must be the present one, else the
+// error has code.SpecConflict and the version returned is the present one. With
+// code.OutcomeUnknown the change may be in force.
 func (cluster *Cluster) Change(
 	ctx context.Context,
 	expect uint64,
@@ -348,9 +354,9 @@
 	return seen, nil, err
 }
 
-// applyChosen puts a version in force that was chosen just now. A disk that does not take it
-// takes nothing back from that: this process then stays on its older version until it
-// hears of a newer one again, and confirms none.
+// applyChosen puts a version in force that was chosen just now. Where the disk does not
+// take it, it is chosen all the same: this process then stays on its older version until
+// it receives a newer one again, and confirms none.
 func (cluster *Cluster) applyChosen(state register.State) error {
 	err := cluster.Apply(state.Version, state.Value)
 	switch code.Of(err) {
--- a/internal/coordination/core/acknowledgement.go
+++ b/internal/coordination/core/acknowledgement.go
@@ -156,7 +156,7 @@
 	return out, nil
 }
 
-// fencedByStores tells whether in neither set of stores could those that have not confirmed ver
+// fencedByStores reports whether in neither set of stores could those that have not confirmed ver
 // make a majority of some key's copies.
 func (c *Core) fencedByStores(known map[string]*wire.Member, ver uint64, confirmed map[string]bool) bool {
 	v := c.Cluster.Now()
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -17,21 +17,23 @@
 const (
 	// contactCheckInterval is the time between two checks whether this core is in contact.
 	contactCheckInterval = 500 * time.Millisecond
-	// contactGap is the time without a read after which this process stood still.
+	// contactGap is the time without a check after which this process must have been
+	// paused.
 	contactGap = 2 * contactCheckInterval
-	// contactSettleTime is how long this core must have been in contact again. Senders wait
-	// for an answer for a second.
+	// contactSettleTime is how long this core must have been in contact again before it
+	// takes orders. Senders wait a second for an answer.
 	contactSettleTime = time.Second
 )
 
-// contactTracker records when a process was last out of contact with a majority, or stood still.
+// contactTracker remembers when a process was last out of contact with a majority, or
+// paused.
 type contactTracker struct {
 	start     time.Time    // what the times below are counted from
 	lastCheck atomic.Int64 // the last check
 	lastLost  atomic.Int64 // when it was last found out of contact; 0: never
 }
 
-// check checks the clock; valid tells whether this core's lease runs.
+// check is called regularly; valid reports whether this core's lease runs.
 func (t *contactTracker) check(now time.Time, valid bool) {
 	at := int64(now.Sub(t.start))
 	last := t.lastCheck.Swap(at)
@@ -40,7 +42,7 @@
 	}
 }
 
-// established tells whether the process has been in contact for long enough.
+// established reports whether the process has been in contact for long enough.
 func (t *contactTracker) established(now time.Time, valid bool) bool {
 	at := int64(now.Sub(t.start))
 	last, lost := t.lastCheck.Load(), t.lastLost.Load()
@@ -53,11 +55,11 @@
 	return lost == 0 || at-lost > int64(contactSettleTime)
 }
 
-// checkContact is the background task that keeps the contact tracker up to date.
+// checkContact is the background task that updates the contact tracker.
 func (c *Core) checkContact(context.Context) { c.contact.check(time.Now(), c.Lease.Valid()) }
 
-// InContact refuses, for the moment, to work on an order that may be an old one: this
-// core is or was just out of contact, or the order's time is over.
+// InContact rejects, for the moment, an order that may be an old one: this core is or was
+// just out of contact, or the order's time is over. The error has code.OutOfContact.
 func (c *Core) InContact(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	now := time.Now()
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -30,7 +30,7 @@
 	bootstrapPeriod = 6 * time.Second
 )
 
-// onRenewal wakes the reconciler at once where a renewal shows something new.
+// onRenewal wakes the reconcilers where a renewal shows something new.
 func (c *Core) onRenewal(v *cluster.View, m *wire.Member) {
 	for set, wakeup := range c.reconciler.wakeups {
 		change := membership.Of(&v.Cluster, set)
@@ -46,13 +46,13 @@
 	}
 }
 
-// firstSeen tells whether an identity is seen for the first time.
+// firstSeen reports whether an identity is seen for the first time.
 func (c *Core) firstSeen(ident string) bool {
 	_, old := c.reconciler.knownIdentities.LoadOrStore(ident, true)
 	return !old
 }
 
-// reconcile brings a set further.
+// reconcile brings a set one step closer to what it should be.
 func (c *Core) reconcile(ctx context.Context, set membership.Set) {
 	v := c.Cluster.Now()
 	change := membership.Of(&v.Cluster, set)
@@ -68,8 +68,8 @@
 	}
 }
 
-// review compares a set with what it should be. It tells whether it has begun a change
-// of it, or redirected one that can't end elsewhere.
+// review compares a set with what it should be. It reports whether it has begun a change
+// of it, or redirected one that can not complete.
 func (c *Core) review(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
 	ctx, stop := context.WithTimeout(ctx, reviewTimeout)
 	defer stop()
@@ -105,8 +105,8 @@
 	}
 }
 
-// members are the machines of a role, as this core has seen them; of itself it
-// needs no renewal.
+// members are the machines of a role that this core has seen. Its own entry needs no
+// renewal.
 func (c *Core) members(role string) []membership.Member {
 	var out []membership.Member
 	for _, m := range c.table.List() {
@@ -132,8 +132,8 @@
 	}
 }
 
-// probe asks some machines whether they are there. What a renewal reported long ago is asked
-// for again, so that a core that was itself out of reach takes nobody for absent.
+// probe asks some machines whether they are there. What a renewal reported a while ago is
+// checked anew, so that a core that was itself out of contact takes no machine for absent.
 func (c *Core) probe(
 	ctx context.Context,
 	o membership.Observation,
@@ -168,7 +168,7 @@
 	return out
 }
 
-// unresponsiveFor is for how long a machine has not been seen. One never seen by this
+// unresponsiveFor is how long a machine has been without contact. One never seen by this
 // core counts as unresponsive for as long as the core has run.
 func (c *Core) unresponsiveFor(o membership.Observation, ident string) time.Duration {
 	least := time.Since(c.startedAt)
@@ -180,7 +180,7 @@
 	return least
 }
 
-// stalled tells whether a change waits for a machine that will not bring it to an end.
+// stalled reports whether a change waits for a machine that will not complete it.
 func (c *Core) stalled(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
 	o := c.observe(v, set)
 	stalled, ask := change.Stalled(o)
@@ -191,7 +191,7 @@
 	return stalled
 }
 
-// beginChange begins a change of a set, or redirects one that can't end elsewhere.
+// beginChange begins a change of a set, or redirects one that can not complete.
 func (c *Core) beginChange(ctx context.Context, set membership.Set, was membership.Change, target membership.Target) {
 	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
 		return membership.BeginChange(r, set, was, target)
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -10,10 +10,11 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// WatchRemoval watches for the removal of this machine's identity: another took
-// its place while it was away. Where the sets are self-managed it then goes on
-// as the stranger that it is, empty and under a new identity, and is taken in again.
-// A machine that operators sent away keeps its data as it is.
+// WatchRemoval watches whether this machine's identity was removed from its set: another
+// machine replaced it while it was away. Where the sets are self-managed the machine then
+// goes on with an empty folder and a new identity, and is admitted again as a newcomer. A
+// machine that operators retired keeps its data as it is. forget drops what the process
+// remembers of its disk.
 func WatchRemoval(ctx context.Context, n *node.Node, d Disk, forget func()) {
 	loop.Every(ctx, 5*time.Second, n.Cluster.Watch(), func(context.Context) {
 		v, was := n.Cluster.Now(), n.Peer.Ident()
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -132,7 +132,7 @@
 	return kept
 }
 
-// confirmedUnknown tells whether a majority of the cores, each of which has run for long enough
+// confirmedUnknown reports whether a majority of the cores, each of which has run for long enough
 // to have seen every node in contact, knows no store of a name.
 func (c *Core) confirmedUnknown(ctx context.Context, id string) bool {
 	ctx, stop := context.WithTimeout(ctx, membersTimeout)
@@ -158,7 +158,7 @@
 	return false
 }
 
-// Retired tells whether a store that is to go holds nothing any more that is needed.
+// Retired reports whether a store that is to go holds nothing any more that is needed.
 func (c *Core) Retired(ctx context.Context, id string) (bool, error) {
 	if err := c.Cluster.Read(ctx); err != nil {
 		return false, err
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -18,17 +18,17 @@
 // new set stands alone. Each step may be done twice, so it does not matter who does
 // it, nor that it is only one.
 
-// isReconciler tells whether this core is the reconciler.
+// isReconciler reports whether this core runs the reconcilers.
 func (c *Core) isReconciler(v *cluster.View) bool {
 	self := observed(c.Peer.Member(0))
 	return membership.IsReconciler(&v.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
 }
 
-// advanceChange brings a change of a set further: the keys are brought to the new set, then it
-// stands alone. Nobody needs to be waited for. Of the old set's machines a majority
-// refuses whoever acts on that set alone before the change goes on: of the cores
-// because they have confirmed, of the stores, for each key that moves, because it was
-// they who gave what they had of it.
+// advanceChange takes a change of a set one step further: the keys are transferred to the
+// next set, then it becomes the only one. No machine needs to be waited for: before the
+// change goes on, a majority of the old set refuses whoever acts on that set alone. The
+// cores do because they have confirmed the change; the stores do, for each key that moves,
+// because they have sent what they had of it under the change.
 func (c *Core) advanceChange(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) {
 	var ready bool
 	if set == membership.Cores {
@@ -41,8 +41,8 @@
 	}
 }
 
-// confirmed tells whether a majority of the old cores has the change in force. The
-// spec's is their only register, and settling writes it to both sets.
+// confirmed reports whether a majority of the old cores has the change in force. The
+// spec's is their only register, and finishing the change writes it to both sets.
 func (c *Core) confirmed(v *cluster.View) bool {
 	versions := map[string]uint64{c.Peer.Ident(): c.Cluster.Now().Version}
 	for _, m := range c.members(membership.Cores.Role()) {
@@ -52,8 +52,8 @@
 	return membership.Confirmed(v.Cluster.Cores, versions, v.CoresVersion)
 }
 
-// keysTransferred has the keys brought to the next stores, and tells whether they are. Each
-// renewal comes by here; a try that failed is not made again at once.
+// keysTransferred has the keys transferred to the next stores, and reports whether they
+// are. It runs at each renewal; a failed attempt is not repeated at once.
 func (c *Core) keysTransferred(ctx context.Context, v *cluster.View, change membership.Change) bool {
 	if time.Since(c.reconciler.lastTransferFailure) < retryInterval {
 		return false
@@ -67,11 +67,11 @@
 	return true
 }
 
-// transferTimeout is how long one call waits for a store to have its keys; it goes on
-// meanwhile.
+// transferTimeout is how long one call waits for a store to have its keys. The transfer
+// goes on after it.
 const transferTimeout = 2 * time.Second
 
-// transferKeys has each store of the next set bring what falls to it.
+// transferKeys has each store of the next set fetch the keys that it receives.
 func (c *Core) transferKeys(ctx context.Context, v *cluster.View, change membership.Change) error {
 	type answer struct {
 		a   *wire.FillAck
@@ -115,7 +115,7 @@
 	return last
 }
 
-// finishChange lets the new set stand alone.
+// finishChange makes the next set the only one.
 func (c *Core) finishChange(ctx context.Context, set membership.Set, change membership.Change) {
 	ctx, stop := context.WithTimeout(ctx, 3*time.Second)
 	defer stop()
@@ -133,7 +133,7 @@
 	c.broadcastAsync(ctx, ver, raw)
 }
 
-// broadcastAsync sends a version down the tree while the role goes on.
+// broadcastAsync broadcasts a version in the background.
 func (c *Core) broadcastAsync(ctx context.Context, ver uint64, raw []byte) {
 	ctx = context.WithoutCancel(ctx)
 	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, ver, raw) })
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -18,7 +18,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params are the lease's times.
+// Params are the times of leases.
 type Params struct {
 	RenewInterval time.Duration // between renewals
 	Duration      time.Duration // of a lease
@@ -28,7 +28,8 @@
 // DefaultParams are the design's.
 var DefaultParams = Params{RenewInterval: time.Second, Duration: 3 * time.Second, OrphanTimeout: 30 * time.Second}
 
-// Holder renews this node's lease and keeps the list of members.
+// Holder renews this node's lease and keeps the list of members that the core sends with
+// it. Its methods may be called concurrently.
 type Holder struct {
 	params  Params
 	peer    *peer.Peer
@@ -49,13 +50,12 @@
 	return &Holder{params: params, peer: pr, cluster: r, wakeup: r.Watch(), rosters: map[register.Replica]*roster{}}
 }
 
-// Run renews until ctx ends. A new spec in force renews at once, which
-// confirms it.
+// Run renews until ctx ends. A new spec in force is confirmed by a renewal at once.
 func (h *Holder) Run(ctx context.Context) {
 	loop.Every(ctx, h.params.RenewInterval, h.wakeup, func(ctx context.Context) { h.Renew(ctx) })
 }
 
-// RenewNow renews at once: something about this node has changed.
+// RenewNow has the lease renewed at once, since something about this node has changed.
 func (h *Holder) RenewNow() { h.wakeup.Notify() }
 
 // grant is one core machine's answer to a renewal, or the failure in its place.
@@ -65,7 +65,7 @@
 	err  error
 }
 
-// Renew asks every core machine once; it tells whether a majority granted.
+// Renew asks every core machine once. It reports whether a majority granted.
 func (h *Holder) Renew(ctx context.Context) bool {
 	v := h.cluster.Now()
 	set := v.Cores()
@@ -148,8 +148,8 @@
 	}
 }
 
-// overtake raises the number of this start above one that a core machine knows of. Of
-// the starts at one address the one that runs is the last; its clock was behind.
+// overtake raises this start's incarnation above one that a core machine knows of. Of the
+// starts at one address the one that runs is the last; its clock was behind.
 func (h *Holder) overtake(err error, r *wire.Resp) {
 	if code.Of(err) != code.OldEpoch {
 		return
@@ -161,7 +161,7 @@
 	}
 }
 
-// roster is what this node has received of one core machine's list.
+// roster is what this node has received of one core machine's list of members.
 type roster struct {
 	table, seen uint64
 	list        []*wire.Member // by id and address; never changed once made
@@ -173,8 +173,7 @@
 	return cmp.Or(strings.Compare(a.Id, b.Id), strings.Compare(a.Addr, b.Addr))
 }
 
-// with is the list with some members put in or replaced. Its cost beside these is
-// one copy: nodes that come and go are seen by all.
+// with puts in or replaces some members. It copies the list, which readers may still use.
 func (o *roster) with(ms []*wire.Member) {
 	if len(ms) == 0 {
 		return
@@ -212,7 +211,7 @@
 	return q
 }
 
-// updateRoster takes a core machine's list, or what changed in it.
+// updateRoster applies a core machine's list, or what changed in it.
 func (h *Holder) updateRoster(c register.Replica, a *wire.RenewAck) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -239,8 +238,8 @@
 	}
 }
 
-// chooseRoster keeps the list of the core that hears most of those that granted: one that
-// has just come back knows few members yet.
+// chooseRoster publishes the list of the core that sees most members, among those that
+// granted: one that has just restarted knows few yet.
 func (h *Holder) chooseRoster(cores []register.Replica, granted map[register.Replica]bool) {
 	var best *roster
 	for _, c := range cores {
@@ -259,9 +258,9 @@
 	}
 }
 
-// Members is the list as last granted; it must not be changed. It says who is live,
-// not which spec each has confirmed or for how long it has been unresponsive: that goes to
-// the cores only.
+// Members is the list as last granted; it must not be modified. It says who is live, but
+// neither which spec each has confirmed nor for how long it has been unresponsive: that
+// goes to the cores only.
 func (h *Holder) Members() []*wire.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -278,5 +277,5 @@
 	return time.Since(h.renewedAt)
 }
 
-// Valid tells whether the lease runs.
+// Valid reports whether the lease runs.
 func (h *Holder) Valid() bool { return h.SinceRenewal() < h.params.Duration }
--- a/internal/coordination/lease/table.go
+++ b/internal/coordination/lease/table.go
@@ -45,8 +45,8 @@
 	changed, renewed *list.Element
 }
 
-// NewTable makes a table from what was recorded on disk before. Every node known
-// counts as seen now: how long it had been unresponsive is not known.
+// NewTable makes a table from what an earlier run saved. Every node known counts as seen
+// now: how long it had been unresponsive is not known.
 func NewTable(params Params, saved map[string][]byte, save func(string, []byte) error) (*Table, error) {
 	t := &Table{
 		params:  params,
@@ -68,12 +68,12 @@
 	return t, nil
 }
 
-// MemberKeyPrefix is where members are recorded.
+// MemberKeyPrefix is the prefix of the metadata keys of members.
 const MemberKeyPrefix = "member/"
 
 func key(m *wire.Member) string { return m.Id + "@" + m.Addr }
 
-// show puts in force what the nodes' lists say of an entry, if it is anything new.
+// show publishes what the nodes' lists say of an entry, if it has changed.
 func (t *Table) show(e *entry, live bool) {
 	m := &wire.Member{
 		Id:     e.member.Id,
@@ -102,7 +102,7 @@
 	}
 }
 
-// recordRenewal counts a renewal.
+// recordRenewal marks an entry as renewed now.
 func (t *Table) recordRenewal(e *entry) {
 	e.renewedAt, e.renewedThisRun = time.Now(), true
 	if e.renewed == nil {
@@ -113,7 +113,7 @@
 	t.show(e, true)
 }
 
-// expire ends the leases that were not renewed.
+// expire ends the leases that were not renewed in time.
 func (t *Table) expire() {
 	now := time.Now()
 	for f := t.renewed.Front(); f != nil; f = t.renewed.Front() {
@@ -127,7 +127,7 @@
 	}
 }
 
-// memberDigest is a number for what is shown of a member.
+// memberDigest hashes what is shown of a member.
 func memberDigest(m *wire.Member) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{m.Id, m.Role, m.Addr, m.Http, m.Zone, m.Ident, m.Status} {
@@ -145,15 +145,15 @@
 	return h.Sum64()
 }
 
-// overtaken tells whether a renewal is of an earlier start than the one whose lease
-// runs. Starts are numbered by the time of day, which may have been set back between
-// them: so once the later number has been unresponsive for a lease's time, the earlier one
-// is taken for the start that runs. If it isn't, it only makes changes wait for it.
+// overtaken reports whether a renewal is of an earlier start than the one whose lease
+// runs. Starts are numbered by the time of day, which may have been set back between them:
+// so once the later number has been unresponsive for the time of a lease, the earlier one
+// is taken for the start that runs. If it is not, it only makes changes wait for it.
 func (t *Table) overtaken(e *entry, m *wire.Member) bool {
 	return e != nil && m.Inc < e.member.Inc && time.Since(e.renewedAt) < t.params.Duration
 }
 
-// updateEntry puts a renewal's sender in the place of what was known of it.
+// updateEntry replaces what was known of a renewal's sender.
 func (t *Table) updateEntry(e *entry, m *wire.Member) {
 	// Renewals can overtake each other; a confirmation is not taken back.
 	if m.Inc != e.member.Inc || m.SpecVer >= e.member.SpecVer {
@@ -162,7 +162,8 @@
 	t.recordRenewal(e)
 }
 
-// Grant answers a renewal.
+// Grant answers a renewal. The error has code.OldEpoch where a later start holds the
+// lease.
 func (t *Table) Grant(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	r := q.GetRenew()
 	m := r.GetSelf()
--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -17,7 +17,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Set names one of the two sets, as operators write it.
+// Set names one of the two replica sets, as operators write it.
 type Set string
 
 // The sets.
@@ -35,7 +35,7 @@
 	return set, nil
 }
 
-// Role is the role of the machines of a set.
+// Role is the role of the machines of the set.
 func (s Set) Role() string {
 	if s == Cores {
 		return "core"
@@ -43,8 +43,8 @@
 	return "store"
 }
 
-// Change is a set of machines, the one that it changes to, if any, and the version
-// since which both are these.
+// Change is the state of a set: its machines, those that it changes to if a change is
+// under way, and the version of the cluster since which both are these.
 type Change struct {
 	Since     uint64
 	Now, Next []spec.Machine
@@ -58,17 +58,17 @@
 	return Change{Since: c.StoresSince, Now: c.Stores, Next: c.NextStores}
 }
 
-// Running tells whether the set is changing.
+// Running reports whether a change of the set is under way.
 func (c Change) Running() bool { return len(c.Next) > 0 }
 
-// Is tells whether two observations are of the very same change. Equal sets are not
-// enough: a change may have been reverted and begun anew in between, and what was
-// done for the first one says nothing about the second.
+// Is reports whether two observations are of the very same change. Equal sets are not
+// enough: a change may have been reverted and begun anew in between, and what was done for
+// the first says nothing about the second.
 func (c Change) Is(other Change) bool {
 	return c.Since == other.Since && slices.Equal(c.Now, other.Now) && slices.Equal(c.Next, other.Next)
 }
 
-// Has tells whether a set has a machine of that identity.
+// Has reports whether a set has a machine of that identity.
 func Has(set []spec.Machine, ident string) bool {
 	return slices.ContainsFunc(set, func(m spec.Machine) bool { return m.Ident == ident })
 }
@@ -82,16 +82,15 @@
 	}
 }
 
-// FoundSet makes the first machines of a set that has had none: nothing has ever been kept
-// there, so there is nothing to move.
+// FoundSet sets the first machines of a set that has had none. Nothing has ever been
+// stored there, so there is nothing to transfer.
 func FoundSet(c *spec.Cluster, set Set, machines []spec.Machine) {
 	setMachines(c, set, machines, nil)
 }
 
-// SetNext lets a set change to another than it was changing to, or to none where next is
-// empty. The present set has been complete all the while, so that costs nothing that
-// anybody has done. A machine that was to come and is not any more has voted: should it
-// ever come back, it must be a stranger.
+// SetNext changes what a set changes to; an empty next reverts the change. The present set
+// has been complete all the while, so that nothing is lost by it. A machine that was to
+// join and no longer is may have voted, so its identity is marked as used.
 func SetNext(c *spec.Cluster, set Set, next []spec.Machine) {
 	was := Of(c, set)
 	for _, m := range was.Next {
@@ -102,9 +101,9 @@
 	setMachines(c, set, was.Now, next)
 }
 
-// BeginChange begins a change of a set towards a target, or redirects one under way there. It does
-// nothing, and answers cluster.ErrSame, where the cluster is not in the very change that
-// the target was worked out for, or where a newcomer may not come any more.
+// BeginChange begins a change of a set towards a target, or redirects the one under way.
+// It changes nothing and returns cluster.ErrNoChange where the cluster is not in the very
+// change that the target was computed for, or where a newcomer may no longer join.
 func BeginChange(c *spec.Cluster, set Set, was Change, target Target) error {
 	if !Of(c, set).Is(was) || !admissible(c, set, target) {
 		return cluster.ErrNoChange
@@ -126,9 +125,9 @@
 	return nil
 }
 
-// FinishChange lets the next set of a change stand alone. It does nothing, and answers
-// cluster.ErrSame, where the cluster is not in that very change any more: what was
-// moved was for another.
+// FinishChange makes the next set of a change the only one. It changes nothing and returns
+// cluster.ErrNoChange where the cluster is no longer in that very change: what was
+// transferred was for another.
 func FinishChange(c *spec.Cluster, set Set, change Change) error {
 	if !change.Running() || !Of(c, set).Is(change) {
 		return cluster.ErrNoChange
--- a/internal/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// underWay tells whether a proposal has messages on the network or at a core.
+// underWay reports whether a proposal has messages on the network or at a core.
 func (w *coresWorld) underWay(op *proposal) bool {
 	if slices.ContainsFunc(w.network, func(m *coreMessage) bool { return m.op == op }) {
 		return true
--- a/internal/coordination/membership/identity.go
+++ b/internal/coordination/membership/identity.go
@@ -20,12 +20,12 @@
 // the floor that was in no set is refused as well; it takes a new identity, which costs
 // it nothing, as it holds nothing yet.
 
-// IdentityRefused tells whether an identity may not be admitted to a set.
+// IdentityRefused reports whether an identity may not be admitted to a set.
 func IdentityRefused(c *spec.Cluster, ident string, madeUnder uint64) bool {
 	return slices.Contains(c.Used, ident) || madeUnder < c.IdentityFloor
 }
 
-// Removed tells whether a machine must put away its identity: it is in no set, and will
+// Removed reports whether a machine must replace its identity: it is in no set, and will
 // not be admitted to one.
 func Removed(c *spec.Cluster, ident string, madeUnder uint64) bool {
 	return !Has(allMachines(c), ident) && IdentityRefused(c, ident, madeUnder)
@@ -38,8 +38,8 @@
 	}
 }
 
-// admissible tells whether all machines of a next set are in a set already or may come
-// into one. A store that was retired between the read and the change may not: its
+// admissible reports whether all machines of a next set are in a set already or may join
+// one. A store that was retired between the observation and the change may not: its
 // operator may have been notified that it holds nothing and can be taken away.
 func admissible(c *spec.Cluster, set Set, target Target) bool {
 	inSet := allMachines(c)
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// AbsentAfter is the time without contact after which a newcomer may take a machine's place.
+	// AbsentAfter is the time without contact after which a newcomer may replace a
+	// machine.
 	AbsentAfter = 2 * time.Second
-	// ReplaceAfter is the time without contact after which a machine's place goes to one
-	// that was taken in beside it before. It is longer than most restarts take.
+	// ReplaceAfter is the time without contact after which a spare that was admitted
+	// earlier replaces a machine. It is longer than most restarts take.
 	ReplaceAfter = 3 * time.Second
-	// MinCores is how many cores are left at least.
+	// MinCores is the least number of cores that a set keeps.
 	MinCores = 3
 )
 
@@ -27,21 +28,24 @@
 	minorityWait = 5 * time.Second        // so few that the loss of one would lose what it keeps
 )
 
-// Member is what a core knows of a machine by its renewals.
+// Member is what a core knows of a machine from its renewals.
 type Member struct {
 	Machine spec.Machine
 	Start   uint64 // the number of its process's start
 	// IdentityVersion is the version of the cluster that its identity was made under.
 	IdentityVersion uint64
+	// Confirmed reports whether a majority of a set has a version in force, by what each
+	// identity has confirmed. These refuse requests that act on an older set.
 	Confirmed       uint64 // the version that it has in force
 	Live            bool   // its lease runs
 	UnresponsiveFor time.Duration
 }
 
-// WithSelf puts a core's own entry, as it is now, in the place of whatever renewals reported
-// it of itself. It renews its lease at itself only while it is in the set, so its table
-// may still show an identity of its own that was removed: going by that, a core that has
-// just been chosen as a target would take itself for reborn and turn the change back.
+// WithSelf replaces whatever the table shows of a core itself by its own entry as it is
+// now. A core renews its lease at itself only while it is in the set, so its table may
+// still show an identity of its own that was removed: by that, a core that has just been
+// chosen for the next set would take itself for one that lost its disk, and revert the
+// change.
 func WithSelf(members []Member, self Member) []Member {
 	out := slices.DeleteFunc(slices.Clone(members), func(m Member) bool {
 		return m.Machine.ID == self.Machine.ID && m.Machine.Addr == self.Machine.Addr
@@ -51,7 +55,7 @@
 	return append(out, self)
 }
 
-// Presence is what became of asking a machine whether it is there.
+// Presence is the outcome of asking a machine whether it is there.
 type Presence int
 
 // A machine that was not asked counts as present.
@@ -61,7 +65,8 @@
 	Absent
 )
 
-// PresenceOf judges a machine by whether it answered and how long it had been unresponsive.
+// PresenceOf judges a machine by whether it answered, and for how long it had been
+// unresponsive.
 func PresenceOf(answered bool, unresponsive time.Duration) Presence {
 	switch {
 	case answered:
@@ -96,7 +101,7 @@
 	IdentityVersions map[string]uint64
 }
 
-// Decision is a target, or why there is none yet.
+// Decision is a target, or the reason why there is none yet.
 type Decision struct {
 	Target
 	// Ask are the machines that must be asked whether they are there first.
@@ -105,11 +110,10 @@
 	Wait bool
 }
 
-// Decide works out what a set should be. A machine that is unresponsive is never removed for
-// that alone, for it may come back with what it holds; only a newcomer takes its place.
-// One that came while all were there is admitted beside them, and takes the place of
-// whoever goes next. So a set gets no smaller than it was, unless an operator retires a
-// store.
+// Decide computes what a set should be. A machine is never removed only because it is
+// unresponsive, since it may come back with its data; a newcomer has to replace it. A
+// newcomer that finds all machines present is admitted as a spare and replaces whichever
+// fails next. So a set never shrinks, unless an operator retires a store.
 func Decide(o Observation) Decision {
 	if o.Set == Stores && len(o.Cluster.Stores) == 0 {
 		return firstStores(o)
@@ -132,7 +136,7 @@
 	return p.decision()
 }
 
-// plan is a target while it is worked out.
+// plan is a target while it is computed.
 type plan struct {
 	Observation
 	now, want []spec.Machine
@@ -157,7 +161,7 @@
 	return Decision{Target: p.target, Wait: p.wait}
 }
 
-// minSize is how many machines the set keeps.
+// minSize is how many machines the set keeps at least.
 func (p *plan) minSize() int {
 	if p.Set == Cores {
 		return MinCores
@@ -165,8 +169,8 @@
 	return cluster.Copies(p.Cluster)
 }
 
-// candidates are the live machines that are not in the set and may be, by name; of one
-// name the latest start comes first.
+// candidates are the live machines outside the set that may join it, by name; of one name
+// the latest start comes first.
 func candidates(o Observation) []Member {
 	now := Of(o.Cluster, o.Set).Now
 	var out []Member
@@ -184,7 +188,7 @@
 	return out
 }
 
-// dropRetired takes out the stores that operators sent away, as long as enough are left.
+// dropRetired removes the stores that operators have retired, as long as enough are left.
 func (p *plan) dropRetired() {
 	if p.Set != Stores {
 		return
@@ -197,7 +201,7 @@
 	}
 }
 
-// replaceWiped puts a newer identity at the address of one of the set in its place: it
+// replaceWiped replaces a machine whose address has come back with a newer identity: it
 // has lost its disk. The other candidates are left as newcomers.
 func (p *plan) replaceWiped() {
 	for _, m := range candidates(p.Observation) {
@@ -221,13 +225,13 @@
 	}
 }
 
-// replaceAt puts a newcomer in the place of a machine.
+// replaceAt replaces the machine at an index by a newcomer.
 func (p *plan) replaceAt(i int, m Member) {
 	p.want[i] = m.Machine
 	p.target.IdentityVersions[m.Machine.Ident] = m.IdentityVersion
 }
 
-// mayDrop tells whether one admitted beside the others could take a place now.
+// mayDrop reports whether a spare could replace a machine now.
 func (p *plan) mayDrop() bool {
 	return len(p.spares) > 0 &&
 		slices.ContainsFunc(p.want, func(m spec.Machine) bool { return p.longUnresponsive(m.Ident) })
@@ -251,9 +255,10 @@
 
 func (p *plan) absent(m spec.Machine) bool { return p.Presence[m.Ident] == Absent }
 
-// placeNewcomer finds a newcomer its place: that of its own name at an earlier address, that of
-// an absent machine, of its own zone if there is one, or one beside the others. It is
-// false where somebody is uncertain, whose place it could be.
+// placeNewcomer has a newcomer replace the machine of its own name at an earlier address,
+// or an absent machine, of its own zone if there is one; else it is admitted as a spare.
+// It reports false where it is uncertain whether some machine is absent that it could
+// replace.
 func (p *plan) placeNewcomer(m Member) bool {
 	if i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return s.ID == m.Machine.ID }); i >= 0 {
 		p.placeRelocated(i, m)
@@ -276,7 +281,7 @@
 	return true
 }
 
-// placeRelocated is for one whose name is in the set, at another address.
+// placeRelocated handles a newcomer whose name is in the set at another address.
 func (p *plan) placeRelocated(i int, m Member) {
 	switch p.Presence[p.want[i].Ident] {
 	case Absent:
@@ -286,7 +291,7 @@
 	}
 }
 
-// vacant is the place of an absent machine, of that zone if there is one; else -1.
+// vacant is the index of an absent machine, of that zone if there is one; else -1.
 func (p *plan) vacant(zone string) int {
 	i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return p.absent(s) && s.Zone == zone })
 	if i >= 0 {
@@ -295,7 +300,7 @@
 	return slices.IndexFunc(p.want, p.absent)
 }
 
-// dropAbsent gives the places of absent machines to those admitted beside them.
+// dropAbsent removes absent machines that spares replace.
 func (p *plan) dropAbsent() {
 	for _, ident := range p.spares {
 		i := slices.IndexFunc(p.want, func(s spec.Machine) bool {
@@ -309,8 +314,8 @@
 	}
 }
 
-// firstStores is the first set of stores: all that are there once they are enough, or
-// once no more come.
+// firstStores computes the first set of stores: all that are there once they are enough,
+// or once no more come.
 func firstStores(o Observation) Decision {
 	p := newPlan(o)
 	zones := map[string]bool{}
@@ -339,9 +344,9 @@
 	return p.decision()
 }
 
-// Stalled tells whether a change waits for a machine that will not bring it to an end,
-// because it has departed or has come back as another. Where that can't be said before some
-// have been asked, it gives these.
+// Stalled reports whether a change waits for a machine that will not complete it, because
+// it has departed or has come back with another identity. Where that can only be said
+// after some machines have been asked, it returns those.
 func (c Change) Stalled(o Observation) (stalled bool, ask []spec.Machine) {
 	need := c.Receivers(cluster.Copies(o.Cluster))
 	unresponsive := false
@@ -361,9 +366,9 @@
 	return slices.ContainsFunc(need, func(m spec.Machine) bool { return o.Presence[m.Ident] == Absent }), nil
 }
 
-// IsReconciler tells whether a core is the reconciler: the first by name of those that vote
-// and are seen. Two at it at once would only do the same work twice, so one that has
-// missed a renewal is skipped.
+// IsReconciler reports whether a core runs the reconcilers: the first by name of the
+// voters that are in contact. Two that run them at once only do the same work twice, so
+// one that has missed a renewal is skipped.
 func IsReconciler(c *spec.Cluster, self spec.Machine, members []Member) bool {
 	voters := slices.Concat(c.Cores, c.NextCores)
 	for _, m := range members {
@@ -375,10 +380,10 @@
 	return self.Ident != "" && Has(voters, self.Ident)
 }
 
-// leaderTimeout is that of a machine which has missed a renewal.
+// leaderTimeout is the time without contact of a machine that has missed a renewal.
 const leaderTimeout = 1500 * time.Millisecond
 
-// Confirmed tells whether a majority of a set has a version in force, by what each
+// Confirmed reports whether a majority of a set has a version in force, by what each
 // identity has confirmed. These refuse whoever deals with them under an older set.
 func Confirmed(set []spec.Machine, versions map[string]uint64, version uint64) bool {
 	n := 0
@@ -390,8 +395,8 @@
 	return n*2 > len(set)
 }
 
-// Fenced tells whether in no set of stores those that have not confirmed a version could
-// make a majority of some key's copies.
+// Fenced reports whether in no set of stores those that have not confirmed a version could
+// form a majority of some key's replicas.
 func Fenced(c *spec.Cluster, confirmed func(spec.Machine) bool) bool {
 	for _, set := range [][]spec.Machine{c.Stores, c.NextStores} {
 		var behind []spec.Machine
--- a/internal/coordination/membership/stores_history_test.go
+++ b/internal/coordination/membership/stores_history_test.go
@@ -101,7 +101,7 @@
 	n.admitted = nil
 }
 
-// accept has the write accepted at the one who goes and one more; it tells whether that
+// accept has the write accepted at the one who goes and one more; it reports whether that
 // was enough to acknowledge it.
 func (r *removal) accept(op *write) bool {
 	for _, m := range r.old[:2] {
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -266,7 +266,7 @@
 	}
 }
 
-// present tells whether a machine of a set is there with its disk.
+// present reports whether a machine of a set is there with its disk.
 func (w *storesWorld) present(m spec.Machine) bool {
 	n := w.nodes[m.Addr]
 	return n != nil && n.machine.Ident == m.Ident
@@ -341,7 +341,7 @@
 	}
 }
 
-// votes tells whether a store takes part, as core.Vote does.
+// votes reports whether a store takes part, as core.Vote does.
 func (n *storeNode) votes() bool {
 	v := n.view.Now()
 	return membership.Has(v.Cluster.Stores, n.machine.Ident) || membership.Has(v.NextStores, n.machine.Ident)
@@ -407,7 +407,7 @@
 	}
 }
 
-// underWay tells whether a write has messages on the network or at a store.
+// underWay reports whether a write has messages on the network or at a store.
 func (w *storesWorld) underWay(op *write) bool {
 	if slices.ContainsFunc(w.network, func(m *message) bool { return m.op == op }) {
 		return true
@@ -573,7 +573,7 @@
 	return true
 }
 
-// order tells a store to bring its keys, as store.fill does; it tells whether it has.
+// order tells a store to bring its keys, as store.fill does; it reports whether it has.
 func (w *storesWorld) order(n *storeNode, version, sets uint64) bool {
 	for n.view.Now().Version < version {
 		w.learn(n.view)
@@ -751,7 +751,7 @@
 	return w.nodes[ids[w.rnd.IntN(len(ids))]]
 }
 
-// frozen tells whether a mover is kept from its step until the set has moved on.
+// frozen reports whether a mover is kept from its step until the set has moved on.
 func (w *storesWorld) frozen() bool {
 	return slices.ContainsFunc(w.movers, func(m *mover) bool { return len(w.versions) < m.thaw })
 }
--- a/internal/coordination/membership/fill.go
+++ b/internal/coordination/membership/transfer.go
@@ -7,7 +7,8 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Receives tells whether keys fall to a machine of the next set that it did not hold.
+// Receives reports whether the change assigns keys to a machine of the next set that it
+// did not hold.
 func (c Change) Receives(m spec.Machine, copies int) bool {
 	if !Has(c.Now, m.Ident) {
 		return true
@@ -16,13 +17,13 @@
 	return len(c.Now) > copies && slices.ContainsFunc(c.Now, c.departs)
 }
 
-// departs tells whether a machine of the present set has no successor of its name and
-// zone in the next one, so that its keys fall to others.
+// departs reports whether a machine of the present set has no successor of its name and
+// zone in the next one, so that its keys go to others.
 func (c Change) departs(old spec.Machine) bool {
 	return !slices.ContainsFunc(c.Next, func(m spec.Machine) bool { return m.ID == old.ID && m.Zone == old.Zone })
 }
 
-// Receivers are the machines of the next set to which keys fall.
+// Receivers are the machines of the next set to which keys are transferred.
 func (c Change) Receivers(copies int) []spec.Machine {
 	var out []spec.Machine
 	for _, m := range c.Next {
@@ -33,13 +34,13 @@
 	return out
 }
 
-// IsMinority tells whether some machines of a set are less than a majority of any key's
-// holders, and the others a majority of them.
+// IsMinority reports whether some machines of a set are less than a majority of any key's
+// replicas, and the others a majority of them.
 func IsMinority(set, some []spec.Machine, copies int) bool {
 	return len(some) == 0 || cluster.MaxHolders(set, some, copies)*2 < min(copies, len(set))
 }
 
-// Readable tells whether a majority of each key's holders is left of a set without the
+// Readable reports whether a majority of each key's replicas is left of a set without the
 // identities that are absent.
 func Readable(set []spec.Machine, absent []string, copies int) bool {
 	var without []spec.Machine
@@ -51,20 +52,20 @@
 	return IsMinority(set, without, copies)
 }
 
-// Stale tells whether a request that rests on the sets of stores of an older version
-// must be refused under a view: its majority could be one of a set that is no more.
+// Stale reports whether a request that acts on the sets of stores of an older version must
+// be refused under a view: its majority could be one of a set that is no longer valid.
 func Stale(v *cluster.View, version uint64) bool { return version > 0 && version < v.StoresVersion }
 
-// StaleCores is the same for the sets of cores.
+// StaleCores is Stale for the sets of cores.
 func StaleCores(v *cluster.View, version uint64) bool { return version > 0 && version < v.CoresVersion }
 
-// SameStores tells whether a view is at the very change of the stores that an order was
+// SameStores reports whether a view is at the very change of the stores that an order was
 // given for.
 func SameStores(v *cluster.View, version, sets uint64) bool {
 	return v.Version >= version && v.StoresDigest() == sets
 }
 
-// Sender is a store of the present set that sends another what falls to it.
+// Sender is a store of the present set that sends keys to a store of the next one.
 type Sender struct {
 	View   *cluster.View
 	Self   string   // the sender's identity
@@ -72,9 +73,8 @@
 	Absent []string // identities that the gaining store can't ask
 }
 
-// Sends tells whether a key falls to the other store and is held here, and whether it
-// is sent in full or by name and ballot only: the first of its holders that can be asked
-// sends it complete.
+// Sends reports whether a key is to be sent to the other store, and whether with its value
+// or by name and ballot only: the first of its replicas that can be asked sends the value.
 func (s Sender) Sends(key string) (wanted, withValue bool) {
 	now := cluster.Holders(s.View.Cluster.Stores, key, s.View.Copies())
 	next := cluster.Holders(s.View.NextStores, key, s.View.Copies())
--- a/internal/coordination/node/gate.go
+++ b/internal/coordination/node/gate.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// Gate lets requests in and can wait for those that are in to leave. Waiting keeps
-// nobody out: one request that the disk holds up would else hold up all others.
+// Gate counts requests in, and can wait for those that are in to end. Waiting keeps no
+// request out: one that the disk delays would otherwise delay all others.
 type Gate struct {
 	mu      sync.Mutex
 	awaited map[*generation]bool // those that somebody waits for
 	current *generation
 }
 
-// generation are the requests that came in between two waits.
+// generation are the requests that began between two waits.
 type generation struct {
 	pending  int
 	departed chan struct{} // closed once all have left, where they are waited for
 }
 
-// Begin lets a request in until it calls leave.
+// Begin counts a request in until it calls end.
 func (g *Gate) Begin() (end func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -35,14 +35,14 @@
 	}
 }
 
-// Drain returns once all who were in when it was called have left.
+// Drain returns once all requests that were in when it was called have ended.
 func (g *Gate) Drain() {
 	for _, departed := range g.departures() {
 		<-departed
 	}
 }
 
-// departures gives what is closed as those who are in now leave.
+// departures are closed as the requests that are in now end.
 func (g *Gate) departures() (all []chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -22,7 +22,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params place a node.
+// Params are a node's settings.
 type Params struct {
 	Self      *wire.Member
 	Seeds     []string
@@ -35,7 +35,7 @@
 	Log     hclog.Logger
 }
 
-// Node joins the parts.
+// Node is what every process of the system has in common.
 type Node struct {
 	Params    Params
 	Peer      *peer.Peer
@@ -55,7 +55,7 @@
 	seeds []string
 }
 
-// New builds a node; more handlers may be set before Start.
+// New builds a node; more handlers may be set before it starts.
 func New(p Params) *Node {
 	n := &Node{Params: p, Log: p.Log, seeds: p.Seeds}
 	n.Peer = peer.New(p.Self, p.Net, p.Transport, p.Log.Named("peer"))
@@ -92,7 +92,7 @@
 	return r.GetHello(), nil
 }
 
-// Go runs a role of this process in its own goroutine until ctx ends.
+// Go runs a background task until ctx ends. Wait waits for it.
 func (n *Node) Go(ctx context.Context, f func(context.Context)) {
 	n.wg.Add(1)
 	go func() {
@@ -104,8 +104,8 @@
 // Wait returns once every background task has ended.
 func (n *Node) Wait() { n.wg.Wait() }
 
-// SetSeeds gives the node other addresses to ask for the cluster: those it started
-// with may have departed.
+// SetSeeds replaces the addresses asked for the cluster: those that the node started with
+// may have departed.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	n.seeds = seeds
@@ -120,7 +120,7 @@
 }
 
 // askSeeds asks the seeds and the cores known here for the cluster, all at once, and puts
-// the newest in force. It tells whether anybody knew one.
+// the newest in force. It reports whether any of them knew one.
 func (n *Node) askSeeds(ctx context.Context) bool {
 	addrs := slices.Clone(n.Seeds())
 	v := n.Cluster.Now()
@@ -173,10 +173,10 @@
 	}
 }
 
-// Join gets a lease, and only then reads the spec at a majority: whatever is
-// acknowledged later knows of this node, and whatever was earlier is read. After a
-// loss of power all join at once, each as soon as a majority of cores is back: tries
-// are short and close together at first.
+// Join gets a lease, and only then reads the spec at a majority: whatever is acknowledged
+// later knows of this node, and whatever was acknowledged earlier is read. After a loss of
+// power all nodes join at once, each as soon as a majority of cores is back: attempts are
+// short and close together at first.
 func (n *Node) Join(ctx context.Context) error {
 	asking := make(chan struct{}, 1)
 	for attempt := 0; ; attempt++ {
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -23,14 +23,15 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// EpochGuard remembers the highest epoch of a role seen here.
+// EpochGuard remembers the highest epoch of a singleton role that this node has seen, as a
+// fencing token. Its methods may be called concurrently.
 type EpochGuard struct {
 	mu        sync.Mutex
 	highest   uint64
 	contactAt time.Time
 }
 
-// Admit refuses an epoch below the highest seen.
+// Admit rejects an epoch below the highest seen, with code.OldEpoch.
 func (guard *EpochGuard) Admit(epoch uint64) error {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// Observe remembers an epoch that somebody else has seen.
+// Observe remembers an epoch that another node has seen.
 func (guard *EpochGuard) Observe(epoch uint64) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
@@ -55,7 +56,8 @@
 	return guard.highest
 }
 
-// ObserveContact takes another's report that it received a good epoch so long ago.
+// ObserveContact takes another node's report of how long ago a holder with a valid epoch
+// contacted it.
 func (guard *EpochGuard) ObserveContact(quiet time.Duration) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
@@ -64,7 +66,7 @@
 	}
 }
 
-// SinceContact is how long nobody with a good epoch has been seen.
+// SinceContact is how long ago a holder with a valid epoch was last in contact.
 func (guard *EpochGuard) SinceContact() time.Duration {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
@@ -74,7 +76,7 @@
 	return time.Since(guard.contactAt)
 }
 
-// Role is one role as seen by one member.
+// Role is a singleton role as one member takes part in it.
 type Role struct {
 	Name    string
 	Peer    *peer.Peer
@@ -95,7 +97,7 @@
 	confirmedAt time.Time // before the last check that showed our epoch as the last
 }
 
-// SinceConfirmed is how long ago our epoch was surely the last.
+// SinceConfirmed is how long ago our epoch was certainly the latest.
 func (role *Role) SinceConfirmed() time.Duration {
 	role.mu.Lock()
 	defer role.mu.Unlock()
@@ -111,7 +113,7 @@
 	role.mu.Unlock()
 }
 
-// confirm checks whether our epoch is still the last.
+// confirm checks whether our epoch is still the latest.
 func (role *Role) confirm(ctx context.Context) {
 	asked := time.Now()
 	ctx, stop := context.WithTimeout(ctx, 500*time.Millisecond)
@@ -128,7 +130,8 @@
 
 func (role *Role) key() string { return keys.Singleton(role.Name) }
 
-// Order lists the live edge members; those in emptied zones come last.
+// Order lists the live edges in the order in which they take the role; those in emptied
+// zones come last.
 func Order(v *cluster.View, ms []*wire.Member) []*wire.Member {
 	var out []*wire.Member
 	for _, m := range ms {
@@ -146,7 +149,7 @@
 	return out
 }
 
-// Run takes and leaves the role until ctx ends.
+// Run acquires and releases the role until ctx ends.
 func (role *Role) Run(ctx context.Context) {
 	loop.Every(ctx, 250*time.Millisecond, role.Cluster.Watch(), role.step)
 	role.release()
@@ -169,9 +172,9 @@
 	}
 }
 
-// isElected: the first live member has the role. A first one that nobody within reach
-// has seen of late, and that does not answer, is skipped before its lease
-// ends. Should it only be slow, the epoch separates the two.
+// isElected reports whether this member is the first live one. A first one that no node in
+// contact has seen of late, and that does not answer, is skipped before its lease ends.
+// Should it only be slow, the epoch separates the two.
 func (role *Role) isElected(ctx context.Context) bool {
 	o := Order(role.Cluster.Now(), role.Lease.Members())
 	for _, m := range o {
@@ -187,7 +190,7 @@
 	return false
 }
 
-// PortRefused tells whether nobody listens at addr any more.
+// PortRefused reports whether no process listens at addr any more.
 func PortRefused(ctx context.Context, p *peer.Peer, addr string) bool {
 	return errors.Is(ping(ctx, p, addr), transport.ErrRefused)
 }
--- a/internal/coordination/storeclient/client.go
+++ b/internal/coordination/storeclient/client.go
@@ -15,7 +15,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Client reads and changes shared state.
+// Client reads and changes replicated state at the stores. It catches up with a newer spec
+// when the stores refuse the one in force here. Its methods may be called concurrently.
 type Client struct {
 	Peer     *peer.Peer
 	Cluster  *cluster.Cluster
@@ -23,7 +24,7 @@
 	health   health
 }
 
-// failure numbers what went wrong; only an uncertain change is 'unknown'.
+// failure gives an error its code; only an uncertain change is code.OutcomeUnknown.
 func failure(err error) error {
 	switch {
 	case err == nil:
@@ -46,11 +47,11 @@
 	return s, nil
 }
 
-// maxCatchUps is how often one request to the stores may learn of a newer spec.
+// maxCatchUps bounds how often one request catches up with a newer spec.
 const maxCatchUps = 3
 
-// withVersion does something at a key's stores under the spec in force here. Stores
-// that know a newer one refuse it; then this node catches up and does it anew.
+// withVersion runs do at a key's stores under the spec in force here. Where stores that
+// know a newer one refuse it, this node catches up and runs do again.
 func (client *Client) withVersion(
 	ctx context.Context,
 	key string,
@@ -74,7 +75,8 @@
 	}
 }
 
-// catchUp takes the newest spec that any of the stores has, wherever the core is.
+// catchUp applies the newest spec that any of the stores has, whether or not the core can
+// be reached.
 func (client *Client) catchUp(ctx context.Context, s register.Set) {
 	ctx, stop := context.WithTimeout(ctx, probeInterval)
 	defer stop()
@@ -89,17 +91,18 @@
 	}
 }
 
-// Read is a majority read.
+// Read is a linearizable read at a majority.
 func (client *Client) Read(ctx context.Context, key string) (register.State, error) {
 	state, _, err := client.read(ctx, key, false)
 	return state, err
 }
 
-// ReadWindow is how long a read of the stores may be old when a pass rests on it.
+// ReadWindow is the age up to which a strict read at the stores may justify that a request
+// is sent.
 const ReadWindow = 200 * time.Millisecond
 
-// ReadStrict is a majority read under the newest spec of those stores; it tells which
-// that is. What rests on it must begin within the window.
+// ReadStrict is a linearizable read that stores with a newer spec refuse; it returns the
+// version that it was made under. What rests on it must begin within ReadWindow.
 func (client *Client) ReadStrict(ctx context.Context, key string) (register.State, uint64, error) {
 	return client.read(ctx, key, true)
 }
@@ -116,12 +119,13 @@
 	return state, ver, err
 }
 
-// Change is a majority change; a failure of outcome_unknown may be in force.
+// Change is a change at a majority. Where it fails with code.OutcomeUnknown it may be in
+// force.
 func (client *Client) Change(ctx context.Context, key string, f register.UpdateFunc) (register.State, error) {
 	return client.change(ctx, key, false, f)
 }
 
-// ChangeStrict is a change that nobody with an older spec than the stores' may make.
+// ChangeStrict is a change that stores with a newer spec refuse.
 func (client *Client) ChangeStrict(ctx context.Context, key string, f register.UpdateFunc) (register.State, error) {
 	return client.change(ctx, key, true, f)
 }
@@ -146,7 +150,7 @@
 	err   error
 }
 
-// ask sends to every voter; the channel has room for all answers.
+// ask sends a request to every voter; the channel has a place for each answer.
 func (client *Client) ask(ctx context.Context, s register.Set, q func() *wire.Req) (<-chan blobReply, int) {
 	all := s.All()
 	ch := make(chan blobReply, len(all))
@@ -162,7 +166,7 @@
 	return ch, len(all)
 }
 
-// PutBlob keeps an immutable value at a majority of every group.
+// PutBlob stores an immutable value at a majority of every group, for at least keep.
 func (client *Client) PutBlob(ctx context.Context, key string, val []byte, keep time.Duration) error {
 	_, err := client.withVersion(
 		ctx,
@@ -214,15 +218,16 @@
 	}
 }
 
-// GetBlob finds an immutable value. One copy is proof enough that it is there;
-// only a majority of the old set, which is complete until a change has ended,
-// proves that it is not.
+// GetBlob finds an immutable value. One replica suffices to prove that it is there; only a
+// majority of the old set, which is complete until a change has finished, proves that it
+// is not. The error has code.NoTurn where it was never stored, code.Expired where its
+// retention is over.
 func (client *Client) GetBlob(ctx context.Context, key string) ([]byte, error) {
 	val, _, err := client.GetBlobTimeLeft(ctx, key)
 	return val, err
 }
 
-// GetBlobTimeLeft is GetBlob with how much longer the copy that answered is kept.
+// GetBlobTimeLeft is GetBlob with the remaining retention of the replica that answered.
 func (client *Client) GetBlobTimeLeft(ctx context.Context, key string) (val []byte, left time.Duration, err error) {
 	var g *wire.Got
 	_, err = client.withVersion(ctx, key, false, func(ctx context.Context, s register.Set) error {
--- a/internal/coordination/storeclient/health.go
+++ b/internal/coordination/storeclient/health.go
@@ -9,9 +9,9 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// health is what the last requests to the stores showed. A node that can't
-// reach a majority says so at its ingress at once; nobody waits for a time-out to
-// learn what the node knows already.
+// health is what the last requests to the stores showed. A node that can not reach a
+// majority rejects requests at once, so that no caller waits for a time-out to learn what
+// the node knows already.
 type health struct {
 	mu                       sync.Mutex
 	lastSuccess, lastFailure time.Time
@@ -29,7 +29,8 @@
 	}
 }
 
-// unreachable: the last thing seen is a failure, and for a while nothing else was.
+// unreachable reports whether the last outcome was a failure, and for a while nothing else
+// was.
 func (h *health) unreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,14 +43,14 @@
 	return time.Since(h.lastSuccess) > probeInterval
 }
 
-// probeInterval is how long a node may go without a good answer from the stores before
-// it asks for one.
+// probeInterval is how long a node may go without a success from the stores before it
+// probes them.
 const probeInterval = 200 * time.Millisecond
 
-// Unreachable tells whether the stores are out of this node's reach.
+// Unreachable reports whether this node can not reach the stores.
 func (client *Client) Unreachable() bool { return client.health.unreachable() }
 
-// Run asks the stores for a sign of life whenever no job has had one of late.
+// Run probes the stores whenever no request has succeeded of late, until ctx ends.
 func (client *Client) Run(ctx context.Context) {
 	loop.Every(ctx, probeInterval, nil, func(ctx context.Context) {
 		if !client.health.idle() {
--- a/internal/dataplane/balancing/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -97,7 +97,7 @@
 	shares     map[string]share
 }
 
-// termOver tells whether the edge's term has ended.
+// termOver reports whether the edge's term has ended.
 func (e *edge) termOver(now time.Time, term time.Duration) bool {
 	return e.superseded || now.Sub(e.reportedAt) >= term
 }
--- a/internal/dataplane/balancing/assignment/refusals.go
+++ b/internal/dataplane/balancing/assignment/refusals.go
@@ -5,5 +5,5 @@
 	"syscall"
 )
 
-// PortRefused tells whether a port was refused: nobody is there.
+// PortRefused reports whether a port was refused: nobody is there.
 func PortRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/dataplane/balancing/balancer/balancer.go
+++ b/internal/dataplane/balancing/balancer/balancer.go
@@ -96,7 +96,7 @@
 	return s, ok
 }
 
-// Sufficient tells whether the slots are enough for a job of any route.
+// Sufficient reports whether the slots are enough for a job of any route.
 func (directory *Directory) Sufficient(slots []*wire.Slot) bool {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
@@ -243,7 +243,7 @@
 	return job.Runner{}, 0, false, least
 }
 
-// Eligible tells whether work may go to a runner's process now: it is there, does not
+// Eligible reports whether work may go to a runner's process now: it is there, does not
 // leave, stands in no emptied zone, and is the one that was meant.
 func (directory *Directory) Eligible(ix int, incarnation string) bool {
 	directory.mu.Lock()
--- a/internal/dataplane/balancing/outlier/detector.go
+++ b/internal/dataplane/balancing/outlier/detector.go
@@ -256,7 +256,7 @@
 	return out
 }
 
-// corroborated tells whether two edges saw failures, where there are two.
+// corroborated reports whether two edges saw failures, where there are two.
 func (d *Detector) corroborated(t *track, now time.Time) bool {
 	return len(d.edges) < 2 || t.by[1] != "" && now.Sub(t.when[1]) < slotCount*slotLength
 }
@@ -330,7 +330,7 @@
 	return v
 }
 
-// allowTrial tells whether an edge may try an ejected runner: one job at a time, and twice
+// allowTrial reports whether an edge may try an ejected runner: one job at a time, and twice
 // as many after each round without a failure.
 func (d *Detector) allowTrial(e *ejection, now time.Time) bool {
 	for len(e.trials) > 0 && now.Sub(e.trials[0]) > d.params.ResultTimeout {
--- a/internal/dataplane/balancing/outlier/watch.go
+++ b/internal/dataplane/balancing/outlier/watch.go
@@ -78,7 +78,7 @@
 	o.until = o.last.Add(min(w.params.SuspectTime<<min(o.consecutive-1, 10), w.params.MaxRetry))
 }
 
-// Hung tells whether a stall is the runner's: one much longer than is typical.
+// Hung reports whether a stall is the runner's: one much longer than is typical.
 func (w *Watch) Hung(path string, idle time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +122,7 @@
 	return Often
 }
 
-// Trial tells whether this edge is to try an ejected runner; eager is a job that
+// Trial reports whether this edge is to try an ejected runner; eager is a job that
 // suits, others wait for a quarter of the time. It is then tried.
 func (w *Watch) Trial(id string, eager bool) bool {
 	w.mu.Lock()
--- a/internal/dataplane/balancing/slots/slots.go
+++ b/internal/dataplane/balancing/slots/slots.go
@@ -114,7 +114,7 @@
 	return table.at(ix).incarnation
 }
 
-// Valid tells whether a slot of that process may still be used: its term runs,
+// Valid reports whether a slot of that process may still be used: its term runs,
 // and no other process has taken the runner's place.
 func (table *Table) Valid(ix int, incarnation string) bool {
 	table.mu.Lock()
--- a/internal/dataplane/cooldown/gate.go
+++ b/internal/dataplane/cooldown/gate.go
@@ -36,7 +36,7 @@
 // gateUnlimited is where a gate is wide enough to be none.
 const gateUnlimited = 16
 
-// Allowed tells whether a call of the key may be made as far as this node knows.
+// Allowed reports whether a call of the key may be made as far as this node knows.
 func (manager *Manager) Allowed(key string) bool {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
--- a/internal/dataplane/cooldown/signals.go
+++ b/internal/dataplane/cooldown/signals.go
@@ -9,7 +9,7 @@
 
 var refusalPhrases = []string{"429", "rate limit", "ratelimit", "too many requests", "throttle", "quota exceeded"}
 
-// Raised tells whether a raised failure is a rate limit, by its message or its
+// Raised reports whether a raised failure is a rate limit, by its message or its
 // type's name.
 func Raised(typ, msg string) bool {
 	for _, s := range []string{strings.ToLower(typ), strings.ToLower(msg)} {
--- a/internal/dataplane/cooldown/snapshot.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -91,7 +91,7 @@
 	return end
 }
 
-// observe records one register of one store's answer, and tells whether it is new.
+// observe records one register of one store's answer, and reports whether it is new.
 func (w *snapshot) observe(key string, ver, op uint64, end time.Time) bool {
 	t := w.observed[key]
 	switch {
@@ -132,7 +132,7 @@
 	}
 }
 
-// isFresh tells whether a majority of a key's holders have answered of late.
+// isFresh reports whether a majority of a key's holders have answered of late.
 func (manager *Manager) isFresh(key string) bool {
 	w, v, now := &manager.snapshot, manager.node.Cluster.Now(), time.Now()
 	if v.Version != w.version || !now.Before(w.until) {
@@ -281,7 +281,7 @@
 // Idle tells that this node knows of no cooldown at all, nor of one just over.
 func (manager *Manager) Idle() bool { return !manager.active.Load() }
 
-// GateOpen tells whether a call of the key may be made as far as this node knows.
+// GateOpen reports whether a call of the key may be made as far as this node knows.
 func (manager *Manager) GateOpen(key string) bool {
 	if manager.Idle() {
 		return true
@@ -318,7 +318,7 @@
 	return &Admission{manager: manager, key: key, gate: g}, true
 }
 
-// StillValid tells whether the leave is still good, right before the first byte: a dial
+// StillValid reports whether the leave is still good, right before the first byte: a dial
 // takes a while, and a node that slept must ask anew.
 func (p *Admission) StillValid(ctx context.Context, left time.Duration) bool {
 	return p.manager.Remaining(ctx, p.key, left) <= 0
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -183,7 +183,7 @@
 	return e
 }
 
-// checkOpen tells whether ingress is open.
+// checkOpen reports whether ingress is open.
 func (e *Edge) checkOpen() error {
 	switch {
 	case !e.ready.Load():
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -64,7 +64,7 @@
 	return r
 }
 
-// Ready tells whether raw jobs are taken.
+// Ready reports whether raw jobs are taken.
 func (r *Proxy) Ready() error {
 	switch {
 	case r.edge.stopping.Load():
--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -198,7 +198,7 @@
 	return q, nil
 }
 
-// repeatable tells whether a job may run more than once: it has no key, and is no turn. A
+// repeatable reports whether a job may run more than once: it has no key, and is no turn. A
 // lost turn's output is spent unseen, and one budget can't cover a second.
 func repeatable(c *job.Ctx) bool { return c.Key == "" && c.Conv == "" }
 
--- a/internal/dataplane/request/job/job.go
+++ b/internal/dataplane/request/job/job.go
@@ -138,7 +138,7 @@
 // Left is the time until the deadline.
 func (c *Ctx) Left() time.Duration { return time.Until(c.AnswerBy) }
 
-// Fits tells whether a wait leaves capacity for the call itself.
+// Fits reports whether a wait leaves capacity for the call itself.
 func (c *Ctx) Fits(wait, callTime time.Duration) bool { return wait+callTime <= c.Left() }
 
 // Answer is what becomes of a job.
--- a/internal/dataplane/request/proxy/conversation.go
+++ b/internal/dataplane/request/proxy/conversation.go
@@ -241,7 +241,7 @@
 	}
 }
 
-// isTransient tells whether a failure at the stores may be over in a moment.
+// isTransient reports whether a failure at the stores may be over in a moment.
 func isTransient(err error) bool {
 	c := code.Of(err)
 	return c == code.StoresUnreachable || c == code.OutcomeUnknown
--- a/internal/dataplane/request/proxy/job.go
+++ b/internal/dataplane/request/proxy/job.go
@@ -55,7 +55,7 @@
 // Left is the time until the deadline.
 func (j *Job) Left() time.Duration { return time.Until(j.AnswerBy) }
 
-// Repeatable tells whether the job may run more than once.
+// Repeatable reports whether the job may run more than once.
 func (j *Job) Repeatable() bool {
 	return j.Path.Kind == spec.Repeatable || j.Path.Kind == spec.Stream && j.Path.Resumable
 }
--- a/internal/dataplane/request/proxy/load.go
+++ b/internal/dataplane/request/proxy/load.go
@@ -92,7 +92,7 @@
 	l.entry(id).warmingUntil = time.Now().Add(d)
 }
 
-// BelowCapacity tells whether a runner has less under way than so many times its capacity.
+// BelowCapacity reports whether a runner has less under way than so many times its capacity.
 func (l *Load) BelowCapacity(r *endpoints.Runner, s *spec.Service, times float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/request/proxy/loadbalancer.go
+++ b/internal/dataplane/request/proxy/loadbalancer.go
@@ -54,7 +54,7 @@
 
 // Pick selects the runner for a job: the one that its key points to, in this node's zone
 // first, unless it is loaded much more than the rest; without a key the least loaded.
-// hasCapacity tells whether the one selected can take another job at once.
+// hasCapacity reports whether the one selected can take another job at once.
 func (l *Load) Pick(a Selection) (r *endpoints.Runner, hasCapacity bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/request/proxy/response.go
+++ b/internal/dataplane/request/proxy/response.go
@@ -20,7 +20,7 @@
 	Wait time.Duration
 }
 
-// NotRun tells whether the job surely did not run and will not.
+// NotRun reports whether the job surely did not run and will not.
 func (a Answer) NotRun() bool { return a.Err != nil && code.Of(a.Err).Ran() == "no" }
 
 // Refuse answers for a job that did not run.
@@ -58,10 +58,10 @@
 	last    string    // id of the last event forwarded; empty: it has none
 }
 
-// Begun tells whether the caller has seen the head.
+// Begun reports whether the caller has seen the head.
 func (response *Response) Begun() bool { return response.begun }
 
-// canResume tells whether another run can go on from what the caller was handed: nothing,
+// canResume reports whether another run can go on from what the caller was handed: nothing,
 // only the head, or a resumable stream whose last event has a name.
 func (response *Response) canResume(resumable bool) bool {
 	return !response.begun || resumable && (response.last != "" || !response.wrote)
--- a/internal/dataplane/request/proxy/send.go
+++ b/internal/dataplane/request/proxy/send.go
@@ -202,7 +202,7 @@
 	return t
 }
 
-// may tells whether a runner may still be sent to: dialling takes a while.
+// may reports whether a runner may still be sent to: dialling takes a while.
 func (handler *Handler) may(r *endpoints.Runner) bool {
 	now := handler.parts.Endpoints.Current().Get(r.ID)
 	return now != nil && !now.Draining && now.Addr == r.Addr && !handler.parts.View().Spec.Empty(r.Zone)
@@ -244,5 +244,5 @@
 	return s
 }
 
-// success tells whether an answer is one.
+// success reports whether an answer is one.
 func (a *reply) success() bool { return a.StatusCode/100 == 2 }
--- a/internal/dataplane/request/proxy/verdict.go
+++ b/internal/dataplane/request/proxy/verdict.go
@@ -34,13 +34,13 @@
 	return nil
 }
 
-// hasKnownEnd tells whether an answer says where it ends; one that ends with its
+// hasKnownEnd reports whether an answer says where it ends; one that ends with its
 // connection can't be distinguished from one that was truncated.
 func hasKnownEnd(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 || r.Request.Method == http.MethodHead
 }
 
-// isUnhealthy tells whether an answer is one that a runner in order does not give.
+// isUnhealthy reports whether an answer is one that a runner in order does not give.
 func (x *exchange) isUnhealthy(a *reply) bool {
 	switch s := a.StatusCode; {
 	case a.success():
@@ -55,7 +55,7 @@
 	}
 }
 
-// hung tells whether nothing has been received of the job for far longer than is usual.
+// hung reports whether nothing has been received of the job for far longer than is usual.
 func (x *exchange) hung() bool {
 	return x.handler.parts.Load.Watch.Hung(x.j.Path.Name, time.Since(x.w.moved))
 }
--- a/internal/dataplane/request/proxy/warmup.go
+++ b/internal/dataplane/request/proxy/warmup.go
@@ -11,7 +11,7 @@
 // the runner's id, the same on every node.
 const WarmupNodes = 4
 
-// warming up tells whether this node may send a warming runner one more job now.
+// warming up reports whether this node may send a warming runner one more job now.
 func (b *runnerLoad) allowWarmup(perS float64, nodes int) bool {
 	if perS <= 0 || nodes == 0 {
 		return false
--- a/internal/dataplane/request/retry/retry.go
+++ b/internal/dataplane/request/retry/retry.go
@@ -17,7 +17,7 @@
 	Answered
 )
 
-// Allowed tells whether a request may be sent once more after an outcome. One that may
+// Allowed reports whether a request may be sent once more after an outcome. One that may
 // run only once is not, as soon as it may have run.
 func Allowed(o Outcome, repeatable bool) bool {
 	switch o {
--- a/internal/kit/checker/cooldowns.go
+++ b/internal/kit/checker/cooldowns.go
@@ -44,7 +44,7 @@
 	return out
 }
 
-// lengthened tells whether a store was killed between the last refusal of a key and a
+// lengthened reports whether a store was killed between the last refusal of a key and a
 // time. Started anew it counts the cooldown from its start, so that what is answered then
 // is longer than what was installed, by as much as the store asked is late: two nodes
 // tell different ends, and neither is early before the one that was installed.
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -475,7 +475,7 @@
 	return nil
 }
 
-// Running tells whether the process runs.
+// Running reports whether the process runs.
 func (m *Machine) Running() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/kit/proxytest/backend.go
+++ b/internal/kit/proxytest/backend.go
@@ -96,7 +96,7 @@
 	Health string        // path of the health answer; empty: it has none
 	Chunks bool          // complete response come in chunks
 	NoEnd  bool          // answers say nowhere where they end: they end with the connection
-	// Streams tells whether a request is answered by events.
+	// Streams reports whether a request is answered by events.
 	Streams func(*http.Request) bool
 	// Word is the data of one event of a stream.
 	Word func(try string, event int) string
@@ -202,7 +202,7 @@
 	}
 }
 
-// down tells whether it flaps and is down.
+// down reports whether it flaps and is down.
 func (b *Backend) down() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -350,7 +350,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", i, p.Word(try, i))
 }
 
-// job answers one job; it tells whether the connection goes on.
+// job answers one job; it reports whether the connection goes on.
 func (b *Backend) job(c net.Conn, br *bufio.Reader, q *http.Request, body []byte) bool {
 	p := &b.P
 	if p.Health != "" && q.RequestURI == p.Health {
@@ -411,7 +411,7 @@
 	return b.lasting()
 }
 
-// rejects tells whether a job is not run, and sets the status that says so.
+// rejects reports whether a job is not run, and sets the status that says so.
 func (b *Backend) rejects(a *answer, target string, f Fault) bool {
 	switch {
 	case f == Other || target != "" && target != b.P.ID:
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -337,7 +337,7 @@
 	return x
 }
 
-// finish logs a job that has ended and makes its answer. It tells whether the process is
+// finish logs a job that has ended and makes its answer. It reports whether the process is
 // still the one that began it: one that was killed leaves the work half done.
 func (r *Runner) finish(e *Entry, j runnerapi.Request, x execution) (ans runnerapi.Response, alive bool) {
 	r.mu.Lock()
@@ -437,7 +437,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// cached tells whether the complete prefix is held, and takes in every run of
+// cached reports whether the complete prefix is held, and takes in every run of
 // leading parts.
 func (r *Runner) cached(parts []string) bool {
 	prefixHit := len(parts) > 0
--- a/internal/kit/scale/hollow.go
+++ b/internal/kit/scale/hollow.go
@@ -238,7 +238,7 @@
 	return h.node
 }
 
-// members counts the live ones in this node's list, and tells whether id is
+// members counts the live ones in this node's list, and reports whether id is
 // among them.
 func members(n *node.Node, id string) (live int, has bool) {
 	for _, m := range n.Lease.Members() {
--- a/internal/kit/sim/inspect.go
+++ b/internal/kit/sim/inspect.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Serves tells whether a running machine has come so far that it serves.
+// Serves reports whether a running machine has come so far that it serves.
 func (s *Sim) Serves(id string) bool {
 	s.mu.Lock()
 	l := s.Get(id).live
--- a/internal/kit/sim/orders_test.go
+++ b/internal/kit/sim/orders_test.go
@@ -28,7 +28,7 @@
 	head   http.Header
 }
 
-// clear tells whether an operator takes an answer for the last report.
+// clear reports whether an operator takes an answer for the last report.
 func (r reply) clear() bool {
 	return r.status == http.StatusOK || r.status >= 400 && r.status < 500 && r.status != http.StatusRequestTimeout
 }
@@ -290,7 +290,7 @@
 }
 
 // sendUntilClear sends an order to any core until an answer that is not lost is clear;
-// it tells whether the order was taken. An answer that is lost counts all the same.
+// it reports whether the order was taken. An answer that is lost counts all the same.
 func sendUntilClear(t *testing.T, s *sim.Sim, seed uint64, base, revision int, token string) bool {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	taken, refused := false, false
--- a/internal/kit/sim/proxy.go
+++ b/internal/kit/sim/proxy.go
@@ -204,7 +204,7 @@
 
 func (j *rawJob) complete() bool { return j.status == http.StatusOK && !j.partitioned }
 
-// saysNotRun tells whether a status promises that nothing ran.
+// saysNotRun reports whether a status promises that nothing ran.
 func saysNotRun(status int) bool {
 	switch status {
 	case http.StatusPaymentRequired,
--- a/internal/kit/sim/turns.go
+++ b/internal/kit/sim/turns.go
@@ -65,7 +65,7 @@
 	return r.StatusCode, a, json.NewDecoder(r.Body).Decode(&a)
 }
 
-// Say has one turn kept at an edge and tells whether it was.
+// Say has one turn kept at an edge and reports whether it was.
 func (l *TurnLog) Say(edge string) bool {
 	l.mu.Lock()
 	l.asked++
--- a/internal/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -367,7 +367,7 @@
 	}
 }
 
-// free tells whether a fault may come now; it holds off the next one for a while.
+// free reports whether a fault may come now; it holds off the next one for a while.
 func (l *lab) free(lasts time.Duration) bool {
 	if time.Now().Before(l.calm) {
 		return false
--- a/internal/platform/params.go
+++ b/internal/platform/params.go
@@ -92,7 +92,7 @@
 	maxRate    = 1e9
 )
 
-// within tells whether a figure is a number from least to most; TOML has NaN, which
+// within reports whether a figure is a number from least to most; TOML has NaN, which
 // is neither below nor above anything.
 func within(f, least, most float64) bool { return f >= least && f <= most }
 
@@ -181,7 +181,7 @@
 	return out
 }
 
-// Founds tells whether this core is one of those that form the first set.
+// Founds reports whether this core is one of those that form the first set.
 func (p *Params) Founds() bool { return p.Initial && slices.Contains(p.Peers(), p.Listen()) }
 
 // ZoneList is every zone, in one order.
--- a/internal/platform/resting_test.go
+++ b/internal/platform/resting_test.go
@@ -67,7 +67,7 @@
 	return err
 }
 
-// closed tells whether the other side closes a connection within a time.
+// closed reports whether the other side closes a connection within a time.
 func closed(c net.Conn, within time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	_, err := bufio.NewReader(c).Peek(1)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -36,7 +36,7 @@
 	draining atomic.Bool
 }
 
-// Draining tells whether the node is to end.
+// Draining reports whether the node is to end.
 func (f *Front) Draining() bool { return f.draining.Load() }
 
 // ServeHTTP tells callers to come on another connection once the node is to end.
--- a/internal/proto/register/acceptor.go
+++ b/internal/proto/register/acceptor.go
@@ -19,9 +19,9 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Disk keeps records; Save returns only once the record is synced. After a Save that
-// failed, Load may give either record, and what it gives may not be synced. When a
-// process starts, all that Load gives is synced.
+// Disk stores records. Save returns only once the record is synced. After a Save that
+// failed, Load may return either record, and what it returns may not be synced. When a
+// process starts, all that Load returns is synced.
 type Disk interface {
 	Load(key string) (*wire.Rec, error)
 	Save(key string, r *wire.Rec) error
@@ -30,7 +30,8 @@
 // stripes is the number of locks that an acceptor's keys share.
 const stripes = 64
 
-// Acceptor votes on registers. It answers only after its disk is synced.
+// Acceptor is the voter of the protocol. It answers only after its disk has synced what
+// the answer rests on. Its methods may be called concurrently.
 type Acceptor struct {
 	disk       Disk
 	start      time.Time
@@ -71,8 +72,8 @@
 	return func() { <-l }
 }
 
-// load reads a key's record, and makes sure that it is synced: nothing may be answered
-// from a record that a loss of power takes back. The key's lock is held.
+// load reads a key's record and makes sure that it is synced: nothing may be answered from
+// a record that a loss of power could undo. The caller holds the key's lock.
 func (a *Acceptor) load(key string) (*wire.Rec, error) {
 	r, err := a.disk.Load(key)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return r, nil
 }
 
-// save syncs a key's record. The key's lock is held.
+// save syncs a key's record. The caller holds the key's lock.
 func (a *Acceptor) save(key string, r *wire.Rec) error {
 	err := a.disk.Save(key, r)
 	if err != nil {
@@ -102,7 +103,8 @@
 	return err
 }
 
-// recordFailedSave records a record whose write failed, unless it surely was not written.
+// recordFailedSave remembers a record whose write failed, unless it is certain that it was
+// not written.
 func (a *Acceptor) recordFailedSave(key string, written *wire.Rec) {
 	r, err := a.disk.Load(key)
 	if err == nil && wire.CompareBallots(r.Promised, written.Promised) != 0 {
@@ -114,7 +116,7 @@
 	a.mu.Unlock()
 }
 
-// Prepare promises to take nothing below the ballot.
+// Prepare promises to accept nothing below the ballot.
 func (a *Acceptor) Prepare(q *wire.Prep) (*wire.View, error) {
 	defer a.lock(q.Key)()
 	r, err := a.load(q.Key)
@@ -131,10 +133,10 @@
 	return a.view(q.Key, r), nil
 }
 
-// Accept takes the cell unless a higher ballot was promised. With it, and in one sync,
-// it promises the ballot that its proposer wants to go on with, so that its next
-// change needs no round to prepare. One that does not know of this promises what it
-// has taken and no more, and its answer says so.
+// Accept takes the cell unless a higher ballot was promised. In the same sync it promises
+// the ballot that the proposer states for its next change, so that this change needs no
+// prepare round. An acceptor of an earlier release promises only the ballot that it
+// accepted, and its answer shows that.
 func (a *Acceptor) Accept(q *wire.Acc) (*wire.View, error) {
 	defer a.lock(q.Key)()
 	r, err := a.load(q.Key)
@@ -154,8 +156,8 @@
 	return a.view(q.Key, r), nil
 }
 
-// Adopt takes what another acceptor of the key has taken, under the very rule
-// of an accept: never below what was promised.
+// Adopt takes what another acceptor of the key has accepted, under the rule of an accept:
+// never below what was promised.
 func (a *Acceptor) Adopt(key string, v *wire.View) error {
 	defer a.lock(key)()
 	r, err := a.load(key)
@@ -178,12 +180,13 @@
 	return err
 }
 
-// RetentionFunc tells whether a record is past its time; complete, whether nothing need be
-// remembered of it any more.
+// RetentionFunc reports whether the value of a record is past its retention, and whether
+// the record itself need not be remembered any more.
 type RetentionFunc func(r *wire.Rec) (expired, remove bool)
 
-// Expire lets a key's value go where old says so. That there was one is kept, with
-// the promises, until old says that this may go as well; drop removes it.
+// Expire drops the value of a record that old reports as past its retention. That there
+// was a value is kept, with the promises, until old reports that this may go as well; drop
+// then removes the record. It reports whether anything changed.
 func (a *Acceptor) Expire(key string, old RetentionFunc, drop func(key string) error) (bool, error) {
 	defer a.lock(key)()
 	r, err := a.load(key)
@@ -210,7 +213,7 @@
 	return false, nil
 }
 
-// Read reads without promising.
+// Read returns the record without promising anything.
 func (a *Acceptor) Read(q *wire.Look) (*wire.View, error) {
 	defer a.lock(q.Key)()
 	r, err := a.load(q.Key)
@@ -228,8 +231,8 @@
 	return v
 }
 
-// startAge starts the count of a cell taken just now; a cell that is only taken
-// again under a higher ballot keeps its count.
+// startAge starts the age of a cell accepted just now. A cell that is only accepted again
+// under a higher ballot keeps its age.
 func (a *Acceptor) startAge(key string, operation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -238,8 +241,8 @@
 	}
 }
 
-// trackAge starts the count of a timed cell that is kept. One whose write failed may
-// be found on the disk later, and counts from then.
+// trackAge starts the age of a timed cell that was saved. One whose save failed may be
+// found on the disk later, and its age starts then.
 func (a *Acceptor) trackAge(key string, operation uint64, failed error) {
 	if failed == nil {
 		a.startAge(key, operation)
@@ -252,9 +255,8 @@
 	}
 }
 
-// age counts from when this process took the cell. One found on disk counts
-// from the start of the process: after a restart a wait is counted again in
-// complete rather than cut short.
+// age is how long this process has held the cell. That of a cell found on disk starts with
+// the process: after a restart a wait is counted again in full rather than cut short.
 func (a *Acceptor) age(key string, operation uint64) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proto/register/ballot.go
+++ b/internal/proto/register/ballot.go
@@ -4,9 +4,9 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// ballot is one that this proposer has never used. Its number follows the clock,
-// so that who comes later goes over the one before at the first try, also after a
-// restart; a clock that is wrong costs tries and nothing else.
+// ballot returns one that this proposer has never used. Its number follows the clock, so
+// that a later proposer exceeds an earlier one at its first attempt, also after a restart;
+// a wrong clock costs attempts and nothing else.
 func (p *Proposer) ballot() *wire.Ballot {
 	now := uint64(max(p.Clock().UnixMilli(), 0))
 	for {
@@ -17,11 +17,11 @@
 	}
 }
 
-// maxBallotNumber is a ballot's number that no clock gives. Whoever went over it would soon
-// count past the highest number and begin anew with ballots used before.
+// maxBallotNumber bounds the ballots that a proposer follows; no clock gives one so high.
+// Exceeding it would soon overflow and reuse ballots.
 const maxBallotNumber = 1 << 63
 
-// observe lifts the next ballot above one that beat ours.
+// observe raises the next ballot above one that a voter has promised to another proposer.
 func (p *Proposer) observe(ballot *wire.Ballot) {
 	if ballot.GetN() >= maxBallotNumber {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// observeReplies lifts the next ballot above what a round has shown to be promised.
+// observeReplies raises the next ballot above all that the replies show as promised.
 func (p *Proposer) observeReplies(got []reply) {
 	for _, g := range got {
 		if g.resp != nil {
--- a/internal/proto/register/change.go
+++ b/internal/proto/register/change.go
@@ -11,12 +11,14 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// maxOperations bounds the operation ids in a cell. A proposer that finds its operation id
-// missing from a cell that many versions on can't tell, and says so.
+// maxOperations bounds the operation ids kept in a cell. A proposer whose id has been
+// pushed out by that many later changes can no longer tell whether its own change was
+// made, and reports ErrUncertain.
 const maxOperations = 32
 
-// UpdateFunc works out the new value from the present one. An error leaves the
-// register as it is and is handed back. It may be called several times.
+// UpdateFunc computes the new value from the present one. An error leaves the register
+// unchanged and is returned to the caller of Change. It may be called several times, so it
+// must have no side effects that count.
 type UpdateFunc func(State) (value []byte, timed bool, err error)
 
 // change is one change of a key on its way to being chosen.
@@ -31,11 +33,13 @@
 	baseVersion   uint64
 }
 
-// Change replaces the value by what f makes of it. A nil f only writes back.
-// An error that wraps ErrUncertain means the change may be in force. The state
-// handed back has the change in it, and perhaps later ones; what f recorded on the
-// side may come from a call of f whose value was not the one chosen, so a
-// caller reads what was decided from the state.
+// Change replaces the value of key by what f computes from it; a nil f only writes the
+// present value back. It returns the state that was chosen, which contains this change and
+// perhaps later ones. Callers must read the outcome from that state: what f recorded on
+// the side may come from a call whose value was not chosen.
+//
+// It returns an error that wraps ErrNoQuorum where nothing was changed, ErrUncertain where
+// the change may be chosen now or later, or the error of f.
 func (p *Proposer) Change(ctx context.Context, set Set, key string, f UpdateFunc) (State, error) {
 	defer p.queues.acquire(ctx, key, p.RoundTimeout)()
 	// Short enough for seven bytes: a cell carries many.
@@ -65,7 +69,7 @@
 	}
 }
 
-// fail is the answer of a change that was not seen to be chosen.
+// fail makes the error of a change that was not seen to be chosen.
 func (c *change) fail(err error) (State, error) {
 	if c.maybeAccepted {
 		return State{}, fmt.Errorf("change %s: %w: %w", c.key, ErrUncertain, err)
@@ -73,9 +77,9 @@
 	return State{}, fmt.Errorf("change %s: %w", c.key, err)
 }
 
-// inOneRound accepts without preparing, where this proposer made the key's last
-// change. A strict change always prepares: a voter of a newer spec refuses to prepare
-// it, but takes what was begun.
+// inOneRound skips the prepare round where this proposer made the key's last change and a
+// quorum promised its next ballot along with it. A strict change always prepares: a voter
+// with a newer spec refuses to prepare it, but accepts what was prepared before.
 func (c *change) inOneRound(ctx context.Context) (State, bool) {
 	p := c.proposer
 	a := p.prepared.take(c.key, c.set)
@@ -107,8 +111,8 @@
 	refusal error            // of the function that makes the new value
 }
 
-// propose works out the proposal from what a quorum has answered to preparing. It
-// fails where it can't be told any more whether the change was made.
+// propose computes the proposal from the answers of a quorum to a prepare. It fails where
+// it can no longer be determined whether this change was made.
 func (c *change) propose(got []reply) (*proposal, error) {
 	found, holders := highest(got)
 	n := &proposal{state: stateOf(found), cell: found.GetCell(), holders: holders}
@@ -136,7 +140,7 @@
 	return n, nil
 }
 
-// accepted has a proposal accepted, and tells whether it is chosen.
+// accepted runs the accept round of a proposal, and reports whether it is chosen.
 func (c *change) accepted(ctx context.Context, ballot *wire.Ballot, n *proposal) bool {
 	chosen, untouched := c.proposer.choose(ctx, c.set, c.key, ballot, n.cell, n.made)
 	switch {
@@ -156,9 +160,9 @@
 	return &wire.Cell{Ver: c.GetVer() + 1, Val: value, Ops: ops, Timed: timed}
 }
 
-// choose has a cell accepted and, where it is a change of ours, a next ballot
-// promised along with it. It tells whether the cell is chosen and, if not, whether
-// surely no voter has taken it.
+// choose runs the accept round for a cell and, where the cell is a new change of ours, has
+// a next ballot promised along with it. It reports whether the cell is chosen; if not,
+// untouched reports whether it is certain that no voter has accepted it.
 func (p *Proposer) choose(
 	ctx context.Context,
 	set Set,
@@ -195,7 +199,8 @@
 	return true, false
 }
 
-// retryPause spreads rivals apart.
+// retryPause is a random pause that grows with the attempts, so that rival proposers do
+// not collide again.
 func (p *Proposer) retryPause(attempt int) time.Duration {
 	top := min(attempt, 6)
 	return time.Duration(1+p.Random()%(1<<top)) * time.Millisecond
--- a/internal/proto/register/fill.go
+++ b/internal/proto/register/import.go
@@ -6,12 +6,12 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Import takes what another acceptor of the keys has taken, many at once and with one
-// sync. It is for an acceptor of a set that is being changed to, and takes a value also
-// below what it has promised, as could not be done with Adopt: the new set must find
-// it, and whoever was promised asks the old set too, and sees it there. Such a copy is
-// marked, and is no vote for its ballot: the proposer that was promised may still have
-// its own value accepted here, also once the new set stands alone. Fill tells how many
+// Import takes what another acceptor of the keys has accepted, many records with one sync.
+// It is for an acceptor of a set that is being changed to. Unlike Adopt it takes a value
+// also below what it has promised: the new set must find the value, and whoever was
+// promised asks the old set too and sees it there. Such a copy is marked as copied and is
+// no vote for its ballot, since the proposer that was promised may still have its own
+// value accepted here, also once the new set stands alone. Import returns how many records
 // were newer than what was here.
 func (a *Acceptor) Import(all []*wire.Copy, save func(map[string]*wire.Rec) error) (int, error) {
 	// The locks are taken in their order, so two at it never wait for each other.
@@ -61,7 +61,8 @@
 	return len(recs), nil
 }
 
-// Reset tells the acceptor that its disk has been changed for an empty one.
+// Reset drops what the acceptor remembers of its disk, which has been replaced by an empty
+// one.
 func (a *Acceptor) Reset() {
 	a.mu.Lock()
 	clear(a.acceptedAt)
--- a/internal/proto/register/model_test.go
+++ b/internal/proto/register/model_test.go
@@ -266,7 +266,7 @@
 // chance is true in so many of a thousand cases.
 func (h *history) chance(perMille int) bool { return h.random.IntN(1000) < perMille }
 
-// hits tells whether a fault strikes now, and counts it.
+// hits reports whether a fault strikes now, and counts it.
 func (h *history) hits(f fault, perMille int) bool {
 	if !h.faulty || !h.on[f] || !h.chance(perMille) {
 		return false
@@ -552,7 +552,7 @@
 	}
 }
 
-// exists tells whether the identity is still some machine's.
+// exists reports whether the identity is still some machine's.
 func (h *history) exists(r register.Replica) bool { return h.at(r.Addr).ident == r.Ident }
 
 // spares: without the machine's identity a majority of each group is left, now and
--- a/internal/proto/register/prepared.go
+++ b/internal/proto/register/prepared.go
@@ -10,10 +10,10 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// preparedBallot is what lets a proposer change a key in one round: a ballot of its own that
-// a quorum has promised along with taking its last change, and what it wrote. It is
-// the outcome of preparing that ballot, and like one it is used at most once: a
-// second value under one ballot would break agreement.
+// preparedBallot lets a proposer change a key in one round: a ballot of its own that a
+// quorum promised along with accepting its last change, and the cell that was accepted. It
+// is equivalent to the outcome of a prepare round for that ballot and, like it, may be
+// used once only: two values under one ballot would break agreement.
 type preparedBallot struct {
 	key        string
 	set        Set
@@ -22,7 +22,7 @@
 	preparedAt time.Time // once the quorum had answered
 }
 
-// next is the cell that f makes of it.
+// next is the cell that f makes of the one accepted last.
 func (a *preparedBallot) next(f UpdateFunc, operation uint64) (*wire.Cell, error) {
 	st := State{Version: a.cell.GetVer(), Value: a.cell.GetVal()}
 	if a.cell.GetTimed() {
@@ -46,7 +46,8 @@
 	maxPreparedBytes = 1 << 20 // bytes of values, of which one may be a sixteenth
 )
 
-// preparedCache holds the latest of them, oldest expired first.
+// preparedCache is a bounded cache of prepared ballots by key. The oldest are evicted
+// first.
 type preparedCache struct {
 	mu     sync.Mutex
 	byKey  map[string]*list.Element
@@ -79,8 +80,8 @@
 	}
 }
 
-// take hands out a key's, and removes it. One made with other voters is worth
-// nothing: its promises are theirs.
+// take removes and returns a key's prepared ballot; nil if there is none, it is too old,
+// or it was promised by another set of voters.
 func (s *preparedCache) take(key string, set Set) *preparedBallot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +103,8 @@
 	return a
 }
 
-// keyQueues lets the changes that one process makes to a key go one after another:
-// side by side they would only beat down each other's ballots.
+// keyQueues serializes the changes that this process makes to one key: concurrent ones
+// would only invalidate each other's ballots.
 type keyQueues struct {
 	mu    sync.Mutex
 	byKey map[string]*keyQueue
@@ -114,8 +115,9 @@
 	users int // at work and waiting
 }
 
-// acquire waits for the key's turn. It is a courtesy, not a lock: whoever has waited
-// for most goes on beside a change that hangs.
+// acquire waits for the key's turn, for as long as most at the longest. It is an
+// optimisation and not a lock: a caller whose wait has ended goes on beside a change that
+// hangs.
 func (s *keyQueues) acquire(ctx context.Context, key string, most time.Duration) (release func()) {
 	s.mu.Lock()
 	t := s.byKey[key]
--- a/internal/proto/register/proposer.go
+++ b/internal/proto/register/proposer.go
@@ -11,14 +11,14 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// ErrNoQuorum says that too few answered, and nothing was changed.
+// ErrNoQuorum reports that too few voters answered, and that nothing was changed.
 var ErrNoQuorum = errors.New("no majority answered")
 
-// ErrUncertain says that the change may be chosen, now or later. It must never be reported
-// as not done.
+// ErrUncertain reports that the change may be chosen, now or later. It must never be
+// reported as not done.
 var ErrUncertain = errors.New("the change may have been chosen")
 
-// State is a register as read. Its value is not to be altered: it may be shared.
+// State is a register as read. Its value is shared and must not be modified.
 type State struct {
 	Version uint64
 	Value   []byte
@@ -37,9 +37,9 @@
 	}
 }
 
-// Proposer runs the two rounds, or the second alone where it made the key's last
-// change. Each start of a process has its own node number, so no two ever share a
-// ballot.
+// Proposer runs the protocol's two rounds, or the second alone where it made the key's
+// last change. Each start of a process has its own node number, so no two proposers ever
+// share a ballot. Its methods may be called concurrently.
 type Proposer struct {
 	node        uint64
 	call        wire.Caller
@@ -58,7 +58,8 @@
 	queues   keyQueues
 }
 
-// NewProposer makes a proposer; node must be unique to this start.
+// NewProposer makes a proposer that sends requests by call. node must be unique to this
+// start of the process.
 func NewProposer(node uint64, call wire.Caller) *Proposer {
 	return &Proposer{
 		node:         node,
@@ -69,8 +70,9 @@
 	}
 }
 
-// Read is a majority read. A value that no majority is seen to hold is written
-// back first, so that no later read can miss it.
+// Read is a linearizable read at a majority. A value that no majority is seen to have
+// accepted is written back first, so that no later read can miss it. It returns an error
+// that wraps ErrNoQuorum where too few voters answered.
 func (p *Proposer) Read(ctx context.Context, set Set, key string) (State, error) {
 	got := p.round(ctx, set, func() *wire.Req { return &wire.Req{Op: &wire.Req_Look{Look: &wire.Look{Key: key}}} },
 		func(got []reply) bool { return set.Quorum(succeeded(got)) })
@@ -89,7 +91,7 @@
 	return st, err
 }
 
-// prepare is the first round; no answers are given where there is no quorum.
+// prepare is the first round. It returns no replies where there is no quorum.
 func (p *Proposer) prepare(ctx context.Context, set Set, key string) (*wire.Ballot, []reply, error) {
 	ballot := p.ballot()
 	got := p.round(
@@ -105,8 +107,8 @@
 	return ballot, got, nil
 }
 
-// accept is the second round; it waits until enough says so, or all answered. A
-// next ballot is to be promised along with it.
+// accept is the second round; next is promised along with it. It returns once enough
+// reports so, or all have answered.
 func (p *Proposer) accept(
 	ctx context.Context,
 	set Set,
--- a/internal/proto/register/round.go
+++ b/internal/proto/register/round.go
@@ -11,7 +11,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// sharedCancel ends what several calls share, with the last of them.
+// sharedCancel cancels the context that several calls share, once the last of them is
+// done.
 type sharedCancel struct {
 	left atomic.Int32
 	stop context.CancelFunc
@@ -23,20 +24,22 @@
 	}
 }
 
-// reply is one voter's answer, or the failure in its place. A refusal may come with
-// the voter's view.
+// reply is one voter's answer, or the failure in its place. A refusal may carry the
+// voter's view.
 type reply struct {
 	from Replica
 	resp *wire.Resp
 	err  error
 }
 
-// minStragglerWait is the least time that a lost round waits for what the rest have to say.
+// minStragglerWait is the least time that a round without a possible quorum waits for the
+// remaining voters.
 const minStragglerWait = 20 * time.Millisecond
 
-// round asks every voter and returns as soon as done says so or all answered. Once
-// no quorum can be had any more it waits for the rest only for as long again: what
-// every voter has refused was surely taken by none, and one of them may know why.
+// round sends a request to every voter and returns once done reports that the replies are
+// enough, or all have answered. When a quorum is no longer possible it waits for the rest
+// only for as long again as it has taken so far: if every voter has refused, it is certain
+// that none has accepted, and one of them may know the reason.
 func (p *Proposer) round(
 	ctx context.Context,
 	set Set,
@@ -76,8 +79,8 @@
 	return got
 }
 
-// ask sends the request to every voter. The calls outlive an early return: a laggard
-// should still receive it. over is closed when no answer is waited for any more.
+// ask sends the request to every voter. The calls outlive an early return, so that slow
+// voters still receive it. over is closed when no answer is awaited any more.
 func (p *Proposer) ask(
 	ctx context.Context,
 	all []Replica,
@@ -100,7 +103,7 @@
 	return ch, callCtx.Done()
 }
 
-// drainReplies adds the replies that are there already.
+// drainReplies adds the replies that have arrived already.
 func drainReplies(replies <-chan reply, got []reply) []reply {
 	for {
 		select {
@@ -112,7 +115,7 @@
 	}
 }
 
-// succeeded are the voters that did not refuse or fail.
+// succeeded are the voters that neither refused nor failed.
 func succeeded(got []reply) map[Replica]bool {
 	m := map[Replica]bool{}
 	for _, g := range got {
@@ -123,9 +126,10 @@
 	return m
 }
 
-// highest finds the newest cell among good answers, and who has accepted it. A copy
-// that its voter took below a promise is found like any cell, but is no vote: the
-// proposer that was promised may still have another cell accepted there.
+// highest finds the newest accepted cell among the successful replies, and who has
+// accepted it. A copy that a voter imported below its promise is found like any cell but
+// is no vote for its ballot: the proposer that was promised may still have another cell
+// accepted there.
 func highest(got []reply) (*wire.View, map[Replica]bool) {
 	var top *wire.View
 	for _, g := range got {
@@ -160,8 +164,8 @@
 	return &wire.View{Accepted: top.Accepted, Cell: top.Cell, AgeMs: age}, holders
 }
 
-// allRefused tells whether every voter has said that it took nothing under a ballot. A
-// loss, or a disk that failed, leaves it open.
+// allRefused reports whether every voter has answered that it accepted nothing under a
+// ballot. A lost answer, or a disk that failed, leaves that open.
 func allRefused(set Set, got []reply, ballot *wire.Ballot) bool {
 	for _, g := range got {
 		if !provesNotAccepted(g, ballot) {
@@ -171,10 +175,10 @@
 	return len(got) == len(set.All())
 }
 
-// provesNotAccepted tells whether an answer proves that its voter has not accepted under b
-// and never will. That the refused request is the only one rests on the transport,
-// which sends the frame of a call once. An answer that shows the ballot as accepted is
-// no proof whatever its code.
+// provesNotAccepted reports whether an answer proves that its voter has not accepted under
+// ballot and never will. That no other copy of the request is on its way rests on the
+// transport, which sends the frame of a call once. An answer that shows the ballot as
+// accepted is no proof, whatever its code.
 func provesNotAccepted(g reply, ballot *wire.Ballot) bool {
 	switch code.Of(g.err) {
 	case code.OldBallot:
@@ -185,8 +189,8 @@
 	return errors.Is(g.err, transport.ErrRefused)
 }
 
-// firstError is a failure that stood in the way; a stale spec first, for that is
-// the caller's to cure.
+// firstError is the failure to report for a round without a quorum: a stale spec before
+// any other, since the caller can recover from that.
 func firstError(got []reply) error {
 	for _, g := range got {
 		if code.Of(g.err) == code.StaleSpec {
--- a/internal/proto/register/set.go
+++ b/internal/proto/register/set.go
@@ -4,14 +4,14 @@
 	"slices"
 )
 
-// Replica is one voter: where it is and who it must be.
+// Replica is one voter: its address, and the identity that it must have.
 type Replica struct {
 	Addr  string
 	Ident string
 }
 
-// Set is the voters in groups; a quorum is a majority of every group. There
-// are two groups while one set replaces another.
+// Set is the voters, in groups; a quorum is a majority of every group. There are two
+// groups while one set replaces another.
 type Set [][]Replica
 
 // All lists the voters of all groups, each once.
@@ -27,7 +27,7 @@
 	return out
 }
 
-// Quorum tells whether a majority of every group is among have.
+// Quorum reports whether a majority of every group is in have.
 func (s Set) Quorum(have map[Replica]bool) bool {
 	for _, g := range s {
 		n := 0
@@ -43,7 +43,7 @@
 	return len(s) > 0
 }
 
-// quorumLost tells whether so many have failed that no quorum can be had.
+// quorumLost reports whether so many voters have failed that no quorum is possible.
 func (s Set) quorumLost(got []reply) bool {
 	for _, g := range s {
 		n := 0
--- a/internal/proto/register/stamp.go
+++ b/internal/proto/register/version.go
@@ -6,7 +6,7 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// senderVersion is the spec version that a caller acts on, with its requests.
+// senderVersion is the version of the spec that the sender of requests acts on.
 type senderVersion struct {
 	version uint64
 	strict  bool
@@ -14,13 +14,13 @@
 
 type senderVersionKey struct{}
 
-// WithVersion stamps the rounds made under ctx with the spec version whose voters they
-// ask; strict is whether a voter with a higher version must refuse them.
+// WithVersion attaches to ctx the version of the spec whose voters the rounds made under
+// it ask. strict asks a voter with a higher version to refuse.
 func WithVersion(ctx context.Context, version uint64, strict bool) context.Context {
 	return context.WithValue(ctx, senderVersionKey{}, senderVersion{version, strict})
 }
 
-// SetVersion lays the version of ctx on a request.
+// SetVersion sets on a request the version that ctx carries.
 func SetVersion(ctx context.Context, q *wire.Req) {
 	if s, ok := ctx.Value(senderVersionKey{}).(senderVersion); ok {
 		q.Spec, q.Strict = s.version, s.strict
--- a/internal/proto/script/script.go
+++ b/internal/proto/script/script.go
@@ -181,10 +181,10 @@
 	return bad
 }
 
-// Ranks tells whether it ranks runners, Orders whether it orders jobs.
+// Ranks reports whether it ranks runners, Orders whether it orders jobs.
 func (s *Script) Ranks() bool { return s != nil && s.rank != nil }
 
-// Orders tells whether it orders jobs.
+// Orders reports whether it orders jobs.
 func (s *Script) Orders() bool { return s != nil && s.order != nil }
 
 // Rank is a runner's rank for a job.
--- a/internal/proto/spec/defaults.go
+++ b/internal/proto/spec/defaults.go
@@ -49,7 +49,7 @@
 // Quiet is how long without refusals sets the steps back.
 func (c *Cooldown) Quiet() time.Duration { return ms(c.QuietMs, 30000) }
 
-// Refusal tells whether a returned status counts as a refusal.
+// Refusal reports whether a returned status counts as a refusal.
 func (c *Cooldown) Refusal(status int) bool {
 	if len(c.Statuses) == 0 {
 		return status == 429
@@ -86,5 +86,5 @@
 	return def, found
 }
 
-// Empty tells whether a zone is to be emptied.
+// Empty reports whether a zone is to be emptied.
 func (s *Spec) Empty(zone string) bool { return slices.Contains(s.EmptyZones, zone) }
--- a/internal/proto/spec/golden_test.go
+++ b/internal/proto/spec/golden_test.go
@@ -124,5 +124,5 @@
 	}
 }
 
-// isRawJSON tells whether a type holds JSON as it came, by any library's name for it.
+// isRawJSON reports whether a type holds JSON as it came, by any library's name for it.
 func isRawJSON(t reflect.Type) bool { return t.Name() == "RawMessage" }
--- a/internal/proto/spec/policy.go
+++ b/internal/proto/spec/policy.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// check tells whether an approval is one of this text, and on good numbers: no
+// check reports whether an approval is one of this text, and on good numbers: no
 // breach, the program never failed, and what differs for the worse is no more than
 // chance between two runs of the same: a tenth more urgent answers late (and two),
 // five in a thousand fewer served.
--- a/internal/proto/wire/wire.go
+++ b/internal/proto/wire/wire.go
@@ -83,7 +83,7 @@
 	return 0
 }
 
-// Newer tells whether item a goes before b of the same topic and key.
+// Newer reports whether item a goes before b of the same topic and key.
 func Newer(a, b *Item) bool {
 	if a.GetEpoch() != b.GetEpoch() {
 		return a.GetEpoch() > b.GetEpoch()
--- a/internal/state/storage/blob.go
+++ b/internal/state/storage/blob.go
@@ -21,12 +21,13 @@
 	return engine.uptimeBefore + time.Since(engine.start)
 }
 
-// Tick keeps the uptime. What a crash loses of it only keeps turns longer.
+// Tick saves the uptime. What a crash loses of it only retains blobs longer.
 func (engine *Engine) Tick() error {
 	return engine.put(uptimeKey, binary.BigEndian.AppendUint64(nil, uint64(engine.Uptime())))
 }
 
-// PutBlob keeps val for at least keep. Put again, the longer time holds.
+// PutBlob stores val for at least keep. Of two calls for one key the longer retention
+// holds.
 func (engine *Engine) PutBlob(key string, val []byte, keep time.Duration) error {
 	old, err := engine.blob(key)
 	if err != nil {
@@ -43,8 +44,8 @@
 	return engine.put(blobPrefix+key, wire.MustEncode(g))
 }
 
-// GetBlob reads a blob; one past its keeping time is said to be past even
-// before it is swept.
+// GetBlob reads a blob. One past its retention is reported as such even before it is
+// removed.
 func (engine *Engine) GetBlob(key string) (*wire.Got, error) {
 	g, err := engine.blob(key)
 	if err != nil {
@@ -72,7 +73,8 @@
 	return g, nil
 }
 
-// ExpireBlobs empties blobs past their keeping time and, much later, forgets them.
+// ExpireBlobs empties blobs past their retention and, after the retention of tombstones,
+// removes them.
 func (engine *Engine) ExpireBlobs() (emptied, forgotten int, err error) {
 	now := engine.Uptime().Milliseconds()
 	var edits []edit
--- a/internal/state/storage/bulk.go
+++ b/internal/state/storage/bulk.go
@@ -108,7 +108,7 @@
 }
 
 // PutBlobs keeps many blobs, as another engine has them, with one sync. One that is
-// here already stays, if for no less time. It tells how many it took.
+// here already stays, if for no less time. It returns how many it took.
 func (engine *Engine) PutBlobs(all []*wire.Copy) (n int, err error) {
 	if engine.NearlyFull() {
 		return 0, code.New(code.DiskFull, "%d bytes are left", engine.space.free.Load())
--- a/internal/state/storage/device.go
+++ b/internal/state/storage/device.go
@@ -29,15 +29,15 @@
 	errReadStalled = errors.New("the disk does not answer")
 )
 
-// device is the file system that one instance of the database writes through. The
-// database must not see a disk without space, since it takes any failed write for the
-// end of the process; so a write that finds no space waits here until there is some.
-// Any other failure of a write or a sync fences the device: from then on it changes
-// nothing any more, so that a new instance can be opened on the same folder.
+// device is the file system that one instance of the database writes through. The database
+// must not see a disk without space, since it takes any failed write for the end of the
+// process; so a write that finds no space waits here until there is some. Any other
+// failure of a write or a sync fences the device: from then on it changes nothing, so that
+// a new instance can be opened on the same folder.
 //
-// The database also ends the process, past any recovery, where its log can't be closed
-// or begun anew. So what fails with the log is reported as successful; whoever has
-// committed anything asks the device for its failure before believing it.
+// The database also ends the process, past any recovery, where its log can not be closed
+// or begun anew. So failures of the log are reported as success; whoever has committed
+// anything asks the device for its failure before relying on it.
 type device struct {
 	vfs.FS
 	withoutDatabase bool // there is no database behind it that needs to be shown what is not so
@@ -92,7 +92,7 @@
 	}
 }
 
-// waitsForSpace tells whether a change waits for space.
+// waitsForSpace reports whether a change waits for space.
 func (d *device) waitsForSpace() bool { return d.spaceWaiters.Load() > 0 }
 
 // failure is what the device was fenced for, or nil.
@@ -178,11 +178,11 @@
 	}
 }
 
-// startDiscarding lets a fenced device say that all goes well, though it does nothing. Its database
-// then gets to the end of whatever it is at, and can be closed.
+// startDiscarding has a fenced device report success for changes that it discards. Its
+// database then completes whatever it is at, and can be closed.
 func (d *device) startDiscarding() { d.discarding.Store(true) }
 
-// suppressesErrors tells whether a change that was not made is reported as successful.
+// suppressesErrors reports whether a change that was discarded is reported as success.
 func (d *device) suppressesErrors(log bool) bool {
 	return !d.withoutDatabase && (log || d.discarding.Load()) && d.failure() != nil
 }
@@ -206,7 +206,7 @@
 	sleep(refusalPause)
 }
 
-// change hands a change to the disk, as often as it takes to find space.
+// change runs a change on the disk, repeated for as long as there is no space.
 func (d *device) change(do func() error) error {
 	waiting := false
 	defer func() {
@@ -250,8 +250,8 @@
 	}
 }
 
-// sync hands a sync to the disk. It is never tried again: a disk that failed one may
-// have dropped what it was to keep and take the next for done.
+// sync runs a sync on the disk. It is never repeated: a disk that failed one may have
+// dropped the data and report success for the next.
 func (d *device) sync(do func() error) error {
 	if !d.begin() {
 		return d.fencedError()
@@ -275,8 +275,8 @@
 		errors.Is(err, fs.ErrClosed)
 }
 
-// readWithTimeout runs a read that the disk may not answer. One that is answered too late is
-// handed to late.
+// readWithTimeout runs a read that the disk may not answer. A result that comes too late
+// is passed to late.
 func readWithTimeout[T any](d *device, do func() (T, error), late func(T)) (T, error) {
 	var none T
 	if d.stalledReads.Load() > 0 {
@@ -318,7 +318,7 @@
 	}
 }
 
-// recordReadError records a read that failed, and hands its failure back.
+// recordReadError remembers a read that failed, and returns its error.
 func (d *device) recordReadError(err error) error {
 	if err == nil || errors.Is(err, io.EOF) || isBenign(err) {
 		return err
--- a/internal/state/storage/devicefs.go
+++ b/internal/state/storage/devicefs.go
@@ -36,7 +36,7 @@
 	return d.wrap(name, f, err)
 }
 
-// isLog tells whether a file is one of the database's log.
+// isLog reports whether a file is one of the database's log.
 func isLog(name string) bool { return strings.HasSuffix(name, logSuffix) }
 
 const logSuffix = ".log"
--- a/internal/state/storage/diskspace.go
+++ b/internal/state/storage/diskspace.go
@@ -21,22 +21,22 @@
 	simulatedDelay atomic.Int64
 }
 
-// reserveDivisor of a disk is the most that is ever kept free of new keys: what suits a
-// disk of gigabytes would be all there is of a small one.
+// reserveDivisor is the fraction of a disk that is kept free of new keys at the most, as a
+// divisor: a reserve that suits a disk of gigabytes would be all there is of a small one.
 const reserveDivisor = 8
 
 // SlowSync is the time for one sync above which a disk is called slow.
 const SlowSync = 500 * time.Millisecond
 
-// SimulateDisk makes the disk seem to have free bytes (-1: what it has) and every
-// sync take longer. Only the rehearsal kit uses it.
+// SimulateDisk makes the disk seem to have free bytes (-1: what it has) and every sync
+// take longer. Only the fault kit uses it.
 func (engine *Engine) SimulateDisk(free int64, delay time.Duration) {
 	engine.space.simulatedFree.Store(free)
 	engine.space.simulatedDelay.Store(int64(delay))
 	engine.MeasureDisk()
 }
 
-// MeasureDisk measures the space again; a role calls it each second.
+// MeasureDisk measures the disk space; a background task calls it each second.
 func (engine *Engine) MeasureDisk() {
 	free, minFree := int64(-1), engine.params.MinFree
 	if u, err := engine.base.GetDiskUsage(engine.params.Dir); err == nil {
@@ -53,7 +53,8 @@
 	engine.space.previousSlowestSync.Store(engine.space.slowestSync.Swap(0))
 }
 
-// NearlyFull tells whether space is kept for what is here already.
+// NearlyFull reports whether the space left is reserved for the keys that are here
+// already.
 func (engine *Engine) NearlyFull() bool {
 	f := engine.space.free.Load()
 	return f >= 0 && f < engine.space.minFree.Load()
@@ -108,8 +109,8 @@
 	}
 }
 
-// Admit refuses a key that is new here while the disk is nearly full, so that
-// what is held already can still be synced.
+// admitNewKey refuses a key that is new here while the disk is nearly full, with
+// code.DiskFull, so that the keys that are here can still be synced.
 func (engine *Engine) admitNewKey(key string) error {
 	if !engine.NearlyFull() {
 		return nil
--- a/internal/state/storage/engine.go
+++ b/internal/state/storage/engine.go
@@ -24,7 +24,7 @@
 	uptimeKey      = metadataPrefix + "lived"
 )
 
-// Params open a engine.
+// Params are the settings of an engine.
 type Params struct {
 	Dir  string
 	ID   string // the machine's name, checked against the folder
@@ -39,8 +39,9 @@
 }
 
 // Engine is an open data folder. A disk that is full, does not answer or fails ends
-// neither it nor the process: it refuses writes meanwhile, answers reads from what was
-// synced, and goes on by itself.
+// neither it nor the process: meanwhile it refuses writes, with code.DiskFull,
+// code.DiskStalled or code.DiskFailure, serves reads from what was synced, and it recovers
+// by itself. Its methods may be called concurrently.
 type Engine struct {
 	params   Params
 	base     vfs.FS
@@ -68,8 +69,9 @@
 	uncertainWrites map[string]*write
 }
 
-// Open opens or creates the folder. A folder of another machine or version is
-// left alone and refused. A disk that is full, does not answer or fails is waited for.
+// Open opens or creates the folder. It refuses a folder of another machine or format, with
+// code.ForeignFolder or code.FolderVersion, and leaves it as it is. It waits for a disk
+// that is full, does not answer or fails.
 func Open(p Params) (*Engine, error) {
 	engine := &Engine{
 		params:          p,
@@ -127,7 +129,8 @@
 	return engine.current
 }
 
-// acquire takes the instance in use, which is not closed before the call's done.
+// acquire returns the instance in use, which is not closed before the caller has called
+// Done on its users.
 func (engine *Engine) acquire() (*instance, error) {
 	engine.instanceMutex.RLock()
 	defer engine.instanceMutex.RUnlock()
@@ -138,8 +141,8 @@
 	return engine.current, nil
 }
 
-// options keep the database small. Machines have as little as 72 MB of memory and
-// 128 MB of disk, and hold tens of MB.
+// options keep the database small. Machines have as little as 72 MB of memory and 128 MB
+// of disk, and store tens of MB.
 func (engine *Engine) options(dev *device) *pebble.Options {
 	o := &pebble.Options{
 		FS:     dev,
@@ -166,8 +169,8 @@
 	return o
 }
 
-// quiet passes on what pebble calls errors only. What it calls fatal ends the use of
-// the device, not the process.
+// quiet forwards only the database's errors to the log. What the database calls fatal
+// fences its device and does not end the process.
 type quiet struct {
 	log func(string, ...any)
 	dev *device
--- a/internal/state/storage/folder.go
+++ b/internal/state/storage/folder.go
@@ -26,7 +26,7 @@
 	Ident  string `json:"ident"`
 }
 
-// openFolder finds or makes the identity, and opens the database.
+// openFolder finds or creates the identity, and opens the database.
 func (engine *Engine) openFolder() error {
 	if err := engine.files.MkdirAll(engine.params.Dir, 0o755); err != nil {
 		return code.New(code.DiskFailure, "data folder: %w", err)
@@ -125,7 +125,7 @@
 	return true, nil
 }
 
-// replaceIdentity puts old data aside and writes a new identity.
+// replaceIdentity sets the old data aside and writes a new identity.
 func (engine *Engine) replaceIdentity(why string) error {
 	if _, err := engine.files.Stat(engine.path("db")); err == nil {
 		for n := 1; ; n++ {
@@ -189,8 +189,8 @@
 	return engine.identity.Ident
 }
 
-// ReplaceIdentity puts the data aside and goes on empty, under a new identity. Of what was
-// put aside before nothing is kept: nobody will ask for it.
+// ReplaceIdentity sets the data aside and goes on with an empty database, under a new
+// identity. Data set aside earlier are removed: no process will ask for them.
 func (engine *Engine) ReplaceIdentity(why string) error {
 	engine.opening <- struct{}{}
 	defer func() { <-engine.opening }()
@@ -220,5 +220,5 @@
 	return nil
 }
 
-// setAsidePrefix is how the names of data put aside begin.
+// setAsidePrefix begins the names of data set aside.
 const setAsidePrefix = "db.aside-"
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -9,8 +9,9 @@
 	"damsontiller/internal/transport/code"
 )
 
-// writeRecords writes records of the acceptor. One whose earlier write is uncertain is not
-// written: what it would be made from may not be what the disk holds.
+// writeRecords writes records of the acceptor. One whose last write is uncertain is
+// refused with code.DiskStalled: what it would be made from may not be what is on the
+// disk.
 func (engine *Engine) writeRecords(limit time.Duration, edits ...edit) error {
 	engine.mu.Lock()
 	for _, e := range edits {
@@ -31,8 +32,8 @@
 	return err
 }
 
-// clearResolved ends the uncertainty about a record that is about to be read, if its last write has
-// been resolved: what is read then is what the disk holds.
+// clearResolved ends the uncertainty about a record that is about to be read, if the
+// outcome of its last write is known: what is read then is what is on the disk.
 func (engine *Engine) clearResolved(key string) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -70,9 +71,9 @@
 	return engine.writeRecords(voteTimeout, edit{key: registerPrefix + key, value: wire.MustEncode(r)})
 }
 
-// OlderThan lists up to limit registers last written longer ago than keep says, which is
-// none at all where it says 0. A record from before writes were dated counts from
-// now on.
+// OlderThan lists up to limit registers last written longer ago than keep returns for
+// their key; never those for which it returns 0. A record of a release that did not date
+// its writes counts from now on.
 func (engine *Engine) OlderThan(limit int, keep func(key string) time.Duration) ([]string, error) {
 	var out, undated []string
 	now := engine.Uptime()
@@ -97,7 +98,7 @@
 	return append(out, undated...), err
 }
 
-// Age is how long ago a record was last written, in open time.
+// Age is how long ago a record was last written, in uptime of the folder.
 func (engine *Engine) Age(r *wire.Rec) time.Duration {
 	return engine.Uptime() - time.Duration(r.AtMs)*time.Millisecond
 }
@@ -110,8 +111,9 @@
 	return engine.writeRecords(voteTimeout, edit{key: registerPrefix + key, deleted: true})
 }
 
-// Keys gives up to limit keys of a kind after a key, in order, with the ballots
-// of registers. Of blobs only those within their keeping time count.
+// Keys lists up to limit keys of a kind after a key, in order, with the ballots of
+// registers. Of blobs only those within their retention count. want narrows the keys; nil
+// means all.
 func (engine *Engine) Keys(
 	kind wire.List_Kind,
 	after string,
--- a/internal/state/storage/reopen.go
+++ b/internal/state/storage/reopen.go
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// reopen puts another instance in the place of one that has failed, opened from what
-// the disk holds. Until then the failed one answers reads from what it had synced.
+// reopen replaces a failed instance by one opened from what is on the disk. Until then the
+// failed one serves reads from what it had synced.
 func (engine *Engine) reopen(old *instance, cause error) {
 	engine.params.Log("the disk failed, opening the folder again", "err", cause)
 	// A change still in the disk's hands could be made later, in the midst of what the
@@ -47,7 +47,7 @@
 	}
 }
 
-// reopened tries once. It tells whether there is nothing left to be tried.
+// reopened attempts that once. It reports whether nothing is left to be attempted.
 func (engine *Engine) reopened(old *instance) bool {
 	engine.opening <- struct{}{}
 	defer func() { <-engine.opening }()
@@ -68,7 +68,7 @@
 	return true
 }
 
-// replace puts next to use in the place of old, and closes what is not in use then.
+// replace puts next to use in place of old, and closes the one that is not in use then.
 func (engine *Engine) replace(old, next *instance) {
 	next.beforeSync, next.onSync = engine.delaySync, engine.recordSync
 	go next.run()
--- a/internal/transport/code/code.go
+++ b/internal/transport/code/code.go
@@ -204,7 +204,7 @@
 // Status is the HTTP status that goes with the code.
 func (c Code) Status() int { return c.row().Status }
 
-// Drop tells whether the code is one of those that come once a request is
+// Drop reports whether the code is one of those that come once a request is
 // understood: another request like it may have run.
 func (c Code) Drop() bool { return c >= 200 && c < 300 }
 
--- a/internal/transport/cuts.go
+++ b/internal/transport/cuts.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// Has tells whether addr is partitioned, and counts that the fault took effect.
+// Has reports whether addr is partitioned, and counts that the fault took effect.
 func (partitions *Partitions) Has(addr string) bool {
 	if partitions == nil {
 		return false
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Wait sleeps for d or until ctx ends; it tells whether the entire time passed.
+// Wait sleeps for d or until ctx ends; it reports whether the entire time passed.
 func Wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -59,7 +59,7 @@
 	}
 }
 
-// Until waits for ch or the end of ctx; it tells whether ch came.
+// Until waits for ch or the end of ctx; it reports whether ch came.
 func Until(ctx context.Context, ch <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
