--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -180,10 +180,10 @@
 	parts := split(targets, broadcaster.params.Fanout)
 	ch := make(chan []string, len(targets)+len(parts))
 	bg := context.WithoutCancel(ctx)
-	for _, part := range parts {
+	for _, subtree := range parts {
 		go func() {
-			for len(part) > 0 {
-				child, rest := part[0], part[1:]
+			for len(subtree) > 0 {
+				child, rest := subtree[0], subtree[1:]
 				r, err := broadcaster.peer.CallFor(
 					bg,
 					wait,
@@ -199,7 +199,7 @@
 					return
 				}
 				broadcaster.peer.Log.Debug("relay skipped", "child", child.Id, "err", err)
-				part = rest
+				subtree = rest
 			}
 			ch <- nil
 		}()
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -18,18 +18,18 @@
 )
 
 type town struct {
-	net    *memnet.Net
-	peers  []*peer.Peer
-	boards []*broadcast.Broadcaster
-	mu     sync.Mutex
-	heard  map[string]int // id/topic/key: times handled
-	list   []*wire.Member
+	net     *memnet.Net
+	peers   []*peer.Peer
+	boards  []*broadcast.Broadcaster
+	mu      sync.Mutex
+	handled map[string]int // id/topic/key: times handled
+	list    []*wire.Member
 }
 
 // newTown makes n nodes in three zones; the first deaf of them have no handler.
 func newTown(t *testing.T, n, deaf int) (*town, context.CancelFunc) {
 	ctx, stop := context.WithCancel(t.Context())
-	w := &town{net: memnet.New(1), heard: map[string]int{}}
+	w := &town{net: memnet.New(1), handled: map[string]int{}}
 	for i := range n {
 		m := &wire.Member{
 			Id:   fmt.Sprintf("n%03d", i),
@@ -44,7 +44,7 @@
 			for _, topic := range []string{"x", "brief"} {
 				broadcaster.Handle(topic, func(it *wire.Item) error {
 					w.mu.Lock()
-					w.heard[m.Id+"/"+it.Topic+"/"+it.Key]++
+					w.handled[m.Id+"/"+it.Topic+"/"+it.Key]++
 					w.mu.Unlock()
 					return nil
 				})
@@ -68,7 +68,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.list {
-		c := w.heard[m.Id+"/"+topic+"/"+key]
+		c := w.handled[m.Id+"/"+topic+"/"+key]
 		if c > 0 {
 			n++
 		}
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -20,9 +20,9 @@
 	// contactGap is the time without a check after which this process must have been
 	// paused.
 	contactGap = 2 * contactCheckInterval
-	// contactSettleTime is how long this core must have been in contact again before it
+	// contactStableAfter is how long this core must have been in contact again before it
 	// takes orders. Senders wait a second for an answer.
-	contactSettleTime = time.Second
+	contactStableAfter = time.Second
 )
 
 // contactTracker remembers when a process was last out of contact with a majority, or
@@ -52,7 +52,7 @@
 	case last > 0 && at-last > int64(contactGap):
 		return false
 	}
-	return lost == 0 || at-lost > int64(contactSettleTime)
+	return lost == 0 || at-lost > int64(contactStableAfter)
 }
 
 // checkContact is the background task that updates the contact tracker.
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -19,9 +19,9 @@
 	// name was forgotten and that still runs finds its identity removed, and comes back
 	// as the empty stranger that it then is.
 	maxRetired = 256
-	// membershipSettleTime is the time after which a core that runs has seen every node that
+	// membershipKnownAfter is the time after which a core that runs has seen every node that
 	// is in contact: the length of a lease, in which a node renews several times.
-	membershipSettleTime = 2500 * time.Millisecond
+	membershipKnownAfter = 2500 * time.Millisecond
 	// admissionWindow is the time without contact up to which a store that is in no set may
 	// still be taken in.
 	admissionWindow = 30 * time.Second
@@ -144,7 +144,7 @@
 	witnesses := map[register.Replica]bool{}
 	for range cores {
 		a := <-answers
-		if a.err != nil || a.ack.GetUpMs() < membershipSettleTime.Milliseconds() {
+		if a.err != nil || a.ack.GetUpMs() < membershipKnownAfter.Milliseconds() {
 			continue
 		}
 		if slices.ContainsFunc(a.ack.GetMembers(), isStore) {
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -128,7 +128,7 @@
 		return Decision{Ask: p.remaining()}
 	}
 	for _, m := range p.newcomers {
-		if !p.placeNewcomer(m) {
+		if !p.admitNewcomer(m) {
 			return Decision{Wait: true}
 		}
 	}
@@ -255,13 +255,13 @@
 
 func (p *plan) absent(m spec.Machine) bool { return p.Presence[m.Ident] == Absent }
 
-// placeNewcomer has a newcomer replace the machine of its own name at an earlier address,
+// admitNewcomer has a newcomer replace the machine of its own name at an earlier address,
 // or an absent machine, of its own zone if there is one; else it is admitted as a spare.
 // It reports false where it is uncertain whether some machine is absent that it could
 // replace.
-func (p *plan) placeNewcomer(m Member) bool {
+func (p *plan) admitNewcomer(m Member) bool {
 	if i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return s.ID == m.Machine.ID }); i >= 0 {
-		p.placeRelocated(i, m)
+		p.replaceRelocated(i, m)
 		return true
 	}
 	for _, presence := range p.Presence {
@@ -281,8 +281,8 @@
 	return true
 }
 
-// placeRelocated handles a newcomer whose name is in the set at another address.
-func (p *plan) placeRelocated(i int, m Member) {
+// replaceRelocated handles a newcomer whose name is in the set at another address.
+func (p *plan) replaceRelocated(i int, m Member) {
 	switch p.Presence[p.want[i].Ident] {
 	case Absent:
 		p.replaceAt(i, m)
--- a/internal/dataplane/balancing/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -220,9 +220,9 @@
 			cur = share{}
 		}
 		availableNow := assigner.available(o, now)
-		room := 0
+		available := 0
 		if raise {
-			room = max(availableNow, 0)
+			available = max(availableNow, 0)
 		}
 		if (!assigner.allReported || !raise) && o.Limit > 0 && availableNow >= 0 &&
 			!assigner.node.Cluster.Now().Spec.Empty(o.Zone) {
@@ -231,9 +231,9 @@
 			// what it has.
 			want = share{plain: cur.plain, urgent: cur.urgent}
 		}
-		urgent := min(want.urgent, cur.urgent+room)
-		room -= max(urgent-cur.urgent, 0)
-		plain := min(want.plain, cur.plain+room)
+		urgent := min(want.urgent, cur.urgent+available)
+		available -= max(urgent-cur.urgent, 0)
+		plain := min(want.plain, cur.plain+available)
 		// Until the edge says that it holds less, it may hold the more.
 		e.shares[name] = share{
 			incarnation: o.Incarnation,
@@ -320,11 +320,11 @@
 	}
 	got, left := 0, n
 	for i := range ps {
-		whole := n * ps[i].w / sum
+		integral := n * ps[i].w / sum
 		ps[i].rest = n * ps[i].w % sum
-		left -= whole
+		left -= integral
 		if ps[i].inc == inc {
-			got = whole
+			got = integral
 		}
 	}
 	// Among equals the odd slots of each runner go on where those of the one
--- a/internal/dataplane/balancing/assignment/assigner_test.go
+++ b/internal/dataplane/balancing/assignment/assigner_test.go
@@ -49,16 +49,16 @@
 	}
 }
 
-type box struct {
-	b     *slots.Table
-	inc   uint64
-	ix    int
-	taken []slots.Kind
-	epoch uint64
-	cut   bool
+type holder struct {
+	b         *slots.Table
+	inc       uint64
+	ix        int
+	taken     []slots.Kind
+	epoch     uint64
+	truncated bool
 }
 
-func (e *box) total() int {
+func (e *holder) total() int {
 	n := 0
 	for _, s := range e.b.Report() {
 		n += int(s.Plain + s.Urgent)
@@ -97,13 +97,13 @@
 func play(plan []step, fired *int) string {
 	const bears = 8
 	assigner := newDispatcher(1)
-	var edges []*box
+	var edges []*holder
 	left := 0 // jobs still running of edges that were restarted
 	inc := uint64(0)
-	unknown := func() *box {
+	unknown := func() *holder {
 		inc++
 		n := &intern.Table{}
-		return &box{b: slots.New(n), inc: inc, ix: n.Ix(runnerName)}
+		return &holder{b: slots.New(n), inc: inc, ix: n.Ix(runnerName)}
 	}
 	note := func() {
 		// The runner reports what runs on it.
@@ -129,7 +129,7 @@
 		e := edges[s.edge]
 		switch s.what {
 		case 0, 1, 2, 3: // ask, perhaps with a late answer
-			if e.cut || e.epoch > assigner.epoch {
+			if e.truncated || e.epoch > assigner.epoch {
 				break
 			}
 			asked := time.Now()
@@ -158,7 +158,7 @@
 				left--
 			}
 		case 7:
-			e.cut = !e.cut
+			e.truncated = !e.truncated
 		case 8: // a new assigner that knows nothing; the old one has departed
 			assigner = newDispatcher(assigner.epoch + 1)
 			note()
--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -110,12 +110,12 @@
 
 func (report *LoadReport) own(counts map[string]outlier.Count) []*wire.Busy {
 	var out []*wire.Busy
-	busy := report.load.Own()
-	for id, b := range busy {
+	load := report.load.Own()
+	for id, b := range load {
 		out = append(out, withCounts(&wire.Busy{Runner: id, Jobs: int32(b.Requests), Tokens: b.Tokens}, counts[id]))
 	}
 	for id, c := range counts {
-		if _, ok := busy[id]; !ok {
+		if _, ok := load[id]; !ok {
 			out = append(out, withCounts(&wire.Busy{Runner: id}, c))
 		}
 	}
--- a/internal/dataplane/balancing/outlier/outlier_test.go
+++ b/internal/dataplane/balancing/outlier/outlier_test.go
@@ -16,12 +16,12 @@
 // fleet is a service as an evening has it: jobs come to its runners by chance, each
 // through one of the edges, and every edge tells four times a second.
 type fleet struct {
-	edges, runners, room int
-	perS                 float64 // jobs a second at one runner
-	params               Params
-	fails                func(runner int, at time.Duration) float64 // the chance of a failure
-	pace                 func(runner int, at time.Duration) float64 // times the typical; nil: all alike
-	failure              func(edge, runner int) bool                // one that this edge alone sees
+	edges, runners, capacity int
+	perS                     float64 // jobs a second at one runner
+	params                   Params
+	fails                    func(runner int, at time.Duration) float64 // the chance of a failure
+	pace                     func(runner int, at time.Duration) float64 // times the typical; nil: all alike
+	failure                  func(edge, runner int) bool                // one that this edge alone sees
 
 	d        *Detector
 	list     *endpoints.List
@@ -34,8 +34,8 @@
 }
 
 // The rates of the two grown sites.
-func andina() *fleet { return &fleet{edges: 47, runners: 72, room: 12, perS: 5.5} }
-func tsehay() *fleet { return &fleet{edges: 64, runners: 60, room: 32, perS: 10} }
+func andina() *fleet { return &fleet{edges: 47, runners: 72, capacity: 12, perS: 5.5} }
+func tsehay() *fleet { return &fleet{edges: 64, runners: 60, capacity: 32, perS: 10} }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -48,7 +48,7 @@
 	f.d, f.rnd, f.ejected = NewDetector(f.params), rand.New(rand.NewPCG(seed, 1)), map[string]bool{}
 	var all []endpoints.Runner
 	for i := range f.runners {
-		all = append(all, endpoints.Runner{ID: f.id(i), Service: "svc", Capacity: f.room})
+		all = append(all, endpoints.Runner{ID: f.id(i), Service: "svc", Capacity: f.capacity})
 	}
 	f.list = endpoints.NewList(epoch, all)
 	for range f.edges {
@@ -102,7 +102,7 @@
 func (f *fleet) load() map[string]int {
 	out := map[string]int{}
 	for i := range f.runners {
-		out[f.id(i)] = f.room / 4
+		out[f.id(i)] = f.capacity / 4
 	}
 	return out
 }
--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -175,7 +175,7 @@
 		b = nil
 	}
 	if r.StatusCode == http.StatusOK {
-		return p.whole(c, b)
+		return p.complete(c, b)
 	}
 	return p.refused(c, r, b)
 }
@@ -238,8 +238,8 @@
 	p.OnDeparture(c.Runner.Name, why)
 }
 
-// whole takes an answer only if it is all there and answers this job.
-func (p *Caller) whole(c *job.Ctx, b []byte) job.Answer {
+// complete takes an answer only if it is all there and answers this job.
+func (p *Caller) complete(c *job.Ctx, b []byte) job.Answer {
 	var r struct {
 		runnerapi.Response
 		Text *string `json:"text"`
--- a/internal/dataplane/request/call/call_test.go
+++ b/internal/dataplane/request/call/call_test.go
@@ -64,8 +64,8 @@
 	return b.Len()
 }
 
-// cutSecond answers one job, and ends its connection once some bytes of the next came.
-func cutSecond(c net.Conn, at int) {
+// truncateSecond answers one job, and ends its connection once some bytes of the next came.
+func truncateSecond(c net.Conn, at int) {
 	r := bufio.NewReader(c)
 	q, err := http.ReadRequest(r)
 	if err != nil {
@@ -83,7 +83,7 @@
 		l := &pipeListener{}
 		l.serve = func(n int, c net.Conn) {
 			if n == 1 {
-				cutSecond(c, at)
+				truncateSecond(c, at)
 			}
 		}
 		web := NewWeb(&http.Transport{DialContext: l.dial, DisableCompression: true})
--- a/internal/dataplane/request/proxy/fuzz_test.go
+++ b/internal/dataplane/request/proxy/fuzz_test.go
@@ -23,14 +23,14 @@
 func takeAnswer(b []byte, kind string) taken {
 	left := bytes.NewReader(b)
 	c := &conn{br: bufio.NewReader(left)}
-	heard := func(r *http.Response) ResponseInfo {
+	readResponse := func(r *http.Response) ResponseInfo {
 		return ResponseInfo{
 			Attempt: r.Header.Get("Try"),
 			Sealed:  r.Header.Get("Seal") != "",
 			NotRun:  r.Header.Get("Not-Run") != "",
 		}
 	}
-	a, err := c.answer(&http.Request{Method: http.MethodPost}, "a", heard)
+	a, err := c.answer(&http.Request{Method: http.MethodPost}, "a", readResponse)
 	if err != nil {
 		return taken{}
 	}
@@ -79,8 +79,8 @@
 			return
 		}
 		for n := range complete.used {
-			if part := takeAnswer(b[:n], kind); part.success || part.refused {
-				t.Fatalf("%d of %d bytes are taken for %+v", n, complete.used, part)
+			if segment := takeAnswer(b[:n], kind); segment.success || segment.refused {
+				t.Fatalf("%d of %d bytes are taken for %+v", n, complete.used, segment)
 			}
 		}
 	})
--- a/internal/dataplane/request/proxy/job.go
+++ b/internal/dataplane/request/proxy/job.go
@@ -75,7 +75,7 @@
 	ReadRequest(r *http.Request, j *Job) error
 	// WriteRequest writes what goes to a runner beside the caller's own headers: the try's
 	// name, the runner meant, the time left, the precedence (0 first).
-	WriteRequest(h http.Header, j *Job, to *endpoints.Runner, left time.Duration, rank int)
+	WriteRequest(h http.Header, j *Job, to *endpoints.Runner, left time.Duration, priority int)
 	// WriteResume asks a runner to begin after an event.
 	WriteResume(h http.Header, after string)
 	// ReadResponse reads an answer's head.
--- a/internal/dataplane/request/proxy/reply.go
+++ b/internal/dataplane/request/proxy/reply.go
@@ -26,13 +26,13 @@
 // answer reads the head of the answer to a try, past provisional ones and past answers
 // that name another. One that names none proves nothing: it may be a second answer to an
 // earlier job, or have been sent before the runner had read this one.
-func (c *conn) answer(req *http.Request, try string, heard func(*http.Response) ResponseInfo) (*reply, error) {
+func (c *conn) answer(req *http.Request, try string, readResponse func(*http.Response) ResponseInfo) (*reply, error) {
 	for surplus := 0; ; {
 		r, err := c.final(req)
 		if err != nil {
 			return nil, err
 		}
-		switch info := heard(r); info.Attempt {
+		switch info := readResponse(r); info.Attempt {
 		case "":
 			return nil, errUnnamed
 		case try:
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -83,11 +83,11 @@
 func (handler *Handler) pick(j *Job, tried map[string]bool) (*endpoints.Runner, bool) {
 	v := handler.parts.View()
 	l := handler.parts.Endpoints.Current()
-	k, part := "", ""
+	k, segment := "", ""
 	switch {
 	case j.Service.Engine != nil && j.Homed:
 		if len(j.PromptParts) > 0 {
-			part = j.PromptParts[0].ID
+			segment = j.PromptParts[0].ID
 		}
 	case j.Service.Engine != nil && j.Program != "":
 		k = j.Program
@@ -101,7 +101,7 @@
 			Zone:           handler.parts.Self.Zone,
 			Key:            k,
 			PreviousRunner: j.Home,
-			Prefix:         part,
+			Prefix:         segment,
 			Allowed: func(r *endpoints.Runner) bool {
 				return !tried[r.ID] && !v.Spec.Empty(r.Zone) &&
 					(handler.parts.Cooldowns.Idle() || handler.parts.Cooldowns.GateOpen(cooldownKey(r)))
--- a/internal/dataplane/request/turnapi/handler.go
+++ b/internal/dataplane/request/turnapi/handler.go
@@ -210,8 +210,8 @@
 	}
 	c.StartedBy = h.Get(HeaderStartedBy)
 	for _, p := range []struct{ head, name string }{{HeaderProgram, c.Program}, {HeaderStartedBy, c.StartedBy}} {
-		for _, part := range strings.SplitN(p.name, "/", 2) {
-			if !spec.Name(part) && (p.head != HeaderStartedBy || p.name != "") {
+		for _, segment := range strings.SplitN(p.name, "/", 2) {
+			if !spec.Name(segment) && (p.head != HeaderStartedBy || p.name != "") {
 				return code.New(code.BadHeader, "%s: %q is not a name, nor a class and a name", p.head, p.name)
 			}
 		}
--- a/internal/kit/rehearsal/rehearsal.go
+++ b/internal/kit/rehearsal/rehearsal.go
@@ -129,7 +129,7 @@
 			if a.Turn {
 				f.Parted++
 				if a.PrefixHit {
-					f.Held++
+					f.PrefixHits++
 				}
 			}
 		case a.Code == int(code.DeadlinePassed), a.Code == int(code.TooLong):
@@ -169,7 +169,7 @@
 	)
 	row("dropped in all", b.Dropped, c.Dropped)
 	row("urgent over 0.5 s", b.UrgentLate, c.UrgentLate)
-	row("prefixes held", fmt.Sprintf("%d/%d", b.Held, b.Parted), fmt.Sprintf("%d/%d", c.Held, c.Parted))
+	row("prefixes held", fmt.Sprintf("%d/%d", b.PrefixHits, b.Parted), fmt.Sprintf("%d/%d", c.PrefixHits, c.Parted))
 	for _, k := range slices.Sorted(maps.Keys(b.Waits)) {
 		name := k
 		if name == "" {
--- a/internal/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -378,8 +378,8 @@
 
 // settle is how long after a fault the next one may come; repair, after a lost disk.
 const (
-	settleTime = time.Second
-	repairTime = 8 * time.Second
+	stableAfter = time.Second
+	repairTime  = 8 * time.Second
 )
 
 func (l *lab) do(a action) {
@@ -418,19 +418,19 @@
 		}
 		l.wg.Go(func() { l.zoneOrder(answer, a.core, uint64(a.some)) })
 	case partitionBoth, partitionOneWay:
-		if !l.free(a.lasts + settleTime) {
+		if !l.free(a.lasts + stableAfter) {
 			return
 		}
-		l.cut(a, true)
-		time.AfterFunc(a.lasts, func() { l.cut(a, false) })
+		l.partitioned(a, true)
+		time.AfterFunc(a.lasts, func() { l.partitioned(a, false) })
 	case freezeCore:
-		if !l.free(a.lasts + settleTime) {
+		if !l.free(a.lasts + stableAfter) {
 			return
 		}
 		l.net.Freeze(m.addr)
 		time.AfterFunc(a.lasts, func() { l.net.Thaw(m.addr) })
 	case restartCore:
-		if !l.free(time.Second + settleTime) {
+		if !l.free(time.Second + stableAfter) {
 			return
 		}
 		l.kill(m)
@@ -458,8 +458,8 @@
 	}
 }
 
-// cut cuts a machine off from the others, or joins it.
-func (l *lab) cut(a action, on bool) {
+// partitioned cuts a machine off from the others, or joins it.
+func (l *lab) partitioned(a action, on bool) {
 	m := l.machines[a.core]
 	for _, o := range l.machines {
 		switch {
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -154,9 +154,9 @@
 		Addr:              e.Addr,
 		Zone:              e.Zone,
 		Revision:          e.Revision,
-		Capacity:          int(within(e.Room, 1, maxCapacity)),
+		Capacity:          int(within(e.Capacity, 1, maxCapacity)),
 		Draining:          e.State == "draining",
-		WarmupRemainingMs: int64(within(e.ColdMs, 0, maxWarmupMs)),
+		WarmupRemainingMs: int64(within(e.WarmupMs, 0, maxWarmupMs)),
 	}
 	for _, m := range e.Models {
 		if r.Models == nil {
--- a/internal/platform/discovery/wire.go
+++ b/internal/platform/discovery/wire.go
@@ -16,9 +16,9 @@
 	Addr     string  `json:"address"`
 	Zone     string  `json:"zone"`
 	Revision string  `json:"revision"`
-	Room     float64 `json:"capacity"`
+	Capacity float64 `json:"capacity"`
 	State    string  `json:"condition"`
-	ColdMs   float64 `json:"cold-remaining-ms"`
+	WarmupMs float64 `json:"cold-remaining-ms"`
 	Models   []model `json:"model-list"`
 }
 
--- a/internal/platform/discovery/wire_easyjson.go
+++ b/internal/platform/discovery/wire_easyjson.go
@@ -181,7 +181,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Room = float64(in.Float64())
+				out.Capacity = float64(in.Float64())
 			}
 		case "condition":
 			if in.IsNull() {
@@ -193,7 +193,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ColdMs = float64(in.Float64())
+				out.WarmupMs = float64(in.Float64())
 			}
 		case "model-list":
 			if in.IsNull() {
@@ -260,7 +260,7 @@
 	{
 		const prefix string = ",\"capacity\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Room))
+		out.Float64(float64(in.Capacity))
 	}
 	{
 		const prefix string = ",\"condition\":"
@@ -270,7 +270,7 @@
 	{
 		const prefix string = ",\"cold-remaining-ms\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.ColdMs))
+		out.Float64(float64(in.WarmupMs))
 	}
 	{
 		const prefix string = ",\"model-list\":"
--- a/internal/platform/params_test.go
+++ b/internal/platform/params_test.go
@@ -163,10 +163,10 @@
 		}
 	}
 	for i, c := range []struct {
-		body        string
-		at          int64
-		force       bool
-		told, wrong int
+		body            string
+		at              int64
+		force           bool
+		received, wrong int
 	}{
 		{"", 0, false, 0, 0},
 		{"", 0, true, 1, 0},
@@ -180,8 +180,8 @@
 			put(c.body, c.at)
 		}
 		w.poll(c.force)
-		if received != c.told || wrong != c.wrong {
-			t.Errorf("step %d: told %d, wrong %d, want %d, %d", i, received, wrong, c.told, c.wrong)
+		if received != c.received || wrong != c.wrong {
+			t.Errorf("step %d: told %d, wrong %d, want %d, %d", i, received, wrong, c.received, c.wrong)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/proto/script/script_test.go
+++ b/internal/proto/script/script_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func BenchmarkRank(b *testing.B) {
+func BenchmarkPriority(b *testing.B) {
 	s, err := script.Load(
 		script.Source{Rank: `runner.prefix * 3.0 + double(runner.free) / double(runner.free + runner.used)`},
 		runners,
--- a/internal/proto/spec/types.go
+++ b/internal/proto/spec/types.go
@@ -76,7 +76,7 @@
 	MissedByRun []int64         `json:"missed_by_run"`
 	Dropped     int64           `json:"dropped"`     // told anything else but served
 	UrgentLate  int64           `json:"urgent_late"` // over half a second
-	Held        int64           `json:"held"`        // prefixes held, of
+	PrefixHits  int64           `json:"held"`        // prefixes held, of
 	Parted      int64           `json:"parted"`      // turns that named parts
 	Breaches    int64           `json:"breaches"`
 	Fallbacks   int64           `json:"fallbacks"` // the program failed and the built-in decided
--- a/internal/proto/spec/types_easyjson.go
+++ b/internal/proto/spec/types_easyjson.go
@@ -2619,7 +2619,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Held = int64(in.Int64())
+				out.PrefixHits = int64(in.Int64())
 			}
 		case "parted":
 			if in.IsNull() {
@@ -2722,7 +2722,7 @@
 	{
 		const prefix string = ",\"held\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Held))
+		out.Int64(int64(in.PrefixHits))
 	}
 	{
 		const prefix string = ",\"parted\":"
--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -254,8 +254,8 @@
 	}
 }
 
-// held is what a folder has on disk.
-func held(b *testing.B, dir string) (n int64) {
+// usedBytes is what a folder has on disk.
+func usedBytes(b *testing.B, dir string) (n int64) {
 	err := filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
 			return err
@@ -296,7 +296,7 @@
 					if _, err := vfs.Clone(p.FS, vfs.Default, "/data", dir, vfs.CloneSync); err != nil {
 						b.Fatal(err)
 					}
-					most = max(most, held(b, dir))
+					most = max(most, usedBytes(b, dir))
 					p.FS, p.Dir = nil, dir
 				}
 				at := cpu()
--- a/internal/state/storage/compat_test.go
+++ b/internal/state/storage/compat_test.go
@@ -49,11 +49,11 @@
 			}
 			checkRegisters(t, engine, want.Registers)
 			checkBlobs(t, engine, want.Blobs)
-			notes, err := engine.ListMetadata("")
+			metadata, err := engine.ListMetadata("")
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkSame(t, "note", notes, want.Notes)
+			checkSame(t, "note", metadata, want.Notes)
 		})
 	}
 }
--- a/internal/state/storage/devicefile.go
+++ b/internal/state/storage/devicefile.go
@@ -94,17 +94,17 @@
 // ReadAt reads at an offset. Its buffer is its own, since a read that the disk does
 // not answer in time is left behind.
 func (f *deviceFile) ReadAt(p []byte, off int64) (int, error) {
-	type part struct {
+	type chunk struct {
 		b   []byte
 		err error
 	}
-	got, err := readWithTimeout(f.device, func() (part, error) {
+	got, err := readWithTimeout(f.device, func() (chunk, error) {
 		b := make([]byte, len(p))
 		n, err := f.File.ReadAt(b, off)
 		if errors.Is(err, io.EOF) {
-			return part{b[:n], err}, nil
+			return chunk{b[:n], err}, nil
 		}
-		return part{b[:n], nil}, err
+		return chunk{b[:n], nil}, err
 	}, nil)
 	if err != nil || got.err != nil {
 		f.device.throttle(errors.Join(err, got.err))
--- a/internal/state/storage/faultfs/faultfs.go
+++ b/internal/state/storage/faultfs/faultfs.go
@@ -42,7 +42,7 @@
 // named is a failure that waits for a call on a certain file.
 type named struct {
 	kind Kind
-	part string
+	half string
 	err  error
 }
 
@@ -91,16 +91,16 @@
 }
 
 // FailOn lets the next call of a kind on a file whose name has part in it fail.
-func (f *FS) FailOn(kind Kind, part string, err error) {
+func (f *FS) FailOn(kind Kind, half string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.named = append(f.named, named{kind, part, err})
+	f.named = append(f.named, named{kind, half, err})
 }
 
 // failure takes what a call is to fail with; nil: nothing.
 func (f *FS) failure(p point, name string) error {
 	for i, n := range f.named {
-		if n.kind == p.kind && strings.Contains(name, n.part) {
+		if n.kind == p.kind && strings.Contains(name, n.half) {
 			f.named = slices.Delete(f.named, i, i+1)
 			return n.err
 		}
@@ -251,8 +251,8 @@
 	name string
 }
 
-// part writes half of p where there is no space for all.
-func (f *file) part(p []byte, err error, write func([]byte) (int, error)) (int, error) {
+// half writes half of p where there is no space for all.
+func (f *file) half(p []byte, err error, write func([]byte) (int, error)) (int, error) {
 	if err == nil {
 		return write(p)
 	}
@@ -263,10 +263,10 @@
 	return n, err
 }
 
-func (f *file) Write(p []byte) (int, error) { return f.part(p, f.fs.call(Write, f.name), f.File.Write) }
+func (f *file) Write(p []byte) (int, error) { return f.half(p, f.fs.call(Write, f.name), f.File.Write) }
 
 func (f *file) WriteAt(p []byte, off int64) (int, error) {
-	return f.part(p, f.fs.call(Write, f.name), func(b []byte) (int, error) { return f.File.WriteAt(b, off) })
+	return f.half(p, f.fs.call(Write, f.name), func(b []byte) (int, error) { return f.File.WriteAt(b, off) })
 }
 
 func (f *file) Read(p []byte) (int, error) {
--- a/internal/state/storage/faults_test.go
+++ b/internal/state/storage/faults_test.go
@@ -406,7 +406,7 @@
 // TestNamedFailures: what each kind of the database's files fails with ends neither the
 // process nor the folder, whatever the database was at.
 func TestNamedFailures(t *testing.T) {
-	for _, part := range []string{"MANIFEST", ".sst", ".log", "marker"} {
+	for _, chunk := range []string{"MANIFEST", ".sst", ".log", "marker"} {
 		for _, kind := range []faultfs.Kind{faultfs.Write, faultfs.Sync} {
 			synctest.Test(t, func(t *testing.T) {
 				mem := vfs.NewCrashableMem()
@@ -415,7 +415,7 @@
 				val := make([]byte, 200<<10)
 				for i := range 60 {
 					if i%20 == 10 {
-						fs.FailOn(kind, part, syscall.EIO)
+						fs.FailOn(kind, chunk, syscall.EIO)
 					}
 					r := record(i + 1)
 					r.Cell = &wire.Cell{Val: val}
