--- a/cmd/damsontiller-control/operator_test.go
+++ b/cmd/damsontiller-control/operator_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"sync/atomic"
 	"testing"
 
 	"damsontiller/internal/transport/code"
@@ -48,10 +49,10 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.args, func(t *testing.T) {
-			got := ""
+			sent := make(chan string, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				body, _ := io.ReadAll(r.Body)
-				got = r.Method + " " + r.URL.EscapedPath() + " " + string(body)
+				sent <- r.Method + " " + r.URL.EscapedPath() + " " + string(body)
 				_, _ = w.Write([]byte("{}"))
 			}))
 			defer server.Close()
@@ -60,7 +61,7 @@
 			if err := operate(args); err != nil {
 				t.Fatal(err)
 			}
-			if got != tc.want {
+			if got := <-sent; got != tc.want {
 				t.Errorf("sent %q, want %q", got, tc.want)
 			}
 		})
@@ -95,16 +96,16 @@
 	if code.Of(err) != code.SpecConflict || !strings.Contains(err.Error(), "version 4") {
 		t.Errorf("%v", err)
 	}
-	asked := 0
+	var asked atomic.Int32
 	closing := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {
-		asked++
+		asked.Add(1)
 		panic(http.ErrAbortHandler)
 	}))
 	defer closing.Close()
 	addr = strings.TrimPrefix(closing.URL, "http://")
 	err = operate([]string{"zone", "empty", "b", "-core", addr + "," + addr})
-	if code.Of(err) != code.OutcomeUnknown || asked != 1 {
-		t.Errorf("%v after %d requests", err, asked)
+	if code.Of(err) != code.OutcomeUnknown || asked.Load() != 1 {
+		t.Errorf("%v after %d requests", err, asked.Load())
 	}
 	err = operate([]string{"members", "-core", "127.0.0.1:1"})
 	if code.Of(err) != code.CoreUnreachable {
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -104,7 +104,7 @@
 		params:     params,
 		Epochs:     &singleton.EpochGuard{},
 		wakeup:     loop.NewWakeup(),
-		background: job.NewBg(ctx),
+		background: job.NewBackground(ctx),
 	}
 	t := &storeclient.Client{Peer: e.Peer, Cluster: e.Cluster, Proposer: e.Proposer}
 	runners := &intern.Table{}
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -11,7 +11,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Proxy is the part of an edge that passes raw jobs.
+// Proxy is the part of an edge that passes proxied requests.
 type Proxy struct {
 	*proxy.Handler
 	Endpoints  *endpoints.Store
@@ -31,7 +31,7 @@
 // DefaultProxy are the design's.
 var DefaultProxy = ProxyParams{Params: proxy.DefaultParams, LoadReport: loadreport.DefaultParams}
 
-// NewProxy joins the parts of a raw job's way, in one fixed order. It is called before
+// NewProxy joins the parts of a proxied request's way, in one fixed order. It is called before
 // Start.
 func (e *Edge) NewProxy(params ProxyParams, dialect proxy.Headers) *Proxy {
 	r := &Proxy{
@@ -53,7 +53,7 @@
 			Pool:      r.pool,
 			Cooldowns: e.Cooldowns,
 			Headers:   dialect,
-			Log:       e.Log.Named("raw"),
+			Log:       e.Log.Named("proxy"),
 			Policies: []proxy.Policy{
 				proxy.NewTurns(params.Turns, e.stores),
 				proxy.NewBudgets(params.Budgets, e.stores, e.background),
@@ -64,7 +64,7 @@
 	return r
 }
 
-// Ready reports whether raw jobs are taken.
+// Ready reports whether proxied requests are taken.
 func (r *Proxy) Ready() error {
 	switch {
 	case r.edge.stopping.Load():
--- a/internal/dataplane/request/job/job.go
+++ b/internal/dataplane/request/job/job.go
@@ -64,7 +64,7 @@
 	Sure     bool
 	// Point is called at each numbered point of the way; nil outside tests.
 	Point func(Point, *Ctx)
-	// Spent is the output the runner reports, Held whether it held the prefix.
+	// Spent is the output that the runner reports, PrefixHit whether the prefix was cached.
 	Spent     int64
 	PrefixHit bool
 }
@@ -168,8 +168,8 @@
 	WG  *sync.WaitGroup
 }
 
-// NewBg makes a Bg that ends with ctx.
-func NewBg(ctx context.Context) Background { return Background{ctx, &sync.WaitGroup{}} }
+// NewBackground makes a Bg that ends with ctx.
+func NewBackground(ctx context.Context) Background { return Background{ctx, &sync.WaitGroup{}} }
 
 // Go runs f behind the answer.
 func (b Background) Go(f func()) { b.WG.Go(f) }
--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -27,7 +27,7 @@
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// Params are the settings of raw jobs.
+// Params are the settings of proxied requests.
 type Params struct {
 	MaxBody     int64         // bytes of a body taken where the table says nothing
 	Margin      time.Duration // the deadline lies so far before the caller's
@@ -72,7 +72,7 @@
 	Policies  []Policy // before the send, outermost first
 }
 
-// Handler takes raw jobs and sees each to its answer.
+// Handler takes proxied requests and sees each to its answer.
 type Handler struct {
 	params      Params
 	parts       Dependencies
--- a/internal/kit/proxytest/fleet_test.go
+++ b/internal/kit/proxytest/fleet_test.go
@@ -76,7 +76,7 @@
 	}
 	e := f.s.Edge(id)
 	t := &storeclient.Client{Peer: e.Peer, Cluster: e.Cluster, Proposer: e.Proposer}
-	bg := job.NewBg(f.ctx)
+	bg := job.NewBackground(f.ctx)
 	f.bgs = append(f.bgs, bg)
 	r := newRig(f.t, f.bs, proxy.NewTurns(f.turn, t), proxy.NewBudgets(proxy.DefaultBudgets, t, bg))
 	f.rigs[id] = r
--- a/internal/kit/sim/cooldown_test.go
+++ b/internal/kit/sim/cooldown_test.go
@@ -24,7 +24,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// plain spells raw jobs in a few headers of its own, for tests.
+// plain spells proxied requests in a few headers of its own, for tests.
 type plain struct{ edge string }
 
 func (plain) ReadRequest(r *http.Request, j *proxy.Job) error {
@@ -129,7 +129,7 @@
 	return n
 }
 
-// rawFleet is a simulated fleet that passes raw jobs of one service.
+// rawFleet is a simulated fleet that passes proxied requests of one service.
 type rawFleet struct {
 	*sim.Sim
 	t     *testing.T
--- a/internal/kit/sim/faults_runner.go
+++ b/internal/kit/sim/faults_runner.go
@@ -66,7 +66,7 @@
 	return out
 }
 
-// backendFault is what the stand-ins of raw jobs have meanwhile: the faults of the
+// backendFault is what the stand-ins of proxied requests have meanwhile: the faults of the
 // next jobs, or a fault that lasts.
 type backendFault struct {
 	next  []proxytest.Fault
@@ -74,7 +74,7 @@
 	x     float64
 }
 
-// backendFaults are the same kinds of fault for the runners of raw jobs.
+// backendFaults are the same kinds of fault for the runners of proxied requests.
 var backendFaults = map[string]backendFault{
 	"srv_crash":       {lasts: proxytest.Flaps, x: 8},
 	"srv_slow":        {lasts: proxytest.SlowBy, x: 4},
@@ -103,7 +103,7 @@
 	"cold_return":        {next: []proxytest.Fault{proxytest.NoDial, proxytest.NoDial, proxytest.NoDial}},
 }
 
-// faultBackends gives two stand-ins of raw jobs the fault of a fault's name, if
+// faultBackends gives two stand-ins of proxied requests the fault of a fault's name, if
 // it has any, for some seconds.
 func (d *Draw) faultBackends(name string) {
 	t, ok := backendFaults[name]
--- a/internal/kit/sim/machine.go
+++ b/internal/kit/sim/machine.go
@@ -29,7 +29,7 @@
 // Machine is one simulated machine.
 type Machine struct {
 	ID, Role, Zone, Addr, HTTP string
-	Front                      string       // where an edge takes raw jobs
+	Front                      string       // where an edge takes proxied requests
 	Spare                      bool         // laid out, and not started with the others
 	clock                      atomic.Int64 // by which its time of day is wrong
 	fs                         *vfs.MemFS
--- a/internal/kit/sim/proxy.go
+++ b/internal/kit/sim/proxy.go
@@ -16,7 +16,7 @@
 	"damsontiller/internal/kit/proxytest"
 )
 
-// Headers of raw jobs, as the platform spells them.
+// Headers of proxied requests, as the platform spells them.
 const (
 	headerAttempt   = "X-Damsontiller-Attempt-Id"
 	headerRemaining = "X-Damsontiller-Time-Remaining"
@@ -30,7 +30,7 @@
 // rawAuthority is the host that every configuration's routes serve.
 const rawAuthority = "host.test"
 
-// addBackends lays out stand-ins for the runners of raw jobs.
+// addBackends lays out stand-ins for the runners of proxied requests.
 func (s *Sim) addBackends(n int) {
 	names := proxytest.Names{Try: headerAttempt, Seal: headerSeal, NotRun: headerNotRun, Target: headerTarget}
 	for i := range n {
@@ -51,7 +51,7 @@
 	}
 }
 
-// list is the platform's list of raw jobs' runners.
+// list is the platform's list of proxied requests' runners.
 func (s *Sim) list(context.Context) ([]endpoints.Runner, error) {
 	var all []endpoints.Runner
 	for i, b := range s.Backends {
@@ -116,7 +116,7 @@
 	body        string
 }
 
-// RawLog sends raw jobs and judges the answers: what may run once runs once, what is
+// RawLog sends proxied requests and judges the answers: what may run once runs once, what is
 // said not to have run has not, an answer is the complete one of this very job, a turn
 // that was kept is found.
 type RawLog struct {
--- a/internal/kit/sim/sim.go
+++ b/internal/kit/sim/sim.go
@@ -34,7 +34,7 @@
 	Spec     spec.Spec
 	Machines []*Machine
 	Runners  []*runner.Runner
-	Backends []*proxytest.Backend // of raw jobs
+	Backends []*proxytest.Backend // of proxied requests
 	Crowd    *client.Crowd
 	Log      hclog.Logger
 
@@ -75,7 +75,7 @@
 	LogTo  io.Writer // everything logged, at the lowest level
 	Alone  bool      // cooldowns are not shared
 	Found  bool      // the sets form by themselves, from the addresses of c1, c2 and c3
-	Raw    int       // so many stand-ins for raw jobs; with none, edges take no raw jobs
+	Raw    int       // so many stand-ins for proxied requests; with none, edges take no proxied requests
 	Spares int       // more machines of each counted role that a test may start later
 	// Point is called at each numbered point of a job's way at an edge.
 	Point func(edge string, p job.Point, c *job.Ctx)
--- a/internal/kit/sim/worst_test.go
+++ b/internal/kit/sim/worst_test.go
@@ -303,7 +303,7 @@
 	}
 }
 
-// TestWorstCallers: raw jobs under resets, silences and spoilt answers at every turn;
+// TestWorstCallers: proxied requests under resets, silences and spoilt answers at every turn;
 // what may run once runs once, and each answer is its own.
 func TestWorstCallers(t *testing.T) {
 	t.Parallel()
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -40,7 +40,7 @@
 // maxCount bounds a count of tokens, so that sums of many can't overflow.
 const maxCount = 1 << 40
 
-// Codec spells raw jobs in the platform's headers.
+// Codec spells proxied requests in the platform's headers.
 type Codec struct{}
 
 var _ proxy.Headers = Codec{}
--- a/internal/proto/spec/table.go
+++ b/internal/proto/spec/table.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Kinds of raw jobs: what may be repeated.
+// Kinds of proxied requests: what may be repeated.
 const (
 	Repeatable = "repeatable" // may run more than once
 	Once       = "once"       // may run once at most for each try of its caller
 	Stream     = "stream"     // answered by events; once, unless it can be resumed
 )
 
-// Table says where raw jobs go: jobs whose request is passed on as it came and
+// Table says where proxied requests go: jobs whose request is passed on as it came and
 // whose answer comes back as it is made.
 //
 //easyjson:json
@@ -26,7 +26,7 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Path is one route of raw jobs, found by authority and longest path prefix.
+// Path is one route of proxied requests, found by authority and longest path prefix.
 type Path struct {
 	Name            string  `json:"name"`
 	Authority       string  `json:"authority"`
--- a/internal/proto/spec/types.go
+++ b/internal/proto/spec/types.go
@@ -158,7 +158,7 @@
 	Used          []string `json:"used,omitempty"`
 	IdentityFloor uint64   `json:"identity_floor,omitempty"`
 	Spec          Spec     `json:"spec"`
-	// Table routes raw jobs.
+	// Table routes proxied requests.
 	Table Table `json:"table"`
 	// TakenLog remembers the latest changes of the table, TakenFloor is the highest
 	// revision that it has forgotten. Taken is where earlier versions kept them.
--- a/internal/state/storage/faults_test.go
+++ b/internal/state/storage/faults_test.go
@@ -138,16 +138,19 @@
 		engine := open(t, fs, "s1")
 		saved(t, engine, "k0", 1)
 		fs.Stall(true)
-		const callers = 3000
-		answers := make(chan error, callers)
+		const callers, queueBound = 3000, 1024
+		answers := make(chan error, callers+1)
+		// The writer is at one write, so that exactly the queue is left for the others.
+		go func() { answers <- engine.Save("first", record(2)) }()
+		synctest.Wait()
 		for i := range callers {
 			go func() { answers <- engine.Save(fmt.Sprintf("k%d", i), record(2)) }()
 		}
 		synctest.Wait()
-		if n := len(answers); n < callers-1100 {
-			t.Errorf("%d of %d callers wait", callers-n, callers)
+		if n := callers - len(answers); n != queueBound {
+			t.Errorf("%d of %d callers wait, want %d", n, callers, queueBound)
 		}
-		for range callers {
+		for range callers + 1 {
 			if c := code.Of(<-answers); c != code.WriteUncertain && c != code.DiskStalled {
 				t.Fatalf("answer %v", c)
 			}
