--- a/internal/dataplane/balancing/outlier/outlier.go
+++ b/internal/dataplane/balancing/outlier/outlier.go
@@ -76,20 +76,20 @@
 }
 
 // tail is the chance of k or more of n, each with chance p.
-func tail(n, k int, params float64) float64 {
+func tail(n, k int, probability float64) float64 {
 	if k <= 0 {
 		return 1
 	}
-	if k > n || params <= 0 {
+	if k > n || probability <= 0 {
 		return 0
 	}
 	a, _ := math.Lgamma(float64(n + 1))
 	b, _ := math.Lgamma(float64(k + 1))
 	c, _ := math.Lgamma(float64(n - k + 1))
-	t := math.Exp(a - b - c + float64(k)*math.Log(params) + float64(n-k)*math.Log1p(-params))
+	t := math.Exp(a - b - c + float64(k)*math.Log(probability) + float64(n-k)*math.Log1p(-probability))
 	sum := t
 	for i := k; i < n && t > sum*1e-9; i++ {
-		t *= float64(n-i) / float64(i+1) * params / (1 - params)
+		t *= float64(n-i) / float64(i+1) * probability / (1 - probability)
 		sum += t
 	}
 	return min(sum, 1)
@@ -137,10 +137,10 @@
 				sum += w[j] * like[i][j]
 			}
 			for j := range w {
-				params := w[j] * like[i][j] / sum
-				next[j] += params
+				probability := w[j] * like[i][j] / sum
+				next[j] += probability
 				if j >= failingRate {
-					bad += params
+					bad += probability
 				}
 			}
 			out[i] = bad
--- a/internal/dataplane/request/job/job.go
+++ b/internal/dataplane/request/job/job.go
@@ -168,7 +168,7 @@
 	WG  *sync.WaitGroup
 }
 
-// NewBackground makes a Bg that ends with ctx.
+// NewBackground makes a Background that ends with ctx.
 func NewBackground(ctx context.Context) Background { return Background{ctx, &sync.WaitGroup{}} }
 
 // Go runs f behind the answer.
