--- a/internal/dataplane/balancing/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -29,10 +29,10 @@
 
 // Params are the assigner's times.
 type Params struct {
-	Poll        time.Duration // between reports
-	Term        time.Duration // of assigned slots
-	WarmupStep  time.Duration // between two doublings of a warming runner's share
-	WarmupStart int           // slots a warming runner starts with
+	PollInterval time.Duration // between reports
+	Term         time.Duration // of assigned slots
+	WarmupStep   time.Duration // between two doublings of a warming runner's share
+	WarmupStart  int           // slots a warming runner starts with
 	// WarmAfter: a runner up this long that bears well is not warming up to a new assigner.
 	WarmAfter time.Duration
 	// Transport carries the requests for reports; nil means the ordinary way.
@@ -46,11 +46,11 @@
 
 // DefaultParams are the design's.
 var DefaultParams = Params{
-	Poll:        300 * time.Millisecond,
-	Term:        2 * time.Second,
-	WarmupStep:  time.Second,
-	WarmupStart: 2,
-	WarmAfter:   20 * time.Second,
+	PollInterval: 300 * time.Millisecond,
+	Term:         2 * time.Second,
+	WarmupStep:   time.Second,
+	WarmupStart:  2,
+	WarmAfter:    20 * time.Second,
 }
 
 // State is what is broadcast of a runner.
--- a/internal/dataplane/balancing/assignment/assigner_test.go
+++ b/internal/dataplane/balancing/assignment/assigner_test.go
@@ -103,7 +103,7 @@
 	unknown := func() *holder {
 		inc++
 		n := &intern.Table{}
-		return &holder{b: slots.New(n), inc: inc, ix: n.Ix(runnerName)}
+		return &holder{b: slots.New(n), inc: inc, ix: n.Index(runnerName)}
 	}
 	note := func() {
 		// The runner reports what runs on it.
--- a/internal/dataplane/balancing/assignment/service.go
+++ b/internal/dataplane/balancing/assignment/service.go
@@ -55,13 +55,13 @@
 		wakeup:  loop.NewWakeup(),
 		runners: map[string]*runner{},
 		edges:   map[uint64]*edge{},
-		client:  &http.Client{Timeout: d.params.Poll, Transport: d.params.Transport},
+		client:  &http.Client{Timeout: d.params.PollInterval, Transport: d.params.Transport},
 	}
 	defer assigner.client.CloseIdleConnections()
 	assigner.poll(ctx)
 	d.set(assigner)
 	defer d.set(nil)
-	loop.Every(ctx, d.params.Poll, assigner.wakeup, assigner.poll)
+	loop.Every(ctx, d.params.PollInterval, assigner.wakeup, assigner.poll)
 }
 
 func (d *Service) assign(_ context.Context, q *wire.Req) (*wire.Resp, error) {
--- a/internal/dataplane/balancing/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -22,13 +22,13 @@
 
 // Params bound the backlog.
 type Params struct {
-	Most     int           // jobs waiting
-	Tick     time.Duration // between checks deadlines and cooldowns
-	CallTime time.Duration // what a call itself needs
+	MaxWaiting int           // jobs waiting
+	Tick       time.Duration // between checks deadlines and cooldowns
+	CallTime   time.Duration // what a call itself needs
 }
 
 // DefaultParams suit an edge machine.
-var DefaultParams = Params{Most: 1024, Tick: 10 * time.Millisecond, CallTime: 50 * time.Millisecond}
+var DefaultParams = Params{MaxWaiting: 1024, Tick: 10 * time.Millisecond, CallTime: 50 * time.Millisecond}
 
 type waiter struct {
 	c   *job.Ctx
@@ -65,7 +65,7 @@
 		directory: dir,
 		slots:     table,
 		selector:  pol,
-		in:        make(chan *waiter, p.Most),
+		in:        make(chan *waiter, p.MaxWaiting),
 		by:        map[string]int32{},
 		callTimes: map[string]time.Duration{},
 		pace:      map[string]*pace{},
@@ -275,9 +275,9 @@
 // Do is the policy: it waits for a slot, and gives it back only once the rest
 // of the way, a cooldown's installing included, is done.
 func (b *Backlog) Do(c *job.Ctx, next job.Next) (a job.Answer) {
-	if b.n.Add(1) > int64(b.p.Most) {
+	if b.n.Add(1) > int64(b.p.MaxWaiting) {
 		b.n.Add(-1)
-		a = job.Bad(code.BacklogFull, "%d jobs wait already", b.p.Most)
+		a = job.Bad(code.BacklogFull, "%d jobs wait already", b.p.MaxWaiting)
 		a.Wait = time.Second
 		return a
 	}
--- a/internal/dataplane/balancing/balancer/balancer.go
+++ b/internal/dataplane/balancing/balancer/balancer.go
@@ -79,7 +79,7 @@
 	defer directory.mu.Unlock()
 	if old, ok := directory.states[s.Name]; ok && old.Incarnation != s.Incarnation {
 		// What was seen the process before says nothing about this one.
-		if ix := directory.Runners.Ix(s.Name); ix < len(directory.entries) {
+		if ix := directory.Runners.Index(s.Name); ix < len(directory.entries) {
 			directory.entries[ix].avoid = time.Time{}
 		}
 	}
@@ -96,14 +96,14 @@
 	return s, ok
 }
 
-// Sufficient reports whether the slots are enough for a job of any route.
-func (directory *Directory) Sufficient(slots []*wire.Slot) bool {
+// CoversAllRoutes reports whether the slots are enough for a job of any route.
+func (directory *Directory) CoversAllRoutes(slots []*wire.Slot) bool {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.rebuild()
 	routes := map[int]bool{}
 	for _, s := range slots {
-		if ix := directory.Runners.Ix(s.Runner); ix < len(directory.entries) {
+		if ix := directory.Runners.Index(s.Runner); ix < len(directory.entries) {
 			routes[directory.entries[ix].route] = true
 		}
 	}
@@ -121,12 +121,12 @@
 		e.listed = false
 	}
 	put := func(r spec.Runner) *entry {
-		ix := directory.Runners.Ix(r.Name)
+		ix := directory.Runners.Index(r.Name)
 		for len(directory.entries) <= ix {
 			directory.entries = append(directory.entries, &entry{prefixes: map[string]bool{}})
 		}
 		e := directory.entries[ix]
-		e.Runner, e.route, e.listed, e.cooldownKey = r, directory.Routes.Ix(r.Route), true, cooldown.Key(&v.Spec, r)
+		e.Runner, e.route, e.listed, e.cooldownKey = r, directory.Routes.Index(r.Route), true, cooldown.Key(&v.Spec, r)
 		return e
 	}
 	for _, s := range directory.states {
@@ -166,13 +166,13 @@
 	directory.entries[ix].prefixes = cached
 }
 
-// Keys lists the cooldown keys of the runners that could serve the job.
-func (directory *Directory) Keys(c *job.Ctx) []string {
+// CooldownKeys lists the cooldown keys of the runners that could serve the job.
+func (directory *Directory) CooldownKeys(c *job.Ctx) []string {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.rebuild()
 	var out []string
-	route := directory.Routes.Ix(c.Route)
+	route := directory.Routes.Index(c.Route)
 	for _, e := range directory.entries {
 		if e.listed && e.route == route && !e.draining {
 			out = append(out, e.cooldownKey)
@@ -189,7 +189,7 @@
 	defer directory.mu.Unlock()
 	directory.rebuild()
 	now := time.Now()
-	route := directory.Routes.Ix(c.Route)
+	route := directory.Routes.Index(c.Route)
 	var rs []script.Runner
 	var ixs []int
 	least = -1
@@ -248,7 +248,7 @@
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.rebuild()
-	index := directory.Routes.Ix(route)
+	index := directory.Routes.Index(route)
 	total := 0
 	for ix, e := range directory.entries {
 		if e.route == index && directory.eligible(e, e.incarnation) {
--- a/internal/dataplane/balancing/endpoints/endpoints.go
+++ b/internal/dataplane/balancing/endpoints/endpoints.go
@@ -44,8 +44,8 @@
 	return l
 }
 
-// Of lists a service's runners.
-func (l *List) Of(service string) []*Runner { return l.byService[service] }
+// ForService lists a service's runners.
+func (l *List) ForService(service string) []*Runner { return l.byService[service] }
 
 // Get finds a runner by its id.
 func (l *List) Get(id string) *Runner { return l.byID[id] }
--- a/internal/dataplane/balancing/endpoints/endpoints_test.go
+++ b/internal/dataplane/balancing/endpoints/endpoints_test.go
@@ -15,10 +15,10 @@
 		time.Now(),
 		[]endpoints.Runner{{ID: "c", Service: "x"}, {ID: "a", Service: "x"}, {ID: "b", Service: "y"}},
 	)
-	if x := l.Of("x"); len(x) != 2 || x[0].ID != "a" || x[1].ID != "c" || len(l.Of("y")) != 1 || len(l.Of("z")) != 0 {
+	if x := l.ForService("x"); len(x) != 2 || x[0].ID != "a" || x[1].ID != "c" || len(l.ForService("y")) != 1 || len(l.ForService("z")) != 0 {
 		t.Errorf("%v", l.Runners)
 	}
-	if l.Get("b") != l.Of("y")[0] || l.Get("nobody") != nil {
+	if l.Get("b") != l.ForService("y")[0] || l.Get("nobody") != nil {
 		t.Error("by id")
 	}
 }
--- a/internal/dataplane/balancing/intern/intern.go
+++ b/internal/dataplane/balancing/intern/intern.go
@@ -11,8 +11,8 @@
 	list []string
 }
 
-// Ix gives the index of a name, a new one if it has none.
-func (t *Table) Ix(name string) int {
+// Index gives the index of a name, a new one if it has none.
+func (t *Table) Index(name string) int {
 	t.mu.RLock()
 	i, ok := t.ix[name]
 	t.mu.RUnlock()
--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -34,10 +34,10 @@
 	Expiry       time.Duration // an edge's word counts for so long
 	// SingleCollector is the largest fleet, in edges, in which one edge counts for all.
 	SingleCollector int
-	// KeepLoads is how long an edge that reaches no collector goes by what it was told last.
-	KeepLoads    time.Duration
-	TurnInterval time.Duration // between two edges of a zone that read a stale list themselves
-	LongestTurn  time.Duration // that an edge waits for the others
+	// LoadRetention is how long an edge that reaches no collector goes by what it was told last.
+	LoadRetention time.Duration
+	ReadStagger   time.Duration // between two edges of a zone that read a stale list themselves
+	MaxReadDelay  time.Duration // that an edge waits for the others
 }
 
 // DefaultParams are the design's.
@@ -48,13 +48,13 @@
 	Stale:           1900 * time.Millisecond,
 	Expiry:          time.Second,
 	SingleCollector: 96,
-	KeepLoads:       2 * time.Second,
-	TurnInterval:    300 * time.Millisecond,
-	LongestTurn:     900 * time.Millisecond,
+	LoadRetention:   2 * time.Second,
+	ReadStagger:     300 * time.Millisecond,
+	MaxReadDelay:    900 * time.Millisecond,
 }
 
-// List reads the list of runners.
-type List func(ctx context.Context) ([]endpoints.Runner, error)
+// ListFunc reads the list of runners.
+type ListFunc func(ctx context.Context) ([]endpoints.Runner, error)
 
 // LoadReport counts, and asks whoever counts.
 type LoadReport struct {
@@ -62,7 +62,7 @@
 	node      *node.Node
 	endpoints *endpoints.Store
 	load      *proxy.Load
-	discover  List
+	discover  ListFunc
 	outliers  *outlier.Detector
 	zones     *zoneExchange
 
@@ -98,7 +98,7 @@
 }
 
 // Run asks and, where this edge is the one that counts, reads, until ctx ends.
-func (report *LoadReport) Run(ctx context.Context, list List) {
+func (report *LoadReport) Run(ctx context.Context, list ListFunc) {
 	report.mu.Lock()
 	report.discover, report.runningSince = list, time.Now()
 	report.mu.Unlock()
@@ -143,7 +143,7 @@
 			readInterval = report.params.Stale
 		}
 	}
-	if first || report.Reporters() > 0 || time.Since(report.answeredAt) > report.params.KeepLoads {
+	if first || report.Reporters() > 0 || time.Since(report.answeredAt) > report.params.LoadRetention {
 		report.load.UpdateRemote(report.others(self))
 	}
 	report.refresh(ctx, readInterval)
@@ -194,7 +194,7 @@
 			rank++
 		}
 	}
-	return min(time.Duration(rank)*report.params.TurnInterval, report.params.LongestTurn)
+	return min(time.Duration(rank)*report.params.ReadStagger, report.params.MaxReadDelay)
 }
 
 func (report *LoadReport) own(counts map[string]outlier.Count) []*wire.Busy {
--- a/internal/dataplane/balancing/outlier/detector.go
+++ b/internal/dataplane/balancing/outlier/detector.go
@@ -242,7 +242,7 @@
 			continue
 		}
 		for k, c := range cs {
-			if sure[k] >= d.params.Confidence && tail(c.Ended, c.Failures, b.rate()) < d.params.Chance &&
+			if sure[k] >= d.params.Confidence && tail(c.Ended, c.Failures, b.rate()) < d.params.FalsePositiveRate &&
 				d.corroborated(ts[at[k]], now) {
 				all[at[k]] = max(all[at[k]], float64(c.Failures)/float64(c.Ended))
 			}
--- a/internal/dataplane/balancing/outlier/outlier.go
+++ b/internal/dataplane/balancing/outlier/outlier.go
@@ -47,38 +47,38 @@
 
 // Params are the settings of a detector and a watch.
 type Params struct {
-	MaxEjectedShare float64       // of a service's runners that may be ejected; one always
-	Headroom        float64       // times the load that the capacity of those left must be
-	Chance          float64       // that a healthy runner appears so bad in one window
-	Confidence      float64       // that it is one that fails often, and not part of an even fault
-	Retry           time.Duration // until the first trial of an ejected runner; doubled while it fails
-	MaxRetry        time.Duration // until any further trial
-	Trial           time.Duration // how long an edge may put off a trial
-	ResultTimeout   time.Duration // after which a trial without a result is given to another edge
-	TrialsToReturn  int           // trials without a failure that bring it back
-	Interval        time.Duration // between two decisions
-	SlowFactor      float64       // times the middle of its service's pace from which a runner is slow
-	SuspectTime     time.Duration // how long an edge by itself keeps away from a runner after one failure
-	VerdictLifetime time.Duration // how long a verdict stands where no other is received
-	MinHang         time.Duration // the shortest stall that is a failure of the runner
+	MaxEjectedShare   float64       // of a service's runners that may be ejected; one always
+	Headroom          float64       // times the load that the capacity of those left must be
+	FalsePositiveRate float64       // that a healthy runner appears so bad in one window
+	Confidence        float64       // that it is one that fails often, and not part of an even fault
+	Retry             time.Duration // until the first trial of an ejected runner; doubled while it fails
+	MaxRetry          time.Duration // until any further trial
+	Trial             time.Duration // how long an edge may put off a trial
+	ResultTimeout     time.Duration // after which a trial without a result is given to another edge
+	TrialsToReturn    int           // trials without a failure that bring it back
+	Interval          time.Duration // between two decisions
+	SlowFactor        float64       // times the middle of its service's pace from which a runner is slow
+	SuspectTime       time.Duration // how long an edge by itself keeps away from a runner after one failure
+	VerdictLifetime   time.Duration // how long a verdict stands where no other is received
+	MinHang           time.Duration // the shortest stall that is a failure of the runner
 }
 
 // DefaultParams are the design's.
 var DefaultParams = Params{
-	MaxEjectedShare: 0.3,
-	Headroom:        1.25,
-	Chance:          1e-7,
-	Confidence:      0.9,
-	Retry:           time.Second,
-	MaxRetry:        3 * time.Second,
-	Trial:           time.Second,
-	ResultTimeout:   2500 * time.Millisecond,
-	TrialsToReturn:  7,
-	Interval:        200 * time.Millisecond,
-	SlowFactor:      2,
-	SuspectTime:     500 * time.Millisecond,
-	VerdictLifetime: 3 * time.Second,
-	MinHang:         time.Second,
+	MaxEjectedShare:   0.3,
+	Headroom:          1.25,
+	FalsePositiveRate: 1e-7,
+	Confidence:        0.9,
+	Retry:             time.Second,
+	MaxRetry:          3 * time.Second,
+	Trial:             time.Second,
+	ResultTimeout:     2500 * time.Millisecond,
+	TrialsToReturn:    7,
+	Interval:          200 * time.Millisecond,
+	SlowFactor:        2,
+	SuspectTime:       500 * time.Millisecond,
+	VerdictLifetime:   3 * time.Second,
+	MinHang:           time.Second,
 }
 
 // tail is the chance of k or more of n, each with chance p.
--- a/internal/dataplane/balancing/outlier/outlier_test.go
+++ b/internal/dataplane/balancing/outlier/outlier_test.go
@@ -510,24 +510,24 @@
 				t.Errorf("doubts %d and %d, want %d and %d", a, b, once, repeatable)
 			}
 		}
-		doubts(None, None)
+		doubts(SuspicionNone, SuspicionNone)
 		w.Failure("a")
-		doubts(Once, Once)
+		doubts(SuspicionOnce, SuspicionOnce)
 		time.Sleep(300 * time.Millisecond)
-		doubts(Once, None)
+		doubts(SuspicionOnce, SuspicionNone)
 		time.Sleep(300 * time.Millisecond)
-		doubts(None, None)
+		doubts(SuspicionNone, SuspicionNone)
 		w.Failure("a")
-		doubts(Often, Often)
+		doubts(SuspicionRepeated, SuspicionRepeated)
 		w.Success("a", Duration{})
-		doubts(None, None)
+		doubts(SuspicionNone, SuspicionNone)
 		w.Update(Verdict{Ejected: []Ejected{{ID: "a", Trial: true}, {ID: "b"}}})
-		doubts(Out, Out)
+		doubts(SuspicionEjected, SuspicionEjected)
 		if w.Trial("b", true) || w.Trial("a", false) || !w.Trial("a", true) || w.Trial("a", true) {
 			t.Error("trials")
 		}
 		time.Sleep(DefaultParams.VerdictLifetime)
-		doubts(None, None)
+		doubts(SuspicionNone, SuspicionNone)
 		if c := w.TakeCounts()["a"]; c.Ended != 3 || c.Failures != 2 {
 			t.Errorf("counted %+v", c)
 		}
--- a/internal/dataplane/balancing/outlier/watch.go
+++ b/internal/dataplane/balancing/outlier/watch.go
@@ -91,10 +91,10 @@
 
 // The suspects.
 const (
-	None  Suspicion = iota
-	Once            // one failure just now
-	Often           // several in a row
-	Out             // ejected, as reported by all
+	SuspicionNone     Suspicion = iota
+	SuspicionOnce               // one failure just now
+	SuspicionRepeated           // several in a row
+	SuspicionEjected            // ejected, as reported by all
 )
 
 // Suspicion tells how much a runner is to be kept away from. What may be repeated may
@@ -103,11 +103,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.ejected) > 0 && w.ejected[id] && time.Since(w.updatedAt) < w.params.VerdictLifetime {
-		return Out
+		return SuspicionEjected
 	}
 	o := w.local[id]
 	if o == nil {
-		return None
+		return SuspicionNone
 	}
 	left := time.Until(o.until)
 	if repeatable {
@@ -115,11 +115,11 @@
 	}
 	switch {
 	case left <= 0:
-		return None
+		return SuspicionNone
 	case o.consecutive == 1:
-		return Once
+		return SuspicionOnce
 	}
-	return Often
+	return SuspicionRepeated
 }
 
 // Trial reports whether this edge is to try an ejected runner; eager is a job that
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -108,9 +108,9 @@
 // New makes a desk.
 func New(r *cluster.Cluster, log hclog.Logger) *Selector { return &Selector{cluster: r, log: log} }
 
-// For is the policy for a job's program: every node decides alike, by a hash of
+// PolicyFor is the policy for a job's program: every node decides alike, by a hash of
 // the program's name.
-func (selector *Selector) For(c *job.Ctx) Policy {
+func (selector *Selector) PolicyFor(c *job.Ctx) Policy {
 	v := selector.cluster.Now()
 	l := v.Spec.Live
 	if l == nil {
@@ -163,7 +163,7 @@
 
 // Order is a job's place within its class.
 func (selector *Selector) Order(c *job.Ctx) float64 {
-	p := selector.For(c)
+	p := selector.PolicyFor(c)
 	n, err := p.Order(c)
 	if err != nil {
 		selector.fell(p, err)
@@ -175,7 +175,7 @@
 // Pick gives the place of the best of rs, and how it came to be: all ranks are
 // one policy's, or all the built-in's.
 func (selector *Selector) Pick(c *job.Ctx, rs []script.Runner) (int, job.Why) {
-	p := selector.For(c)
+	p := selector.PolicyFor(c)
 	why, err := rankRunners(p, c, rs)
 	if err != nil {
 		selector.fell(p, err)
--- a/internal/dataplane/balancing/slots/slots.go
+++ b/internal/dataplane/balancing/slots/slots.go
@@ -51,7 +51,7 @@
 		table.shares[i].allowed = [2]int{}
 	}
 	for _, s := range granted {
-		h := table.at(table.names.Ix(s.Runner))
+		h := table.at(table.names.Index(s.Runner))
 		if h.incarnation != s.Mark {
 			// Another process: what was in use went with the one before it.
 			*h = share{incarnation: s.Mark}
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -141,7 +141,7 @@
 	// The way of a job, in the one place where it is fixed. What stands
 	// further out is written down first and committed last.
 	rest := []job.Policy{
-		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.Keys},
+		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.CooldownKeys},
 		call.Retry{CallTime: params.Cooldown.CallTime},
 		e.backlog,
 		call.Cool{Cooldowns: e.Cooldowns},
@@ -429,7 +429,7 @@
 			continue
 		}
 		e.slots.Update(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
-		e.updateOpen(asked, e.directory.Sufficient(a.Slots))
+		e.updateOpen(asked, e.directory.CoversAllRoutes(a.Slots))
 		e.backlog.Notify()
 		return
 	}
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -123,7 +123,7 @@
 
 // Run keeps the endpoint list, the load of its runners and the stores' snapshot on cooldowns
 // until ctx ends.
-func (r *Proxy) Run(ctx context.Context, list loadreport.List) {
+func (r *Proxy) Run(ctx context.Context, list loadreport.ListFunc) {
 	r.edge.Go(ctx, func(ctx context.Context) { r.loadReport.Run(ctx, list) })
 	r.edge.Go(ctx, r.exchange.Run)
 	r.edge.Go(ctx, r.edge.Cooldowns.RunSnapshot)
--- a/internal/dataplane/request/proxy/loadbalancer.go
+++ b/internal/dataplane/request/proxy/loadbalancer.go
@@ -73,7 +73,7 @@
 func (l *Load) candidates(a Selection) (cs []candidate, trial *endpoints.Runner) {
 	now := time.Now()
 	var suspected, ejected []candidate
-	for _, r := range a.List.Of(a.Service.Name) {
+	for _, r := range a.List.ForService(a.Service.Name) {
 		if r.Draining || !a.Allowed(r) {
 			continue
 		}
@@ -90,20 +90,20 @@
 		one := 1 / float64(max(r.Capacity, 1))
 		c.cost = (c.utilization+one)*l.Watch.Slow(r.ID) - one
 		switch l.Watch.Suspicion(r.ID, a.Repeatable) {
-		case outlier.Out:
+		case outlier.SuspicionEjected:
 			// The trial of an ejected runner is best a job that has nothing cached anywhere.
 			if c.utilization < 1 && !c.warmingUp && l.Watch.Trial(r.ID, a.Repeatable && a.PreviousRunner == "") {
 				return nil, r
 			}
 			ejected = append(ejected, c)
-		case outlier.Once:
+		case outlier.SuspicionOnce:
 			// One failure is not worth to read a program's prompts anew.
 			if r.ID == a.PreviousRunner {
 				cs = append(cs, c)
 			} else {
 				suspected = append(suspected, c)
 			}
-		case outlier.Often:
+		case outlier.SuspicionRepeated:
 			suspected = append(suspected, c)
 		default:
 			cs = append(cs, c)
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -216,7 +216,7 @@
 		return 0, 0
 	}
 	v := handler.parts.View()
-	for _, r := range handler.parts.Endpoints.Current().Of(j.Service.Name) {
+	for _, r := range handler.parts.Endpoints.Current().ForService(j.Service.Name) {
 		if r.Draining || v.Spec.Empty(r.Zone) {
 			continue
 		}
