--- a/internal/dataplane/balancing/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -1,5 +1,5 @@
-// Package backlog holds jobs until a runner has a slot for them: by class, and
-// within a class by deadline.
+// Package backlog queues jobs until a runner has a free slot, ordered by class and,
+// within a class, by deadline.
 package backlog
 
 import (
@@ -20,114 +20,117 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params bound the backlog.
+// Params are the limits and intervals of a Backlog.
 type Params struct {
-	MaxWaiting int           // jobs waiting
-	Tick       time.Duration // between checks deadlines and cooldowns
-	CallTime   time.Duration // what a call itself needs
+	MaxWaiting int           // maximum number of waiting jobs
+	Tick       time.Duration // between two checks of deadlines and cooldowns
+	CallTime   time.Duration // minimum time that a call needs before its deadline
 }
 
-// DefaultParams suit an edge machine.
+// DefaultParams are the defaults for an edge node.
 var DefaultParams = Params{MaxWaiting: 1024, Tick: 10 * time.Millisecond, CallTime: 50 * time.Millisecond}
 
+// waiter is a queued job and the channel that receives its result.
 type waiter struct {
-	c   *job.Ctx
-	got chan picked
+	c      *job.Ctx
+	result chan dispatch
 }
 
-type picked struct {
+// dispatch is the result of a waiting job: an acquired slot, or an error answer.
+type dispatch struct {
 	kind slots.Kind
 	err  job.Answer
 	ok   bool
 }
 
-// Backlog is the policy; Run hands out slots.
+// Backlog queues jobs in Do; Run dispatches them to slots.
 type Backlog struct {
-	p         Params
-	directory *balancer.Directory
-	selector  *policy.Selector
-	slots     *slots.Table
-	in        chan *waiter // a nil one only asks to check again
-	n         atomic.Int64
-	stop      atomic.Bool
-	mu        sync.Mutex
-	by        map[string]int32         // waiting, by route
-	callTimes map[string]time.Duration // of late, by route
-	// list, in order, and pace, by route, are the runner goroutine's own.
-	list []*waiter
-	pace map[string]*pace
+	params         Params
+	directory      *balancer.Directory
+	selector       *policy.Selector
+	slots          *slots.Table
+	incoming       chan *waiter // nil triggers another pass without a new job
+	waiting        atomic.Int64
+	stop           atomic.Bool
+	mu             sync.Mutex
+	waitingByRoute map[string]int32         // number of waiting jobs by route
+	callTimes      map[string]time.Duration // moving average by route
+	// list (sorted) and rates (by route) are used by the Run goroutine only.
+	list  []*waiter
+	rates map[string]*dispatchRate
 }
 
-// New makes a backlog.
+// New returns an empty backlog.
 func New(p Params, dir *balancer.Directory, table *slots.Table, pol *policy.Selector) *Backlog {
 	return &Backlog{
-		p:         p,
-		directory: dir,
-		slots:     table,
-		selector:  pol,
-		in:        make(chan *waiter, p.MaxWaiting),
-		by:        map[string]int32{},
-		callTimes: map[string]time.Duration{},
-		pace:      map[string]*pace{},
+		params:         p,
+		directory:      dir,
+		slots:          table,
+		selector:       pol,
+		incoming:       make(chan *waiter, p.MaxWaiting),
+		waitingByRoute: map[string]int32{},
+		callTimes:      map[string]time.Duration{},
+		rates:          map[string]*dispatchRate{},
 	}
 }
 
-// Len is how many jobs wait.
-func (b *Backlog) Len() int { return int(b.n.Load()) }
+// Len returns the number of waiting jobs.
+func (b *Backlog) Len() int { return int(b.waiting.Load()) }
 
-// Waiting is how many jobs wait for each route's runners.
+// Waiting returns the number of waiting jobs by route.
 func (b *Backlog) Waiting() map[string]int32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return maps.Clone(b.by)
+	return maps.Clone(b.waitingByRoute)
 }
 
-func (b *Backlog) count(route string, d int32) {
+// addWaiting adds delta to the number of waiting jobs of a route.
+func (b *Backlog) addWaiting(route string, delta int32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.by[route] += d; b.by[route] == 0 {
-		delete(b.by, route)
+	if b.waitingByRoute[route] += delta; b.waitingByRoute[route] == 0 {
+		delete(b.waitingByRoute, route)
 	}
 }
 
-// callTimeWeight is the part of the average that the last call makes up, as a divisor.
+// callTimeWeight is the divisor for the weight of the latest call in the moving average.
 const callTimeWeight = 8
 
-// recordCall averages how long the calls of a route take.
-func (b *Backlog) recordCall(route string, took time.Duration) {
+// recordCall adds a call to the moving average of call durations of its route.
+func (b *Backlog) recordCall(route string, duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if average, ok := b.callTimes[route]; ok {
-		took = average + (took-average)/callTimeWeight
+		duration = average + (duration-average)/callTimeWeight
 	}
-	b.callTimes[route] = took
+	b.callTimes[route] = duration
 }
 
-// callTime is how long the calls of a route take on average; 0 while none has been made.
+// callTime returns the average duration of calls of a route, or 0 if there has been none.
 func (b *Backlog) callTime(route string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.callTimes[route]
 }
 
-// Notify asks to check again: slots were assigned or given back.
+// Notify triggers another pass over the waiting jobs, after slots were assigned or released.
 func (b *Backlog) Notify() {
 	select {
-	case b.in <- nil:
+	case b.incoming <- nil:
 	default:
-		// It is full of work to check already.
+		// The channel is full, so further passes follow anyway.
 	}
 }
 
-// Stop answers all that waits, now and later.
+// Stop rejects all waiting and all further jobs.
 func (b *Backlog) Stop() {
 	b.stop.Store(true)
 	b.Notify()
 }
 
-// Run is the backlog's own goroutine.
+// Run dispatches jobs until ctx ends, then rejects all that still wait.
 func (b *Backlog) Run(ctx context.Context) {
-	loop.Take(ctx, b.in, b.p.Tick, b.match, func(w *waiter) {
+	loop.Take(ctx, b.incoming, b.params.Tick, b.match, func(w *waiter) {
 		if w != nil {
 			i, _ := slices.BinarySearchFunc(b.list, w, order)
 			b.list = slices.Insert(b.list, i, w)
@@ -138,9 +141,9 @@
 	b.match()
 	for {
 		select {
-		case w := <-b.in:
+		case w := <-b.incoming:
 			if w != nil {
-				w.got <- picked{err: stopping}
+				w.result <- dispatch{err: stopping}
 			}
 		default:
 			return
@@ -148,160 +151,165 @@
 	}
 }
 
+// order compares two waiting jobs by class, policy order and deadline.
 func order(a, b *waiter) int {
 	if a.c.Priority != b.c.Priority {
 		return a.c.Priority - b.c.Priority
 	}
-	// The operators' order of classes goes first; within one, a policy's.
+	// The class priority set by the operators precedes the order given by the policy.
 	if a.c.Order != b.c.Order {
 		return cmp.Compare(a.c.Order, b.c.Order)
 	}
 	return a.c.AnswerBy.Compare(b.c.AnswerBy)
 }
 
+// stopping is the answer to jobs that are rejected because the node is shutting down.
 var stopping = job.Answer{Err: code.New(code.Stopping, "this node stops, ask another"), Wait: time.Second}
 
-// pace is how fast the jobs of a route go since some of them have had to wait.
-type pace struct {
-	since time.Time
-	n     float64
+// dispatchRate measures the rate at which jobs of a route are dispatched while some of
+// them wait.
+type dispatchRate struct {
+	since      time.Time
+	dispatched float64
 }
 
-// least is how long and how many jobs a pace must be seen over to be one.
+// A rate is only used once it has been observed over minRateSpan and minRateJobs. After
+// maxRateSpan the older half of the span counts half.
 const (
-	leastSpan = 500 * time.Millisecond
-	leastJobs = 4
-	mostSpan  = 4 * time.Second // then the older half counts half
+	minRateSpan = 500 * time.Millisecond
+	minRateJobs = 4
+	maxRateSpan = 4 * time.Second
 )
 
-// after tells when a job with so many before it would have its turn.
-func (p *pace) after(waiting int, now time.Time) (time.Duration, bool) {
-	span := now.Sub(p.since)
-	if span > mostSpan {
-		p.since, p.n = now.Add(-mostSpan/2), p.n*float64(mostSpan/2)/float64(span)
-		span = mostSpan / 2
+// turnAfter estimates the time until a job is dispatched that has the given number of jobs
+// ahead of it. It reports false while the rate is unknown.
+func (rate *dispatchRate) turnAfter(waiting int, now time.Time) (time.Duration, bool) {
+	span := now.Sub(rate.since)
+	if span > maxRateSpan {
+		rate.since, rate.dispatched = now.Add(-maxRateSpan/2), rate.dispatched*float64(maxRateSpan/2)/float64(span)
+		span = maxRateSpan / 2
 	}
-	if span < leastSpan || p.n < leastJobs {
+	if span < minRateSpan || rate.dispatched < minRateJobs {
 		return 0, false
 	}
-	return time.Duration(float64(span) * float64(waiting+1) / p.n), true
+	return time.Duration(float64(span) * float64(waiting+1) / rate.dispatched), true
 }
 
-// hopeless answers a job at once that can't be reached in time by the present
-// pace, and tells when its turn would have come. Held on, it would only take the
-// turn of one that can.
-func (b *Backlog) hopeless(c *job.Ctx, waiting int, now time.Time) (job.Answer, bool) {
-	p := b.pace[c.Route]
-	if p == nil {
-		b.pace[c.Route] = &pace{since: now}
+// rejectLate rejects a job immediately if, at the current dispatch rate, it can't be
+// dispatched before its deadline; the answer says when it would have been. If it were
+// kept, it could take the slot of a job that can still be served.
+func (b *Backlog) rejectLate(c *job.Ctx, waiting int, now time.Time) (job.Answer, bool) {
+	rate := b.rates[c.Route]
+	if rate == nil {
+		b.rates[c.Route] = &dispatchRate{since: now}
 		return job.Answer{}, false
 	}
-	d, ok := p.after(waiting, now)
-	if !ok || c.Fits(d, b.p.CallTime) {
+	wait, ok := rate.turnAfter(waiting, now)
+	if !ok || c.Fits(wait, b.params.CallTime) {
 		return job.Answer{}, false
 	}
 	a := job.Bad(
 		code.TooLong,
 		"%d jobs are before it, and its turn would come in %s",
 		waiting,
-		d.Round(100*time.Millisecond),
+		wait.Round(100*time.Millisecond),
 	)
-	a.Wait = d - c.Left()
+	a.Wait = wait - c.Left()
 	return a, true
 }
 
-// match goes through the jobs in order and gives each what it can have.
+// match dispatches or rejects the waiting jobs in order, as slots and deadlines allow.
 func (b *Backlog) match() {
-	type need struct {
+	type demand struct {
 		route  string
 		urgent bool
 	}
-	none := map[need]shortage{} // needs that can't be met now
+	shortages := map[demand]shortage{} // demands that can't be met in this pass
 	now, waiting := time.Now(), map[string]int{}
 	b.list = slices.DeleteFunc(b.list, func(w *waiter) bool {
 		c := w.c
-		e, over := picked{}, true
-		n := need{c.Route, c.Urgent}
+		result, done := dispatch{}, true
+		key := demand{c.Route, c.Urgent}
 		switch {
 		case b.stop.Load():
-			e.err = stopping
+			result.err = stopping
 		case c.Err() != nil:
-			e.err = job.Bad(code.DeadlinePassed, "the caller has disconnected")
-		case c.Left() < b.p.CallTime:
-			e.err = job.Bad(code.DeadlinePassed, "no slot was free in time")
+			result.err = job.Bad(code.DeadlinePassed, "the caller has disconnected")
+		case c.Left() < b.params.CallTime:
+			result.err = job.Bad(code.DeadlinePassed, "no slot was free in time")
 		default:
-			short, known := none[n]
+			short, known := shortages[key]
 			if !known {
-				c.Runner, e.kind, e.ok, short = b.pick(c)
+				c.Runner, result.kind, result.ok, short = b.pick(c)
 			}
 			switch {
-			case e.ok:
-				if p := b.pace[c.Route]; p != nil {
-					p.n++
+			case result.ok:
+				if rate := b.rates[c.Route]; rate != nil {
+					rate.dispatched++
 				}
 			case short.cooldown < 0:
-				e.err = job.Bad(code.NoRunner, "no runner is left for %s", c.Route)
-				e.err.Wait = time.Second
-			case short.cooldown > 0 && !c.Fits(short.turnAfter(waiting[c.Route]), b.p.CallTime):
-				// A wait that can't fit is reported at once. What is told is how long the
-				// runners cool, since callers take it for that.
-				e.err = cooldown.Cooling(short.cooldown)
+				result.err = job.Bad(code.NoRunner, "no runner is left for %s", c.Route)
+				result.err.Wait = time.Second
+			case short.cooldown > 0 && !c.Fits(short.turnAfter(waiting[c.Route]), b.params.CallTime):
+				// A wait that exceeds the deadline is reported at once. The answer carries
+				// the cooldown of the runners, since callers interpret it as that.
+				result.err = cooldown.Cooling(short.cooldown)
 			default:
-				none[n] = short
+				shortages[key] = short
 				if short.cooldown > 0 {
-					// While all runners cool nothing can go, which says nothing about the
-					// pace at which jobs go afterwards.
-					b.pace[c.Route] = &pace{since: now}
+					// No job is dispatched while all runners cool down, so this time must not
+					// count towards the dispatch rate afterwards.
+					b.rates[c.Route] = &dispatchRate{since: now}
 				}
-				e.err, over = b.hopeless(c, waiting[c.Route], now)
+				result.err, done = b.rejectLate(c, waiting[c.Route], now)
 			}
 		}
-		if !over {
+		if !done {
 			waiting[c.Route]++
 		}
-		if over {
-			w.got <- e
+		if done {
+			w.result <- result
 		}
-		return over
+		return done
 	})
-	for route := range b.pace {
+	for route := range b.rates {
 		if waiting[route] == 0 {
-			// Nobody waits: from here on the pace is the callers', not ours.
-			delete(b.pace, route)
+			// With no job waiting, the rate is that of the callers and not of the runners.
+			delete(b.rates, route)
 		}
 	}
 }
 
-// Do is the policy: it waits for a slot, and gives it back only once the rest
-// of the way, a cooldown's installing included, is done.
+// Do waits for a slot, runs next and releases the slot only after next has returned,
+// which includes the installation of a cooldown.
 func (b *Backlog) Do(c *job.Ctx, next job.Next) (a job.Answer) {
-	if b.n.Add(1) > int64(b.p.MaxWaiting) {
-		b.n.Add(-1)
-		a = job.Bad(code.BacklogFull, "%d jobs wait already", b.p.MaxWaiting)
+	if b.waiting.Add(1) > int64(b.params.MaxWaiting) {
+		b.waiting.Add(-1)
+		a = job.Bad(code.BacklogFull, "%d jobs wait already", b.params.MaxWaiting)
 		a.Wait = time.Second
 		return a
 	}
 	c.Order = b.selector.Order(c)
-	w := &waiter{c: c, got: make(chan picked, 1)}
+	w := &waiter{c: c, result: make(chan dispatch, 1)}
 	if b.stop.Load() {
-		b.n.Add(-1)
+		b.waiting.Add(-1)
 		return stopping
 	}
-	b.count(c.Route, 1)
-	b.in <- w
-	e := <-w.got
-	b.count(c.Route, -1)
-	b.n.Add(-1)
-	if !e.ok {
-		return e.err
+	b.addWaiting(c.Route, 1)
+	b.incoming <- w
+	result := <-w.result
+	b.addWaiting(c.Route, -1)
+	b.waiting.Add(-1)
+	if !result.ok {
+		return result.err
 	}
-	r, began := c.Runner, time.Now()
+	r, startedAt := c.Runner, time.Now()
 	defer func() {
 		if a.Err == nil {
-			b.recordCall(c.Route, time.Since(began))
+			b.recordCall(c.Route, time.Since(startedAt))
 		}
 		b.directory.Finished(r, a)
-		b.slots.Release(r.Ix, r.Incarnation, e.kind)
+		b.slots.Release(r.Ix, r.Incarnation, result.kind)
 		b.Notify()
 	}()
 	return next(c)
--- a/internal/dataplane/balancing/backlog/slowstart.go
+++ b/internal/dataplane/balancing/backlog/slowstart.go
@@ -7,20 +7,20 @@
 	"damsontiller/internal/dataplane/request/job"
 )
 
-// slotsKnownBefore is the time before the end of a cooldown from which on the slots that this
-// node has are those that it will have then: the assigner has seen by now who waits.
+// slotsKnownBefore is how long before the end of a cooldown this node's slots are taken to be
+// those that it will have at the end: by then the assigner has seen the waiting jobs.
 const slotsKnownBefore = 200 * time.Millisecond
 
-// shortage is why a job can't go now.
+// shortage describes why a job can't be dispatched now.
 type shortage struct {
-	// cooldown is how long all runners of its route cool; 0: they don't, and no slot is free;
-	// below 0: there is no runner.
+	// cooldown is the remaining cooldown of all runners of the route; 0 if there is none and
+	// no slot is free; negative if there is no runner.
 	cooldown time.Duration
-	slots    int // that the route has here; counted from slotsKnownBefore on
+	slots    int // of the route on this node; set only within slotsKnownBefore
 	callTime time.Duration
 }
 
-// pick asks for a runner with a free slot, and tells what is short if there is none.
+// pick acquires a slot of an eligible runner, or returns the shortage if there is none.
 func (b *Backlog) pick(c *job.Ctx) (job.Runner, slots.Kind, bool, shortage) {
 	runner, kind, ok, cooldown := b.directory.Pick(c)
 	short := shortage{cooldown: cooldown}
@@ -34,9 +34,9 @@
 	return runner, kind, ok, short
 }
 
-// turnAfter estimates when a job has its turn that has so many others of its route before it.
-// Long before the end of the cooldown only the first round of calls is counted: a job must not
-// be refused for slots that are assigned until then.
+// turnAfter estimates the time until a job is dispatched that has the given number of jobs of its
+// route ahead of it. Until slotsKnownBefore only the first round of calls is counted: a job must
+// not be rejected for lack of slots that may still be assigned.
 func (s shortage) turnAfter(ahead int) time.Duration {
 	if s.cooldown > slotsKnownBefore {
 		return s.cooldown + s.callTime
@@ -44,10 +44,10 @@
 	return s.cooldown + slowStartTime(ahead, s.slots, s.callTime)
 }
 
-// slowStartTime is how long it takes until jobs go that stand behind so many others: after a
-// cooldown one call is let through, twice as many with each round of answers, and never more
-// than there are slots. Whoever is first waits for a round too, since a job that goes before it
-// may come until then.
+// slowStartTime estimates the time until a job is dispatched after a cooldown, with the given
+// number of jobs ahead of it: slow start admits one call, then twice as many with each round of
+// answers, up to the number of slots. The first job counts a round too, since a job that is
+// ordered before it may still arrive.
 func slowStartTime(ahead, slots int, callTime time.Duration) time.Duration {
 	width := 1
 	rounds := 1
@@ -56,7 +56,7 @@
 		width = min(2*width, slots)
 	}
 	if ahead >= 0 {
-		// At full width from here on.
+		// The remaining rounds run at full width.
 		rounds += ahead/width + 1
 	}
 	return time.Duration(rounds) * callTime
--- a/internal/dataplane/balancing/backlog/slowstart_test.go
+++ b/internal/dataplane/balancing/backlog/slowstart_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestSlowStartTime: rounds of 1, 2, 4 and so on, never wider than the slots.
+// TestSlowStartTime checks that rounds grow from 1 to 2, 4 and so on calls, and never exceed the
+// number of slots.
 func TestSlowStartTime(t *testing.T) {
 	for _, tc := range []struct{ ahead, slots, rounds int }{
 		{0, 8, 1},
--- a/internal/dataplane/balancing/intern/intern.go
+++ b/internal/dataplane/balancing/intern/intern.go
@@ -1,40 +1,40 @@
-// Package intern maps names to dense indices as they come in at ingress, so
-// that everything behind it works on small arrays.
+// Package intern maps names to dense indices at ingress, so that the code behind it
+// can use small arrays.
 package intern
 
 import "sync"
 
-// Table gives each name one index, for good.
+// Table assigns each name a permanent index. The zero value is an empty table.
 type Table struct {
-	mu   sync.RWMutex
-	ix   map[string]int
-	list []string
+	mu      sync.RWMutex
+	indices map[string]int
+	names   []string
 }
 
-// Index gives the index of a name, a new one if it has none.
+// Index returns the index of a name and assigns a new one to an unknown name.
 func (t *Table) Index(name string) int {
 	t.mu.RLock()
-	i, ok := t.ix[name]
+	i, ok := t.indices[name]
 	t.mu.RUnlock()
 	if ok {
 		return i
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if i, ok = t.ix[name]; ok {
+	if i, ok = t.indices[name]; ok {
 		return i
 	}
-	if t.ix == nil {
-		t.ix = map[string]int{}
+	if t.indices == nil {
+		t.indices = map[string]int{}
 	}
-	i = len(t.list)
-	t.ix[name], t.list = i, append(t.list, name)
+	i = len(t.names)
+	t.indices[name], t.names = i, append(t.names, name)
 	return i
 }
 
-// Name gives an index's name.
+// Name returns the name with the given index.
 func (t *Table) Name(i int) string {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.list[i]
+	return t.names[i]
 }
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -1,8 +1,8 @@
-// Package policy decides, among what every promise still allows, which job goes
-// first and which runner is picked: by the built-in rules, or by the policy
-// program that is live for the job's program. It can only order and rank; claims,
-// budgets, cooldowns, slots, draining runners and emptied zones are out of its
-// reach, for it never sees what they have ruled out.
+// Package policy orders waiting jobs and ranks candidate runners, either by the
+// built-in rules or by the policy script that is live for the job's program. A
+// policy can only order and rank: claims, budgets, cooldowns, slots, draining
+// runners and empty zones are applied first, so a policy never sees the jobs and
+// runners that they exclude.
 package policy
 
 import (
@@ -19,63 +19,68 @@
 	"damsontiller/internal/proto/script"
 )
 
-// Builtin is the name under which the built-in rules stand in traces.
+// fallbackWarnInterval is the minimum time between two log lines about failed policies.
+const fallbackWarnInterval = time.Second
+
+// Builtin is the name of the built-in rules in traces.
 const Builtin = "built-in"
 
 // Policy orders jobs and ranks runners.
 type Policy interface {
-	// Name names it in traces.
+	// Name identifies the policy in traces.
 	Name() string
-	// Order is a job's place within its class of work; lower goes first.
+	// Order returns a job's sort key within its class; lower values go first.
 	Order(c *job.Ctx) (float64, error)
-	// Rank is a runner's rank for a job; the highest is picked.
+	// Rank returns a runner's score for a job; the runner with the highest score is picked.
 	Rank(c *job.Ctx, r *script.Runner) (float64, error)
 }
 
-// builtin: a held prefix saves the entire prefill and counts most; then capacity; then
-// the zone. Jobs go by their deadlines.
+// builtin scores a runner by its cached prefix first, since that saves the whole
+// prefill, then by its free capacity, then by its zone. All jobs of a class have the
+// same sort key, so that their deadlines decide.
 type builtin struct{}
 
 func (builtin) Name() string                    { return Builtin }
 func (builtin) Order(*job.Ctx) (float64, error) { return 0, nil }
 
 func (builtin) Rank(_ *job.Ctx, r *script.Runner) (float64, error) {
-	s := float64(r.Free)/float64(r.Free+r.Used) + 2*r.Prefix
+	score := float64(r.Free)/float64(r.Free+r.Used) + 2*r.Prefix
 	if r.Near {
-		s += 0.25
+		score += 0.25
 	}
-	return s, nil
+	return score, nil
 }
 
-// program is a policy program; what it says nothing of stays built-in.
+// program is a policy script. Functions that the script does not define fall back to
+// the built-in rules.
 type program struct {
 	builtin
-	name string
-	s    *script.Script
+	name   string
+	script *script.Script
 }
 
 func (p *program) Name() string { return p.name }
 
 func (p *program) Order(c *job.Ctx) (float64, error) {
-	if !p.s.Orders() {
+	if !p.script.Orders() {
 		return p.builtin.Order(c)
 	}
-	return p.s.Order(see(c))
+	return p.script.Order(scriptJob(c))
 }
 
 func (p *program) Rank(c *job.Ctx, r *script.Runner) (float64, error) {
-	if !p.s.Ranks() {
+	if !p.script.Ranks() {
 		return p.builtin.Rank(c, r)
 	}
-	return p.s.Rank(see(c), r)
+	return p.script.Rank(scriptJob(c), r)
 }
 
-// see is what a program may see of a job.
-func see(c *job.Ctx) *script.Job {
+// scriptJob returns the view of a job that is passed to a policy script.
+func scriptJob(c *job.Ctx) *script.Job {
 	class, _, _ := strings.Cut(c.Program, "/")
-	n := len(c.Prompt)
+	words := len(c.Prompt)
 	for _, l := range c.History {
-		n += len(l.Words) + len(l.Answer)
+		words += len(l.Words) + len(l.Answer)
 	}
 	return &script.Job{
 		Program: class,
@@ -86,53 +91,53 @@
 		Keyed:   c.Key != "",
 		Follows: c.Follows != "",
 		Left:    c.Left().Seconds(),
-		Words:   int64(n),
+		Words:   int64(words),
 		Output:  c.Most,
 		Parts:   c.Parts,
 	}
 }
 
-// Selector knows which policy is in force for a job.
+// Selector selects the policy that is in force for a job.
 type Selector struct {
 	cluster *cluster.Cluster
 	log     hclog.Logger
-	// Fallbacks counts decisions in which a program failed.
+	// Fallbacks counts the decisions in which a policy script failed.
 	Fallbacks atomic.Int64
 
-	mu   sync.Mutex
-	ver  uint64
-	live *program
-	said time.Time
+	mu          sync.Mutex
+	specVersion uint64
+	live        *program
+	lastWarned  time.Time
 }
 
-// New makes a desk.
+// New returns a Selector that reads the live policy from the cluster spec.
 func New(r *cluster.Cluster, log hclog.Logger) *Selector { return &Selector{cluster: r, log: log} }
 
-// PolicyFor is the policy for a job's program: every node decides alike, by a hash of
-// the program's name.
+// PolicyFor returns the policy for a job's program. The policy's share of the programs is
+// selected by a hash of the program name, so that every node decides alike.
 func (selector *Selector) PolicyFor(c *job.Ctx) Policy {
 	v := selector.cluster.Now()
-	l := v.Spec.Live
-	if l == nil {
+	live := v.Spec.Live
+	if live == nil {
 		return builtin{}
 	}
 	h := fnv.New32a()
 	h.Write([]byte(c.Program))
-	if int(h.Sum32()%100) >= l.Share {
+	if int(h.Sum32()%100) >= live.Share {
 		return builtin{}
 	}
 	selector.mu.Lock()
 	defer selector.mu.Unlock()
-	if selector.ver != v.Version {
-		selector.ver, selector.live = v.Version, nil
-		if p, ok := v.Spec.Policy(l.Policy); ok {
+	if selector.specVersion != v.Version {
+		selector.specVersion, selector.live = v.Version, nil
+		if p, ok := v.Spec.Policy(live.Policy); ok {
 			s, err := v.Spec.Load(p)
 			if err != nil {
-				// The core has checked it; another version of this program may not
-				// know all that it knows.
-				selector.log.Error("policy not loaded, the built-in decides", "policy", p.Name, "err", err)
+				// The core has validated the script, but this node may run another
+				// software version that does not support all of its features.
+				selector.log.Error("failed to load policy; using the built-in rules", "policy", p.Name, "err", err)
 			} else {
-				selector.live = &program{name: p.Name, s: s}
+				selector.live = &program{name: p.Name, script: s}
 			}
 		}
 	}
@@ -142,15 +147,15 @@
 	return selector.live
 }
 
-// fell counts and tells of a program that failed, not more than once a second.
-func (selector *Selector) fell(p Policy, err error) {
+// recordFallback counts a failed policy script and logs it at most once per second.
+func (selector *Selector) recordFallback(p Policy, err error) {
 	selector.Fallbacks.Add(1)
 	selector.mu.Lock()
 	defer selector.mu.Unlock()
-	if time.Since(selector.said) > time.Second {
-		selector.said = time.Now()
+	if time.Since(selector.lastWarned) > fallbackWarnInterval {
+		selector.lastWarned = time.Now()
 		selector.log.Warn(
-			"policy failed, the built-in decides",
+			"policy failed; using the built-in rules",
 			"policy",
 			p.Name(),
 			"err",
@@ -161,44 +166,45 @@
 	}
 }
 
-// Order is a job's place within its class.
+// Order returns a job's sort key within its class.
 func (selector *Selector) Order(c *job.Ctx) float64 {
 	p := selector.PolicyFor(c)
-	n, err := p.Order(c)
+	order, err := p.Order(c)
 	if err != nil {
-		selector.fell(p, err)
-		n, _ = builtin{}.Order(c)
+		selector.recordFallback(p, err)
+		order, _ = builtin{}.Order(c)
 	}
-	return n
+	return order
 }
 
-// Pick gives the place of the best of rs, and how it came to be: all ranks are
-// one policy's, or all the built-in's.
-func (selector *Selector) Pick(c *job.Ctx, rs []script.Runner) (int, job.Why) {
+// Pick returns the index of the highest ranked runner and a trace of the decision. If
+// the policy fails for any runner, all runners are ranked by the built-in rules, so
+// that ranks of two policies are never compared.
+func (selector *Selector) Pick(c *job.Ctx, runners []script.Runner) (int, job.Why) {
 	p := selector.PolicyFor(c)
-	why, err := rankRunners(p, c, rs)
+	why, err := rankRunners(p, c, runners)
 	if err != nil {
-		selector.fell(p, err)
-		why, _ = rankRunners(builtin{}, c, rs)
+		selector.recordFallback(p, err)
+		why, _ = rankRunners(builtin{}, c, runners)
 		why.Policy = p.Name() + ", which failed: " + Builtin
 	}
 	best := 0
-	for i, k := range why.Ranks {
-		if k.Rank > why.Ranks[best].Rank {
+	for i, rank := range why.Ranks {
+		if rank.Rank > why.Ranks[best].Rank {
 			best = i
 		}
 	}
 	return best, why
 }
 
-func rankRunners(p Policy, c *job.Ctx, rs []script.Runner) (job.Why, error) {
-	why := job.Why{Policy: p.Name(), Ranks: make([]job.Rank, len(rs))}
-	for i := range rs {
-		n, err := p.Rank(c, &rs[i])
+func rankRunners(p Policy, c *job.Ctx, runners []script.Runner) (job.Why, error) {
+	why := job.Why{Policy: p.Name(), Ranks: make([]job.Rank, len(runners))}
+	for i := range runners {
+		rank, err := p.Rank(c, &runners[i])
 		if err != nil {
 			return why, err
 		}
-		why.Ranks[i] = job.Rank{Runner: rs[i].Name, Zone: rs[i].Zone, Free: rs[i].Free, Prefix: rs[i].Prefix, Rank: n}
+		why.Ranks[i] = job.Rank{Runner: runners[i].Name, Zone: runners[i].Zone, Free: runners[i].Free, Prefix: runners[i].Prefix, Rank: rank}
 	}
 	return why, nil
 }
--- a/internal/dataplane/balancing/slots/slots.go
+++ b/internal/dataplane/balancing/slots/slots.go
@@ -1,4 +1,4 @@
-// Package slots keeps this node's share of what each runner can bear.
+// Package slots tracks this node's share of each runner's concurrency limit.
 package slots
 
 import (
@@ -9,137 +9,142 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Kind of a slot.
+// Kind is the kind of a slot.
 type Kind int
 
-// Urgent slots are for urgent work only.
+// Plain slots serve all work; Urgent slots are reserved for urgent work.
 const (
 	Plain Kind = iota
 	Urgent
 )
 
+// share is this node's share of one runner; allowed and used are indexed by Kind.
 type share struct {
-	incarnation string // of the runner's process
+	incarnation string // of the runner process
 	allowed     [2]int
 	used        [2]int
-	until       time.Time // end of the term
+	until       time.Time // end of the lease term
 }
 
-// Table holds the shares. Indices are the runner names'.
+// Table holds this node's shares, indexed by the interned runner names.
 type Table struct {
 	names  *intern.Table
 	mu     sync.Mutex
 	shares []share
 }
 
-// New makes an empty box.
+// New returns an empty table.
 func New(n *intern.Table) *Table { return &Table{names: n} }
 
-func (table *Table) at(ix int) *share {
-	for len(table.shares) <= ix {
+// shareOf returns the share for a runner index; the caller holds mu.
+func (table *Table) shareOf(index int) *share {
+	for len(table.shares) <= index {
 		table.shares = append(table.shares, share{})
 	}
-	return &table.shares[ix]
+	return &table.shares[index]
 }
 
-// Update replaces the shares. asked is when the request for them was made: the
-// term is counted from then, so that it ends here before it ends at the assigner.
-func (table *Table) Update(asked time.Time, term time.Duration, granted []*wire.Slot) {
+// Update replaces the shares. requestedAt is the time at which they were requested: the
+// term counts from then, so that it ends here before it ends at the assigner.
+func (table *Table) Update(requestedAt time.Time, term time.Duration, granted []*wire.Slot) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for i := range table.shares {
 		table.shares[i].allowed = [2]int{}
 	}
 	for _, s := range granted {
-		h := table.at(table.names.Index(s.Runner))
-		if h.incarnation != s.Mark {
-			// Another process: what was in use went with the one before it.
-			*h = share{incarnation: s.Mark}
+		entry := table.shareOf(table.names.Index(s.Runner))
+		if entry.incarnation != s.Mark {
+			// A new process: slots in use belonged to the previous process and ended with it.
+			*entry = share{incarnation: s.Mark}
 		}
-		h.allowed = [2]int{int(s.Plain), int(s.Urgent)}
-		h.until = asked.Add(term)
+		entry.allowed = [2]int{int(s.Plain), int(s.Urgent)}
+		entry.until = requestedAt.Add(term)
 	}
 }
 
-// Acquire takes a slot; urgent work takes an urgent one first, so that plain ones
-// stay for the rest. The slot is one of the process whose incarnation is handed back.
-func (table *Table) Acquire(ix int, urgent bool) (Kind, string, bool) {
+// Acquire takes a slot. Urgent work takes an urgent slot first, to leave the plain
+// slots to other work. It also returns the incarnation of the process that the slot
+// belongs to.
+func (table *Table) Acquire(index int, urgent bool) (Kind, string, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	h := table.at(ix)
-	if !time.Now().Before(h.until) {
+	entry := table.shareOf(index)
+	if !time.Now().Before(entry.until) {
 		return Plain, "", false
 	}
-	if urgent && h.used[Urgent] < h.allowed[Urgent] {
-		h.used[Urgent]++
-		return Urgent, h.incarnation, true
+	if urgent && entry.used[Urgent] < entry.allowed[Urgent] {
+		entry.used[Urgent]++
+		return Urgent, entry.incarnation, true
 	}
-	if h.used[Plain] < h.allowed[Plain] {
-		h.used[Plain]++
-		return Plain, h.incarnation, true
+	if entry.used[Plain] < entry.allowed[Plain] {
+		entry.used[Plain]++
+		return Plain, entry.incarnation, true
 	}
 	return Plain, "", false
 }
 
-// Free tells how many slots a job of that kind could take, and how many are
-// in use.
-func (table *Table) Free(ix int, urgent bool) (free, used int) {
+// Free returns how many slots are available to urgent or other work, and how many
+// are in use in total.
+func (table *Table) Free(index int, urgent bool) (free, used int) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	h := table.at(ix)
-	used = h.used[Plain] + h.used[Urgent]
-	if !time.Now().Before(h.until) {
+	entry := table.shareOf(index)
+	used = entry.used[Plain] + entry.used[Urgent]
+	if !time.Now().Before(entry.until) {
 		return 0, used
 	}
-	free = max(h.allowed[Plain]-h.used[Plain], 0)
+	free = max(entry.allowed[Plain]-entry.used[Plain], 0)
 	if urgent {
-		free += max(h.allowed[Urgent]-h.used[Urgent], 0)
+		free += max(entry.allowed[Urgent]-entry.used[Urgent], 0)
 	}
 	return free, used
 }
 
-// Release gives a slot back; one of a process that has departed has departed with it.
-func (table *Table) Release(ix int, incarnation string, k Kind) {
+// Release returns a slot. It has no effect if the process has been replaced since.
+func (table *Table) Release(index int, incarnation string, kind Kind) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	if h := table.at(ix); h.incarnation == incarnation {
-		h.used[k]--
+	if entry := table.shareOf(index); entry.incarnation == incarnation {
+		entry.used[kind]--
 	}
 }
 
-// Incarnation is of the process that the slots held of a runner are for.
-func (table *Table) Incarnation(ix int) string {
+// Incarnation returns the incarnation of the runner process that this node's slots
+// belong to.
+func (table *Table) Incarnation(index int) string {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	return table.at(ix).incarnation
+	return table.shareOf(index).incarnation
 }
 
-// Valid reports whether a slot of that process may still be used: its term runs,
-// and no other process has taken the runner's place.
-func (table *Table) Valid(ix int, incarnation string) bool {
+// Valid reports whether a slot of the given process may still be used: its term has
+// not ended and the process has not been replaced.
+func (table *Table) Valid(index int, incarnation string) bool {
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	h := table.at(ix)
-	return h.incarnation == incarnation && time.Now().Before(h.until)
+	entry := table.shareOf(index)
+	return entry.incarnation == incarnation && time.Now().Before(entry.until)
 }
 
-// Report reports for each runner what is allowed, or still in use beyond that.
+// Report lists the slots held of each runner: the slots allowed, or the slots in use
+// where these are more.
 func (table *Table) Report() []*wire.Slot {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	var out []*wire.Slot
 	now := time.Now()
 	for i := range table.shares {
-		h := &table.shares[i]
-		if !now.Before(h.until) {
-			h.allowed = [2]int{}
+		entry := &table.shares[i]
+		if !now.Before(entry.until) {
+			entry.allowed = [2]int{}
 		}
 		s := &wire.Slot{
 			Runner: table.names.Name(i),
-			Mark:   h.incarnation,
-			Plain:  int32(max(h.allowed[Plain], h.used[Plain])),
-			Urgent: int32(max(h.allowed[Urgent], h.used[Urgent])),
-			Busy:   int32(h.used[Plain] + h.used[Urgent]),
+			Mark:   entry.incarnation,
+			Plain:  int32(max(entry.allowed[Plain], entry.used[Plain])),
+			Urgent: int32(max(entry.allowed[Urgent], entry.used[Urgent])),
+			Busy:   int32(entry.used[Plain] + entry.used[Urgent]),
 		}
 		if s.Plain+s.Urgent > 0 {
 			out = append(out, s)
