--- a/internal/dataplane/balancing/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -1,15 +1,16 @@
-// Package assignment assigns the capacity of the runners to the edges. It is the work of
-// a singleton role: its holder polls the runners and the endpoint list, broadcasts which
-// runners come and go, and divides the concurrency that each runner bears into slots,
-// leased to the edges for a term.
+// Package assignment assigns the capacity of the runners to the edges. It implements a
+// singleton role: the holder polls the runners and the endpoint list, broadcasts state
+// changes of runners, and divides the concurrency limit of each runner into slots that
+// are leased to the edges for a term.
 //
-// The sum of what all edges hold never exceeds what a runner can bear:
-//   - an edge counts its term from before it asked, the assigner from after it
-//     answered, so a share ends at the edge first;
-//   - a share is lowered here only once the edge confirms it;
-//   - a new assigner hands out no more than the edges it has heard from held,
+// The slots of all edges together never exceed a runner's concurrency limit:
+//   - an edge counts its term from before its request, the assigner from after its
+//     answer, so a share expires at the edge first;
+//   - the assigner lowers a share only once the edge has confirmed it;
+//   - a new assigner assigns no more than the edges that have reported to it held,
 //     until every edge that could still hold shares has reported or has departed;
-//   - an assigner that has not seen its epoch to be the latest of late raises nothing.
+//   - an assigner that has not recently confirmed that its epoch is the latest raises
+//     no share.
 package assignment
 
 import (
@@ -27,24 +28,24 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params are the assigner's times.
+// Params are the intervals and limits of the assigner.
 type Params struct {
-	PollInterval time.Duration // between reports
-	Term         time.Duration // of assigned slots
-	WarmupStep   time.Duration // between two doublings of a warming runner's share
-	WarmupStart  int           // slots a warming runner starts with
-	// WarmAfter: a runner up this long that bears well is not warming up to a new assigner.
+	PollInterval time.Duration // between two polls of the runners
+	Term         time.Duration // lease term of assigned slots
+	WarmupStep   time.Duration // between two doublings of the limit of a runner in warm-up
+	WarmupStart  int           // initial limit of a runner in warm-up
+	// WarmAfter is the uptime from which a new assigner treats a runner as warmed up.
 	WarmAfter time.Duration
-	// Transport carries the requests for reports; nil means the ordinary way.
+	// Transport is used to poll the runners; nil means http.DefaultTransport.
 	Transport http.RoundTripper
-	// LastState is the last update of a runner, by which a new assigner knows how far a
-	// process had warmed up.
+	// LastState returns the last broadcast state of a runner. A new assigner continues the
+	// warm-up of the process from there.
 	LastState func(name string) (State, bool)
-	// SinceConfirmed is how long ago this tenure was surely the last.
+	// SinceConfirmed returns the time since this tenure was last confirmed to be the latest.
 	SinceConfirmed func() time.Duration
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the default parameters.
 var DefaultParams = Params{
 	PollInterval: 300 * time.Millisecond,
 	Term:         2 * time.Second,
@@ -53,56 +54,57 @@
 	WarmAfter:    20 * time.Second,
 }
 
-// State is what is broadcast of a runner.
+// State is the broadcast state of a runner.
 type State struct {
 	spec.Runner
 	State       string   `json:"state"`
 	Incarnation string   `json:"mark,omitempty"`
 	Concurrency int      `json:"bears"`
-	Limit       int      `json:"cap"` // what of it may be dealt, while it warms up
+	Limit       int      `json:"cap"` // slots that may be assigned; below Concurrency during warm-up
 	Load        int      `json:"busy"`
 	Prefixes    []string `json:"prefixes,omitempty"`
 }
 
-type runner struct {
+// trackedRunner is the assigner's view of a runner.
+type trackedRunner struct {
 	State
-	warmedAt time.Time
-	refused  int64
-	misses   int
-	known    bool
-	// base bounds the sum assigned until every edge has reported: what those
-	// that have held when they first reported.
-	base int
-	// unaccounted is work seen at the opening that no edge accounted for.
+	warmedAt      time.Time // last change of the limit during warm-up, or last refusal
+	refused       int64     // refusals in the last report
+	misses        int       // consecutive missing reports
+	warmupStarted bool
+	// initiallyHeld is the sum of slots that edges held when they first reported. It
+	// bounds the slots assigned until every edge has reported.
+	initiallyHeld int
+	// unaccounted is the load that no edge accounted for when all edges had reported.
 	unaccounted int
 }
 
-// share is what an edge may hold of a runner. Once the edge's term is over,
-// left bounds what it may have left running there.
+// share is the slots that an edge may hold of a runner. Once the edge's term has ended,
+// orphaned bounds the number of its jobs that may still run there.
 type share struct {
-	incarnation   string // of the process it is a share of
+	incarnation   string // of the runner process
 	plain, urgent int
-	used          int // at the edge's last report
-	expired       bool
+	used          int  // as of the edge's last report
+	expired       bool // the term has ended
 	orphaned      int
 }
 
-// edge is one start of an edge node; past is set once another start of the
-// same node has been received.
+// edge is one incarnation of an edge node; superseded is set once a later incarnation of
+// the same node has reported.
 type edge struct {
 	id         string
-	backlog    map[string]int // jobs waiting or under way, by route
+	backlog    map[string]int // jobs waiting or in progress, by route
 	reportedAt time.Time
 	superseded bool
 	shares     map[string]share
 }
 
-// termOver reports whether the edge's term has ended.
+// termOver reports whether the term of the edge's shares has ended.
 func (e *edge) termOver(now time.Time, term time.Duration) bool {
 	return e.superseded || now.Sub(e.reportedAt) >= term
 }
 
-// Assigner is one tenure of the role.
+// Assigner is one tenure of the assigner role.
 type Assigner struct {
 	params Params
 	node   *node.Node
@@ -110,46 +112,47 @@
 	client *http.Client
 	wakeup loop.Wakeup
 
-	mu          sync.Mutex
-	start       time.Time // of this tenure
-	seq         uint64
-	allReported bool // every edge has reported or has departed
-	runners     map[string]*runner
-	edges       map[uint64]*edge // by incarnation
-	opened      time.Time
-	listed      []runnerapi.Listed
+	mu            sync.Mutex
+	start         time.Time // start of this tenure
+	seq           uint64
+	allReported   bool // every edge has reported or has departed
+	runners       map[string]*trackedRunner
+	edges         map[uint64]*edge // by incarnation
+	allReportedAt time.Time
+	listed        []runnerapi.Listed // last list read from the platform
 }
 
-// boundOrphans bounds what edges that have departed have left running: each may have
-// used its entire share up to the end of its term, but never more than the
-// runner reports at any time since.
-func (assigner *Assigner) boundOrphans(now time.Time, o *runner, load int) {
-	o.unaccounted = min(o.unaccounted, load)
+// boundOrphans bounds the number of jobs that departed edges have left running: an edge may
+// have used its whole share until its term ended, but the orphaned jobs never exceed any load
+// that the runner has reported since.
+func (assigner *Assigner) boundOrphans(now time.Time, tracked *trackedRunner, load int) {
+	tracked.unaccounted = min(tracked.unaccounted, load)
 	for _, e := range assigner.edges {
-		s, ok := e.shares[o.Name]
-		if !ok || s.incarnation != o.Incarnation || !e.termOver(now, assigner.params.Term) {
+		s, ok := e.shares[tracked.Name]
+		if !ok || s.incarnation != tracked.Incarnation || !e.termOver(now, assigner.params.Term) {
 			continue
 		}
 		if !s.expired {
 			s.expired, s.orphaned = true, s.plain+s.urgent
 		}
 		s.orphaned = min(s.orphaned, load)
-		e.shares[o.Name] = s
+		e.shares[tracked.Name] = s
 	}
 }
 
-// checkAllReported opens the assignment once no edge is left that could hold shares unknown
-// to this tenure.
+// checkAllReported ends the initial phase of the tenure once no edge can hold shares that are
+// unknown to it.
 func (assigner *Assigner) checkAllReported(ctx context.Context) {
 	assigner.mu.Lock()
-	open := assigner.allReported
+	allReported := assigner.allReported
 	assigner.mu.Unlock()
-	if open {
+	if allReported {
 		return
 	}
-	// A former holder assigned for three quarters of a term after its epoch was
-	// over, at the most, and those shares have a term: then no edge that was not
-	// received has any, frozen or partitioned. What it left running the runners report.
+	// The previous holder raises shares for at most three quarters of a term after its epoch
+	// has ended, and these last for one term. After two terms an edge that has not reported,
+	// whether frozen or partitioned, holds no share; jobs that it left running appear in the
+	// reports of the runners.
 	for _, m := range assigner.node.Lease.Members() {
 		if m.Role != "edge" || time.Since(assigner.start) > 2*assigner.params.Term {
 			continue
@@ -161,150 +164,159 @@
 			return
 		}
 	}
-	assigner.open()
-	assigner.node.Log.Info("assignment is open", "epoch", assigner.epoch)
+	assigner.markAllReported()
+	assigner.node.Log.Info("all edges reported; assigning full capacity", "epoch", assigner.epoch)
 }
 
-// open opens the assignment. Work that runs now and that no edge accounts for was
-// left by edges that have departed.
-func (assigner *Assigner) open() {
+// markAllReported ends the initial phase. Load that no edge accounts for at this time was left
+// by departed edges.
+func (assigner *Assigner) markAllReported() {
 	assigner.mu.Lock()
 	defer assigner.mu.Unlock()
-	assigner.allReported, assigner.opened = true, time.Now()
-	for _, o := range assigner.runners {
-		o.unaccounted = o.Load
+	assigner.allReported, assigner.allReportedAt = true, time.Now()
+	for _, tracked := range assigner.runners {
+		tracked.unaccounted = tracked.Load
 		for _, e := range assigner.edges {
-			if s := e.shares[o.Name]; s.incarnation == o.Incarnation {
-				o.unaccounted -= s.used
+			if s := e.shares[tracked.Name]; s.incarnation == tracked.Incarnation {
+				tracked.unaccounted -= s.used
 			}
 		}
-		o.unaccounted = max(o.unaccounted, 0)
+		tracked.unaccounted = max(tracked.unaccounted, 0)
 	}
 }
 
-// Report answers one edge. raise is whether this assigner's lease is valid.
-func (assigner *Assigner) Report(id string, inc uint64, q *wire.Deal, raise bool) *wire.DealAck {
+// Report processes the report of an edge and returns its slots. Shares are raised only if raise
+// is set, which requires that this tenure was recently confirmed to be the latest.
+func (assigner *Assigner) Report(id string, inc uint64, report *wire.Deal, raise bool) *wire.DealAck {
 	assigner.mu.Lock()
 	defer assigner.mu.Unlock()
 	now := time.Now()
 	e := assigner.edges[inc]
 	if e == nil {
-		// A new start holds nothing; what the former one left running is
-		// still counted.
-		for _, o := range assigner.edges {
-			o.superseded = o.superseded || o.id == id
+		// A restarted edge holds no shares; jobs that its previous incarnation left
+		// running still count.
+		for _, other := range assigner.edges {
+			other.superseded = other.superseded || other.id == id
 		}
 		e = &edge{id: id}
 		assigner.edges[inc] = e
-		for _, s := range q.Held {
-			if o := assigner.runners[s.Runner]; o != nil && o.Incarnation == s.Mark {
-				o.base += int(s.Plain + s.Urgent)
-				o.Limit = min(max(o.Limit, o.base), o.Concurrency)
+		for _, s := range report.Held {
+			if tracked := assigner.runners[s.Runner]; tracked != nil && tracked.Incarnation == s.Mark {
+				tracked.initiallyHeld += int(s.Plain + s.Urgent)
+				tracked.Limit = min(max(tracked.Limit, tracked.initiallyHeld), tracked.Concurrency)
 			}
 		}
 	}
 	e.reportedAt, e.backlog, e.shares = now, map[string]int{}, map[string]share{}
-	for route, n := range q.Waiting {
+	for route, n := range report.Waiting {
 		e.backlog[route] = int(n)
 	}
-	for _, s := range q.Held {
-		if o := assigner.runners[s.Runner]; o != nil {
-			e.backlog[o.Route] += int(s.Busy)
+	for _, s := range report.Held {
+		if tracked := assigner.runners[s.Runner]; tracked != nil {
+			e.backlog[tracked.Route] += int(s.Busy)
 		}
 		e.shares[s.Runner] = share{incarnation: s.Mark, plain: int(s.Plain), urgent: int(s.Urgent), used: int(s.Busy)}
 	}
 	out := &wire.DealAck{Epoch: assigner.epoch, TermMs: assigner.params.Term.Milliseconds()}
-	for name, o := range assigner.runners {
-		cur, want := e.shares[name], assigner.target(o, inc)
-		if cur.incarnation != o.Incarnation {
-			cur = share{}
+	for name, tracked := range assigner.runners {
+		current, want := e.shares[name], assigner.target(tracked, inc)
+		if current.incarnation != tracked.Incarnation {
+			current = share{}
 		}
-		availableNow := assigner.available(o, now)
+		availableNow := assigner.available(tracked, now)
 		available := 0
 		if raise {
 			available = max(availableNow, 0)
 		}
-		if (!assigner.allReported || !raise) && o.Limit > 0 && availableNow >= 0 &&
-			!assigner.node.Cluster.Now().Spec.Empty(o.Zone) {
-			// Shares worked out from some of the edges only would be too small,
-			// and what can't be raised again must not be lowered: each keeps
-			// what it has.
-			want = share{plain: cur.plain, urgent: cur.urgent}
+		if (!assigner.allReported || !raise) && tracked.Limit > 0 && availableNow >= 0 &&
+			!assigner.node.Cluster.Now().Spec.Empty(tracked.Zone) {
+			// Targets computed from only some of the edges would be too small, and a
+			// share that can't be raised again must not be lowered: each edge keeps its
+			// share.
+			want = share{plain: current.plain, urgent: current.urgent}
 		}
-		urgent := min(want.urgent, cur.urgent+available)
-		available -= max(urgent-cur.urgent, 0)
-		plain := min(want.plain, cur.plain+available)
-		// Until the edge says that it holds less, it may hold the more.
+		urgent := min(want.urgent, current.urgent+available)
+		available -= max(urgent-current.urgent, 0)
+		plain := min(want.plain, current.plain+available)
+		// Until the edge confirms a lower share, it may still hold the higher one.
 		e.shares[name] = share{
-			incarnation: o.Incarnation,
-			plain:       max(plain, cur.plain),
-			urgent:      max(urgent, cur.urgent),
-			used:        cur.used,
+			incarnation: tracked.Incarnation,
+			plain:       max(plain, current.plain),
+			urgent:      max(urgent, current.urgent),
+			used:        current.used,
 		}
 		if plain+urgent > 0 {
 			out.Slots = append(
 				out.Slots,
-				&wire.Slot{Runner: name, Mark: o.Incarnation, Plain: int32(plain), Urgent: int32(urgent)},
+				&wire.Slot{Runner: name, Mark: tracked.Incarnation, Plain: int32(plain), Urgent: int32(urgent)},
 			)
 		}
 	}
 	return out
 }
 
-// available is how many more slots of a runner may be assigned: what it can bear, less
-// what the edges hold, less work left behind by edges that have departed.
-func (assigner *Assigner) available(o *runner, now time.Time) int {
-	total := o.Limit
+// available returns how many more slots of a runner may be assigned: its limit, less the slots
+// held by edges and the jobs left running by departed edges. It is negative if the limit is
+// exceeded.
+func (assigner *Assigner) available(tracked *trackedRunner, now time.Time) int {
+	total := tracked.Limit
 	if !assigner.allReported {
-		total = min(total, o.base)
+		total = min(total, tracked.initiallyHeld)
 	}
 	for _, e := range assigner.edges {
-		s := e.shares[o.Name]
+		s := e.shares[tracked.Name]
 		switch {
-		case s.incarnation != o.Incarnation:
-			// Of a process that has departed.
+		case s.incarnation != tracked.Incarnation:
+			// The share belonged to a process that has departed.
 		case !s.expired:
 			total -= s.plain + s.urgent
 		case now.Sub(e.reportedAt) < assigner.node.Params.Lease.OrphanTimeout:
 			total -= s.orphaned
 		}
 	}
-	if now.Sub(assigner.opened) < assigner.node.Params.Lease.OrphanTimeout {
-		total -= o.unaccounted
+	if now.Sub(assigner.allReportedAt) < assigner.node.Params.Lease.OrphanTimeout {
+		total -= tracked.unaccounted
 	}
 	return total
 }
 
-// target is the share of a runner that an edge should have. Urgent slots go to
-// all edges alike, wherever the work is now: it can't wait for them. Of the plain
-// ones those with more to do on the route get more, within bounds, so that one
-// edge's backlog does not starve the others.
-func (assigner *Assigner) target(o *runner, inc uint64) share {
+// An edge's weight for plain slots is baseWeight plus its backlog up to maxBacklogWeight.
+const (
+	baseWeight       = 4
+	maxBacklogWeight = 20
+)
+
+// target returns the share of a runner that an edge should have. Urgent slots are divided
+// equally, regardless of the current load, since urgent work can't wait for slots to move.
+// Plain slots are divided by the backlog on the route, with bounded weights so that the
+// backlog of one edge does not starve the others.
+func (assigner *Assigner) target(tracked *trackedRunner, inc uint64) share {
 	v := assigner.node.Cluster.Now()
-	if o.Limit <= 0 || v.Spec.Empty(o.Zone) {
+	if tracked.Limit <= 0 || v.Spec.Empty(tracked.Zone) {
 		return share{}
 	}
 	reserve := 0
 	for _, c := range v.Spec.Classes {
 		reserve = max(reserve, c.Reserve)
 	}
-	urgent := o.Limit * reserve / 100
-	plain := func(e *edge) int { return 4 + min(e.backlog[o.Route], 20) }
+	urgent := tracked.Limit * reserve / 100
+	plain := func(e *edge) int { return baseWeight + min(e.backlog[tracked.Route], maxBacklogWeight) }
 	return share{
-		plain:  assigner.portion(o, inc, o.Limit-urgent, plain),
-		urgent: assigner.portion(o, inc, urgent, func(*edge) int { return 1 }),
+		plain:  assigner.portion(tracked, inc, tracked.Limit-urgent, plain),
+		urgent: assigner.portion(tracked, inc, urgent, func(*edge) int { return 1 }),
 	}
 }
 
-// portion gives one edge its part of n by largest remainder over the weights.
-func (assigner *Assigner) portion(o *runner, inc uint64, n int, weight func(*edge) int) int {
+// portion returns one edge's part of n slots, divided in proportion to the weights by the
+// largest remainder method.
+func (assigner *Assigner) portion(tracked *trackedRunner, inc uint64, n int, weight func(*edge) int) int {
 	type portion struct {
-		inc  uint64
-		id   string
-		rest int
-		w    int
+		inc       uint64
+		id        string
+		remainder int
+		weight    int
 	}
-	var ps []portion
+	var portions []portion
 	sum := 0
 	now := time.Now()
 	for i, e := range assigner.edges {
@@ -312,37 +324,38 @@
 			continue
 		}
 		w := weight(e)
-		ps = append(ps, portion{inc: i, id: e.id, w: w})
+		portions = append(portions, portion{inc: i, id: e.id, weight: w})
 		sum += w
 	}
-	if len(ps) == 0 {
+	if len(portions) == 0 {
 		return 0
 	}
-	got, left := 0, n
-	for i := range ps {
-		integral := n * ps[i].w / sum
-		ps[i].rest = n * ps[i].w % sum
-		left -= integral
-		if ps[i].inc == inc {
-			got = integral
+	share, remaining := 0, n
+	for i := range portions {
+		integral := n * portions[i].weight / sum
+		portions[i].remainder = n * portions[i].weight % sum
+		remaining -= integral
+		if portions[i].inc == inc {
+			share = integral
 		}
 	}
-	// Among equals the odd slots of each runner go on where those of the one
-	// before it on the route left off, so that they come round to every edge.
-	sort.Slice(ps, func(i, j int) bool { return ps[i].id < ps[j].id })
-	off := 0
+	// For equal remainders, the leftover slots of each runner start at the edge after the one
+	// that received the last leftover slot of the previous runner of the route, so that they are
+	// spread over all edges.
+	sort.Slice(portions, func(i, j int) bool { return portions[i].id < portions[j].id })
+	offset := 0
 	for name, r := range assigner.runners {
-		if r.Route == o.Route && name < o.Name && r.Limit > 0 {
-			off += left
+		if r.Route == tracked.Route && name < tracked.Name && r.Limit > 0 {
+			offset += remaining
 		}
 	}
-	off %= len(ps)
-	ps = append(ps[off:], ps[:off]...)
-	sort.SliceStable(ps, func(i, j int) bool { return ps[i].rest > ps[j].rest })
-	for i := 0; i < left; i++ {
-		if ps[i].inc == inc {
-			got++
+	offset %= len(portions)
+	portions = append(portions[offset:], portions[:offset]...)
+	sort.SliceStable(portions, func(i, j int) bool { return portions[i].remainder > portions[j].remainder })
+	for i := 0; i < remaining; i++ {
+		if portions[i].inc == inc {
+			share++
 		}
 	}
-	return got
+	return share
 }
--- a/internal/dataplane/balancing/assignment/assigner_test.go
+++ b/internal/dataplane/balancing/assignment/assigner_test.go
@@ -22,7 +22,8 @@
 
 const runnerName = "m1"
 
-func newDispatcher(epoch uint64) *Assigner {
+// newTestAssigner returns an assigner with a cluster spec that reserves a quarter for urgent work.
+func newTestAssigner(epoch uint64) *Assigner {
 	n := node.New(
 		node.Params{
 			Self:      &wire.Member{Id: "d"},
@@ -32,8 +33,8 @@
 			Log:       hclog.NewNullLogger(),
 		},
 	)
-	re := spec.Cluster{Spec: spec.Spec{Classes: []spec.Class{{Name: "u", Urgent: true, Reserve: 25}}}}
-	raw, err := re.MarshalJSON()
+	cluster := spec.Cluster{Spec: spec.Spec{Classes: []spec.Class{{Name: "u", Urgent: true, Reserve: 25}}}}
+	raw, err := cluster.MarshalJSON()
 	if err == nil {
 		err = n.Cluster.Apply(1, raw)
 	}
@@ -44,152 +45,159 @@
 		params:  DefaultParams,
 		node:    n,
 		epoch:   epoch,
-		runners: map[string]*runner{},
+		runners: map[string]*trackedRunner{},
 		edges:   map[uint64]*edge{},
 	}
 }
 
-type holder struct {
-	b         *slots.Table
-	inc       uint64
-	ix        int
-	taken     []slots.Kind
-	epoch     uint64
-	truncated bool
+// testEdge is a simulated edge node.
+type testEdge struct {
+	table        *slots.Table
+	inc          uint64
+	index        int
+	acquired     []slots.Kind
+	epoch        uint64
+	unresponsive bool
 }
 
-func (e *holder) total() int {
+// total returns the number of slots that the edge reports as held.
+func (e *testEdge) total() int {
 	n := 0
-	for _, s := range e.b.Report() {
+	for _, s := range e.table.Report() {
 		n += int(s.Plain + s.Urgent)
 	}
 	return n
 }
 
-// TestSumNeverExceeds plays edges that ask, work, go unresponsive, restart and are
-// late, under one assigner after another, while the runner's strength changes.
-// At no moment may the shares of all edges together exceed what it bears at
-// most.
+// TestSumNeverExceeds runs random plans of edges that request slots, work, stop responding, restart
+// and receive late answers, under a sequence of assigners. At no time may the slots of all edges
+// together exceed the runner's concurrency limit.
 func TestSumNeverExceeds(t *testing.T) {
-	fired := 0
+	changes := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
 			return step{
-				edge: rapid.IntRange(0, 3).Draw(rt, "edge"),
-				what: rapid.IntRange(0, 10).Draw(rt, "what"),
-				n:    rapid.IntRange(0, 2500).Draw(rt, "n"),
+				edge:   rapid.IntRange(0, 3).Draw(rt, "edge"),
+				action: rapid.IntRange(0, 10).Draw(rt, "action"),
+				n:      rapid.IntRange(0, 2500).Draw(rt, "n"),
 			}
 		}), 10, 80).Draw(rt, "plan")
-		wrong := ""
-		synctest.Test(t, func(*testing.T) { wrong = play(plan, &fired) })
-		if wrong != "" {
-			rt.Fatal(wrong)
+		violation := ""
+		synctest.Test(t, func(*testing.T) { violation = runPlan(plan, &changes) })
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
-	if fired == 0 {
-		t.Error("the dealer never changed")
+	if changes == 0 {
+		t.Error("the assigner never changed")
 	}
 }
 
-type step struct{ edge, what, n int }
+// step is one action of a plan on one edge; n is a parameter of the action.
+type step struct{ edge, action, n int }
 
-// play carries out a plan and tells what went wrong.
-func play(plan []step, fired *int) string {
-	const bears = 8
-	assigner := newDispatcher(1)
-	var edges []*holder
-	left := 0 // jobs still running of edges that were restarted
+// runPlan executes a plan and returns a description of the first violation, if any.
+func runPlan(plan []step, changes *int) string {
+	const concurrency = 8
+	assigner := newTestAssigner(1)
+	var edges []*testEdge
+	orphaned := 0 // running jobs of edges that were restarted
 	inc := uint64(0)
-	unknown := func() *holder {
+	newEdge := func() *testEdge {
 		inc++
 		n := &intern.Table{}
-		return &holder{b: slots.New(n), inc: inc, ix: n.Index(runnerName)}
+		return &testEdge{table: slots.New(n), inc: inc, index: n.Index(runnerName)}
 	}
-	note := func() {
-		// The runner reports what runs on it.
-		load := left
+	pollRunner := func() {
+		// The runner reports its load.
+		load := orphaned
 		for _, e := range edges {
-			load += len(e.taken)
+			load += len(e.acquired)
 		}
 		assigner.observe(
 			time.Now(),
 			spec.Runner{Name: runnerName, Zone: "a"},
-			&runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: bears, Load: load, UpMs: 60000},
+			&runnerapi.Report{Name: runnerName, State: runnerapi.Ready, Concurrency: concurrency, Load: load, UpMs: 60000},
 			false,
 		)
 	}
-	note()
+	pollRunner()
 	assigner.allReported = true
 	ids := []string{"e1", "e2", "e3", "e4"}
 	for range ids {
-		edges = append(edges, unknown())
+		edges = append(edges, newEdge())
 	}
 	reported := map[int]bool{}
 	for at, s := range plan {
 		e := edges[s.edge]
-		switch s.what {
-		case 0, 1, 2, 3: // ask, perhaps with a late answer
-			if e.truncated || e.epoch > assigner.epoch {
+		switch s.action {
+		case 0, 1, 2, 3: // request slots; the answer may be late
+			if e.unresponsive || e.epoch > assigner.epoch {
 				break
 			}
-			asked := time.Now()
+			requestedAt := time.Now()
 			a := assigner.Report(
 				ids[s.edge],
 				e.inc,
-				&wire.Deal{Held: e.b.Report(), Waiting: map[string]int32{"": int32(s.n % 10)}},
+				&wire.Deal{Held: e.table.Report(), Waiting: map[string]int32{"": int32(s.n % 10)}},
 				true,
 			)
 			time.Sleep(time.Duration(s.n%200) * time.Millisecond)
 			e.epoch = a.Epoch
-			e.b.Update(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
+			e.table.Update(requestedAt, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
 			if reported[s.edge] = true; len(reported) == len(edges) && !assigner.allReported {
-				note()
-				assigner.open()
+				pollRunner()
+				assigner.markAllReported()
 			}
-		case 4, 5:
-			if k, _, ok := e.b.Acquire(e.ix, s.n%2 == 0); ok {
-				e.taken = append(e.taken, k)
+		case 4, 5: // start a job
+			if k, _, ok := e.table.Acquire(e.index, s.n%2 == 0); ok {
+				e.acquired = append(e.acquired, k)
 			}
-		case 6:
-			if len(e.taken) > 0 {
-				e.b.Release(e.ix, "", e.taken[0])
-				e.taken = e.taken[1:]
-			} else if left > 0 {
-				left--
+		case 6: // finish a job
+			if len(e.acquired) > 0 {
+				e.table.Release(e.index, "", e.acquired[0])
+				e.acquired = e.acquired[1:]
+			} else if orphaned > 0 {
+				orphaned--
 			}
-		case 7:
-			e.truncated = !e.truncated
-		case 8: // a new assigner that knows nothing; the old one has departed
-			assigner = newDispatcher(assigner.epoch + 1)
-			note()
+		case 7: // stop or resume sending requests
+			e.unresponsive = !e.unresponsive
+		case 8: // a new assigner without state replaces the old one
+			assigner = newTestAssigner(assigner.epoch + 1)
+			pollRunner()
 			reported = map[int]bool{}
-			*fired++
-		case 10: // the edge is killed and starts anew; its jobs run on
-			left += len(e.taken)
-			edges[s.edge] = unknown()
-		case 9:
+			*changes++
+		case 10: // the edge is killed and restarted; its jobs keep running
+			orphaned += len(e.acquired)
+			edges[s.edge] = newEdge()
+		case 9: // let time pass
 			time.Sleep(time.Duration(s.n) * time.Millisecond)
 		}
 		if s.n%3 == 0 {
-			note()
+			pollRunner()
 		}
-		sum := left
+		sum := orphaned
 		for _, e := range edges {
 			sum += e.total()
 		}
-		if sum > bears {
-			return fmt.Sprintf("after step %d the edges hold %d slots of a runner that bears %d", at, sum, bears)
+		if sum > concurrency {
+			return fmt.Sprintf(
+				"after step %d the edges hold %d slots of a runner with a concurrency limit of %d",
+				at,
+				sum,
+				concurrency,
+			)
 		}
 	}
 	return ""
 }
 
-// TestWarmupDoubles: a runner that has just come up gets few, then more, and no
-// more while it refuses.
+// TestWarmupDoubles checks that the limit of a new runner starts low and doubles with each step, but
+// not while the runner refuses work.
 func TestWarmupDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		assigner := newDispatcher(1)
-		rep := func(refused int64) int {
+		assigner := newTestAssigner(1)
+		limitAfterReport := func(refused int64) int {
 			assigner.observe(
 				time.Now(),
 				spec.Runner{Name: runnerName},
@@ -200,21 +208,21 @@
 		}
 		want := []int{2, 4, 8, 16, 16}
 		for i, w := range want {
-			if got := rep(0); got != w {
-				t.Errorf("second %d: %d, want %d", i, got, w)
+			if got := limitAfterReport(0); got != w {
+				t.Errorf("after %d s: limit %d, want %d", i, got, w)
 			}
 			time.Sleep(time.Second)
 		}
 		assigner.observe(time.Now(), spec.Runner{Name: runnerName}, nil, true)
 		if c := assigner.runners[runnerName].Limit; c != 0 {
-			t.Errorf("gone, and still dealt %d", c)
+			t.Errorf("departed runner still has a limit of %d", c)
 		}
-		if got := rep(3); got != 2 {
-			t.Errorf("back, and dealt %d at once", got)
+		if got := limitAfterReport(3); got != 2 {
+			t.Errorf("limit after the return is %d, want 2", got)
 		}
 		time.Sleep(time.Second)
-		if got := rep(4); got != 2 {
-			t.Errorf("it refuses, and is dealt %d", got)
+		if got := limitAfterReport(4); got != 2 {
+			t.Errorf("limit after a refusal is %d, want 2", got)
 		}
 	})
 }
--- a/internal/dataplane/balancing/assignment/polling.go
+++ b/internal/dataplane/balancing/assignment/polling.go
@@ -13,35 +13,35 @@
 	"damsontiller/internal/transport/code"
 )
 
-// poll asks every runner and the platform once.
+// poll polls the platform and every runner once.
 func (assigner *Assigner) poll(ctx context.Context) {
 	v := assigner.node.Cluster.Now()
 	want := map[string]spec.Runner{}
 	for _, r := range assigner.pollPlatform(ctx, v.Spec.Platform) {
 		want[r.Name] = spec.Runner{Name: r.Name, Addr: r.Addr, Zone: r.Zone, Route: r.Route}
 	}
-	// Where both name a runner, the operators' word counts.
+	// An entry in the operators' spec overrides the platform's entry of the same name.
 	for _, r := range v.Spec.Runners {
 		want[r.Name] = r
 	}
-	type seen struct {
-		r        spec.Runner
-		rep      *runnerapi.Report
+	type result struct {
+		runner   spec.Runner
+		report   *runnerapi.Report
 		departed bool
 	}
-	ch := make(chan seen, len(want))
+	results := make(chan result, len(want))
 	for _, r := range want {
 		go func() {
-			rep, departed := assigner.pollRunner(ctx, r)
-			ch <- seen{r, rep, departed}
+			report, departed := assigner.pollRunner(ctx, r)
+			results <- result{r, report, departed}
 		}()
 	}
 	var items []*wire.Item
 	now := time.Now()
 	for range want {
-		s := <-ch
-		if i := assigner.observe(now, s.r, s.rep, s.departed); i != nil {
-			items = append(items, i)
+		polled := <-results
+		if item := assigner.observe(now, polled.runner, polled.report, polled.departed); item != nil {
+			items = append(items, item)
 		}
 	}
 	assigner.mu.Lock()
@@ -54,7 +54,7 @@
 	assigner.mu.Unlock()
 	assigner.checkAllReported(ctx)
 	if len(items) > 0 && ctx.Err() == nil {
-		// The tree may be slow; the next poll must not be.
+		// The broadcast may be slow and must not delay the next poll.
 		go assigner.node.Broadcast.Publish(ctx, items...)
 	}
 }
@@ -65,8 +65,8 @@
 	}
 	var l runnerapi.Platform
 	if err := assigner.get(ctx, "http://"+addr+"/v1/runners", &l); err != nil {
-		assigner.node.Log.Debug("platform list not read", "err", err)
-		// The list lags anyway; the last one read stays good.
+		assigner.node.Log.Debug("failed to read the platform's runner list", "err", err)
+		// The list is eventually consistent anyway, so the last one read remains usable.
 		return assigner.listed
 	}
 	assigner.listed = l.Runners[:0:0]
@@ -94,87 +94,94 @@
 	return json.NewDecoder(http.MaxBytesReader(nil, r.Body, 1<<20)).Decode(into)
 }
 
-func (assigner *Assigner) pollRunner(ctx context.Context, r spec.Runner) (rep *runnerapi.Report, departed bool) {
-	rep = &runnerapi.Report{}
-	if err := assigner.get(ctx, "http://"+r.Addr+"/v1/report", rep); err != nil {
+func (assigner *Assigner) pollRunner(ctx context.Context, r spec.Runner) (report *runnerapi.Report, departed bool) {
+	report = &runnerapi.Report{}
+	if err := assigner.get(ctx, "http://"+r.Addr+"/v1/report", report); err != nil {
 		return nil, PortRefused(err)
 	}
-	if rep.Name != r.Name {
-		assigner.node.Log.Warn("another runner answers", "want", r.Name, "got", rep.Name)
+	if report.Name != r.Name {
+		assigner.node.Log.Warn("report is from another runner", "want", r.Name, "got", report.Name)
 		return nil, false
 	}
-	return rep, false
+	return report, false
 }
 
-// observe takes one report; it gives an update where the state has changed.
-func (assigner *Assigner) observe(now time.Time, r spec.Runner, rep *runnerapi.Report, departed bool) *wire.Item {
+// observe processes the report of one runner, or its absence, and returns a broadcast item if the
+// state has changed.
+func (assigner *Assigner) observe(now time.Time, r spec.Runner, report *runnerapi.Report, departed bool) *wire.Item {
 	assigner.mu.Lock()
 	defer assigner.mu.Unlock()
-	o := assigner.runners[r.Name]
-	if o == nil {
-		o = &runner{}
-		assigner.runners[r.Name] = o
-	}
-	was := o.State
-	o.Runner = r
-	if rep == nil {
-		// One lost report is no leave; a refused port is.
-		if o.misses++; departed || o.misses >= 3 {
-			o.State.State, o.Limit, o.known = runnerapi.Departed, 0, false
+	tracked := assigner.runners[r.Name]
+	if tracked == nil {
+		tracked = &trackedRunner{}
+		assigner.runners[r.Name] = tracked
+	}
+	previous := tracked.State
+	tracked.Runner = r
+	if report == nil {
+		// A single lost report does not mean that the runner departed; a refused connection does.
+		if tracked.misses++; departed || tracked.misses >= missesToDepart {
+			tracked.State.State, tracked.Limit, tracked.warmupStarted = runnerapi.Departed, 0, false
 		}
 	} else {
-		o.misses = 0
-		if rep.Incarnation != o.Incarnation {
-			// Another process at the same address: nothing that was assigned of the
-			// one before counts, and it is warming up whatever that one bore.
-			o.Incarnation, o.known, o.Limit, o.base, o.unaccounted = rep.Incarnation, false, 0, 0, 0
+		tracked.misses = 0
+		if report.Incarnation != tracked.Incarnation {
+			// A new process at the same address: slots assigned for the previous process
+			// no longer count, and the new one starts its own warm-up.
+			tracked.Incarnation, tracked.warmupStarted, tracked.Limit, tracked.initiallyHeld, tracked.unaccounted =
+				report.Incarnation, false, 0, 0, 0
 		}
-		assigner.boundOrphans(now, o, rep.Load)
-		o.State.State, o.Concurrency, o.Load, o.Prefixes = rep.State, max(rep.Concurrency, 0), rep.Load, rep.Prefixes
-		assigner.warmUp(now, o, rep)
+		assigner.boundOrphans(now, tracked, report.Load)
+		tracked.State.State, tracked.Concurrency, tracked.Load, tracked.Prefixes =
+			report.State, max(report.Concurrency, 0), report.Load, report.Prefixes
+		assigner.warmUp(now, tracked, report)
 	}
-	if reflect.DeepEqual(withoutLoad(was), withoutLoad(o.State)) {
+	if reflect.DeepEqual(withoutLoad(previous), withoutLoad(tracked.State)) {
 		return nil
 	}
 	assigner.seq++
-	b, err := json.Marshal(o.State)
+	b, err := json.Marshal(tracked.State)
 	if err != nil {
 		return nil
 	}
 	return &wire.Item{Topic: "runner", Key: r.Name, Epoch: assigner.epoch, Seq: assigner.seq, Body: b}
 }
 
-// withoutLoad leaves out what changes all the time.
+// missesToDepart is the number of consecutive missing reports after which a runner counts as
+// departed.
+const missesToDepart = 3
+
+// withoutLoad clears the load, which changes with every report.
 func withoutLoad(s State) State {
 	s.Load = 0
 	return s
 }
 
-// warmUp sets what may be assigned: a warming runner starts with few and doubles
-// while its own reports show no refusals.
-func (assigner *Assigner) warmUp(now time.Time, o *runner, rep *runnerapi.Report) {
+// warmUp sets the slots that may be assigned: during warm-up a runner starts with a few slots,
+// which double at each step while its reports show no further refusals.
+func (assigner *Assigner) warmUp(now time.Time, tracked *trackedRunner, report *runnerapi.Report) {
 	switch {
-	case rep.State != runnerapi.Ready:
-		o.Limit, o.known = 0, false
+	case report.State != runnerapi.Ready:
+		tracked.Limit, tracked.warmupStarted = 0, false
 		return
-	case !o.known:
-		o.known, o.refused, o.warmedAt = true, rep.Refused, now
-		o.Limit = assigner.params.WarmupStart
+	case !tracked.warmupStarted:
+		tracked.warmupStarted, tracked.refused, tracked.warmedAt = true, report.Refused, now
+		tracked.Limit = assigner.params.WarmupStart
 		if assigner.params.LastState != nil {
-			if s, ok := assigner.params.LastState(o.Name); ok && s.Incarnation == o.Incarnation {
-				o.Limit = max(o.Limit, s.Limit)
+			if s, ok := assigner.params.LastState(tracked.Name); ok && s.Incarnation == tracked.Incarnation {
+				tracked.Limit = max(tracked.Limit, s.Limit)
 			}
 		}
-		if time.Duration(rep.UpMs)*time.Millisecond >= assigner.params.WarmAfter {
-			o.Limit = rep.Concurrency
+		if time.Duration(report.UpMs)*time.Millisecond >= assigner.params.WarmAfter {
+			tracked.Limit = report.Concurrency
 		}
-	case rep.Refused > o.refused:
-		// It refused: stay, and check again after a while.
-		o.refused, o.warmedAt = rep.Refused, now
-	case now.Sub(o.warmedAt) >= assigner.params.WarmupStep:
-		o.Limit, o.warmedAt = o.Limit*2, now
-	}
-	// What edges held when a new assigner first received them, the one before it had
-	// warmed the process up to.
-	o.Limit = min(max(o.Limit, o.base), o.Concurrency)
+	case report.Refused > tracked.refused:
+		// The runner refused work: keep the limit and check again after the next step.
+		tracked.refused, tracked.warmedAt = report.Refused, now
+	case now.Sub(tracked.warmedAt) >= assigner.params.WarmupStep:
+		tracked.Limit, tracked.warmedAt = tracked.Limit*2, now
+	}
+	// The previous assigner had already warmed up the process to the slots that edges held
+	// when they first reported.
+	tracked.Limit = min(max(tracked.Limit, tracked.initiallyHeld), tracked.Concurrency)
 }
--- a/internal/dataplane/balancing/assignment/refusals.go
+++ b/internal/dataplane/balancing/assignment/refusals.go
@@ -5,5 +5,6 @@
 	"syscall"
 )
 
-// PortRefused reports whether a port was refused: nobody is there.
+// PortRefused reports whether err means that the connection was refused: no process listens on
+// the port.
 func PortRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/dataplane/balancing/assignment/service.go
+++ b/internal/dataplane/balancing/assignment/service.go
@@ -13,7 +13,8 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Service answers Deal and Tell calls for whichever tenure runs here.
+// Service handles Deal and Tell requests on behalf of the current tenure, if this node holds the
+// assigner role.
 type Service struct {
 	params  Params
 	node    *node.Node
@@ -22,78 +23,78 @@
 	current *Assigner
 }
 
-// New makes the role's local end.
-func New(p Params, n *node.Node, f *singleton.EpochGuard) *Service {
-	d := &Service{params: p, node: n, epochs: f}
-	n.Peer.Handle(&wire.Req_Deal{}, d.assign)
-	n.Peer.Handle(&wire.Req_Tell{}, d.suspect)
-	return d
+// New returns a Service and registers its handlers.
+func New(p Params, n *node.Node, epochs *singleton.EpochGuard) *Service {
+	service := &Service{params: p, node: n, epochs: epochs}
+	n.Peer.Handle(&wire.Req_Deal{}, service.assign)
+	n.Peer.Handle(&wire.Req_Tell{}, service.suspect)
+	return service
 }
 
-func (d *Service) now() (*Assigner, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.current == nil {
-		return nil, code.New(code.NotHolder, "%s does not hold the assigner role", d.node.Peer.Self.Id)
+func (service *Service) currentAssigner() (*Assigner, error) {
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	if service.current == nil {
+		return nil, code.New(code.NotHolder, "%s does not hold the assigner role", service.node.Peer.Self.Id)
 	}
-	return d.current, nil
+	return service.current, nil
 }
 
-func (d *Service) set(assigner *Assigner) {
-	d.mu.Lock()
-	d.current = assigner
-	d.mu.Unlock()
+func (service *Service) setCurrent(assigner *Assigner) {
+	service.mu.Lock()
+	service.current = assigner
+	service.mu.Unlock()
 }
 
-// Work is one tenure.
-func (d *Service) Work(ctx context.Context, epoch uint64) {
+// Work runs one tenure until ctx ends.
+func (service *Service) Work(ctx context.Context, epoch uint64) {
 	assigner := &Assigner{
-		params:  d.params,
-		node:    d.node,
+		params:  service.params,
+		node:    service.node,
 		epoch:   epoch,
 		start:   time.Now(),
 		wakeup:  loop.NewWakeup(),
-		runners: map[string]*runner{},
+		runners: map[string]*trackedRunner{},
 		edges:   map[uint64]*edge{},
-		client:  &http.Client{Timeout: d.params.PollInterval, Transport: d.params.Transport},
+		client:  &http.Client{Timeout: service.params.PollInterval, Transport: service.params.Transport},
 	}
 	defer assigner.client.CloseIdleConnections()
 	assigner.poll(ctx)
-	d.set(assigner)
-	defer d.set(nil)
-	loop.Every(ctx, d.params.PollInterval, assigner.wakeup, assigner.poll)
+	service.setCurrent(assigner)
+	defer service.setCurrent(nil)
+	loop.Every(ctx, service.params.PollInterval, assigner.wakeup, assigner.poll)
 }
 
-func (d *Service) assign(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	assigner, err := d.now()
+func (service *Service) assign(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+	assigner, err := service.currentAssigner()
 	if err != nil {
 		return &wire.Resp{
 			Op: &wire.Resp_Deal{
 				Deal: &wire.DealAck{
-					Epoch:   d.epochs.Highest(),
-					QuietMs: min(d.epochs.SinceContact(), time.Hour).Milliseconds(),
+					Epoch:   service.epochs.Highest(),
+					QuietMs: min(service.epochs.SinceContact(), time.Hour).Milliseconds(),
 				},
 			},
 		}, err
 	}
 	if e := q.GetDeal().GetEpoch(); e > assigner.epoch {
-		// The asker has assigned with a later holder: this tenure is over.
-		d.epochs.Observe(e)
-		d.set(nil)
+		// The edge has received slots from a later holder: this tenure has ended.
+		service.epochs.Observe(e)
+		service.setCurrent(nil)
 		return nil, code.New(code.OldEpoch, "epoch %d is over", assigner.epoch)
 	}
-	// An assigner is replaced by a higher epoch, which it may not have seen. It
-	// stops raising well before the shares of edges that left it run out here.
-	a := assigner.Report(q.Id, q.Inc, q.GetDeal(), d.params.SinceConfirmed() < d.params.Term*3/4)
-	return &wire.Resp{Op: &wire.Resp_Deal{Deal: a}}, nil
+	// An assigner may have been superseded by a higher epoch without having seen it. It
+	// stops raising shares well before the shares of edges that moved on expire here.
+	ack := assigner.Report(q.Id, q.Inc, q.GetDeal(), service.params.SinceConfirmed() < service.params.Term*3/4)
+	return &wire.Resp{Op: &wire.Resp_Deal{Deal: ack}}, nil
 }
 
-func (d *Service) suspect(_ context.Context, _ *wire.Req) (*wire.Resp, error) {
-	assigner, err := d.now()
+func (service *Service) suspect(_ context.Context, _ *wire.Req) (*wire.Resp, error) {
+	assigner, err := service.currentAssigner()
 	if err != nil {
 		return nil, err
 	}
-	// Whoever tells may be wrong about the cause; the report decides, at once.
+	// The sender may be wrong about the cause, so only trigger an immediate poll of the reports.
 	assigner.wakeup.Notify()
 	return nil, nil
 }
--- a/internal/dataplane/balancing/balancer/balancer.go
+++ b/internal/dataplane/balancing/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer selects a runner for a turn or a call, from what this node knows of
-// the runners: one that has the prefix cached, has little load, and is near.
+// Package balancer selects a runner for a turn or a call from this node's view of the
+// runners, preferring a cached prefix, low load and the local zone.
 package balancer
 
 import (
@@ -22,19 +22,19 @@
 	"damsontiller/internal/transport/code"
 )
 
-// entry is one runner.
+// entry is the state of one runner in the directory.
 type entry struct {
 	spec.Runner
 	route       int
 	listed      bool // in the spec, or in the platform's list
 	draining    bool
-	avoid       time.Time
+	avoidUntil  time.Time
 	prefixes    map[string]bool
 	cooldownKey string
-	incarnation string // of the process last reported of
+	incarnation string // of the process in the last update
 }
 
-// Directory is the directory of runners, by index.
+// Directory is the directory of runners. Runners and Routes map names to indices.
 type Directory struct {
 	node      *node.Node
 	Runners   *intern.Table
@@ -45,11 +45,11 @@
 
 	mu      sync.Mutex
 	version uint64
-	entries []*entry
-	states  map[string]assignment.State
+	entries []*entry                    // by runner index
+	states  map[string]assignment.State // by runner name
 }
 
-// New makes the directory and listens for updates of runners.
+// New returns a directory and subscribes it to broadcasts of runner states.
 func New(
 	n *node.Node,
 	runners *intern.Table,
@@ -70,6 +70,7 @@
 	return directory
 }
 
+// updateState applies a broadcast runner state.
 func (directory *Directory) updateState(i *wire.Item) error {
 	var s assignment.State
 	if err := json.Unmarshal(i.Body, &s); err != nil {
@@ -78,17 +79,17 @@
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	if old, ok := directory.states[s.Name]; ok && old.Incarnation != s.Incarnation {
-		// What was seen the process before says nothing about this one.
-		if ix := directory.Runners.Index(s.Name); ix < len(directory.entries) {
-			directory.entries[ix].avoid = time.Time{}
+		// What was observed of the previous process does not apply to the new one.
+		if index := directory.Runners.Index(s.Name); index < len(directory.entries) {
+			directory.entries[index].avoidUntil = time.Time{}
 		}
 	}
 	directory.states[s.Name] = s
-	directory.version = 0 // lay out anew
+	directory.version = 0 // forces a rebuild
 	return nil
 }
 
-// LastState is the last update seen a runner.
+// LastState returns the last broadcast state of a runner.
 func (directory *Directory) LastState(name string) (assignment.State, bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
@@ -96,21 +97,22 @@
 	return s, ok
 }
 
-// CoversAllRoutes reports whether the slots are enough for a job of any route.
+// CoversAllRoutes reports whether the slots include a runner for each route of the spec.
 func (directory *Directory) CoversAllRoutes(slots []*wire.Slot) bool {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.rebuild()
 	routes := map[int]bool{}
 	for _, s := range slots {
-		if ix := directory.Runners.Index(s.Runner); ix < len(directory.entries) {
-			routes[directory.entries[ix].route] = true
+		if index := directory.Runners.Index(s.Runner); index < len(directory.entries) {
+			routes[directory.entries[index].route] = true
 		}
 	}
 	return len(routes) >= len(directory.node.Cluster.Now().Spec.Routes)
 }
 
-// rebuild brings the entries in line with the spec in force and the update.
+// rebuild updates the entries from the spec in force and the broadcast states, if either has
+// changed.
 func (directory *Directory) rebuild() {
 	v := directory.node.Cluster.Now()
 	if directory.version == v.Version {
@@ -120,21 +122,21 @@
 	for _, e := range directory.entries {
 		e.listed = false
 	}
-	put := func(r spec.Runner) *entry {
-		ix := directory.Runners.Index(r.Name)
-		for len(directory.entries) <= ix {
+	upsert := func(r spec.Runner) *entry {
+		index := directory.Runners.Index(r.Name)
+		for len(directory.entries) <= index {
 			directory.entries = append(directory.entries, &entry{prefixes: map[string]bool{}})
 		}
-		e := directory.entries[ix]
+		e := directory.entries[index]
 		e.Runner, e.route, e.listed, e.cooldownKey = r, directory.Routes.Index(r.Route), true, cooldown.Key(&v.Spec, r)
 		return e
 	}
 	for _, s := range directory.states {
 		if s.State == runnerapi.Departed {
-			// Whoever comes up under that name holds no prefix yet.
+			// A new process of that name has no cached prefix yet.
 			s.Prefixes = nil
 		}
-		e := put(s.Runner)
+		e := upsert(s.Runner)
 		e.draining, e.incarnation = s.State != runnerapi.Ready, s.Incarnation
 		e.prefixes = map[string]bool{}
 		for _, p := range s.Prefixes {
@@ -142,31 +144,31 @@
 		}
 	}
 	for _, r := range v.Spec.Runners {
-		put(r)
+		upsert(r)
 	}
 }
 
-// Avoid keeps a runner from being picked for a while: this node has seen that
-// it leaves or has departed, and the assigner has not yet said so.
-func (directory *Directory) Avoid(ix int, t time.Duration) {
+// Avoid excludes a runner from Pick for the given time. It is used when this node has seen the
+// runner drain or depart before the assigner has broadcast it.
+func (directory *Directory) Avoid(index int, t time.Duration) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	directory.entries[ix].avoid = time.Now().Add(t)
+	directory.entries[index].avoidUntil = time.Now().Add(t)
 }
 
-// SetPrefixes records the prefixes that a runner says it holds.
-func (directory *Directory) SetPrefixes(ix int, prefixes []string) {
+// SetPrefixes records the prefixes that a runner reports as cached.
+func (directory *Directory) SetPrefixes(index int, prefixes []string) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	// The list is all of what it holds now; what it released is released.
+	// The list is complete: prefixes that are not on it have been evicted.
 	cached := make(map[string]bool, len(prefixes))
 	for _, p := range prefixes {
 		cached[p] = true
 	}
-	directory.entries[ix].prefixes = cached
+	directory.entries[index].prefixes = cached
 }
 
-// CooldownKeys lists the cooldown keys of the runners that could serve the job.
+// CooldownKeys returns the cooldown keys of the runners that could serve the job.
 func (directory *Directory) CooldownKeys(c *job.Ctx) []string {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
@@ -181,58 +183,58 @@
 	return out
 }
 
-// Pick finds a runner with a free slot and takes the slot. Without one it
-// tells the least cooldown, where that is what stands in the way; -1 where no
-// runner is left.
-func (directory *Directory) Pick(c *job.Ctx) (r job.Runner, k slots.Kind, ok bool, least time.Duration) {
+// Pick selects a runner with a free slot and acquires the slot. Otherwise it returns the
+// shortest remaining cooldown among the eligible runners, which is 0 if one of them has
+// none, or -1 if no runner is eligible.
+func (directory *Directory) Pick(c *job.Ctx) (r job.Runner, k slots.Kind, ok bool, shortestCooldown time.Duration) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.rebuild()
 	now := time.Now()
 	route := directory.Routes.Index(c.Route)
-	var rs []script.Runner
-	var ixs []int
-	least = -1
-	for ix, e := range directory.entries {
+	var candidates []script.Runner
+	var indices []int
+	shortestCooldown = -1
+	for index, e := range directory.entries {
 		if e.route != route || !directory.eligible(e, e.incarnation) {
 			continue
 		}
-		w := directory.cooldowns.KnownWait(e.cooldownKey)
-		if least < 0 || w < least {
-			least = w
+		wait := directory.cooldowns.KnownWait(e.cooldownKey)
+		if shortestCooldown < 0 || wait < shortestCooldown {
+			shortestCooldown = wait
 		}
-		// A process seen draining, or whose slots are for the one before it, is no
-		// candidate now, and may be one soon.
-		if w > 0 || !directory.cooldowns.Allowed(e.cooldownKey) || now.Before(e.avoid) ||
-			directory.slots.Incarnation(ix) != e.incarnation {
+		// A process that is being avoided, or for which this node only has slots of the
+		// previous process, is not a candidate now but may become one soon.
+		if wait > 0 || !directory.cooldowns.Allowed(e.cooldownKey) || now.Before(e.avoidUntil) ||
+			directory.slots.Incarnation(index) != e.incarnation {
 			continue
 		}
-		free, used := directory.slots.Free(ix, c.Urgent)
+		free, used := directory.slots.Free(index, c.Urgent)
 		if free == 0 {
 			continue
 		}
-		rs = append(
-			rs,
+		candidates = append(
+			candidates,
 			script.Runner{
 				Name:   e.Name,
 				Zone:   e.Zone,
 				Near:   e.Zone == directory.node.Peer.Self.Zone,
 				Free:   int64(free),
 				Used:   int64(used),
-				Prefix: prefix(e, c),
+				Prefix: cachedShare(e, c),
 			},
 		)
-		ixs = append(ixs, ix)
+		indices = append(indices, index)
 	}
-	if len(rs) > 0 {
-		i, why := directory.selector.Pick(c, rs)
-		if k, incarnation, ok := directory.slots.Acquire(ixs[i], c.Urgent); ok {
-			e := directory.entries[ixs[i]]
+	if len(candidates) > 0 {
+		i, why := directory.selector.Pick(c, candidates)
+		if k, incarnation, ok := directory.slots.Acquire(indices[i], c.Urgent); ok {
+			e := directory.entries[indices[i]]
 			directory.cooldowns.BeginCall(e.cooldownKey)
 			why.Picked, why.Spec = e.Name, directory.node.Cluster.Now().Version
 			c.Whys = append(c.Whys, why)
 			return job.Runner{
-				Ix:          ixs[i],
+				Ix:          indices[i],
 				Name:        e.Name,
 				Addr:        e.Addr,
 				Cool:        e.cooldownKey,
@@ -240,45 +242,46 @@
 			}, k, true, 0
 		}
 	}
-	return job.Runner{}, 0, false, least
+	return job.Runner{}, 0, false, shortestCooldown
 }
 
-// Slots is how many calls of a route this node may have under way at once.
+// Slots returns how many concurrent calls of a route this node may make.
 func (directory *Directory) Slots(route string, urgent bool) int {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.rebuild()
-	index := directory.Routes.Index(route)
+	routeIndex := directory.Routes.Index(route)
 	total := 0
-	for ix, e := range directory.entries {
-		if e.route == index && directory.eligible(e, e.incarnation) {
-			free, used := directory.slots.Free(ix, urgent)
+	for index, e := range directory.entries {
+		if e.route == routeIndex && directory.eligible(e, e.incarnation) {
+			free, used := directory.slots.Free(index, urgent)
 			total += free + used
 		}
 	}
 	return total
 }
 
-// Eligible reports whether work may go to a runner's process now: it is there, does not
-// leave, stands in no emptied zone, and is the one that was meant.
-func (directory *Directory) Eligible(ix int, incarnation string) bool {
+// Eligible reports whether work may be sent to a runner process now: the runner is listed, is
+// not draining, is not in an emptied zone, and still has the given incarnation.
+func (directory *Directory) Eligible(index int, incarnation string) bool {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	directory.rebuild()
-	return directory.eligible(directory.entries[ix], incarnation)
+	return directory.eligible(directory.entries[index], incarnation)
 }
 
+// eligible implements Eligible; the caller holds mu.
 func (directory *Directory) eligible(e *entry, incarnation string) bool {
 	return e.listed && !e.draining && e.incarnation == incarnation && !directory.node.Cluster.Now().Spec.Empty(e.Zone)
 }
 
-// Finished records how an picked runner's call ended.
+// Finished records the result of a call to a picked runner.
 func (directory *Directory) Finished(r job.Runner, a job.Answer) {
 	directory.cooldowns.EndCall(r.Cool, a.Err == nil)
 }
 
-// prefix is the share of the job's parts, leading ones, that a runner holds.
-func prefix(e *entry, c *job.Ctx) float64 {
+// cachedShare returns the fraction of the job's parts that are covered by the longest cached prefix.
+func cachedShare(e *entry, c *job.Ctx) float64 {
 	for i := len(c.Parts); i > 0; i-- {
 		if e.prefixes[strings.Join(c.Parts[:i], "+")] {
 			return float64(i) / float64(len(c.Parts))
--- a/internal/dataplane/balancing/endpoints/endpoints.go
+++ b/internal/dataplane/balancing/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints is the endpoint list: the runners that the platform's discovery
-// names, as the edges pass it on to each other.
+// Package endpoints holds the endpoint list: the runners returned by the platform's
+// discovery service, as shared between the edges.
 package endpoints
 
 import (
@@ -14,27 +14,27 @@
 	Service  string `json:"service"`
 	Addr     string `json:"addr"`
 	Zone     string `json:"zone"`
-	Revision string `json:"revision,omitempty"` // of its software
-	Capacity int    `json:"room"`               // requests at once
+	Revision string `json:"revision,omitempty"` // software revision
+	Capacity int    `json:"room"`               // maximum number of concurrent requests
 	Draining bool   `json:"leaving,omitempty"`
-	// WarmupRemainingMs is how much longer it is warming up, counted from when the list was read.
+	// WarmupRemainingMs is the remaining warm-up time, counted from when the list was read.
 	WarmupRemainingMs int64 `json:"cold_ms,omitempty"`
-	// Models are the versions of the weights it holds, by model.
+	// Models maps each loaded model to the version of its weights.
 	Models map[string]int64 `json:"models,omitempty"`
 }
 
-// List is one reading of the endpoint list. It is never changed once made.
+// List is a snapshot of the endpoint list. It is immutable.
 type List struct {
-	ReadAt    time.Time // when the reading was asked for, on this node's clock
+	ReadAt    time.Time // when the list was requested, by this node's clock
 	Runners   []Runner
 	byService map[string][]*Runner
 	byID      map[string]*Runner
 }
 
-// NewList makes a list read at a time.
+// NewList returns a list that was requested at the given time. It sorts all in place.
 func NewList(at time.Time, all []Runner) *List {
 	l := &List{ReadAt: at, Runners: all, byService: map[string][]*Runner{}, byID: map[string]*Runner{}}
-	// One order on every node, so that equal rules give equal choices.
+	// The same order on every node, so that equal rules lead to equal choices.
 	sort.Slice(l.Runners, func(i, j int) bool { return l.Runners[i].ID < l.Runners[j].ID })
 	for i := range l.Runners {
 		r := &l.Runners[i]
@@ -44,45 +44,47 @@
 	return l
 }
 
-// ForService lists a service's runners.
+// ForService returns the runners of a service.
 func (l *List) ForService(service string) []*Runner { return l.byService[service] }
 
-// Get finds a runner by its id.
+// Get returns the runner with the given ID, or nil.
 func (l *List) Get(id string) *Runner { return l.byID[id] }
 
 // Store holds the newest list.
 type Store struct{ current atomic.Pointer[List] }
 
-// New makes an endpoint store that nobody is on.
+// New returns a store with an empty list.
 func New() *Store {
-	r := &Store{}
-	r.current.Store(NewList(time.Time{}, nil))
-	return r
+	store := &Store{}
+	store.current.Store(NewList(time.Time{}, nil))
+	return store
 }
 
-// Current is the newest list.
-func (r *Store) Current() *List { return r.current.Load() }
+// Current returns the newest list.
+func (store *Store) Current() *List { return store.current.Load() }
 
-// Replace puts a list in force unless a later reading is.
-func (r *Store) Replace(l *List) bool {
+// Replace sets the current list and reports whether it did; a list that is older than the current
+// one is dropped.
+func (store *Store) Replace(l *List) bool {
 	for {
-		old := r.current.Load()
+		old := store.current.Load()
 		if l.ReadAt.Before(old.ReadAt) {
 			return false
 		}
-		if r.current.CompareAndSwap(old, l) {
+		if store.current.CompareAndSwap(old, l) {
 			return true
 		}
 	}
 }
 
-// Confirm says that a later reading was the same as the one in force.
-func (r *Store) Confirm(at time.Time) {
-	old := r.current.Load()
+// Confirm records that a later reading returned the current list again.
+func (store *Store) Confirm(at time.Time) {
+	old := store.current.Load()
 	if at.After(old.ReadAt) {
-		// A runner's time left counts from the reading that reported it.
+		// Remaining times of runners count from the reading that returned them, so the copy
+		// gets the new time.
 		l := *old
 		l.ReadAt = at
-		r.current.CompareAndSwap(old, &l)
+		store.current.CompareAndSwap(old, &l)
 	}
 }
--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -1,9 +1,10 @@
-// Package loadreport is how loaded each runner is as reported by all edges, and which
-// runners there are, at a cost that grows with edges and not with edges times
-// runners: each edge tells one of them, the first live in order, what it has under
-// way, and receives what all others have; that one alone reads the list of runners.
-// Nothing that must hold rests on it, so it needs no epoch: two that count at once
-// only count less well, and an edge that reaches nobody reads the list itself.
+// Package loadreport shares the load of each runner, as counted by all edges, and the list of
+// runners, at a cost that grows with the number of edges and not with edges times runners.
+// Each edge reports its requests in progress to a collector, the first live edge in a fixed
+// order, and receives the sum of all other edges; only the collector reads the list of runners.
+// No correctness guarantee depends on this data, so the collector needs no epoch: two concurrent
+// collectors only make the sums less accurate, and an edge that reaches no collector reads the
+// list itself.
 package loadreport
 
 import (
@@ -25,22 +26,22 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params are the load report's times.
+// Params are the intervals and limits of the load report.
 type Params struct {
-	Interval     time.Duration // between two questions of an edge
-	Timeout      time.Duration // for an answer, before the next in order is asked
-	ReadInterval time.Duration // between two readings of the list by whoever counts
-	Stale        time.Duration // a reading older than this is not waited with: the edge reads itself
-	Expiry       time.Duration // an edge's word counts for so long
-	// SingleCollector is the largest fleet, in edges, in which one edge counts for all.
+	Interval     time.Duration // between two reports of an edge
+	Timeout      time.Duration // for an answer, before the next candidate is tried
+	ReadInterval time.Duration // between two reads of the list by the collector
+	Stale        time.Duration // age of the list from which an edge reads it itself
+	Expiry       time.Duration // how long a received report counts
+	// SingleCollector is the largest number of edges that share a single collector.
 	SingleCollector int
-	// LoadRetention is how long an edge that reaches no collector goes by what it was told last.
+	// LoadRetention is how long an edge that reaches no collector uses the last received load.
 	LoadRetention time.Duration
-	ReadStagger   time.Duration // between two edges of a zone that read a stale list themselves
-	MaxReadDelay  time.Duration // that an edge waits for the others
+	ReadStagger   time.Duration // between the edges of a zone that read a stale list themselves
+	MaxReadDelay  time.Duration // maximum delay due to ReadStagger
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the default parameters.
 var DefaultParams = Params{
 	Interval:        250 * time.Millisecond,
 	Timeout:         150 * time.Millisecond,
@@ -53,10 +54,10 @@
 	MaxReadDelay:    900 * time.Millisecond,
 }
 
-// ListFunc reads the list of runners.
+// ListFunc reads the list of runners from the platform's discovery service.
 type ListFunc func(ctx context.Context) ([]endpoints.Runner, error)
 
-// LoadReport counts, and asks whoever counts.
+// LoadReport reports to a collector, and acts as a collector where this edge is first in order.
 type LoadReport struct {
 	params    Params
 	node      *node.Node
@@ -68,21 +69,22 @@
 
 	mu       sync.Mutex
 	reports  map[string]edgeReport // by edge
-	lastRead time.Time             // when the last own reading was asked for
-	// answeredAt is when a collector answered last; the reporting goroutine's own.
+	lastRead time.Time             // when this edge last read the list itself
+	// answeredAt is when a collector last answered; used by the reporting goroutine only.
 	answeredAt time.Time
-	// runningSince is when this edge began to report: it has joined by then.
+	// runningSince is when this edge started to report, after it had joined the cluster.
 	runningSince time.Time
-	body         []byte // the endpoint list as it is handed on
-	sum          uint64
+	body         []byte // encoded endpoint list, as sent to other edges
+	digest       uint64 // of body
 }
 
+// edgeReport is the last load reported by an edge.
 type edgeReport struct {
 	receivedAt time.Time
 	load       []*wire.Busy
 }
 
-// New makes a load report; list may be set until Run.
+// New returns a load report and registers its handler. It reads no list before Run.
 func New(p Params, n *node.Node, r *endpoints.Store, l *proxy.Load) *LoadReport {
 	report := &LoadReport{
 		params:    p,
@@ -97,7 +99,7 @@
 	return report
 }
 
-// Run asks and, where this edge is the one that counts, reads, until ctx ends.
+// Run reports periodically and, as a collector, reads the list of runners, until ctx ends.
 func (report *LoadReport) Run(ctx context.Context, list ListFunc) {
 	report.mu.Lock()
 	report.discover, report.runningSince = list, time.Now()
@@ -105,9 +107,10 @@
 	loop.Every(ctx, report.params.Interval, nil, report.step)
 }
 
+// step reports to the first candidate that answers, or collects here if that is this edge.
 func (report *LoadReport) step(ctx context.Context) {
 	counts := report.load.Watch.TakeCounts()
-	own := report.own(counts)
+	own := report.ownReport(counts)
 	self := report.node.Peer.Self.Id
 	order := singleton.Order(report.node.Cluster.Now(), report.node.Lease.Members())
 	for i, m := range report.candidates(order) {
@@ -117,16 +120,17 @@
 		}
 		if report.report(ctx, m.Addr, own) {
 			report.answeredAt = time.Now()
-			report.refresh(ctx, report.params.Stale+report.turn(order))
+			report.refresh(ctx, report.params.Stale+report.readDelay(order))
 			return
 		}
 	}
 	report.load.Watch.RestoreCounts(counts)
-	report.refresh(ctx, report.params.Stale+report.turn(order))
+	report.refresh(ctx, report.params.Stale+report.readDelay(order))
 }
 
-// collectHere is a step of an edge that is the first that answers: it counts. Where it is not
-// the first of all whom it asks, and nobody reports to it, it knows less than it was told last.
+// collectHere is a step of an edge that is its own collector. If the edge is not its own first
+// candidate and no other edge reports to it, its sums are less complete than the load it last
+// received, so that load is kept for LoadRetention.
 func (report *LoadReport) collectHere(
 	ctx context.Context,
 	order []*wire.Member,
@@ -149,13 +153,14 @@
 	report.refresh(ctx, readInterval)
 }
 
-// maxCandidates is how many edges of each kind are asked in one step.
+// maxCandidates is the maximum number of edges per group (all zones, own zone) that are tried in
+// one step.
 const maxCandidates = 2
 
-// candidates are those that this edge may report to, in the order in which it tries them: the
-// first of all live edges, then the first of its own zone, in a large fleet the other way
-// round. So an edge that is cut off from the other zones does not wait for all of their edges in
-// turn, and comes to itself at last.
+// candidates returns the edges that this edge may report to, in the order in which it tries them:
+// the first of all live edges, then the first of its own zone, or the reverse in a large fleet,
+// and finally itself. The limit per group keeps an edge that is partitioned from the other zones
+// from waiting for each of their edges.
 func (report *LoadReport) candidates(order []*wire.Member) []*wire.Member {
 	self := &report.node.Peer.Self
 	var inZone []*wire.Member
@@ -180,11 +185,11 @@
 	return out
 }
 
-// turn is how much longer than a stale reading takes to be noticed an edge waits before it
-// reads the list itself: the first of each zone does at once, and hands the reading on before
-// the others would. The platform takes only so many calls from all nodes together. No edge
-// waits for longer than draining runners leave it time.
-func (report *LoadReport) turn(order []*wire.Member) time.Duration {
+// readDelay returns how long an edge waits, after the list has become stale, before it reads the
+// list itself. The first edge of each zone reads at once and shares the result before the others
+// would read, since the platform limits the call rate of all nodes together. The maximum delay
+// is short enough that draining runners are noticed in time.
+func (report *LoadReport) readDelay(order []*wire.Member) time.Duration {
 	rank := 0
 	for _, m := range order {
 		if m.Id == report.node.Peer.Self.Id {
@@ -197,7 +202,8 @@
 	return min(time.Duration(rank)*report.params.ReadStagger, report.params.MaxReadDelay)
 }
 
-func (report *LoadReport) own(counts map[string]outlier.Count) []*wire.Busy {
+// ownReport returns this edge's load and outcome counts in wire form.
+func (report *LoadReport) ownReport(counts map[string]outlier.Count) []*wire.Busy {
 	var out []*wire.Busy
 	load := report.load.Own()
 	for id, b := range load {
@@ -211,20 +217,14 @@
 	return out
 }
 
+// withCounts sets the outcome counts of b.
 func withCounts(b *wire.Busy, c outlier.Count) *wire.Busy {
-	b.Ended, b.Failures, b.Paced, b.Pace = int32(
-		c.Ended,
-	), int32(
-		c.Failures,
-	), int32(
-		c.Paced,
-	), int32(
-		math.Round(100*c.Pace),
-	)
+	b.Ended, b.Failures, b.Paced, b.Pace =
+		int32(c.Ended), int32(c.Failures), int32(c.Paced), int32(math.Round(100*c.Pace))
 	return b
 }
 
-// judgeOutliers takes what an edge has counted, and tells it of the outliers.
+// judgeOutliers adds an edge's outcome counts to the detector and returns the verdict for the edge.
 func (report *LoadReport) judgeOutliers(edge string, counts map[string]outlier.Count) outlier.Verdict {
 	now := time.Now()
 	report.outliers.Adopt(report.load.Watch.Ejected(), now)
@@ -233,9 +233,9 @@
 	return report.outliers.Verdict(now)
 }
 
-// report tells the one that counts, and receives.
+// report sends this edge's load to a collector and applies the answer.
 func (report *LoadReport) report(ctx context.Context, addr string, own []*wire.Busy) bool {
-	sum, asked := report.rollSum(), time.Now()
+	sum, requestedAt := report.listDigest(), time.Now()
 	r, err := report.node.Peer.CallFor(
 		ctx,
 		report.params.Timeout,
@@ -257,25 +257,26 @@
 		}
 	}
 	report.load.Watch.Update(v)
-	report.adoptList(asked, sum, a)
+	report.adoptList(requestedAt, sum, a)
 	return true
 }
 
-// rollSum is the digest of the list that this edge has.
-func (report *LoadReport) rollSum() uint64 {
+// listDigest returns the digest of the list that this edge holds.
+func (report *LoadReport) listDigest() uint64 {
 	report.mu.Lock()
 	defer report.mu.Unlock()
-	return report.sum
+	return report.digest
 }
 
-// adoptList takes the list out of an answer to whoever had the one with that digest.
-func (report *LoadReport) adoptList(asked time.Time, sum uint64, a *wire.LoadReportAck) {
+// adoptList applies the list in an answer to a request that was made at the given time and carried
+// the digest sum.
+func (report *LoadReport) adoptList(requestedAt time.Time, sum uint64, a *wire.LoadReportAck) {
 	if a.GetRollAgeMs() < 0 {
 		return
 	}
-	// The age was counted before the answer came, so this reading is no younger
-	// than it is taken to be.
-	at := asked.Add(-time.Duration(a.RollAgeMs) * time.Millisecond)
+	// The age was measured after the request was sent, so the list is at least as recent as
+	// this time.
+	at := requestedAt.Add(-time.Duration(a.RollAgeMs) * time.Millisecond)
 	switch {
 	case len(a.Runners) > 0:
 		report.adopt(at, a.Runners, a.Roll)
@@ -284,30 +285,33 @@
 	}
 }
 
+// adopt decodes a received list and publishes it.
 func (report *LoadReport) adopt(at time.Time, body []byte, sum uint64) {
 	var all []endpoints.Runner
 	if err := json.Unmarshal(body, &all); err != nil {
-		report.node.Log.Warn("endpoint list not applied", "err", err)
+		report.node.Log.Warn("failed to decode the received endpoint list", "err", err)
 		return
 	}
 	report.publish(at, all, body, sum)
 }
 
+// publish sets the current list, unless it already has a newer one.
 func (report *LoadReport) publish(at time.Time, all []endpoints.Runner, body []byte, sum uint64) {
 	if report.endpoints.Replace(endpoints.NewList(at, all)) {
 		report.mu.Lock()
-		report.body, report.sum = body, sum
+		report.body, report.digest = body, sum
 		report.mu.Unlock()
 	}
 }
 
-// refresh reads the list where the last reading is older than d.
+// refresh reads the list if the current one is older than d.
 func (report *LoadReport) refresh(ctx context.Context, d time.Duration) {
 	report.mu.Lock()
 	list, last := report.discover, report.lastRead
 	readAt := report.endpoints.Current().ReadAt
 	if readAt.IsZero() && d > report.params.ReadInterval {
-		// Nobody has had the time yet to hand on what the first edge has read.
+		// After a start, give the other edges time to share the list that the first edge
+		// has read.
 		readAt = report.runningSince.Add(-report.params.Stale)
 	}
 	if list == nil || time.Since(readAt) < d ||
@@ -320,13 +324,13 @@
 	at := time.Now()
 	all, err := list(ctx)
 	if err != nil {
-		report.node.Log.Warn("list of runners not read", "err", err)
+		report.node.Log.Warn("failed to read the list of runners", "err", err)
 		return
 	}
 	l := endpoints.NewList(at, all)
 	body, err := json.Marshal(roundWarmup(l.Runners))
 	if err != nil {
-		report.node.Log.Warn("list of runners not forwarded", "err", err)
+		report.node.Log.Warn("failed to encode the list of runners", "err", err)
 		return
 	}
 	h := fnv.New64a()
@@ -334,8 +338,8 @@
 	report.publish(at, l.Runners, body, h.Sum64())
 }
 
-// roundWarmup is the endpoint list with warm-up times rounded up, so that a runner that warms up
-// does not make a new endpoint list of each reading.
+// roundWarmup returns a copy of the list with warm-up times rounded up to seconds, so that a runner
+// in warm-up does not change the digest of the list at every read.
 func roundWarmup(all []endpoints.Runner) []endpoints.Runner {
 	out := make([]endpoints.Runner, len(all))
 	copy(out, all)
@@ -347,15 +351,15 @@
 	return out
 }
 
-// others sums up what all but one have under way, as last received, other zones included.
-func (report *LoadReport) others(but string) map[string]proxy.InFlight {
-	all := report.reported(but)
+// others returns the sum of the last received load of all edges but one, including other zones.
+func (report *LoadReport) others(except string) map[string]proxy.InFlight {
+	all := report.reportedLoad(except)
 	report.zones.addTo(all, report.params.Expiry)
 	return all
 }
 
-// reported sums up what all but one of those that report here have under way.
-func (report *LoadReport) reported(but string) map[string]proxy.InFlight {
+// reportedLoad returns the sum of the load of all edges but one that report to this edge.
+func (report *LoadReport) reportedLoad(except string) map[string]proxy.InFlight {
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	out := map[string]proxy.InFlight{}
@@ -364,7 +368,7 @@
 			delete(report.reports, id)
 			continue
 		}
-		if id == but {
+		if id == except {
 			continue
 		}
 		for _, b := range w.load {
@@ -378,7 +382,7 @@
 	return out
 }
 
-// Reporters is how many edges have reported to this one within Expiry.
+// Reporters returns the number of edges that have reported to this one within Expiry.
 func (report *LoadReport) Reporters() int {
 	report.mu.Lock()
 	defer report.mu.Unlock()
@@ -391,6 +395,7 @@
 	return n
 }
 
+// loadOf converts load from its wire form.
 func loadOf(bs []*wire.Busy) map[string]proxy.InFlight {
 	out := make(map[string]proxy.InFlight, len(bs))
 	for _, b := range bs {
@@ -399,7 +404,7 @@
 	return out
 }
 
-// collect is the side that counts.
+// collect handles reports of edges and of collectors of other zones.
 func (report *LoadReport) collect(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	if q.Id == "" {
 		return nil, code.New(code.Garbled, "a load report of nobody")
@@ -413,7 +418,7 @@
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	if l := report.endpoints.Current(); len(report.body) > 0 {
-		a.Roll, a.RollAgeMs = report.sum, time.Since(l.ReadAt).Milliseconds()
+		a.Roll, a.RollAgeMs = report.digest, time.Since(l.ReadAt).Milliseconds()
 		if a.Roll != q.GetLoadReport().GetRoll() {
 			a.Runners = report.body
 		}
@@ -421,7 +426,7 @@
 	return &wire.Resp{Op: &wire.Resp_LoadReport{LoadReport: a}}, nil
 }
 
-// answerEdge counts an edge's report, and tells it what the others have.
+// answerEdge records an edge's report and fills in the load of the others and the outliers.
 func (report *LoadReport) answerEdge(id string, q *wire.LoadReport, a *wire.LoadReportAck) {
 	report.mu.Lock()
 	report.reports[id] = edgeReport{time.Now(), q.GetOwn()}
@@ -436,7 +441,7 @@
 		a.Outliers = append(a.Outliers, &wire.Outlier{Runner: id, Slow: int32(100 * x)})
 	}
 	o := report.others(id)
-	// Its own is not kept: it is known at the moment.
+	// This edge's own load is not stored in reports; add its current value.
 	for id, b := range report.load.Own() {
 		x := o[id]
 		o[id] = proxy.InFlight{Requests: x.Requests + b.Requests, Tokens: x.Tokens + b.Tokens}
@@ -446,7 +451,7 @@
 	}
 }
 
-// outcomesOf is what a report says of how jobs ended.
+// outcomesOf returns the outcome counts in a report.
 func outcomesOf(own []*wire.Busy) map[string]outlier.Count {
 	counts := map[string]outlier.Count{}
 	for _, b := range own {
--- a/internal/dataplane/balancing/loadreport/zones.go
+++ b/internal/dataplane/balancing/loadreport/zones.go
@@ -10,24 +10,24 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// In a large fleet each zone has a collector of its own, the first live edge of the zone: one
-// for all would be asked by N edges for answers whose size grows with the runners, which is
-// more than an edge's link and processor bear. The collectors tell each other, in pairs, what
-// their zones have under way and what has come of jobs there. Nothing that must hold rests on
-// it: while a zone's collector is gone, the others go without the figures of that zone for
-// Params.Expiry at the longest, and two collectors of one zone count the same twice.
-
-// zoneSum is what another zone has under way, as its collector told last.
+// In a large fleet each zone has its own collector, the first live edge of the zone: a single
+// collector would answer every edge with data that grows with the number of runners, which
+// exceeds the network and CPU capacity of an edge. The collectors exchange, in pairs, the load
+// of their zones and the outcomes of jobs there. No correctness guarantee depends on the
+// exchange: while a zone's collector is down, the last load of that zone expires after
+// Params.Expiry, and two concurrent collectors of a zone count the same load twice.
+
+// zoneSum is the load of another zone, as last received from its collector.
 type zoneSum struct {
 	receivedAt time.Time
 	load       map[string]proxy.InFlight
 }
 
-// zoneExchange is a collector's side of the exchange between zones.
+// zoneExchange is a collector's state of the exchange between zones.
 type zoneExchange struct {
 	mu   sync.Mutex
 	sums map[string]zoneSum
-	// outcomes are what came of jobs in this zone since each other zone was told.
+	// outcomes holds, by other zone, the outcomes of jobs here that it has not received yet.
 	outcomes map[string]map[string]outlier.Count
 }
 
@@ -35,24 +35,24 @@
 	return &zoneExchange{sums: map[string]zoneSum{}, outcomes: map[string]map[string]outlier.Count{}}
 }
 
-// byZone reports whether a fleet is so large that each zone has a collector.
+// byZone reports whether the fleet is large enough for a collector per zone.
 func (report *LoadReport) byZone(order []*wire.Member) bool {
 	return len(order) > report.params.SingleCollector
 }
 
-// collectors are those whom this one asks, of the collectors of the other zones: of each two the
-// one whose zone's name comes later asks, but everybody asks the first of all edges, which reads
-// the list of runners.
+// collectors returns the collectors of other zones to which this one sends requests: of each pair,
+// the one with the later zone name does, except that all send to the first of all edges, which
+// reads the list of runners.
 func (report *LoadReport) collectors(order []*wire.Member) []*wire.Member {
 	own := report.node.Peer.Self.Zone
-	first := map[string]*wire.Member{}
+	firstByZone := map[string]*wire.Member{}
 	for _, m := range order {
-		if first[m.Zone] == nil {
-			first[m.Zone] = m
+		if firstByZone[m.Zone] == nil {
+			firstByZone[m.Zone] = m
 		}
 	}
 	var out []*wire.Member
-	for zone, m := range first {
+	for zone, m := range firstByZone {
 		if zone != own && order[0].Zone != own && (m == order[0] || zone < own) {
 			out = append(out, m)
 		}
@@ -60,8 +60,8 @@
 	return out
 }
 
-// exchangeZones tells the collectors of other zones of this one, and hears of theirs. Each is
-// given Timeout; a slow one holds no other up.
+// exchangeZones exchanges load and outcomes with the collectors of other zones. The requests run
+// concurrently, each with Timeout, so that a slow collector does not delay the others.
 func (report *LoadReport) exchangeZones(ctx context.Context, order []*wire.Member) {
 	var wg sync.WaitGroup
 	for _, m := range report.collectors(order) {
@@ -70,12 +70,13 @@
 	wg.Wait()
 }
 
+// exchangeZone exchanges load and outcomes with one collector.
 func (report *LoadReport) exchangeZone(ctx context.Context, to *wire.Member) {
 	counts := report.zones.take(to.Zone)
-	asked := time.Now()
+	requestedAt := time.Now()
 	request := &wire.LoadReport{
 		Own:  withOutcomes(report.zoneLoad(), counts),
-		Roll: report.rollSum(),
+		Roll: report.listDigest(),
 		Zone: report.node.Peer.Self.Zone,
 	}
 	r, err := report.node.Peer.CallFor(
@@ -89,20 +90,20 @@
 		return
 	}
 	answer := r.GetLoadReport()
-	report.adoptList(asked, request.Roll, answer)
+	report.adoptList(requestedAt, request.Roll, answer)
 	if answer.GetZone() == to.Zone {
 		report.receiveZone(to.Zone, answer.GetOthers())
 	}
 }
 
-// answerZone is the other side: another zone's collector tells of its zone.
+// answerZone handles a request of another zone's collector.
 func (report *LoadReport) answerZone(q *wire.LoadReport, answer *wire.LoadReportAck) {
 	report.receiveZone(q.Zone, q.Own)
 	answer.Zone = report.node.Peer.Self.Zone
 	answer.Others = withOutcomes(report.zoneLoad(), report.zones.take(q.Zone))
 }
 
-// receiveZone takes what another zone has under way, and what came of jobs there.
+// receiveZone records the load of another zone and the outcomes of jobs there.
 func (report *LoadReport) receiveZone(zone string, own []*wire.Busy) {
 	load := map[string]proxy.InFlight{}
 	for _, b := range own {
@@ -117,9 +118,9 @@
 	report.outliers.Report("zone/"+zone, outcomesOf(own), now)
 }
 
-// zoneLoad is what this edge's zone has under way: its own load and all that reported here.
+// zoneLoad returns the load of this zone: that of this edge and of all edges that report to it.
 func (report *LoadReport) zoneLoad() map[string]proxy.InFlight {
-	all := report.reported("")
+	all := report.reportedLoad("")
 	for id, b := range report.load.Own() {
 		x := all[id]
 		all[id] = proxy.InFlight{Requests: x.Requests + b.Requests, Tokens: x.Tokens + b.Tokens}
@@ -127,7 +128,7 @@
 	return all
 }
 
-// withOutcomes joins load and outcomes to what is sent.
+// withOutcomes combines load and outcomes in wire form.
 func withOutcomes(load map[string]proxy.InFlight, counts map[string]outlier.Count) []*wire.Busy {
 	out := make([]*wire.Busy, 0, len(load))
 	for id, b := range load {
@@ -141,13 +142,13 @@
 	return out
 }
 
-// addTo adds what other zones have under way.
-func (x *zoneExchange) addTo(all map[string]proxy.InFlight, expiry time.Duration) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for zone, sum := range x.sums {
+// addTo adds the load of other zones to all and drops expired sums.
+func (exchange *zoneExchange) addTo(all map[string]proxy.InFlight, expiry time.Duration) {
+	exchange.mu.Lock()
+	defer exchange.mu.Unlock()
+	for zone, sum := range exchange.sums {
 		if time.Since(sum.receivedAt) > expiry {
-			delete(x.sums, zone)
+			delete(exchange.sums, zone)
 			continue
 		}
 		for id, b := range sum.load {
@@ -157,32 +158,32 @@
 	}
 }
 
-// add counts what came of jobs in this zone, for each zone that is to be told.
-func (x *zoneExchange) add(counts map[string]outlier.Count) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for _, due := range x.outcomes {
+// add records outcomes of jobs in this zone for each other zone.
+func (exchange *zoneExchange) add(counts map[string]outlier.Count) {
+	exchange.mu.Lock()
+	defer exchange.mu.Unlock()
+	for _, pending := range exchange.outcomes {
 		for id, c := range counts {
-			due[id] = due[id].Plus(c)
+			pending[id] = pending[id].Plus(c)
 		}
 	}
 }
 
-// take hands out what a zone has not been told yet.
-func (x *zoneExchange) take(zone string) map[string]outlier.Count {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	due := x.outcomes[zone]
-	x.outcomes[zone] = map[string]outlier.Count{}
-	return due
+// take returns and clears the outcomes that a zone has not received yet.
+func (exchange *zoneExchange) take(zone string) map[string]outlier.Count {
+	exchange.mu.Lock()
+	defer exchange.mu.Unlock()
+	pending := exchange.outcomes[zone]
+	exchange.outcomes[zone] = map[string]outlier.Count{}
+	return pending
 }
 
-// putBack keeps what could not be told for the next time.
-func (x *zoneExchange) putBack(zone string, counts map[string]outlier.Count) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	due := x.outcomes[zone]
+// putBack restores outcomes that could not be sent.
+func (exchange *zoneExchange) putBack(zone string, counts map[string]outlier.Count) {
+	exchange.mu.Lock()
+	defer exchange.mu.Unlock()
+	pending := exchange.outcomes[zone]
 	for id, c := range counts {
-		due[id] = due[id].Plus(c)
+		pending[id] = pending[id].Plus(c)
 	}
 }
--- a/internal/dataplane/balancing/outlier/detector.go
+++ b/internal/dataplane/balancing/outlier/detector.go
@@ -10,42 +10,43 @@
 	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
-// A window is some slots long; counts older than the longest are base rate.
+// A window is a number of slots; counts older than the longest window go to the baseline.
 const (
 	slotLength = 500 * time.Millisecond
 	slotCount  = 20
 )
 
-// windows that are judged: a short one sees a runner that fails all at once, a long
-// one that fails now and then.
+// windows are the evaluated window lengths in slots: a short window detects a sudden total
+// failure quickly, a long one detects a runner that fails intermittently.
 var windows = [...]int{slotCount, 6, 2}
 
-// expectedCarry is the part of an even fault seen in a longer window that is expected in a
-// shorter one, where a few failures more or less are chance.
+// expectedCarry is the fraction of the rate estimates of a longer window that is added to the
+// prior of the next shorter one, in which small differences in failures are random.
 const expectedCarry = 0.3
 
-// Detector decides for all edges.
+// Detector decides for all edges which runners are outliers.
 type Detector struct {
 	params Params
 
 	mu       sync.Mutex
 	runners  map[string]*track
 	services map[string]*baseline
-	edges    map[string]time.Time // received lately
-	decided  time.Time
-	ejected  int
+	edges    map[string]time.Time // last report of each edge
+	decided  time.Time            // of the last decision
+	ejected  int                  // number of ejected runners
 	slow     map[string]float64
 }
 
+// ejection is the state of an ejected runner.
 type ejection struct {
-	rate   float64 // of failures when it was ejected
-	fails  int     // trials that failed since
-	good   int     // trials without a failure since
-	next   time.Time
-	trials []time.Time // under way, by when they were given out
+	rate             float64     // failure rate when it was ejected
+	failedTrials     int         // since the ejection
+	successfulTrials int         // since the last failed one
+	next             time.Time   // of the next trial
+	trials           []time.Time // start times of trials in progress
 }
 
-// NewDetector makes a detector that has received nothing.
+// NewDetector returns a detector without any reports.
 func NewDetector(params Params) *Detector {
 	return &Detector{
 		params:   params,
@@ -55,61 +56,64 @@
 	}
 }
 
-// Report takes what an edge has counted since it last reported.
-func (d *Detector) Report(edge string, cs map[string]Count, now time.Time) {
+// Report adds the outcomes that an edge has counted since its last report.
+func (d *Detector) Report(edge string, counts map[string]Count, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.edges[edge] = now
-	for id, c := range cs {
-		t := d.of(id, now)
+	for id, c := range counts {
+		t := d.trackOf(id, now)
 		if t.ejection != nil {
-			if d.trial(t.ejection, c, now); t.ejection.good >= d.params.TrialsToReturn {
-				// It begins anew.
-				*t = track{at: t.at}
+			if d.recordTrial(t.ejection, c, now); t.ejection.successfulTrials >= d.params.TrialsToReturn {
+				// The runner returns with an empty record.
+				*t = track{slot: t.slot}
 				d.ejected--
 			}
 			continue
 		}
-		t.move(now, nil)
-		t.window[t.at%slotCount].add(c)
+		t.advance(now, nil)
+		t.window[t.slot%slotCount].add(c)
 		if c.Failures > 0 {
-			if t.by[0] != edge {
-				t.by[1], t.when[1] = t.by[0], t.when[0]
+			if t.failureEdges[0] != edge {
+				t.failureEdges[1], t.failureTimes[1] = t.failureEdges[0], t.failureTimes[0]
 			}
-			t.by[0], t.when[0] = edge, now
+			t.failureEdges[0], t.failureTimes[0] = edge, now
 		}
 	}
 }
 
-func (d *Detector) of(id string, now time.Time) *track {
+// trackOf returns the track of a runner and creates it if needed.
+func (d *Detector) trackOf(id string, now time.Time) *track {
 	t := d.runners[id]
 	if t == nil {
-		t = &track{at: slotOf(now)}
+		t = &track{slot: slotOf(now)}
 		d.runners[id] = t
 	}
 	return t
 }
 
-// trial takes what came of jobs at an ejected runner: the trials, and what was under
-// way there when it was ejected.
-func (d *Detector) trial(e *ejection, c Count, now time.Time) {
+// recordTrial records outcomes of jobs at an ejected runner: of trials, and of jobs that were in
+// progress when it was ejected.
+func (d *Detector) recordTrial(e *ejection, c Count, now time.Time) {
 	tried := len(e.trials) > 0
 	e.trials = e.trials[min(c.Ended, len(e.trials)):]
 	switch {
 	case c.Failures > 0 && (tried || now.After(e.next)):
-		e.fails++
-		e.good, e.trials = 0, nil
-		e.next = now.Add(d.wait(e))
+		e.failedTrials++
+		e.successfulTrials, e.trials = 0, nil
+		e.next = now.Add(d.retryDelay(e))
 	case c.Failures == 0 && tried:
-		e.good += c.Ended
+		e.successfulTrials += c.Ended
 	}
 }
 
-func (d *Detector) wait(e *ejection) time.Duration {
-	return min(d.params.Retry<<min(e.fails, 10), d.params.MaxRetry)
+// retryDelay returns the time until the next trial, with exponential backoff.
+func (d *Detector) retryDelay(e *ejection) time.Duration {
+	return min(d.params.Retry<<min(e.failedTrials, 10), d.params.MaxRetry)
 }
 
-// Adopt goes on from the verdict of whoever counted before.
+// Adopt continues from the verdict of the previous collector, unless this detector has decided
+// recently.
 func (d *Detector) Adopt(ids []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,22 +121,22 @@
 		return
 	}
 	for _, id := range ids {
-		if t := d.of(id, now); t.ejection == nil {
+		if t := d.trackOf(id, now); t.ejection == nil {
 			t.ejection = &ejection{next: now.Add(d.params.Retry)}
 		}
 	}
 }
 
-// Decide judges all runners on the list, where some time has passed since it last
-// did. UnderWay is how many jobs each has.
-func (d *Detector) Decide(l *endpoints.List, underWay func() map[string]int, now time.Time) {
+// Decide evaluates all runners on the list if Interval has passed since the last decision.
+// inFlight returns the number of jobs in progress at each runner.
+func (d *Detector) Decide(l *endpoints.List, inFlight func() map[string]int, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now.Sub(d.decided) < d.params.Interval {
 		return
 	}
 	d.decided = now
-	load := underWay()
+	load := inFlight()
 	for e, at := range d.edges {
 		if now.Sub(at) > d.params.VerdictLifetime {
 			delete(d.edges, e)
@@ -150,139 +154,161 @@
 		}
 	}
 	d.slow, d.ejected = nil, 0
-	for name, rs := range byService {
+	for name, runners := range byService {
 		b := d.services[name]
 		if b == nil {
 			b = &baseline{at: now}
 			d.services[name] = b
 		}
-		b.fade(now)
-		ts := make([]*track, len(rs))
-		for i, r := range rs {
-			ts[i] = d.of(r.ID, now)
-			ts[i].move(now, b)
+		b.decay(now)
+		tracks := make([]*track, len(runners))
+		for i, r := range runners {
+			tracks[i] = d.trackOf(r.ID, now)
+			tracks[i].advance(now, b)
 		}
-		d.eject(rs, ts, b, load, now)
-		d.findSlow(rs, ts)
+		d.eject(runners, tracks, b, load, now)
+		d.findSlow(runners, tracks)
 	}
 }
 
-// suspect is a runner that is surely one that fails often.
+// suspect is a candidate for ejection, by its index and failure rate.
 type suspect struct {
-	i    int
-	rate float64
+	index int
+	rate  float64
 }
 
-func (d *Detector) eject(rs []*endpoints.Runner, ts []*track, b *baseline, load map[string]int, now time.Time) {
-	var out []suspect
+// eject updates the ejected runners of one service within the limits on their number and on the
+// remaining capacity.
+func (d *Detector) eject(
+	runners []*endpoints.Runner,
+	tracks []*track,
+	b *baseline,
+	load map[string]int,
+	now time.Time,
+) {
+	var ejected []suspect
 	capacity, total := 0.0, 0.0
-	for i, t := range ts {
-		total += float64(load[rs[i].ID])
+	for i, t := range tracks {
+		total += float64(load[runners[i].ID])
 		if t.ejection == nil {
-			capacity += float64(max(rs[i].Capacity, 1))
+			capacity += float64(max(runners[i].Capacity, 1))
 		} else {
-			out = append(out, suspect{i, t.ejection.rate})
+			ejected = append(ejected, suspect{i, t.ejection.rate})
 		}
 	}
-	most := min(max(int(d.params.MaxEjectedShare*float64(len(rs))), 1), len(rs)-1)
-	// Where runners have left or load has come, the least bad ones are needed.
-	slices.SortFunc(out, func(a, b suspect) int { return cmp.Compare(a.rate, b.rate) })
-	for len(out) > 0 && (len(out) > most || capacity < total*d.params.Headroom) {
-		t := ts[out[0].i]
-		capacity += float64(max(rs[out[0].i].Capacity, 1))
-		*t = track{at: t.at}
-		out = out[1:]
+	maxEjected := min(max(int(d.params.MaxEjectedShare*float64(len(runners))), 1), len(runners)-1)
+	// If runners have departed or the load has grown, return the least bad ones to service.
+	slices.SortFunc(ejected, func(a, b suspect) int { return cmp.Compare(a.rate, b.rate) })
+	for len(ejected) > 0 && (len(ejected) > maxEjected || capacity < total*d.params.Headroom) {
+		t := tracks[ejected[0].index]
+		capacity += float64(max(runners[ejected[0].index].Capacity, 1))
+		*t = track{slot: t.slot}
+		ejected = ejected[1:]
 	}
-	for _, s := range d.suspects(ts, b, now) {
-		left := capacity - float64(max(rs[s.i].Capacity, 1))
-		if len(out) >= most || left < total*d.params.Headroom {
+	for _, s := range d.suspects(tracks, b, now) {
+		remaining := capacity - float64(max(runners[s.index].Capacity, 1))
+		if len(ejected) >= maxEjected || remaining < total*d.params.Headroom {
 			break
 		}
-		capacity = left
-		out = append(out, s)
-		ts[s.i].ejection = &ejection{rate: s.rate, next: now.Add(d.params.Retry)}
-		// What the trials bring begins a new record.
-		ts[s.i].window = [slotCount]Count{}
+		capacity = remaining
+		ejected = append(ejected, s)
+		tracks[s.index].ejection = &ejection{rate: s.rate, next: now.Add(d.params.Retry)}
+		// The record starts again with the results of the trials.
+		tracks[s.index].window = [slotCount]Count{}
 	}
-	d.ejected += len(out)
+	d.ejected += len(ejected)
 }
 
-// suspects finds the runners to eject, the worst first.
-func (d *Detector) suspects(ts []*track, b *baseline, now time.Time) []suspect {
-	all := map[int]float64{}
-	pri := prior
+// suspects returns the runners that should be ejected, the worst first.
+func (d *Detector) suspects(tracks []*track, b *baseline, now time.Time) []suspect {
+	failureRates := map[int]float64{}
+	initial := prior
 	for _, w := range windows {
-		var cs []Count
-		var at []int
-		bad, departed := false, 0
-		for i, t := range ts {
+		var counts []Count
+		var indices []int
+		anyRepeated, ejected := false, 0
+		for i, t := range tracks {
 			if t.ejection != nil {
-				departed++
+				ejected++
 				continue
 			}
 			if c := t.sum(w); c.Ended > 0 {
-				cs, at = append(cs, c), append(at, i)
-				bad = bad || c.Failures > 1
+				counts, indices = append(counts, c), append(indices, i)
+				anyRepeated = anyRepeated || c.Failures > 1
 			}
 		}
-		// On an ordinary day nothing is reckoned.
-		if !bad {
+		// Skip the estimate if no runner has more than one failure, which is the normal case.
+		if !anyRepeated {
 			continue
 		}
-		sure, like := mixture(cs, b.rate(), pri)
+		probabilities, estimate := mixture(counts, b.rate(), initial)
 		for i := 1; i < failingRate; i++ {
-			pri[i] = prior[i] + expectedCarry*like[i]
+			initial[i] = prior[i] + expectedCarry*estimate[i]
 		}
-		sum := float64(departed)
-		for _, s := range sure {
+		sum := float64(ejected)
+		for _, s := range probabilities {
 			sum += s
 		}
-		if sum > float64(len(cs)+departed)/2 && len(cs)+departed > 2 {
-			// Most are alike: it is the service's fault, and no runner's.
+		if sum > float64(len(counts)+ejected)/2 && len(counts)+ejected > 2 {
+			// Most runners fail, so the fault is the service's and not that of single runners.
 			continue
 		}
-		for k, c := range cs {
-			if sure[k] >= d.params.Confidence && tail(c.Ended, c.Failures, b.rate()) < d.params.FalsePositiveRate &&
-				d.corroborated(ts[at[k]], now) {
-				all[at[k]] = max(all[at[k]], float64(c.Failures)/float64(c.Ended))
+		for k, c := range counts {
+			if probabilities[k] >= d.params.Confidence &&
+				tail(c.Ended, c.Failures, b.rate()) < d.params.FalsePositiveRate &&
+				d.corroborated(tracks[indices[k]], now) {
+				failureRates[indices[k]] = max(failureRates[indices[k]], float64(c.Failures)/float64(c.Ended))
 			}
 		}
 	}
 	var out []suspect
-	for i, r := range all {
+	for i, r := range failureRates {
 		out = append(out, suspect{i, r})
 	}
-	slices.SortFunc(out, func(a, b suspect) int { return cmp.Or(cmp.Compare(b.rate, a.rate), cmp.Compare(a.i, b.i)) })
+	slices.SortFunc(out, func(a, b suspect) int {
+		return cmp.Or(cmp.Compare(b.rate, a.rate), cmp.Compare(a.index, b.index))
+	})
 	return out
 }
 
-// corroborated reports whether two edges saw failures, where there are two.
+// corroborated reports whether two edges saw failures recently, or there is only one edge.
 func (d *Detector) corroborated(t *track, now time.Time) bool {
-	return len(d.edges) < 2 || t.by[1] != "" && now.Sub(t.when[1]) < slotCount*slotLength
+	return len(d.edges) < 2 || t.failureEdges[1] != "" && now.Sub(t.failureTimes[1]) < slotCount*slotLength
 }
 
-// far is how many times as far from the middle as most runners are one must be; least
-// is how far they are at the least.
+// A slow runner lies at least deviations times the standard deviation above the median;
+// minDeviation is a lower bound of the standard deviation. Both refer to log paces.
 const (
 	deviations   = 4
 	minDeviation = 0.1
 )
 
-// findSlow finds the slow runners of a service: farther behind the middle than chance has
-// it.
-func (d *Detector) findSlow(rs []*endpoints.Runner, ts []*track) {
+// madToDeviation converts the median absolute deviation of a normal distribution to its standard
+// deviation.
+const madToDeviation = 1.48
+
+// The paces of a service are compared among runners with at least minPacedJobs paced jobs in the
+// window, if there are minPacedRunners of these.
+const (
+	minPacedJobs    = 3
+	minPacedRunners = 3
+)
+
+// findSlow finds the slow runners of a service, whose mean log pace exceeds the median by more than
+// random variation explains. The deviation is estimated from the median absolute deviation.
+func (d *Detector) findSlow(runners []*endpoints.Runner, tracks []*track) {
 	for _, w := range windows[:2] {
-		var cs []Count
+		var counts []Count
 		var means, paced []float64
-		var at []int
-		for i, t := range ts {
-			if c := t.sum(w); c.Paced >= 3 {
-				cs, at = append(cs, c), append(at, i)
+		var indices []int
+		for i, t := range tracks {
+			if c := t.sum(w); c.Paced >= minPacedJobs {
+				counts, indices = append(counts, c), append(indices, i)
 				paced = append(paced, float64(c.Paced))
 				means = append(means, c.Pace/float64(c.Paced))
 			}
 		}
-		if len(means) < 3 {
+		if len(means) < minPacedRunners {
 			continue
 		}
 		sorted := slices.Clone(means)
@@ -290,31 +316,31 @@
 		for i := range sorted {
 			sorted[i] = math.Abs(means[i] - mid)
 		}
-		maxPaceWeight := max(1.48*median(sorted), minDeviation)
+		deviation := max(madToDeviation*median(sorted), minDeviation)
 		jobs := median(paced)
 		for k, m := range means {
-			over := m - mid
-			// The mean of fewer jobs strays farther.
-			if over < math.Log(d.params.SlowFactor) ||
-				over < deviations*maxPaceWeight*max(1, math.Sqrt(jobs/float64(cs[k].Paced))) {
+			excess := m - mid
+			// The mean of fewer jobs has a larger variance.
+			if excess < math.Log(d.params.SlowFactor) ||
+				excess < deviations*deviation*max(1, math.Sqrt(jobs/float64(counts[k].Paced))) {
 				continue
 			}
 			if d.slow == nil {
 				d.slow = map[string]float64{}
 			}
-			id := rs[at[k]].ID
-			d.slow[id] = max(d.slow[id], math.Exp(over))
+			id := runners[indices[k]].ID
+			d.slow[id] = max(d.slow[id], math.Exp(excess))
 		}
 	}
 }
 
-// median sorts xs.
+// median returns the median of xs and sorts xs in place.
 func median(xs []float64) float64 {
 	slices.Sort(xs)
 	return (xs[len(xs)/2] + xs[(len(xs)-1)/2]) / 2
 }
 
-// Verdict is what an edge is to receive. It may hold trials, which are the edge's own.
+// Verdict returns the verdict for one edge. Trials in it are assigned to that edge alone.
 func (d *Detector) Verdict(now time.Time) Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -330,13 +356,14 @@
 	return v
 }
 
-// allowTrial reports whether an edge may try an ejected runner: one job at a time, and twice
-// as many after each round without a failure.
+// allowTrial reports whether an edge may start a trial of an ejected runner. The number of
+// concurrent trials is one more than the number of successful ones, so it doubles with each
+// round without a failure.
 func (d *Detector) allowTrial(e *ejection, now time.Time) bool {
 	for len(e.trials) > 0 && now.Sub(e.trials[0]) > d.params.ResultTimeout {
 		e.trials = e.trials[1:]
 	}
-	if now.Before(e.next) || len(e.trials) > e.good {
+	if now.Before(e.next) || len(e.trials) > e.successfulTrials {
 		return false
 	}
 	e.trials = append(e.trials, now)
--- a/internal/dataplane/balancing/outlier/outlier.go
+++ b/internal/dataplane/balancing/outlier/outlier.go
@@ -1,8 +1,8 @@
-// Package outlier finds runners that fail or lag by what becomes of jobs at them
-// (outlier detection), never by what they say of themselves. Each edge sees too few
-// jobs at one runner to tell, so a Watch counts what it saw and a Detector, at the
-// edge that counts for all, sums the counts up, compares each runner with the others
-// of its service and ejects the outliers for a while. Every edge receives the verdict.
+// Package outlier implements passive outlier detection: it finds failing and slow runners
+// by the outcomes of their jobs, never by what they report about themselves. A single edge
+// sees too few jobs per runner to decide, so a Watch on each edge counts outcomes, and a
+// Detector on the collector sums the counts, compares each runner with the others of its
+// service and temporarily ejects the outliers. Every edge receives the verdict.
 package outlier
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Count is what came of jobs at one runner.
+// Count is the outcome counts of jobs at one runner.
 type Count struct {
 	Ended    int
-	Failures int // of them; only those that are the runner's
-	// Paced are jobs whose pace was taken, Pace the sum of its logarithms: of the time
-	// that a job took, in times of what is typical of its path.
+	Failures int // ended jobs that failed through a fault of the runner
+	// Paced is the number of jobs with a measured pace, Pace the sum of the logarithms of
+	// their paces. A job's pace is its duration divided by the typical duration of its path.
 	Paced int
 	Pace  float64
 }
 
-// Plus is the sum of two counts.
+// Plus returns the sum of two counts.
 func (c Count) Plus(o Count) Count {
 	c.add(o)
 	return c
@@ -33,37 +33,37 @@
 	c.Pace += o.Pace
 }
 
-// Verdict is what edges are to do about the outliers.
+// Verdict is the current set of outliers, as sent to an edge.
 type Verdict struct {
 	Ejected []Ejected
-	Slow    map[string]float64 // how many times slower than the middle of its service
+	Slow    map[string]float64 // slow runners: factor over the median pace of the service
 }
 
-// Ejected is a runner that gets no jobs, but for a trial.
+// Ejected is a runner that receives no jobs except trials.
 type Ejected struct {
 	ID    string
-	Trial bool // whoever receives this may send it one job
+	Trial bool // the receiving edge may send it one job
 }
 
 // Params are the settings of a detector and a watch.
 type Params struct {
-	MaxEjectedShare   float64       // of a service's runners that may be ejected; one always
-	Headroom          float64       // times the load that the capacity of those left must be
-	FalsePositiveRate float64       // that a healthy runner appears so bad in one window
-	Confidence        float64       // that it is one that fails often, and not part of an even fault
-	Retry             time.Duration // until the first trial of an ejected runner; doubled while it fails
-	MaxRetry          time.Duration // until any further trial
-	Trial             time.Duration // how long an edge may put off a trial
-	ResultTimeout     time.Duration // after which a trial without a result is given to another edge
-	TrialsToReturn    int           // trials without a failure that bring it back
+	MaxEjectedShare   float64       // maximum share of a service's runners that may be ejected; at least one
+	Headroom          float64       // minimum ratio of remaining capacity to load
+	FalsePositiveRate float64       // maximum probability of a healthy runner's failures in a window
+	Confidence        float64       // minimum probability that it is a failing runner, not part of a shared fault
+	Retry             time.Duration // until the first trial of an ejected runner; doubles with each failed trial
+	MaxRetry          time.Duration // maximum time until the next trial
+	Trial             time.Duration // how long an edge may delay a trial
+	ResultTimeout     time.Duration // after which a trial without a result may be repeated
+	TrialsToReturn    int           // successful trials until an ejected runner returns
 	Interval          time.Duration // between two decisions
-	SlowFactor        float64       // times the middle of its service's pace from which a runner is slow
-	SuspectTime       time.Duration // how long an edge by itself keeps away from a runner after one failure
-	VerdictLifetime   time.Duration // how long a verdict stands where no other is received
-	MinHang           time.Duration // the shortest stall that is a failure of the runner
+	SlowFactor        float64       // factor over the median pace of its service from which a runner is slow
+	SuspectTime       time.Duration // how long an edge avoids a runner after one local failure
+	VerdictLifetime   time.Duration // how long a verdict applies if no newer one is received
+	MinHang           time.Duration // shortest stall that counts as a failure of the runner
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the default parameters.
 var DefaultParams = Params{
 	MaxEjectedShare:   0.3,
 	Headroom:          1.25,
@@ -81,7 +81,8 @@
 	MinHang:           time.Second,
 }
 
-// tail is the chance of k or more of n, each with chance p.
+// tail returns the probability of k or more successes in n independent trials of the given
+// probability (the upper tail of the binomial distribution).
 func tail(n, k int, probability float64) float64 {
 	if k <= 0 {
 		return 1
@@ -101,57 +102,61 @@
 	return min(sum, 1)
 }
 
-// The rates of failures that a runner may have, beside that of a healthy one: low
-// ones are those of a fault that many share (an answer lost now and then), from
-// grey on it is better to leave the runner.
+// rates are the failure rates that a runner may have; the first stands for the baseline rate
+// of a healthy runner. Low rates are typical of a fault that many runners share, such as an
+// occasional lost answer. From failingRate on the runner should be ejected.
 var rates = [...]float64{0, 0.02, 0.06, 0.2, 0.35, 0.65, 0.97}
 
+// failingRate is the index of the first of the rates at which a runner counts as failing.
 const failingRate = 3
 
-// prior is how many runners count for each rate before any was seen.
+// prior is the number of pseudo-observed runners per rate.
 var prior = [...]float64{1, 0.2, 0.2, 0.1, 0.1, 0.1, 0.1}
 
-// mixture tells of each runner how surely its rate is one from grey on, and how many
-// runners it takes for each rate; pri is how many count for it beforehand. How common
-// each rate is, is found from all runners together (expectation maximisation): so
-// three failures say much where no other runner has any, and little where most
-// have one.
-func mixture(cs []Count, healthy float64, pri [len(rates)]float64) ([]float64, [len(rates)]float64) {
+// emIterations is the number of expectation maximization steps in mixture.
+const emIterations = 15
+
+// mixture returns, for each runner, the probability that its rate is failingRate or above, and
+// the estimated number of runners per rate, which includes the pseudo-observations initial.
+// The frequency of each rate is estimated from all runners together by expectation
+// maximization: three failures are strong evidence if no other runner has any, and weak
+// evidence if most runners have one.
+func mixture(counts []Count, healthy float64, initial [len(rates)]float64) ([]float64, [len(rates)]float64) {
 	const n = len(rates)
-	like := make([][n]float64, len(cs))
-	for i, c := range cs {
-		top := math.Inf(-1)
+	likelihood := make([][n]float64, len(counts))
+	for i, c := range counts {
+		highest := math.Inf(-1)
 		var l [n]float64
 		for j, r := range rates {
 			if j == 0 {
 				r = healthy
 			}
 			l[j] = float64(c.Failures)*math.Log(r) + float64(c.Ended-c.Failures)*math.Log1p(-r)
-			top = max(top, l[j])
+			highest = max(highest, l[j])
 		}
 		for j := range l {
-			like[i][j] = math.Exp(l[j] - top)
+			likelihood[i][j] = math.Exp(l[j] - highest)
 		}
 	}
-	w := pri
-	out := make([]float64, len(cs))
-	for range 15 {
-		next := pri
-		for i := range like {
-			sum, bad := 0.0, 0.0
-			for j := range w {
-				sum += w[j] * like[i][j]
+	weights := initial
+	out := make([]float64, len(counts))
+	for range emIterations {
+		next := initial
+		for i := range likelihood {
+			sum, failing := 0.0, 0.0
+			for j := range weights {
+				sum += weights[j] * likelihood[i][j]
 			}
-			for j := range w {
-				probability := w[j] * like[i][j] / sum
+			for j := range weights {
+				probability := weights[j] * likelihood[i][j] / sum
 				next[j] += probability
 				if j >= failingRate {
-					bad += probability
+					failing += probability
 				}
 			}
-			out[i] = bad
+			out[i] = failing
 		}
-		w = next
+		weights = next
 	}
-	return out, w
+	return out, weights
 }
--- a/internal/dataplane/balancing/outlier/outlier_test.go
+++ b/internal/dataplane/balancing/outlier/outlier_test.go
@@ -13,29 +13,29 @@
 	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
-// fleet is a service as an evening has it: jobs come to its runners by chance, each
-// through one of the edges, and every edge tells four times a second.
+// fleet simulates a service at peak load: jobs arrive at its runners at random, each through one of
+// the edges, and every edge reports four times per second.
 type fleet struct {
 	edges, runners, capacity int
-	perS                     float64 // jobs a second at one runner
+	jobsPerS                 float64 // jobs per second and runner
 	params                   Params
-	fails                    func(runner int, at time.Duration) float64 // the chance of a failure
-	pace                     func(runner int, at time.Duration) float64 // times the typical; nil: all alike
-	failure                  func(edge, runner int) bool                // one that this edge alone sees
+	fails                    func(runner int, at time.Duration) float64 // failure probability
+	pace                     func(runner int, at time.Duration) float64 // factor over the typical duration; nil for 1
+	failure                  func(edge, runner int) bool                // failures that only this edge sees
 
-	d        *Detector
-	list     *endpoints.List
-	rnd      *rand.Rand
-	reported []map[string]Count
-	trials   []map[string]bool
-	ejected  map[string]bool
-	slow     map[string]float64
-	ever     int // ejections
+	d         *Detector
+	list      *endpoints.List
+	random    *rand.Rand
+	reported  []map[string]Count
+	trials    []map[string]bool
+	ejected   map[string]bool
+	slow      map[string]float64
+	ejections int // total number of ejections
 }
 
-// The rates of the two grown sites.
-func andina() *fleet { return &fleet{edges: 47, runners: 72, capacity: 12, perS: 5.5} }
-func tsehay() *fleet { return &fleet{edges: 64, runners: 60, capacity: 32, perS: 10} }
+// andina and tsehay have the sizes and job rates of the two grown sites.
+func andina() *fleet { return &fleet{edges: 47, runners: 72, capacity: 12, jobsPerS: 5.5} }
+func tsehay() *fleet { return &fleet{edges: 64, runners: 60, capacity: 32, jobsPerS: 10} }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -45,7 +45,7 @@
 	if f.params == (Params{}) {
 		f.params = DefaultParams
 	}
-	f.d, f.rnd, f.ejected = NewDetector(f.params), rand.New(rand.NewPCG(seed, 1)), map[string]bool{}
+	f.d, f.random, f.ejected = NewDetector(f.params), rand.New(rand.NewPCG(seed, 1)), map[string]bool{}
 	var all []endpoints.Runner
 	for i := range f.runners {
 		all = append(all, endpoints.Runner{ID: f.id(i), Service: "svc", Capacity: f.capacity})
@@ -56,21 +56,21 @@
 	}
 }
 
-// run plays the time from one moment to another and calls each after every tell.
+// run simulates the given time span and calls each after every round of reports.
 func (f *fleet) run(from, to time.Duration, each func(at time.Duration) bool) {
 	const tick = 250 * time.Millisecond
 	for at := from; at < to; at += tick {
 		for i := range f.runners {
-			jobs := poisson(f.rnd, f.perS*tick.Seconds())
+			jobs := poisson(f.random, f.jobsPerS*tick.Seconds())
 			if f.ejected[f.id(i)] {
 				jobs = 0
 			}
 			for range jobs {
-				f.job(f.rnd.IntN(f.edges), i, at)
+				f.job(f.random.IntN(f.edges), i, at)
 			}
 		}
 		for e := range f.edges {
-			// The edges tell one after the other.
+			// The reports of the edges are spread over the tick.
 			now := epoch.Add(at + tick*time.Duration(e)/time.Duration(f.edges))
 			for id := range f.trials[e] {
 				var i int
@@ -82,11 +82,11 @@
 			f.reported[e] = map[string]Count{}
 			f.d.Decide(f.list, f.load, now)
 			v := f.d.Verdict(now)
-			was := f.ejected
+			previous := f.ejected
 			f.ejected, f.slow = map[string]bool{}, v.Slow
 			for _, x := range v.Ejected {
-				if f.ejected[x.ID] = true; !was[x.ID] {
-					f.ever++
+				if f.ejected[x.ID] = true; !previous[x.ID] {
+					f.ejections++
 				}
 				if x.Trial {
 					f.trials[e][x.ID] = true
@@ -110,11 +110,11 @@
 func (f *fleet) job(e, i int, at time.Duration) {
 	c := f.reported[e][f.id(i)]
 	c.Ended++
-	if f.failure != nil && f.failure(e, i) || f.rnd.Float64() < f.fails(i, at) {
+	if f.failure != nil && f.failure(e, i) || f.random.Float64() < f.fails(i, at) {
 		c.Failures++
 	} else {
 		c.Paced++
-		x := 0.6 * f.rnd.NormFloat64()
+		x := 0.6 * f.random.NormFloat64()
 		if f.pace != nil {
 			x += math.Log(f.pace(i, at))
 		}
@@ -123,6 +123,7 @@
 	f.reported[e][f.id(i)] = c
 }
 
+// poisson returns a random number with a Poisson distribution.
 func poisson(r *rand.Rand, mean float64) int {
 	n := 0
 	for x := r.ExpFloat64(); x < mean; x += r.ExpFloat64() {
@@ -131,17 +132,18 @@
 	return n
 }
 
-func sites(t *testing.T, do func(t *testing.T, make func() *fleet)) {
-	for name, make := range map[string]func() *fleet{"andina": andina, "tsehay": tsehay} {
-		t.Run(name, func(t *testing.T) { do(t, make) })
+// sites runs a test for each site.
+func sites(t *testing.T, do func(t *testing.T, newFleet func() *fleet)) {
+	for name, newFleet := range map[string]func() *fleet{"andina": andina, "tsehay": tsehay} {
+		t.Run(name, func(t *testing.T) { do(t, newFleet) })
 	}
 }
 
-// TestHealthy: where one job in a thousand fails by chance, a healthy fleet goes
-// through without an ejection: the chance is to be under one in a thousand for a minute.
+// TestHealthy checks that a healthy fleet, in which 0.2 % of the jobs fail at random, has no
+// ejections. The probability of an ejection must be below one in a thousand per minute.
 func TestHealthy(t *testing.T) {
-	sites(t, func(t *testing.T, make func() *fleet) {
-		f := make()
+	sites(t, func(t *testing.T, newFleet func() *fleet) {
+		f := newFleet()
 		f.fails = func(int, time.Duration) float64 { return 0.002 }
 		f.start(1)
 		slow := 0
@@ -149,75 +151,82 @@
 			slow += len(f.slow)
 			return true
 		})
-		t.Logf("%d ejections, %d slow", f.ever, slow)
-		if f.ever > 0 || slow > 4 {
-			t.Errorf("%d ejections and %d verdicts of slowness of a healthy fleet", f.ever, slow)
+		t.Logf("%d ejections, %d slow", f.ejections, slow)
+		if f.ejections > 0 || slow > 4 {
+			t.Errorf("%d ejections and %d slow verdicts of a healthy fleet", f.ejections, slow)
 		}
 	})
 }
 
-// TestGrey: a runner that fails 30 % of its jobs is ejected within 2 s, and back
-// within 5 s of getting well. Where it gets few jobs, chance alone takes longer now
-// and then.
+// TestGrey checks that a runner that fails 30 % of its jobs is ejected within 2 s, and returns
+// within 5 s of its recovery. With a low job rate the detection takes longer in some runs, by random
+// variation.
 func TestGrey(t *testing.T) {
-	sites(t, func(t *testing.T, make func() *fleet) {
+	sites(t, func(t *testing.T, newFleet func() *fleet) {
 		const runs = 40
-		var in, back []float64
+		var detectionTimes, returnTimes []float64
 		for seed := range uint64(runs) {
-			f := make()
-			failing, well := 20*time.Second, 27*time.Second
+			f := newFleet()
+			failing, recovered := 20*time.Second, 27*time.Second
 			f.fails = func(i int, at time.Duration) float64 {
-				if i == 7 && at >= failing && at < well {
+				if i == 7 && at >= failing && at < recovered {
 					return 0.3
 				}
 				return 0.0002
 			}
 			f.start(seed)
-			var out, home time.Duration
+			var ejectedAfter, returnedAfter time.Duration
 			f.run(0, 40*time.Second, func(at time.Duration) bool {
 				switch x := f.ejected[f.id(7)]; {
-				case x && out == 0:
-					out = at - failing
-				case !x && at >= well && home == 0:
-					home = at - well
+				case x && ejectedAfter == 0:
+					ejectedAfter = at - failing
+				case !x && at >= recovered && returnedAfter == 0:
+					returnedAfter = at - recovered
 				}
 				return true
 			})
-			if out > 0 {
-				in = append(in, out.Seconds())
+			if ejectedAfter > 0 {
+				detectionTimes = append(detectionTimes, ejectedAfter.Seconds())
 			}
-			back = append(back, home.Seconds())
-			if len(f.ejected) > 0 || f.ever > 4 {
-				t.Errorf("seed %d: %v out in the end, %d ejections", seed, f.ejected, f.ever)
+			returnTimes = append(returnTimes, returnedAfter.Seconds())
+			if len(f.ejected) > 0 || f.ejections > 4 {
+				t.Errorf("seed %d: %v still ejected, %d ejections", seed, f.ejected, f.ejections)
 			}
 		}
-		t.Logf("out after %s s (%d of %d), back after %s s", spread(in), len(in), runs, spread(back))
-		quick, soon := 0, 0
-		for _, x := range in {
+		t.Logf(
+			"ejected after %s s (%d of %d), returned after %s s",
+			spread(detectionTimes),
+			len(detectionTimes),
+			runs,
+			spread(returnTimes),
+		)
+		detectedInTime, returnedInTime := 0, 0
+		for _, x := range detectionTimes {
 			if x <= 2 {
-				quick++
+				detectedInTime++
 			}
 		}
-		for _, x := range back {
+		for _, x := range returnTimes {
 			if x <= 5 {
-				soon++
+				returnedInTime++
 			}
 		}
-		t.Logf("%d within 2 s, %d back within 5 s", quick, soon)
-		if minDeviation := map[float64]int{5.5: 26, 10: 34}[make().perS]; quick < minDeviation || len(in) < runs-1 ||
-			soon < runs {
+		t.Logf("%d ejected within 2 s, %d returned within 5 s", detectedInTime, returnedInTime)
+		if minDetected := map[float64]int{5.5: 26, 10: 34}[newFleet().jobsPerS]; detectedInTime < minDetected ||
+			len(detectionTimes) < runs-1 || returnedInTime < runs {
 			t.Errorf(
-				"of %d: %d out within 2 s, want %d; %d out at all; %d back within 5 s",
+				"of %d: %d ejected within 2 s, want %d; %d ejected at all; %d returned within 5 s",
 				runs,
-				quick,
-				minDeviation,
-				len(in),
-				soon,
+				detectedInTime,
+				minDetected,
+				len(detectionTimes),
+				returnedInTime,
 			)
 		}
 	})
 }
 
+// spread formats the median and maximum of xs.
 func spread(xs []float64) string {
 	if len(xs) == 0 {
 		return "-"
@@ -226,11 +235,11 @@
 	return fmt.Sprintf("%.2f median, %.2f most", mid, xs[len(xs)-1])
 }
 
-// TestGroup: where 12 % fail a third of their jobs, nearly all of them are out soon,
-// and nobody else.
+// TestGroup checks that, if 12 % of the runners fail a third of their jobs, nearly all of them are
+// ejected within seconds, and no other runner is.
 func TestGroup(t *testing.T) {
-	sites(t, func(t *testing.T, make func() *fleet) {
-		f := make()
+	sites(t, func(t *testing.T, newFleet func() *fleet) {
+		f := newFleet()
 		failing := func(i int) bool { return i%8 == 0 }
 		f.fails = func(i int, at time.Duration) float64 {
 			if failing(i) && at > 20*time.Second {
@@ -250,16 +259,16 @@
 			}
 		}
 		if n < 7 || wrong > 0 {
-			t.Errorf("%d out, %d wrongly", n, wrong)
+			t.Errorf("%d ejected, %d wrongly", n, wrong)
 		}
 	})
 }
 
-// TestEven: of a fault that most runners share, none is ejected for it.
-func TestEven(t *testing.T) {
-	sites(t, func(t *testing.T, make func() *fleet) {
+// TestSharedFault checks that a low failure rate shared by most runners leads to no ejections.
+func TestSharedFault(t *testing.T) {
+	sites(t, func(t *testing.T, newFleet func() *fleet) {
 		for _, rate := range []float64{0.03, 0.054, 0.08} {
-			f := make()
+			f := newFleet()
 			f.fails = func(i int, at time.Duration) float64 {
 				if i%5 < 3 && at > 20*time.Second {
 					return rate
@@ -272,20 +281,20 @@
 				most = max(most, len(f.ejected))
 				return true
 			})
-			t.Logf("rate %v: %d at most, %d times", rate, most, f.ever)
-			// One by chance, of a fault as the sites have it.
-			if rate < 0.06 && (most > 1 || f.ever > 2) {
-				t.Errorf("rate %v: %d ejected at once, %d times one", rate, most, f.ever)
+			t.Logf("rate %v: %d at most, %d times", rate, most, f.ejections)
+			// At the failure rates seen at the sites, a single random ejection is accepted.
+			if rate < 0.06 && (most > 1 || f.ejections > 2) {
+				t.Errorf("rate %v: %d ejected at once, %d times one", rate, most, f.ejections)
 			}
 		}
 	})
 }
 
-// TestMixed: runners that fail a third of their jobs are found among others that
-// lose an answer now and then.
+// TestMixed checks that runners that fail a third of their jobs are ejected even if most others
+// lose an occasional answer.
 func TestMixed(t *testing.T) {
-	sites(t, func(t *testing.T, make func() *fleet) {
-		f := make()
+	sites(t, func(t *testing.T, newFleet func() *fleet) {
+		f := newFleet()
 		f.fails = func(i int, at time.Duration) float64 {
 			switch {
 			case at < 20*time.Second:
@@ -309,15 +318,15 @@
 			}
 		}
 		if n < 7 || wrong > 2 {
-			t.Errorf("%d out, %d wrongly", n, wrong)
+			t.Errorf("%d ejected, %d wrongly", n, wrong)
 		}
 	})
 }
 
-// TestDead: one that fails all its jobs is out within a second.
+// TestDead checks that a runner that fails all jobs is ejected within a second.
 func TestDead(t *testing.T) {
-	sites(t, func(t *testing.T, make func() *fleet) {
-		f := make()
+	sites(t, func(t *testing.T, newFleet func() *fleet) {
+		f := newFleet()
 		f.fails = func(i int, at time.Duration) float64 {
 			if i == 3 && at >= 20*time.Second {
 				return 1
@@ -333,15 +342,15 @@
 			return true
 		})
 		if out == 0 || out > time.Second {
-			t.Errorf("out after %s", out)
+			t.Errorf("ejected after %s", out)
 		}
 	})
 }
 
-// TestSlow: runners that take six times as long are slow, others are not.
+// TestSlow checks that runners that take more than six times as long are found slow, and no others.
 func TestSlow(t *testing.T) {
-	sites(t, func(t *testing.T, make func() *fleet) {
-		f := make()
+	sites(t, func(t *testing.T, newFleet func() *fleet) {
+		f := newFleet()
 		f.fails = func(int, time.Duration) float64 { return 0.0002 }
 		f.pace = func(i int, at time.Duration) float64 {
 			if i%3 == 0 && at > 20*time.Second {
@@ -366,20 +375,21 @@
 	})
 }
 
-// TestOneEdge: what one edge alone sees is its own fault.
+// TestOneEdge checks that failures seen by only one edge cause no ejection, since its link may be
+// at fault.
 func TestOneEdge(t *testing.T) {
 	f := andina()
 	f.fails = func(int, time.Duration) float64 { return 0 }
 	f.failure = func(e, i int) bool { return e == 5 && i%3 == 0 }
 	f.start(8)
 	f.run(0, 30*time.Second, nil)
-	if f.ever > 0 {
-		t.Errorf("%d ejections", f.ever)
+	if f.ejections > 0 {
+		t.Errorf("%d ejections", f.ejections)
 	}
 }
 
-// TestBound: whatever comes, no more runners are out than may be, and the capacity of
-// those left bears the load.
+// TestBound checks with random reports and fleets that the number of ejected runners stays within
+// its limit and that the remaining capacity exceeds the load by the headroom.
 func TestBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(rt, "runners")
@@ -388,7 +398,7 @@
 		now := epoch
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(100, 1500).Draw(rt, "ms")) * time.Millisecond)
-			// Runners come and go.
+			// The number of runners changes.
 			n = max(1, n+rapid.IntRange(-2, 2).Draw(rt, "more"))
 			var all []endpoints.Runner
 			load := map[string]int{}
@@ -416,17 +426,17 @@
 			}
 			out := len(d.Verdict(now).Ejected)
 			if most := max(1, int(0.3*float64(n))); out > most || out >= n && out > 0 {
-				rt.Fatalf("%d of %d are out", out, n)
+				rt.Fatalf("%d of %d are ejected", out, n)
 			}
 			if left := (n - out) * capacity; out > 0 && float64(left) < 1.25*float64(total) {
-				rt.Fatalf("a room of %d for a load of %d", left, total)
+				rt.Fatalf("remaining capacity is %d for a load of %d", left, total)
 			}
 		}
 	})
 }
 
-// TestTrials: an ejected runner gets one job, after a pause that doubles while it
-// fails, and is back after some without a failure.
+// TestTrials checks that an ejected runner receives one trial job after a delay that doubles with
+// each failure up to the maximum, and returns after enough successful trials.
 func TestTrials(t *testing.T) {
 	d := NewDetector(DefaultParams)
 	l := endpoints.NewList(
@@ -440,7 +450,7 @@
 	idle := func() map[string]int { return nil }
 	now := epoch
 	d.Adopt([]string{"a"}, now)
-	given := func() bool {
+	trialAssigned := func() bool {
 		d.Decide(l, idle, now)
 		for _, e := range d.Verdict(now).Ejected {
 			if e.ID == "a" {
@@ -451,7 +461,7 @@
 	}
 	at := []time.Duration{}
 	for last := now; len(at) < 5; now = now.Add(50 * time.Millisecond) {
-		if given() {
+		if trialAssigned() {
 			at = append(at, now.Sub(last))
 			last = now
 			d.Report("e", map[string]Count{"a": {Ended: 1, Failures: 1}}, now)
@@ -462,7 +472,7 @@
 	}
 	n := 0
 	for end := now.Add(20 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
-		if given() {
+		if trialAssigned() {
 			n++
 			d.Report("e", map[string]Count{"a": {Ended: 1}}, now)
 		}
@@ -472,13 +482,13 @@
 	}
 }
 
-// TestTail: the tail is that of the binomial distribution.
+// TestTail compares tail with a directly computed binomial distribution.
 func TestTail(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(rt, "n")
 		k := rapid.IntRange(0, n).Draw(rt, "k")
 		probability := rapid.Float64Range(1e-4, 0.9).Draw(rt, "p")
-		// By adding up one job after the other.
+		// Compute the distribution by adding one job at a time.
 		dist := make([]float64, n+1)
 		dist[0] = 1
 		for range n {
@@ -499,42 +509,43 @@
 	})
 }
 
-// TestWatch: an edge by itself keeps away after a failure, longer after each of a
-// row; what may be repeated comes back after half the time.
+// TestWatch checks that a local failure causes suspicion, for longer with each consecutive failure
+// and for half the time for repeatable jobs, and that verdicts apply until they expire.
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatch(DefaultParams)
-		doubts := func(once, repeatable Suspicion) {
+		expect := func(once, repeatable Suspicion) {
 			t.Helper()
 			if a, b := w.Suspicion("a", false), w.Suspicion("a", true); a != once || b != repeatable {
-				t.Errorf("doubts %d and %d, want %d and %d", a, b, once, repeatable)
+				t.Errorf("suspicion is %d, and %d for repeatable jobs; want %d and %d", a, b, once, repeatable)
 			}
 		}
-		doubts(SuspicionNone, SuspicionNone)
+		expect(SuspicionNone, SuspicionNone)
 		w.Failure("a")
-		doubts(SuspicionOnce, SuspicionOnce)
+		expect(SuspicionOnce, SuspicionOnce)
 		time.Sleep(300 * time.Millisecond)
-		doubts(SuspicionOnce, SuspicionNone)
+		expect(SuspicionOnce, SuspicionNone)
 		time.Sleep(300 * time.Millisecond)
-		doubts(SuspicionNone, SuspicionNone)
+		expect(SuspicionNone, SuspicionNone)
 		w.Failure("a")
-		doubts(SuspicionRepeated, SuspicionRepeated)
+		expect(SuspicionRepeated, SuspicionRepeated)
 		w.Success("a", Duration{})
-		doubts(SuspicionNone, SuspicionNone)
+		expect(SuspicionNone, SuspicionNone)
 		w.Update(Verdict{Ejected: []Ejected{{ID: "a", Trial: true}, {ID: "b"}}})
-		doubts(SuspicionEjected, SuspicionEjected)
+		expect(SuspicionEjected, SuspicionEjected)
 		if w.Trial("b", true) || w.Trial("a", false) || !w.Trial("a", true) || w.Trial("a", true) {
 			t.Error("trials")
 		}
 		time.Sleep(DefaultParams.VerdictLifetime)
-		doubts(SuspicionNone, SuspicionNone)
+		expect(SuspicionNone, SuspicionNone)
 		if c := w.TakeCounts()["a"]; c.Ended != 3 || c.Failures != 2 {
 			t.Errorf("counted %+v", c)
 		}
 	})
 }
 
-// TestPace: a path's middle follows most of its jobs, and the pace is in times of it.
+// TestPace checks that the median of a path follows the typical job, and that paces and hangs are
+// relative to it.
 func TestPace(t *testing.T) {
 	w := NewWatch(DefaultParams)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -550,7 +561,7 @@
 	}
 	c := w.TakeCounts()["slow"]
 	if x := math.Exp(c.Pace / float64(c.Paced)); c.Paced != 20 || x < 3 || x > 7 {
-		t.Errorf("%d jobs, %.2f times the middle", c.Paced, x)
+		t.Errorf("%d jobs, %.2f times the median", c.Paced, x)
 	}
 	if w.Hung("p", 900*time.Millisecond) || !w.Hung("p", 3*time.Second) || w.Hung("q", time.Hour) {
 		t.Error("hung")
--- a/internal/dataplane/balancing/outlier/watch.go
+++ b/internal/dataplane/balancing/outlier/watch.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// Watch is what one edge saw of the runners, and what it seen them.
+// Watch holds the outcomes that one edge has observed of the runners, and the last verdict.
 type Watch struct {
 	params Params
 
 	mu        sync.Mutex
-	counts    map[string]Count // not reported yet
-	local     map[string]*local
+	counts    map[string]Count // outcomes not reported yet
+	local     map[string]*localRecord
 	typical   map[string]*typical // by path
 	ejected   map[string]bool
-	trials    map[string]time.Time // may be tried until
+	trials    map[string]time.Time // assigned trials, by expiry
 	slow      map[string]float64
-	updatedAt time.Time
+	updatedAt time.Time // of the last verdict
 }
 
-// local is what this edge saw of one runner.
-type local struct {
-	consecutive int // failures in a row
-	until       time.Time
-	last        time.Time
+// localRecord is the local failure record of one runner.
+type localRecord struct {
+	consecutive int       // failures in a row
+	until       time.Time // end of the suspicion
+	last        time.Time // last failure
 }
 
-// NewWatch makes a watch that saw nothing.
+// NewWatch returns an empty watch.
 func NewWatch(params Params) *Watch {
 	return &Watch{
 		params:  params,
 		counts:  map[string]Count{},
-		local:   map[string]*local{},
+		local:   map[string]*localRecord{},
 		typical: map[string]*typical{},
 		ejected: map[string]bool{},
 		trials:  map[string]time.Time{},
 	}
 }
 
-// Duration is how long a job took: until its first byte, and between its events where it
-// has some.
+// Duration is the duration of a job at its path: the time until the first byte, and the time
+// between events if the answer has any.
 type Duration struct {
 	Path           string
 	First, Between time.Duration
 }
 
-// Success counts a job that ended as it should.
+// Success counts a job that succeeded.
 func (w *Watch) Success(id string, t Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,7 +60,7 @@
 	delete(w.local, id)
 }
 
-// Failure counts a job that the runner failed.
+// Failure counts a job that failed through a fault of the runner.
 func (w *Watch) Failure(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,62 +68,67 @@
 	c.Ended++
 	c.Failures++
 	w.counts[id] = c
-	o := w.local[id]
-	if o == nil {
-		o = &local{}
-		w.local[id] = o
+	failures := w.local[id]
+	if failures == nil {
+		failures = &localRecord{}
+		w.local[id] = failures
 	}
-	o.consecutive++
-	o.last = time.Now()
-	o.until = o.last.Add(min(w.params.SuspectTime<<min(o.consecutive-1, 10), w.params.MaxRetry))
+	failures.consecutive++
+	failures.last = time.Now()
+	failures.until = failures.last.Add(min(w.params.SuspectTime<<min(failures.consecutive-1, 10), w.params.MaxRetry))
 }
 
-// Hung reports whether a stall is the runner's: one much longer than is typical.
+// hangFactor is the minimum ratio of a stall to the median time to first byte to count as hung.
+const hangFactor = 8
+
+// Hung reports whether a stall is long enough, compared with the typical duration of the path, to
+// count as a failure of the runner.
 func (w *Watch) Hung(path string, idle time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t := w.typical[path]
-	return t != nil && t.n >= minSamples && idle >= w.params.MinHang && idle.Seconds() > 8*math.Exp(t.first.median)
+	return t != nil && t.n >= minSamples && idle >= w.params.MinHang &&
+		idle.Seconds() > hangFactor*math.Exp(t.first.median)
 }
 
-// Suspicion is how much this edge suspects a runner.
+// Suspicion is the degree to which this edge suspects a runner.
 type Suspicion int
 
-// The suspects.
+// The degrees of suspicion, in ascending order.
 const (
 	SuspicionNone     Suspicion = iota
-	SuspicionOnce               // one failure just now
-	SuspicionRepeated           // several in a row
-	SuspicionEjected            // ejected, as reported by all
+	SuspicionOnce               // one recent failure
+	SuspicionRepeated           // several consecutive failures
+	SuspicionEjected            // ejected by the last verdict
 )
 
-// Suspicion tells how much a runner is to be kept away from. What may be repeated may
-// go there again earlier, and finds out.
+// Suspicion returns the current suspicion of a runner. It ends earlier for repeatable jobs, which
+// can safely probe the runner.
 func (w *Watch) Suspicion(id string, repeatable bool) Suspicion {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.ejected) > 0 && w.ejected[id] && time.Since(w.updatedAt) < w.params.VerdictLifetime {
 		return SuspicionEjected
 	}
-	o := w.local[id]
-	if o == nil {
+	failures := w.local[id]
+	if failures == nil {
 		return SuspicionNone
 	}
-	left := time.Until(o.until)
+	remaining := time.Until(failures.until)
 	if repeatable {
-		left -= o.until.Sub(o.last) / 2
+		remaining -= failures.until.Sub(failures.last) / 2
 	}
 	switch {
-	case left <= 0:
+	case remaining <= 0:
 		return SuspicionNone
-	case o.consecutive == 1:
+	case failures.consecutive == 1:
 		return SuspicionOnce
 	}
 	return SuspicionRepeated
 }
 
-// Trial reports whether this edge is to try an ejected runner; eager is a job that
-// suits, others wait for a quarter of the time. It is then tried.
+// Trial reports whether this edge should send a job to an ejected runner as a trial, and uses up
+// the trial. Jobs that are not eager are refused during the first quarter of the trial time.
 func (w *Watch) Trial(id string, eager bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -131,15 +136,15 @@
 	if !ok {
 		return false
 	}
-	left := time.Until(until)
-	if left > 0 && !eager && left > w.params.Trial*3/4 {
+	remaining := time.Until(until)
+	if remaining > 0 && !eager && remaining > w.params.Trial*3/4 {
 		return false
 	}
 	delete(w.trials, id)
-	return left > 0
+	return remaining > 0
 }
 
-// Slow is how many times slower than the others a runner is; 1 where it is not.
+// Slow returns how many times slower than the others a runner is, or 1 if it is not slow.
 func (w *Watch) Slow(id string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +154,7 @@
 	return max(w.slow[id], 1)
 }
 
-// Update takes a verdict.
+// Update applies a verdict.
 func (w *Watch) Update(v Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,7 +174,7 @@
 	w.slow = v.Slow
 }
 
-// Ejected lists whom the last verdict ejected.
+// Ejected returns the runners ejected by the last verdict, unless it has expired.
 func (w *Watch) Ejected() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,7 +187,7 @@
 	return out
 }
 
-// TakeCounts gives what was counted since it was last called.
+// TakeCounts returns and clears the outcomes counted since the last call.
 func (w *Watch) TakeCounts() map[string]Count {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -194,64 +199,66 @@
 	return out
 }
 
-// RestoreCounts gives back what could not be reported.
-func (w *Watch) RestoreCounts(cs map[string]Count) {
+// RestoreCounts adds back outcomes that could not be reported.
+func (w *Watch) RestoreCounts(counts map[string]Count) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, c := range cs {
+	for id, c := range counts {
 		c.add(w.counts[id])
 		w.counts[id] = c
 	}
 }
 
-// Retain forgets runners that are not on the list any more.
-func (w *Watch) Retain(on func(id string) bool) {
+// Retain drops the records of runners that are no longer listed.
+func (w *Watch) Retain(listed func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id := range w.local {
-		if !on(id) {
+		if !listed(id) {
 			delete(w.local, id)
 		}
 	}
 	for id := range w.counts {
-		if !on(id) {
+		if !listed(id) {
 			delete(w.counts, id)
 		}
 	}
 }
 
-// typical is what is usual of a path on this edge.
+// typical holds the typical durations of a path on this edge.
 type typical struct {
 	first, between runningMedian
 	n              int
 }
 
-// minSamples jobs make a path's middle known.
+// minSamples is the number of jobs from which the medians of a path are used.
 const minSamples = 8
 
-// runningMedian follows the median of logarithms.
+// runningMedian estimates the median of the logarithms of durations.
 type runningMedian struct {
 	median float64
 	n      int
 }
 
-// deviation gives how far a time is from the middle so far, which it moves.
-func (m *runningMedian) deviation(d time.Duration) float64 {
+// update returns the difference between the logarithm of d and the median before d, and
+// updates the median with a bounded step.
+func (m *runningMedian) update(d time.Duration) float64 {
 	x := math.Log(max(d.Seconds(), 1e-4))
 	if m.n++; m.n == 1 {
 		m.median = x
 		return 0
 	}
-	off := x - m.median
-	m.median += math.Copysign(min(math.Abs(off), max(1/float64(m.n), 0.04)), off)
-	return off
+	difference := x - m.median
+	m.median += math.Copysign(min(math.Abs(difference), max(1/float64(m.n), 0.04)), difference)
+	return difference
 }
 
-// maxPaceWeight bounds one job's weight in a runner's pace.
-const maxPaceWeight = 3.5
+// maxLogPace bounds the absolute log pace of a single job.
+const maxLogPace = 3.5
 
-// pace tells how a job's time is to what is typical of its path: of its first byte
-// and its events whichever is better, for only a runner that is slow is late with both.
+// pace returns the logarithm of a job's duration relative to the typical duration of its path,
+// and whether enough samples are known. Of first byte and events it takes the faster one, since
+// only a slow runner is late with both.
 func (w *Watch) pace(t Duration) (float64, bool) {
 	if t.Path == "" || t.First <= 0 {
 		return 0, false
@@ -262,9 +269,9 @@
 		w.typical[t.Path] = m
 	}
 	m.n++
-	x := m.first.deviation(t.First)
+	x := m.first.update(t.First)
 	if t.Between > 0 {
-		x = min(x, m.between.deviation(t.Between))
+		x = min(x, m.between.update(t.Between))
 	}
-	return max(min(x, maxPaceWeight), -maxPaceWeight), m.n > minSamples
+	return max(min(x, maxLogPace), -maxLogPace), m.n > minSamples
 }
--- a/internal/dataplane/balancing/outlier/window.go
+++ b/internal/dataplane/balancing/outlier/window.go
@@ -5,41 +5,47 @@
 	"time"
 )
 
-// baseline is what is normal at a service: what its runners, less the ejected ones, did
-// before the longest window.
+// baseline is the decaying outcome counts of a service's runners that are not ejected, from
+// before the longest window. It gives the normal failure rate of the service.
 type baseline struct {
 	ended, failures float64
 	at              time.Time
 }
 
-// baselineLifetime is how long the normal is remembered.
+// baselineLifetime is the time constant of the exponential decay of a baseline.
 const baselineLifetime = time.Minute
 
+// rate returns the normal failure rate, smoothed by a pseudo-observation of one failure in 2000 jobs
+// and limited to 1 %.
 func (b *baseline) rate() float64 { return min((b.failures+1)/(b.ended+2000), 0.01) }
 
-func (b *baseline) fade(now time.Time) {
+// decay ages the counts to the given time.
+func (b *baseline) decay(now time.Time) {
 	if d := now.Sub(b.at); d > 0 {
 		f := math.Exp(-float64(d) / float64(baselineLifetime))
 		b.ended, b.failures, b.at = b.ended*f, b.failures*f, now
 	}
 }
 
+// track is the record of one runner.
 type track struct {
-	window [slotCount]Count
-	at     int64 // the slot that is written
-	// The two edges that last saw a failure: one edge alone may have a bad link.
-	by       [2]string
-	when     [2]time.Time
-	ejection *ejection
+	window [slotCount]Count // ring buffer, indexed by slot number modulo slotCount
+	slot   int64            // number of the current slot
+	// failureEdges are the last two distinct edges that reported a failure; a
+	// single edge may have a bad link.
+	failureEdges [2]string
+	failureTimes [2]time.Time
+	ejection     *ejection
 }
 
+// slotOf returns the number of the slot that contains now.
 func slotOf(now time.Time) int64 { return now.UnixNano() / int64(slotLength) }
 
-// move begins the slot of now; what leaves the longest window goes to the base.
-func (t *track) move(now time.Time, b *baseline) {
-	for n := min(slotOf(now)-t.at, slotCount); n > 0; n-- {
-		t.at = slotOf(now) - n + 1
-		c := &t.window[t.at%slotCount]
+// advance moves on to the slot of now. Counts that leave the longest window are added to b, if set.
+func (t *track) advance(now time.Time, b *baseline) {
+	for n := min(slotOf(now)-t.slot, slotCount); n > 0; n-- {
+		t.slot = slotOf(now) - n + 1
+		c := &t.window[t.slot%slotCount]
 		if b != nil {
 			b.ended += float64(c.Ended)
 			b.failures += float64(c.Failures)
@@ -48,11 +54,12 @@
 	}
 }
 
+// sum returns the counts of the last n slots.
 func (t *track) sum(n int) Count {
 	var c Count
 	for i := range int64(n) {
-		if t.at >= i {
-			c.add(t.window[(t.at-i)%slotCount])
+		if t.slot >= i {
+			c.add(t.window[(t.slot-i)%slotCount])
 		}
 	}
 	return c
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -197,6 +197,7 @@
 	return best, why
 }
 
+// rankRunners ranks all runners by one policy; it stops at the first error.
 func rankRunners(p Policy, c *job.Ctx, runners []script.Runner) (job.Why, error) {
 	why := job.Why{Policy: p.Name(), Ranks: make([]job.Rank, len(runners))}
 	for i := range runners {
@@ -204,7 +205,13 @@
 		if err != nil {
 			return why, err
 		}
-		why.Ranks[i] = job.Rank{Runner: runners[i].Name, Zone: runners[i].Zone, Free: runners[i].Free, Prefix: runners[i].Prefix, Rank: rank}
+		why.Ranks[i] = job.Rank{
+			Runner: runners[i].Name,
+			Zone:   runners[i].Zone,
+			Free:   runners[i].Free,
+			Prefix: runners[i].Prefix,
+			Rank:   rank,
+		}
 	}
 	return why, nil
 }
