--- a/internal/proto/register/age_test.go
+++ b/internal/proto/register/age_test.go
@@ -20,7 +20,7 @@
 		}
 		return reply{from: Replica{Addr: addr}, resp: &wire.Resp{Op: &wire.Resp_View{View: view}}}
 	}
-	top, holders := highest([]reply{answer("a", 7, 800), answer("b", 7, 1200), answer("c", 6, 9000)})
+	top, holders := newestAccepted([]reply{answer("a", 7, 800), answer("b", 7, 1200), answer("c", 6, 9000)})
 	st := stateOf(top)
 	if st.Age != 800*time.Millisecond || st.GreatestAge != 1200*time.Millisecond || len(holders) != 2 {
 		t.Errorf("ages %v to %v of %d replicas", st.Age, st.GreatestAge, len(holders))
--- a/internal/proto/register/import.go
+++ b/internal/proto/register/import.go
@@ -6,63 +6,62 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Import takes what another acceptor of the keys has accepted, many records with one sync.
-// It is for an acceptor of a set that is being changed to. Unlike Adopt it takes a value
-// also below what it has promised: the new set must find the value, and whoever was
-// promised asks the old set too and sees it there. Such a copy is marked as copied and is
-// no vote for its ballot, since the proposer that was promised may still have its own
-// value accepted here, also once the new set stands alone. Import returns how many records
-// were newer than what was here.
-func (a *Acceptor) Import(all []*wire.Copy, save func(map[string]*wire.Rec) error) (int, error) {
-	// The locks are taken in their order, so two at it never wait for each other.
-	var need [len(a.locks)]bool
-	for _, c := range all {
-		need[stripe(c.Key)] = true
+// Import stores records that another acceptor has accepted, many with one sync. It is for an
+// acceptor of a set that is being switched to. Unlike Adopt it also stores a value below the
+// promised ballot: the new set must contain the value, and a proposer that was promised a
+// higher ballot asks the old set too and sees the value there. Such a copy is marked as copied
+// and does not count as a vote for its ballot, since the proposer with the higher promise may
+// still get its own value accepted here, even once the new set alone is in force. Import
+// returns how many records were newer than the stored ones.
+func (a *Acceptor) Import(copies []*wire.Copy, save func(map[string]*wire.Rec) error) (int, error) {
+	// The stripes are locked in ascending order, so that concurrent calls cannot deadlock.
+	var needed [len(a.locks)]bool
+	for _, c := range copies {
+		needed[stripe(c.Key)] = true
 	}
-	for i, n := range need {
-		if n {
+	for i, isNeeded := range needed {
+		if isNeeded {
 			a.locks[i] <- struct{}{}
 			defer func() { <-a.locks[i] }()
 		}
 	}
-	recs := map[string]*wire.Rec{}
-	for _, c := range all {
-		r, err := a.load(c.Key)
+	newer := map[string]*wire.Rec{}
+	for _, c := range copies {
+		record, err := a.load(c.Key)
 		if err != nil {
 			return 0, err
 		}
-		// Of one value the copy that was expired is the one that counts.
-		n := wire.CompareBallots(c.Rec.GetAccepted(), r.Accepted)
-		if n < 0 || n == 0 && (!c.Rec.GetCell().GetPast() || r.Cell.GetPast()) {
+		// Of two copies of the same value, the expired one takes precedence.
+		compared := wire.CompareBallots(c.Rec.GetAccepted(), record.Accepted)
+		if compared < 0 || compared == 0 && (!c.Rec.GetCell().GetPast() || record.Cell.GetPast()) {
 			continue
 		}
-		r.Accepted, r.Cell = c.Rec.Accepted, c.Rec.Cell
-		r.Copied = wire.CompareBallots(r.Promised, r.Accepted) > 0
-		if wire.CompareBallots(r.Promised, r.Accepted) < 0 {
-			r.Promised = r.Accepted
+		record.Accepted, record.Cell = c.Rec.Accepted, c.Rec.Cell
+		record.Copied = wire.CompareBallots(record.Promised, record.Accepted) > 0
+		if wire.CompareBallots(record.Promised, record.Accepted) < 0 {
+			record.Promised = record.Accepted
 		}
-		recs[c.Key] = r
+		newer[c.Key] = record
 	}
-	if len(recs) == 0 {
+	if len(newer) == 0 {
 		return 0, nil
 	}
-	err := save(recs)
-	for k, r := range recs {
-		if r.Cell.GetTimed() {
-			a.trackAge(k, lastOperation(r.Cell), err)
+	err := save(newer)
+	for key, record := range newer {
+		if record.Cell.GetTimed() {
+			a.trackAge(key, lastOperation(record.Cell), err)
 		}
 	}
 	if err != nil {
-		for k, r := range recs {
-			a.recordFailedSave(k, r)
+		for key, record := range newer {
+			a.recordFailedSave(key, record)
 		}
 		return 0, err
 	}
-	return len(recs), nil
+	return len(newer), nil
 }
 
-// Reset drops what the acceptor remembers of its disk, which has been replaced by an empty
-// one.
+// Reset clears the acceptor's in-memory state after its disk was replaced by an empty one.
 func (a *Acceptor) Reset() {
 	a.mu.Lock()
 	clear(a.acceptedAt)
@@ -72,7 +71,7 @@
 }
 
 func stripe(key string) uint32 {
-	h := fnv.New32a()
-	h.Write([]byte(key))
-	return h.Sum32() % stripes
+	hash := fnv.New32a()
+	hash.Write([]byte(key))
+	return hash.Sum32() % lockStripes
 }
--- a/internal/proto/register/prepared.go
+++ b/internal/proto/register/prepared.go
@@ -11,102 +11,104 @@
 	"damsontiller/internal/transport/clock"
 )
 
-// preparedBallot lets a proposer change a key in one round: a ballot of its own that a
-// quorum promised along with accepting its last change, and the cell that was accepted. It
-// is equivalent to the outcome of a prepare round for that ballot and, like it, may be
-// used once only: two values under one ballot would break agreement.
+// preparedBallot lets a proposer change a key in one round. It holds a ballot of this proposer
+// that a quorum promised while accepting its last change, and the accepted cell. It is
+// equivalent to the result of a prepare round for that ballot and, like it, may be used only
+// once: two values under one ballot would break agreement.
 type preparedBallot struct {
 	key        string
 	set        Set
 	ballot     *wire.Ballot
 	cell       *wire.Cell
-	preparedAt clock.Moment // once the quorum had answered
+	preparedAt clock.Moment // when the quorum had answered
 }
 
-// next is the cell that f makes of the one accepted last.
-func (a *preparedBallot) next(f UpdateFunc, operation uint64) (*wire.Cell, error) {
-	st := State{Version: a.cell.GetVer(), Value: a.cell.GetVal()}
-	if a.cell.GetTimed() {
-		// A quorum held the cell before its answers came here. So our own count since
-		// then is never more than the time it has been held: a lower bound, as the
-		// acceptors' own counts are, and one that their restarts don't undo.
-		st.Age = time.Since(a.preparedAt.Monotonic())
-		st.GreatestAge = st.Age
+// next returns the cell that update computes from the last accepted one.
+func (b *preparedBallot) next(update UpdateFunc, operation uint64) (*wire.Cell, error) {
+	state := State{Version: b.cell.GetVer(), Value: b.cell.GetVal()}
+	if b.cell.GetTimed() {
+		// The quorum held the cell before its replies arrived here. The time since then is
+		// therefore a lower bound of the cell's age, like the ages counted by the acceptors,
+		// and it does not restart with them.
+		state.Age = time.Since(b.preparedAt.Monotonic())
+		state.GreatestAge = state.Age
 	}
-	value, timed, err := f(st)
+	value, timed, err := update(state)
 	if err != nil {
 		return nil, err
 	}
-	return nextCell(a.cell, operation, value, timed), nil
+	return nextCell(b.cell, operation, value, timed), nil
 }
 
 const (
-	// preparedLifetime is far below the shortest time that state may be kept: what was
-	// written within it has not been expired by any voter. It is counted through a
-	// suspension of the machine.
+	// preparedLifetime is far below the shortest retention period, so that no voter has expired
+	// a value written within it. It includes the time for which the machine was suspended.
 	preparedLifetime = 10 * time.Second
 	maxPrepared      = 2048
-	maxPreparedBytes = 1 << 20 // bytes of values, of which one may be a sixteenth
+	maxPreparedBytes = 1 << 20 // of keys, values and operation ids together
+	// maxPreparedEntryBytes bounds the size of one entry.
+	maxPreparedEntryBytes = maxPreparedBytes / 16
 )
 
-// preparedCache is a bounded cache of prepared ballots by key. The oldest are evicted
-// first.
+// preparedCache is a bounded cache of prepared ballots by key. It evicts the oldest first.
 type preparedCache struct {
 	mu     sync.Mutex
 	byKey  map[string]*list.Element
-	oldest list.List // oldest in front
+	oldest list.List // the oldest entry is in front
 	size   int
 }
 
-func size(a *preparedBallot) int { return len(a.key) + len(a.cell.GetVal()) + 8*len(a.cell.GetOps()) }
+func preparedSize(b *preparedBallot) int {
+	return len(b.key) + len(b.cell.GetVal()) + 8*len(b.cell.GetOps())
+}
 
-func (s *preparedCache) put(a *preparedBallot) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if e := s.byKey[a.key]; e != nil {
-		s.remove(e)
+func (c *preparedCache) put(b *preparedBallot) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if e := c.byKey[b.key]; e != nil {
+		c.remove(e)
 	}
-	if size(a) > maxPreparedBytes/16 {
+	if preparedSize(b) > maxPreparedEntryBytes {
 		return
 	}
-	if s.byKey == nil {
-		s.byKey = map[string]*list.Element{}
+	if c.byKey == nil {
+		c.byKey = map[string]*list.Element{}
 	}
-	s.byKey[a.key] = s.oldest.PushBack(a)
-	s.size += size(a)
-	for e := s.oldest.Front(); e != nil; e = s.oldest.Front() {
-		if s.size <= maxPreparedBytes && s.oldest.Len() <= maxPrepared &&
-			a.preparedAt.Sub(e.Value.(*preparedBallot).preparedAt) <= preparedLifetime {
+	c.byKey[b.key] = c.oldest.PushBack(b)
+	c.size += preparedSize(b)
+	for e := c.oldest.Front(); e != nil; e = c.oldest.Front() {
+		if c.size <= maxPreparedBytes && c.oldest.Len() <= maxPrepared &&
+			b.preparedAt.Sub(e.Value.(*preparedBallot).preparedAt) <= preparedLifetime {
 			return
 		}
-		s.remove(e)
+		c.remove(e)
 	}
 }
 
-// take removes and returns a key's prepared ballot; nil if there is none, it is too old by
-// now, or it was promised by another set of voters.
-func (s *preparedCache) take(key string, set Set, now clock.Moment) *preparedBallot {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	e := s.byKey[key]
+// take removes and returns a key's prepared ballot. It returns nil if there is none, if it has
+// expired, or if another set of voters promised it.
+func (c *preparedCache) take(key string, set Set, now clock.Moment) *preparedBallot {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.byKey[key]
 	if e == nil {
 		return nil
 	}
-	a := s.remove(e)
-	if now.Sub(a.preparedAt) > preparedLifetime || !slices.EqualFunc(a.set, set, slices.Equal[[]Replica]) {
+	b := c.remove(e)
+	if now.Sub(b.preparedAt) > preparedLifetime || !slices.EqualFunc(b.set, set, slices.Equal[[]Replica]) {
 		return nil
 	}
-	return a
+	return b
 }
 
-func (s *preparedCache) remove(e *list.Element) *preparedBallot {
-	a := s.oldest.Remove(e).(*preparedBallot)
-	delete(s.byKey, a.key)
-	s.size -= size(a)
-	return a
+func (c *preparedCache) remove(e *list.Element) *preparedBallot {
+	b := c.oldest.Remove(e).(*preparedBallot)
+	delete(c.byKey, b.key)
+	c.size -= preparedSize(b)
+	return b
 }
 
-// keyQueues serializes the changes that this process makes to one key: concurrent ones
+// keyQueues serializes the changes that this process makes to a key, because concurrent ones
 // would only invalidate each other's ballots.
 type keyQueues struct {
 	mu    sync.Mutex
@@ -115,47 +117,46 @@
 
 type keyQueue struct {
 	token chan struct{}
-	users int // at work and waiting
+	users int // callers that hold the token or wait for it
 }
 
-// acquire waits for the key's turn, for as long as most at the longest. It is an
-// optimisation and not a lock: a caller whose wait has ended goes on beside a change that
-// hangs.
-func (s *keyQueues) acquire(ctx context.Context, key string, most time.Duration) (release func()) {
-	s.mu.Lock()
-	t := s.byKey[key]
-	if t == nil {
-		if s.byKey == nil {
-			s.byKey = map[string]*keyQueue{}
+// acquire waits for the key's token, for at most timeout. It is an optimization and not a lock:
+// a caller whose wait has ended proceeds concurrently with a change that hangs.
+func (q *keyQueues) acquire(ctx context.Context, key string, timeout time.Duration) (release func()) {
+	q.mu.Lock()
+	queue := q.byKey[key]
+	if queue == nil {
+		if q.byKey == nil {
+			q.byKey = map[string]*keyQueue{}
 		}
-		t = &keyQueue{token: make(chan struct{}, 1)}
-		t.token <- struct{}{}
-		s.byKey[key] = t
+		queue = &keyQueue{token: make(chan struct{}, 1)}
+		queue.token <- struct{}{}
+		q.byKey[key] = queue
 	}
-	t.users++
-	s.mu.Unlock()
-	owned := false
+	queue.users++
+	q.mu.Unlock()
+	acquired := false
 	select {
-	case <-t.token:
-		owned = true
+	case <-queue.token:
+		acquired = true
 	default:
-		w := time.NewTimer(most)
-		defer w.Stop()
+		timer := time.NewTimer(timeout)
+		defer timer.Stop()
 		select {
-		case <-t.token:
-			owned = true
-		case <-w.C:
+		case <-queue.token:
+			acquired = true
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
 	return func() {
-		if owned {
-			t.token <- struct{}{}
+		if acquired {
+			queue.token <- struct{}{}
 		}
-		s.mu.Lock()
-		if t.users--; t.users == 0 {
-			delete(s.byKey, key)
+		q.mu.Lock()
+		if queue.users--; queue.users == 0 {
+			delete(q.byKey, key)
 		}
-		s.mu.Unlock()
+		q.mu.Unlock()
 	}
 }
--- a/internal/proto/register/proposer.go
+++ b/internal/proto/register/proposer.go
@@ -12,61 +12,62 @@
 	"damsontiller/internal/transport/clock"
 )
 
-// ErrNoQuorum reports that too few voters answered, and that nothing was changed.
+// ErrNoQuorum reports that too few voters answered and that nothing was changed.
 var ErrNoQuorum = errors.New("no majority answered")
 
-// ErrUncertain reports that the change may be chosen, now or later. It must never be
-// reported as not done.
+// ErrUncertain reports that the change may be chosen, now or later. It must never be presented
+// as a change that was not made.
 var ErrUncertain = errors.New("the change may have been chosen")
 
-// State is a register as read. Its value is shared and must not be modified.
+// State is the state of a register as read. Its value is shared and must not be modified.
 type State struct {
 	Version uint64
 	Value   []byte
-	// Age is the least time that a majority has held a timed value, GreatestAge the greatest
-	// that any replica of it has. A replica counts from when it took the value, so neither is
-	// more than the time since the value was proposed.
+	// Age is a lower bound of the time for which a majority has held a timed value, and
+	// GreatestAge the longest time that any replica reports. A replica counts from the time at
+	// which it accepted the value, so neither exceeds the time since the value was proposed.
 	Age         time.Duration
 	GreatestAge time.Duration
-	// Expired: there was a value, and it is past its keeping time.
+	// Expired is set if there was a value that is past its retention period.
 	Expired bool
 }
 
-func stateOf(v newestView) State {
+func stateOf(view newestAcceptedView) State {
 	return State{
-		Version: v.GetCell().GetVer(),
-		Value:   v.GetCell().GetVal(),
-		Age:     time.Duration(v.GetAgeMs()) * time.Millisecond,
+		Version: view.GetCell().GetVer(),
+		Value:   view.GetCell().GetVal(),
+		Age:     time.Duration(view.GetAgeMs()) * time.Millisecond,
 
-		GreatestAge: time.Duration(v.greatestAgeMs) * time.Millisecond,
-		Expired:     v.GetCell().GetPast(),
+		GreatestAge: time.Duration(view.maxAgeMs) * time.Millisecond,
+		Expired:     view.GetCell().GetPast(),
 	}
 }
 
-// Proposer runs the protocol's two rounds, or the second alone where it made the key's
-// last change. Each start of a process has its own node number, so no two proposers ever
-// share a ballot. Its methods may be called concurrently.
+// Proposer runs the protocol's two rounds, or only the second if it made the key's last change.
+// Each start of a process has its own node number, so no two proposers ever share a ballot. Its
+// methods may be called concurrently.
 type Proposer struct {
 	node        uint64
 	call        wire.Caller
 	highestSeen atomic.Uint64
-	// Rounds counts rounds sent, for the cost of a job.
+	// Rounds counts the rounds sent, which measure the cost of a job.
 	Rounds atomic.Uint64
-	// OneRound counts changes that took one round, Missed those that tried to.
+	// OneRound counts the changes that took one round, OneRoundMissed those that attempted it
+	// but needed both rounds.
 	OneRound, OneRoundMissed atomic.Uint64
-	// RoundTimeout is how long one round waits for a majority.
+	// RoundTimeout bounds the time for which one round waits for a majority.
 	RoundTimeout time.Duration
-	// Clock gives the time of day that ballots follow, Random the operation ids of changes
-	// and the lengths of pauses. Tests replace them before the first call.
+	// Clock returns the time of day that ballot numbers follow. Random returns the bits for
+	// operation ids and retry pauses. Tests replace them before the first call.
 	Clock    clock.TimeOfDay
 	Random   func() uint64
 	prepared preparedCache
 	queues   keyQueues
-	values   largeValues
+	values   largeValueCache
 }
 
-// NewProposer makes a proposer that sends requests by call. node must be unique to this
-// start of the process.
+// NewProposer returns a proposer that sends its requests through call. node must be unique to
+// this start of the process.
 func NewProposer(node uint64, call wire.Caller) *Proposer {
 	return &Proposer{
 		node:         node,
@@ -77,40 +78,40 @@
 	}
 }
 
-// Read is a linearizable read at a majority. A value that no majority is seen to have
-// accepted is written back first, so that no later read can miss it. It returns an error
-// that wraps ErrNoQuorum where too few voters answered.
+// Read performs a linearizable read at a majority. If no majority is seen to have accepted the
+// value, Read first writes it back, so that no later read can miss it. It returns an error that
+// wraps ErrNoQuorum if too few voters answered.
 func (p *Proposer) Read(ctx context.Context, set Set, key string) (State, error) {
 	known := p.values.ballot(key)
 	request := func(Replica) *wire.Req {
 		read := &wire.Look{Key: key, Known: known, Head: true, AcceptsCompressed: true}
 		return &wire.Req{Op: &wire.Req_Look{Look: read}}
 	}
-	// A voter that lags would have the value written back by every reader; those that
-	// don't are waited for a moment instead.
-	got := p.round(ctx, set, request, func(got []reply) bool {
-		_, holders := highest(got)
+	// If the round ended at the first quorum, a lagging voter would cause every reader to write
+	// the value back. The round therefore waits briefly for up-to-date voters.
+	replies := p.round(ctx, set, request, func(replies []reply) bool {
+		_, holders := newestAccepted(replies)
 		return set.Quorum(holders)
 	})
-	if !set.Quorum(succeeded(got)) {
-		return State{}, fmt.Errorf("read %s: %w: %w", key, ErrNoQuorum, firstError(got))
+	if !set.Quorum(succeeded(replies)) {
+		return State{}, fmt.Errorf("read %s: %w: %w", key, ErrNoQuorum, firstError(replies))
 	}
-	top, holders := highest(got)
-	if set.Quorum(holders) && p.complete(ctx, key, top.View, holders) == nil {
-		return stateOf(top), nil
+	newest, holders := newestAccepted(replies)
+	if set.Quorum(holders) && p.fillValue(ctx, key, newest.View, holders) == nil {
+		return stateOf(newest), nil
 	}
-	st, err := p.Change(ctx, set, key, nil)
+	state, err := p.Change(ctx, set, key, nil)
 	if errors.Is(err, ErrUncertain) {
-		// A write-back changes nothing, so its uncertainty is only a failed read.
+		// A write-back changes nothing, so an uncertain one is only a failed read.
 		err = fmt.Errorf("read %s: %w", key, ErrNoQuorum)
 	}
-	return st, err
+	return state, err
 }
 
-// prepare is the first round. It returns no replies where there is no quorum.
+// prepare runs the first round. It returns no replies if there is no quorum.
 func (p *Proposer) prepare(ctx context.Context, set Set, key string) (*wire.Ballot, []reply, error) {
 	ballot, known := p.ballot(), p.values.ballot(key)
-	got := p.round(
+	replies := p.round(
 		ctx,
 		set,
 		func(Replica) *wire.Req {
@@ -118,32 +119,32 @@
 				Prep: &wire.Prep{Key: key, Ballot: ballot, Known: known, AcceptsCompressed: true},
 			}}
 		},
-		func(got []reply) bool { return set.Quorum(succeeded(got)) },
+		func(replies []reply) bool { return set.Quorum(succeeded(replies)) },
 	)
-	p.observeReplies(got)
-	if !set.Quorum(succeeded(got)) {
-		return ballot, nil, firstError(got)
+	p.observeReplies(replies)
+	if !set.Quorum(succeeded(replies)) {
+		return ballot, nil, firstError(replies)
 	}
-	return ballot, got, nil
+	return ballot, replies, nil
 }
 
-// accept is the second round; next is promised along with it. It returns once enough
-// reports so, or all have answered.
+// accept runs the second round and asks the voters to promise next with it. It returns once
+// sufficient reports true, or all voters have answered.
 func (p *Proposer) accept(
 	ctx context.Context,
 	set Set,
 	key string,
 	ballot, next *wire.Ballot,
 	proposed *proposal,
-	enough func([]reply) bool,
+	sufficient func([]reply) bool,
 ) []reply {
 	compressed := proposed.compressedRequest(key, ballot, next)
-	got := p.round(ctx, set, func(to Replica) *wire.Req {
-		if compressed != nil && proposed.compressTo[to] {
+	replies := p.round(ctx, set, func(to Replica) *wire.Req {
+		if compressed != nil && proposed.acceptsCompressed[to] {
 			return &wire.Req{Op: &wire.Req_AccCompressed{AccCompressed: compressed}}
 		}
 		return &wire.Req{Op: &wire.Req_Acc{Acc: &wire.Acc{Key: key, Ballot: ballot, Cell: proposed.cell, Next: next}}}
-	}, enough)
-	p.observeReplies(got)
-	return got
+	}, sufficient)
+	p.observeReplies(replies)
+	return replies
 }
--- a/internal/proto/register/repair_test.go
+++ b/internal/proto/register/repair_test.go
@@ -22,8 +22,8 @@
 		if got == nil {
 			continue
 		}
-		cur, holders := highest(got)
-		if p.complete(ctx, key, cur.View, holders) != nil {
+		cur, holders := newestAccepted(got)
+		if p.fillValue(ctx, key, cur.View, holders) != nil {
 			continue
 		}
 		if cur.GetCell() == nil {
--- a/internal/proto/register/round.go
+++ b/internal/proto/register/round.go
@@ -11,211 +11,211 @@
 	"damsontiller/internal/transport/code"
 )
 
-// sharedCancel cancels the context that several calls share, once the last of them is
-// done.
+// sharedCancel cancels a context shared by several calls once the last of them is done.
 type sharedCancel struct {
-	left atomic.Int32
-	stop context.CancelFunc
+	pending atomic.Int32
+	cancel  context.CancelFunc
 }
 
-func (a *sharedCancel) done() {
-	if a.left.Add(-1) == 0 {
-		a.stop()
+func (c *sharedCancel) done() {
+	if c.pending.Add(-1) == 0 {
+		c.cancel()
 	}
 }
 
-// reply is one voter's answer, or the failure in its place. A refusal may carry the
-// voter's view.
+// reply is one voter's response or the error in its place. An error reply may carry the voter's
+// view.
 type reply struct {
 	from Replica
 	resp *wire.Resp
 	err  error
 }
 
-// minStragglerWait is the least time that a round without a possible quorum waits for the
-// remaining voters.
+// minStragglerWait is the minimum time for which a round waits for the remaining voters once a
+// quorum has answered or has become impossible.
 const minStragglerWait = 20 * time.Millisecond
 
-// round sends a request to every voter and returns once done reports that the replies are
-// enough, or all have answered. When a quorum is no longer possible, or has answered and
-// is not enough, it waits for the rest only for as long again as it has taken so far: if
-// every voter has refused, it is certain that none has accepted, and one of them may know
-// the reason.
+// round sends a request to every voter and returns once sufficient reports true for the
+// replies, or all voters have answered. When a quorum is no longer possible, or has answered
+// and is not sufficient, it waits for the remaining voters only for as long again as the round
+// has taken so far: if every voter has refused, it is certain that none has accepted, and a
+// late reply may contain the reason.
 func (p *Proposer) round(
 	ctx context.Context,
 	set Set,
 	request func(to Replica) *wire.Req,
-	done func(got []reply) bool,
+	sufficient func(replies []reply) bool,
 ) []reply {
-	all := set.All()
-	if len(all) == 0 {
+	voters := set.All()
+	if len(voters) == 0 {
 		return nil
 	}
 	p.Rounds.Add(1)
-	replies, over := p.ask(ctx, all, request)
-	got := make([]reply, 0, len(all))
-	asked := time.Now()
-	var enough <-chan time.Time
-	for range all {
+	incoming, timedOut := p.sendAll(ctx, voters, request)
+	replies := make([]reply, 0, len(voters))
+	sentAt := time.Now()
+	var stragglerTimeout <-chan time.Time
+	for range voters {
 		select {
-		case g := <-replies:
-			if got = append(got, g); done(got) {
-				return got
+		case r := <-incoming:
+			if replies = append(replies, r); sufficient(replies) {
+				return replies
 			}
-			if enough != nil || !set.quorumLost(got) && !set.Quorum(succeeded(got)) {
+			if stragglerTimeout != nil || !set.quorumLost(replies) && !set.Quorum(succeeded(replies)) {
 				continue
 			}
-			t := time.NewTimer(max(time.Since(asked), minStragglerWait))
-			defer t.Stop()
-			enough = t.C
-		case <-enough:
-			return got
+			timer := time.NewTimer(max(time.Since(sentAt), minStragglerWait))
+			defer timer.Stop()
+			stragglerTimeout = timer.C
+		case <-stragglerTimeout:
+			return replies
 		case <-ctx.Done():
-			return got
-		case <-over:
-			// All may have answered at this very moment.
-			return drainReplies(replies, got)
+			return replies
+		case <-timedOut:
+			// Replies may have arrived at the same moment.
+			return drainReplies(incoming, replies)
 		}
 	}
-	return got
+	return replies
 }
 
-// ask sends the request to every voter. The calls outlive an early return, so that slow
-// voters still receive it. over is closed when no answer is awaited any more.
-func (p *Proposer) ask(
+// sendAll sends the request to every voter. The calls outlive an early return of the caller, so
+// that slow voters still receive the request. timedOut is closed when the calls have ended or
+// timed out.
+func (p *Proposer) sendAll(
 	ctx context.Context,
-	all []Replica,
+	voters []Replica,
 	request func(to Replica) *wire.Req,
-) (replies <-chan reply, over <-chan struct{}) {
-	ch := make(chan reply, len(all))
-	callCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), p.RoundTimeout)
-	last := &sharedCancel{stop: stop}
-	last.left.Store(int32(len(all)))
-	for _, r := range all {
-		q := request(r)
-		q.Ident = r.Ident
-		SetVersion(ctx, q)
+) (replies <-chan reply, timedOut <-chan struct{}) {
+	received := make(chan reply, len(voters))
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.RoundTimeout)
+	shared := &sharedCancel{cancel: cancel}
+	shared.pending.Store(int32(len(voters)))
+	for _, r := range voters {
+		message := request(r)
+		message.Ident = r.Ident
+		SetVersion(ctx, message)
 		go func() {
-			resp, err := p.call(callCtx, r.Addr, q)
-			ch <- reply{r, resp, err}
-			last.done()
+			resp, err := p.call(callCtx, r.Addr, message)
+			received <- reply{r, resp, err}
+			shared.done()
 		}()
 	}
-	return ch, callCtx.Done()
+	return received, callCtx.Done()
 }
 
-// drainReplies adds the replies that have arrived already.
-func drainReplies(replies <-chan reply, got []reply) []reply {
+// drainReplies appends the replies that have already arrived.
+func drainReplies(incoming <-chan reply, replies []reply) []reply {
 	for {
 		select {
-		case g := <-replies:
-			got = append(got, g)
+		case r := <-incoming:
+			replies = append(replies, r)
 		default:
-			return got
+			return replies
 		}
 	}
 }
 
-// succeeded are the voters that neither refused nor failed.
-func succeeded(got []reply) map[Replica]bool {
-	m := map[Replica]bool{}
-	for _, g := range got {
-		if g.err == nil {
-			m[g.from] = true
+// succeeded returns the voters that answered without an error.
+func succeeded(replies []reply) map[Replica]bool {
+	voters := map[Replica]bool{}
+	for _, r := range replies {
+		if r.err == nil {
+			voters[r.from] = true
 		}
 	}
-	return m
+	return voters
 }
 
-// newestView is the value accepted under the highest ballot among some answers. Its AgeMs is
-// the least that a replica states of it.
-type newestView struct {
+// newestAcceptedView is the view with the highest accepted ballot among several replies. Its
+// AgeMs is the lowest age that a replica reports for the value.
+type newestAcceptedView struct {
 	*wire.View
-	greatestAgeMs int64 // that a replica states
+	maxAgeMs int64 // the highest age that a replica reports
 }
 
-// highest finds the newest accepted cell among the successful replies, and who has
-// accepted it. A copy that a voter imported below its promise is found like any cell but
-// is no vote for its ballot: the proposer that was promised may still have another cell
-// accepted there.
-func highest(got []reply) (newestView, map[Replica]bool) {
-	var top *wire.View
-	for _, g := range got {
-		if g.err != nil {
+// newestAccepted returns the cell with the highest accepted ballot among the successful
+// replies, and the voters that have accepted it. A copy that a voter imported below its
+// promised ballot is considered like any other cell but is not a vote for its ballot: the
+// proposer with the higher promise may still have another cell accepted there.
+func newestAccepted(replies []reply) (newestAcceptedView, map[Replica]bool) {
+	var newest *wire.View
+	for _, r := range replies {
+		if r.err != nil {
 			continue
 		}
-		// Of one value some copies may have expired before the others; what one has
-		// expired is past for all.
-		v := g.resp.GetView()
-		if n := wire.CompareBallots(v.GetAccepted(), top.GetAccepted()); top == nil || n > 0 ||
-			n == 0 && v.GetCell().GetPast() {
-			top = v
+		// Some copies of the same value may have expired before others. If one has expired, the
+		// value counts as expired.
+		view := r.resp.GetView()
+		if compared := wire.CompareBallots(view.GetAccepted(), newest.GetAccepted()); newest == nil || compared > 0 ||
+			compared == 0 && view.GetCell().GetPast() {
+			newest = view
 		}
 	}
 	holders := map[Replica]bool{}
-	age, greatest := int64(-1), int64(0)
-	for _, g := range got {
-		v := g.resp.GetView()
-		if g.err == nil && wire.CompareBallots(v.GetAccepted(), top.GetAccepted()) == 0 {
-			if !v.GetCopied() {
-				holders[g.from] = true
+	minAge, maxAge := int64(-1), int64(0)
+	for _, r := range replies {
+		view := r.resp.GetView()
+		if r.err == nil && wire.CompareBallots(view.GetAccepted(), newest.GetAccepted()) == 0 {
+			if !view.GetCopied() {
+				holders[r.from] = true
 			}
-			// The youngest count is the longest wait.
-			if age < 0 || v.GetAgeMs() < age {
-				age = v.GetAgeMs()
+			// The lowest age results in the longest wait.
+			if minAge < 0 || view.GetAgeMs() < minAge {
+				minAge = view.GetAgeMs()
 			}
-			greatest = max(greatest, v.GetAgeMs())
+			maxAge = max(maxAge, view.GetAgeMs())
 		}
 	}
-	if top == nil {
-		return newestView{}, holders
+	if newest == nil {
+		return newestAcceptedView{}, holders
 	}
 	view := &wire.View{
-		Accepted:        top.Accepted,
-		Cell:            top.Cell,
-		AgeMs:           age,
-		CompressedValue: top.CompressedValue,
-		ValueOmitted:    top.ValueOmitted,
+		Accepted:        newest.Accepted,
+		Cell:            newest.Cell,
+		AgeMs:           minAge,
+		CompressedValue: newest.CompressedValue,
+		ValueOmitted:    newest.ValueOmitted,
 	}
-	return newestView{view, greatest}, holders
+	return newestAcceptedView{view, maxAge}, holders
 }
 
-// allRefused reports whether every voter has answered that it accepted nothing under a
-// ballot. A lost answer, or a disk that failed, leaves that open.
-func allRefused(set Set, got []reply, ballot *wire.Ballot) bool {
-	for _, g := range got {
-		if !provesNotAccepted(g, ballot) {
+// allRefused reports whether every voter has answered that it accepted nothing under the
+// ballot. A lost reply or a disk failure leaves that open.
+func allRefused(set Set, replies []reply, ballot *wire.Ballot) bool {
+	for _, r := range replies {
+		if !provesNotAccepted(r, ballot) {
 			return false
 		}
 	}
-	return len(got) == len(set.All())
+	return len(replies) == len(set.All())
 }
 
-// provesNotAccepted reports whether an answer proves that its voter has not accepted under
-// ballot and never will. That no other copy of the request is on its way rests on the
-// transport, which sends the frame of a call once. An answer that shows the ballot as
-// accepted is no proof, whatever its code.
-func provesNotAccepted(g reply, ballot *wire.Ballot) bool {
-	switch code.Of(g.err) {
+// provesNotAccepted reports whether a reply proves that the voter has not accepted under ballot
+// and never will. This requires that no other copy of the request is in transit, which the
+// transport guarantees by sending the frame of a call once. A reply that shows the ballot as
+// accepted is no proof, whatever its error code.
+func provesNotAccepted(r reply, ballot *wire.Ballot) bool {
+	switch code.Of(r.err) {
 	case code.OldBallot:
-		return wire.CompareBallots(g.resp.GetView().GetAccepted(), ballot) != 0
+		return wire.CompareBallots(r.resp.GetView().GetAccepted(), ballot) != 0
 	case code.StaleSpec, code.WrongIdentity, code.NotVoting, code.UnknownMessage, code.Overloaded:
 		return true
 	}
-	return errors.Is(g.err, transport.ErrRefused)
+	return errors.Is(r.err, transport.ErrRefused)
 }
 
-// firstError is the failure to report for a round without a quorum: a stale spec before
-// any other, since the caller can recover from that.
-func firstError(got []reply) error {
-	for _, g := range got {
-		if code.Of(g.err) == code.StaleSpec {
-			return g.err
+// firstError returns the error to report for a round without a quorum. A stale spec takes
+// precedence, since the caller can recover from that.
+func firstError(replies []reply) error {
+	for _, r := range replies {
+		if code.Of(r.err) == code.StaleSpec {
+			return r.err
 		}
 	}
-	for _, g := range got {
-		if g.err != nil {
-			return g.err
+	for _, r := range replies {
+		if r.err != nil {
+			return r.err
 		}
 	}
 	return context.DeadlineExceeded
--- a/internal/proto/register/set.go
+++ b/internal/proto/register/set.go
@@ -4,39 +4,39 @@
 	"slices"
 )
 
-// Replica is one voter: its address, and the identity that it must have.
+// Replica is one voter: its address and the identity that it must have.
 type Replica struct {
 	Addr  string
 	Ident string
 }
 
-// Set is the voters, in groups; a quorum is a majority of every group. There are two
-// groups while one set replaces another.
+// Set lists the voters in groups; a quorum is a majority of every group. There are two groups
+// while one set of voters replaces another.
 type Set [][]Replica
 
-// All lists the voters of all groups, each once.
+// All returns the voters of all groups, each once.
 func (s Set) All() []Replica {
-	var out []Replica
-	for _, g := range s {
-		for _, r := range g {
-			if !slices.Contains(out, r) {
-				out = append(out, r)
+	var all []Replica
+	for _, group := range s {
+		for _, r := range group {
+			if !slices.Contains(all, r) {
+				all = append(all, r)
 			}
 		}
 	}
-	return out
+	return all
 }
 
-// Quorum reports whether a majority of every group is in have.
-func (s Set) Quorum(have map[Replica]bool) bool {
-	for _, g := range s {
-		n := 0
-		for _, r := range g {
-			if have[r] {
-				n++
+// Quorum reports whether voters contains a majority of every group.
+func (s Set) Quorum(voters map[Replica]bool) bool {
+	for _, group := range s {
+		count := 0
+		for _, r := range group {
+			if voters[r] {
+				count++
 			}
 		}
-		if n*2 <= len(g) {
+		if count*2 <= len(group) {
 			return false
 		}
 	}
@@ -44,15 +44,15 @@
 }
 
 // quorumLost reports whether so many voters have failed that no quorum is possible.
-func (s Set) quorumLost(got []reply) bool {
-	for _, g := range s {
-		n := 0
-		for _, a := range got {
-			if a.err != nil && slices.Contains(g, a.from) {
-				n++
+func (s Set) quorumLost(replies []reply) bool {
+	for _, group := range s {
+		failed := 0
+		for _, r := range replies {
+			if r.err != nil && slices.Contains(group, r.from) {
+				failed++
 			}
 		}
-		if n*2 >= len(g) {
+		if failed*2 >= len(group) {
 			return true
 		}
 	}
--- a/internal/proto/register/value.go
+++ b/internal/proto/register/value.go
@@ -10,216 +10,220 @@
 	"damsontiller/internal/transport/code"
 )
 
-// A value may be large: the spec with its table of routes. Rounds ask every voter, and so
-// large values stay out of them where they can: an acceptor leaves out the value that the
-// asker holds already, and all large values of a read, whose proposer then fetches the
-// value from one voter. This rests on the invariant of the protocol that at most one value
-// is ever accepted under a ballot. What is sent is compressed.
-
-// maxLargeValues bounds the large values that a process keeps of registers.
+// A value may be large, for instance the spec with its table of routes. Since rounds send
+// requests to every voter, large values are left out of them where possible: an acceptor omits
+// a value that the proposer already has, and omits every large value from the replies to a
+// read, whose proposer then fetches the value from one voter. This relies on the protocol's
+// invariant that at most one value is ever accepted under a ballot. Large values are sent
+// compressed.
+
+// maxLargeValues bounds the number of large register values that a process caches.
 const maxLargeValues = 4
 
-// largeValue is bytes that belong to the ballot under which a value was accepted.
+// largeValue is the value accepted under a ballot, plain or compressed.
 type largeValue struct {
 	ballot *wire.Ballot
 	bytes  []byte
 }
 
-// largeValues keeps the last large value of a few keys. Which key goes for another does not
-// matter: there are few that hold such values. Its methods may be called concurrently.
-type largeValues struct {
+// largeValueCache caches the last large value of a few keys. It evicts an arbitrary key, since
+// only a few keys have large values. Its methods may be called concurrently.
+type largeValueCache struct {
 	mu    sync.Mutex
 	byKey map[string]largeValue
 }
 
-// ballot is the one under which the value kept of a key was accepted; nil if none is kept.
-func (l *largeValues) ballot(key string) *wire.Ballot {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.byKey[key].ballot
+// ballot returns the ballot of the cached value of a key; nil if there is none.
+func (c *largeValueCache) ballot(key string) *wire.Ballot {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byKey[key].ballot
 }
 
-// get is what is kept of a key for a ballot.
-func (l *largeValues) get(key string, ballot *wire.Ballot) ([]byte, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	kept, ok := l.byKey[key]
-	return kept.bytes, ok && wire.CompareBallots(kept.ballot, ballot) == 0
+// get returns the cached value of a key if it belongs to the ballot.
+func (c *largeValueCache) get(key string, ballot *wire.Ballot) ([]byte, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cached, ok := c.byKey[key]
+	return cached.bytes, ok && wire.CompareBallots(cached.ballot, ballot) == 0
 }
 
-// put keeps what belongs to a ballot in place of what was kept of the key.
-func (l *largeValues) put(key string, ballot *wire.Ballot, b []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.byKey == nil {
-		l.byKey = map[string]largeValue{}
+// put replaces the cached value of a key.
+func (c *largeValueCache) put(key string, ballot *wire.Ballot, value []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byKey == nil {
+		c.byKey = map[string]largeValue{}
 	}
-	if _, kept := l.byKey[key]; !kept && len(l.byKey) >= maxLargeValues {
-		for other := range l.byKey {
-			delete(l.byKey, other)
+	if _, cached := c.byKey[key]; !cached && len(c.byKey) >= maxLargeValues {
+		for other := range c.byKey {
+			delete(c.byKey, other)
 			break
 		}
 	}
-	l.byKey[key] = largeValue{ballot, b}
+	c.byKey[key] = largeValue{ballot, value}
 }
 
-// remember keeps a value that this proposer has seen accepted, if it is large.
-func (p *Proposer) remember(key string, ballot *wire.Ballot, value []byte) {
+// cacheValue caches a value that this proposer has seen accepted, if it is large.
+func (p *Proposer) cacheValue(key string, ballot *wire.Ballot, value []byte) {
 	if len(value) >= wire.CompressAbove {
 		p.values.put(key, ballot, value)
 	}
 }
 
-// complete puts the value into a view that came without it or compressed. It fetches the
-// value from one of the holders if it must, and fails where none of them has it any more.
-func (p *Proposer) complete(ctx context.Context, key string, v *wire.View, holders map[Replica]bool) error {
+// fillValue fills in the value of a view that was received compressed or without it. If the
+// value is not cached, it is fetched from one of the holders; fillValue fails if none of them
+// has it anymore.
+func (p *Proposer) fillValue(ctx context.Context, key string, view *wire.View, holders map[Replica]bool) error {
 	switch {
-	case v == nil || v.Cell == nil:
+	case view == nil || view.Cell == nil:
 		return nil
-	case len(v.CompressedValue) > 0:
-		value, err := wire.Decompress(v.CompressedValue)
+	case len(view.CompressedValue) > 0:
+		value, err := wire.Decompress(view.CompressedValue)
 		if err != nil {
 			return err
 		}
-		v.Cell, v.CompressedValue = withValue(v.Cell, value), nil
-	case v.ValueOmitted:
-		value, ok := p.values.get(key, v.Accepted)
+		view.Cell, view.CompressedValue = withValue(view.Cell, value), nil
+	case view.ValueOmitted:
+		value, ok := p.values.get(key, view.Accepted)
 		if !ok {
-			return p.fetch(ctx, key, v, holders)
+			return p.fetch(ctx, key, view, holders)
 		}
-		v.Cell, v.ValueOmitted = withValue(v.Cell, value), false
+		view.Cell, view.ValueOmitted = withValue(view.Cell, value), false
 	}
-	p.remember(key, v.Accepted, v.Cell.Val)
+	p.cacheValue(key, view.Accepted, view.Cell.Val)
 	return nil
 }
 
-// withValue is a copy of a cell with a value put in: cells are shared and never modified.
-func withValue(c *wire.Cell, value []byte) *wire.Cell {
-	return &wire.Cell{Ver: c.GetVer(), Val: value, Ops: c.GetOps(), Timed: c.GetTimed(), Past: c.GetPast()}
+// withValue returns a copy of a cell with another value. Cells are shared and never modified.
+func withValue(cell *wire.Cell, value []byte) *wire.Cell {
+	return &wire.Cell{Ver: cell.GetVer(), Val: value, Ops: cell.GetOps(), Timed: cell.GetTimed(), Past: cell.GetPast()}
 }
 
-// fetchHedge is how long a voter that is asked for a value is waited for before the next
-// one is asked as well.
-const fetchHedge = 100 * time.Millisecond
-
-// fetch gets the value of a view from one of its holders. Each that fails or takes long
-// has the next one asked beside it.
-func (p *Proposer) fetch(ctx context.Context, key string, v *wire.View, holders map[Replica]bool) error {
-	ctx, stop := context.WithTimeout(ctx, p.RoundTimeout)
-	defer stop()
-	answers := make(chan reply, len(holders))
-	// A map's order is random, which spreads the load over the holders.
-	var left []Replica
+// fetchHedgeDelay is how long a fetch waits for one voter before it also asks the next one.
+const fetchHedgeDelay = 100 * time.Millisecond
+
+// fetch obtains the value of a view from one of its holders. When a holder fails or is slow,
+// the next one is asked concurrently.
+func (p *Proposer) fetch(ctx context.Context, key string, view *wire.View, holders map[Replica]bool) error {
+	ctx, cancel := context.WithTimeout(ctx, p.RoundTimeout)
+	defer cancel()
+	replies := make(chan reply, len(holders))
+	// The random iteration order of a map spreads the load over the holders.
+	var remaining []Replica
 	for r := range holders {
-		left = append(left, r)
+		remaining = append(remaining, r)
 	}
 	pending := 0
-	askNext := func() {
-		if len(left) == 0 {
+	sendNext := func() {
+		if len(remaining) == 0 {
 			return
 		}
-		from := left[0]
-		left = left[1:]
+		to := remaining[0]
+		remaining = remaining[1:]
 		pending++
 		go func() {
-			q := &wire.Req{Ident: from.Ident, Op: &wire.Req_Look{Look: &wire.Look{Key: key, AcceptsCompressed: true}}}
-			SetVersion(ctx, q)
-			resp, err := p.call(ctx, from.Addr, q)
-			answers <- reply{from, resp, err}
+			request := &wire.Req{Ident: to.Ident, Op: &wire.Req_Look{
+				Look: &wire.Look{Key: key, AcceptsCompressed: true},
+			}}
+			SetVersion(ctx, request)
+			resp, err := p.call(ctx, to.Addr, request)
+			replies <- reply{to, resp, err}
 		}()
 	}
-	askNext()
-	hedge := time.NewTicker(fetchHedge)
-	defer hedge.Stop()
-	var failure error = code.New(code.CoreUnreachable, "no voter has the value of %s", key)
+	sendNext()
+	hedgeTicker := time.NewTicker(fetchHedgeDelay)
+	defer hedgeTicker.Stop()
+	var lastErr error = code.New(code.CoreUnreachable, "no voter has the value of %s", key)
 	for pending > 0 {
 		select {
-		case g := <-answers:
+		case r := <-replies:
 			pending--
-			got := g.resp.GetView()
-			if g.err != nil || wire.CompareBallots(got.GetAccepted(), v.Accepted) != 0 {
-				if g.err != nil {
-					failure = g.err
+			received := r.resp.GetView()
+			if r.err != nil || wire.CompareBallots(received.GetAccepted(), view.Accepted) != 0 {
+				if r.err != nil {
+					lastErr = r.err
 				}
-				askNext()
+				sendNext()
 				continue
 			}
-			v.Cell, v.CompressedValue, v.ValueOmitted = got.Cell, got.CompressedValue, false
-			return p.complete(ctx, key, v, nil)
-		case <-hedge.C:
-			askNext()
+			view.Cell, view.CompressedValue, view.ValueOmitted = received.Cell, received.CompressedValue, false
+			return p.fillValue(ctx, key, view, nil)
+		case <-hedgeTicker.C:
+			sendNext()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("fetch %s: %w", key, failure)
+	return fmt.Errorf("fetch %s: %w", key, lastErr)
 }
 
-// compressedRequest is the accept request with the proposal's value compressed; nil where
-// the value is not large or no voter accepts that.
-func (n *proposal) compressedRequest(key string, ballot, next *wire.Ballot) *wire.AccCompressed {
-	if len(n.cell.GetVal()) < wire.CompressAbove || len(n.compressTo) == 0 {
+// compressedRequest returns the accept request with the proposal's value compressed; nil if the
+// value is not large or no voter accepts compressed values.
+func (p *proposal) compressedRequest(key string, ballot, next *wire.Ballot) *wire.AccCompressed {
+	if len(p.cell.GetVal()) < wire.CompressAbove || len(p.acceptsCompressed) == 0 {
 		return nil
 	}
 	return &wire.AccCompressed{Acc: &wire.Acc{
 		Key:             key,
 		Ballot:          ballot,
-		Cell:            withValue(n.cell, nil),
+		Cell:            withValue(p.cell, nil),
 		Next:            next,
-		CompressedValue: wire.Compress(n.cell.Val),
+		CompressedValue: wire.Compress(p.cell.Val),
 	}}
 }
 
-// acceptingCompressed are the voters whose answers say that they accept compressed values
-// in an operation of its own. A voter may be started anew as an earlier release before the
-// accept reaches it: it then refuses the operation, and so takes no cell without its value.
-func acceptingCompressed(got []reply) map[Replica]bool {
-	all := map[Replica]bool{}
-	for _, g := range got {
-		if g.resp.GetView().GetAcceptsCompressedOp() {
-			all[g.from] = true
+// votersAcceptingCompressed returns the voters whose replies state that they accept
+// AccCompressed. A voter may be restarted with an earlier release before the accept request
+// reaches it. It then refuses this request type as unknown, and so never accepts a cell without
+// its value.
+func votersAcceptingCompressed(replies []reply) map[Replica]bool {
+	voters := map[Replica]bool{}
+	for _, r := range replies {
+		if r.resp.GetView().GetAcceptsCompressedOp() {
+			voters[r.from] = true
 		}
 	}
-	return all
+	return voters
 }
 
-// compressed is the compressed value of a record. It is asked for often.
-func (a *Acceptor) compressed(key string, r *wire.Rec) []byte {
-	if kept, ok := a.compressedValues.get(key, r.Accepted); ok {
-		return kept
+// compressed returns the compressed value of a record, cached because it is requested often.
+func (a *Acceptor) compressed(key string, record *wire.Rec) []byte {
+	if cached, ok := a.compressedValues.get(key, record.Accepted); ok {
+		return cached
 	}
-	b := wire.Compress(r.Cell.GetVal())
-	a.compressedValues.put(key, r.Accepted, b)
-	return b
+	value := wire.Compress(record.Cell.GetVal())
+	a.compressedValues.put(key, record.Accepted, value)
+	return value
 }
 
-// wanted is what an asker needs of a record's value.
-type wanted struct {
-	known             *wire.Ballot
-	head              bool
+// viewOptions states what a proposer needs of a record's value.
+type viewOptions struct {
+	known             *wire.Ballot // ballot of the value that the proposer already has
+	head              bool         // any large value is to be left out
 	acceptsCompressed bool
 }
 
-// reduce leaves out of a view what the asker doesn't need of a large value.
-func (a *Acceptor) reduce(v *wire.View, key string, r *wire.Rec, w wanted) *wire.View {
-	// AcceptsCompressed is not stated: a proposer of an earlier release would then send a
-	// compressed value in an accept that this voter, started anew as a release before it,
-	// takes without its value.
-	v.AcceptsCompressedOp = true
-	if len(r.Cell.GetVal()) < wire.CompressAbove {
-		return v
+// omitLargeValue removes or compresses a large value in a view according to the options.
+func (a *Acceptor) omitLargeValue(view *wire.View, key string, record *wire.Rec, options viewOptions) *wire.View {
+	// AcceptsCompressed is not set: a proposer of an earlier release would then send a
+	// compressed value in a plain accept request, and this voter, if restarted with a still
+	// earlier release, would accept the cell without its value.
+	view.AcceptsCompressedOp = true
+	if len(record.Cell.GetVal()) < wire.CompressAbove {
+		return view
 	}
-	holds := w.known != nil && wire.CompareBallots(w.known, r.Accepted) == 0
+	alreadyKnown := options.known != nil && wire.CompareBallots(options.known, record.Accepted) == 0
 	switch {
-	case w.head || holds:
-		v.Cell, v.ValueOmitted = withValue(r.Cell, nil), true
-	case w.acceptsCompressed:
-		v.Cell, v.CompressedValue = withValue(r.Cell, nil), a.compressed(key, r)
+	case options.head || alreadyKnown:
+		view.Cell, view.ValueOmitted = withValue(record.Cell, nil), true
+	case options.acceptsCompressed:
+		view.Cell, view.CompressedValue = withValue(record.Cell, nil), a.compressed(key, record)
 	}
-	return v
+	return view
 }
 
-// withoutValue is the view of a record for an answer from which only ballots are read.
-func (a *Acceptor) withoutValue(key string, r *wire.Rec) *wire.View {
-	return a.reduce(a.view(key, r), key, r, wanted{head: true})
+// withoutValue returns a record's view for a reply of which only the ballots are read.
+func (a *Acceptor) withoutValue(key string, record *wire.Rec) *wire.View {
+	return a.omitLargeValue(a.view(key, record), key, record, viewOptions{head: true})
 }
--- a/internal/proto/register/version.go
+++ b/internal/proto/register/version.go
@@ -6,23 +6,23 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// senderVersion is the version of the spec that the sender of requests acts on.
-type senderVersion struct {
+// specVersion is the version of the spec that the sender of a request acts on.
+type specVersion struct {
 	version uint64
 	strict  bool
 }
 
-type senderVersionKey struct{}
+type specVersionKey struct{}
 
-// WithVersion attaches to ctx the version of the spec whose voters the rounds made under
-// it ask. strict asks a voter with a higher version to refuse.
+// WithVersion attaches a spec version to ctx. Rounds under ctx address the voters of that
+// version. With strict, voters that have a higher version refuse the requests.
 func WithVersion(ctx context.Context, version uint64, strict bool) context.Context {
-	return context.WithValue(ctx, senderVersionKey{}, senderVersion{version, strict})
+	return context.WithValue(ctx, specVersionKey{}, specVersion{version, strict})
 }
 
-// SetVersion sets on a request the version that ctx carries.
-func SetVersion(ctx context.Context, q *wire.Req) {
-	if s, ok := ctx.Value(senderVersionKey{}).(senderVersion); ok {
-		q.Spec, q.Strict = s.version, s.strict
+// SetVersion sets the spec version of ctx on a request.
+func SetVersion(ctx context.Context, request *wire.Req) {
+	if sender, ok := ctx.Value(specVersionKey{}).(specVersion); ok {
+		request.Spec, request.Strict = sender.version, sender.strict
 	}
 }
