--- a/internal/proto/register/exhaustive_test.go
+++ b/internal/proto/register/exhaustive_test.go
@@ -96,8 +96,8 @@
 		sched.posted = append(sched.posted, c)
 		sched.mu.Unlock()
 		select {
-		case r := <-c.reply:
-			return r.resp, r.err
+		case reply := <-c.reply:
+			return reply.resp, reply.err
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -218,15 +218,15 @@
 	}
 	voter, _ := strconv.Atoi(strings.TrimPrefix(c.addr, "v"))
 	sched.checkValue(c.q.Accept())
-	v, err := sched.voters[voter].Answer(c.q)
+	view, err := sched.voters[voter].Answer(c.q)
 	if s.kind == stepLoseReply {
 		return
 	}
-	v, _ = proto.Clone(v).(*wire.View)
+	view, _ = proto.Clone(view).(*wire.View)
 	if c.round == sched.rounds[c.client] {
-		sched.replies[c.client] = append(sched.replies[c.client], fmt.Sprint(c.addr, c.round, v, err))
+		sched.replies[c.client] = append(sched.replies[c.client], fmt.Sprint(c.addr, c.round, view, err))
 	}
-	c.reply <- modelReply{&wire.Resp{Op: &wire.Resp_View{View: v}}, err}
+	c.reply <- modelReply{&wire.Resp{Op: &wire.Resp_View{View: view}}, err}
 }
 
 // checkValue checks that at most one value is proposed under a ballot.
@@ -245,10 +245,10 @@
 func (sched *schedule) state() uint64 {
 	sched.mu.Lock()
 	defer sched.mu.Unlock()
-	h := fnv.New64a()
+	hash := fnv.New64a()
 	for _, disk := range sched.disks {
-		r, _ := disk.Load(modelKey)
-		fmt.Fprint(h, r, "|")
+		record, _ := disk.Load(modelKey)
+		fmt.Fprint(hash, record, "|")
 	}
 	calls := make([]string, 0, len(sched.waiting))
 	for _, c := range sched.waiting {
@@ -261,8 +261,8 @@
 		calls = append(calls, fmt.Sprint(c.client, c.addr, c.round == sched.rounds[c.client], c.q, ended))
 	}
 	slices.Sort(calls)
-	fmt.Fprint(h, calls, "|", sched.replies, sched.rounds, sched.outcomes, sched.running, sched.budget, time.Now().UnixMilli())
-	return h.Sum64()
+	fmt.Fprint(hash, calls, "|", sched.replies, sched.rounds, sched.outcomes, sched.running, sched.budget, time.Now().UnixMilli())
+	return hash.Sum64()
 }
 
 // check checks a schedule whose clients have ended: the reported outcomes against the values
@@ -278,14 +278,14 @@
 			voter, _ := strconv.Atoi(strings.TrimPrefix(addr, "v"))
 			sched.mu.Lock()
 			defer sched.mu.Unlock()
-			v, err := sched.voters[voter].Answer(q)
-			return &wire.Resp{Op: &wire.Resp_View{View: proto.Clone(v).(*wire.View)}}, err
+			view, err := sched.voters[voter].Answer(q)
+			return &wire.Resp{Op: &wire.Resp_View{View: proto.Clone(view).(*wire.View)}}, err
 		})
-		st, err := reader.Read(context.Background(), sched.set, modelKey)
+		state, err := reader.Read(context.Background(), sched.set, modelKey)
 		if err != nil {
 			sched.failures = append(sched.failures, fmt.Sprintf("reader %d: %v", i, err))
 		}
-		read[i] = string(st.Value)
+		read[i] = string(state.Value)
 	}
 	if read[0] != read[1] {
 		sched.failures = append(sched.failures, fmt.Sprintf("read %q, then %q", read[0], read[1]))
@@ -329,7 +329,7 @@
 			sched.apply(s)
 		}
 		state := sched.state()
-		known := e.states[state]
+		visited := e.states[state]
 		e.states[state] = true
 		next = sched.steps()
 		if len(next) == 0 {
@@ -344,7 +344,7 @@
 			time.Sleep(time.Second)
 			sched.settle()
 		}
-		if known {
+		if visited {
 			next = nil
 		}
 	})
--- a/internal/proto/register/prepared_test.go
+++ b/internal/proto/register/prepared_test.go
@@ -62,8 +62,8 @@
 		time.Sleep(time.Minute)
 		change(ctx, p, firstVoters, 2, "a minute later")
 		if n := countRounds(p, func() {
-			if st, err := p.Read(ctx, firstVoters, "k"); err != nil || string(st.Value) != "a minute later" {
-				t.Errorf("read %q, %v", st.Value, err)
+			if state, err := p.Read(ctx, firstVoters, "k"); err != nil || string(state.Value) != "a minute later" {
+				t.Errorf("read %q, %v", state.Value, err)
 			}
 		}); n != 1 {
 			t.Errorf("a read took %d rounds", n)
