--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -199,7 +199,7 @@
 
 func (report *LoadReport) own(counts map[string]outlier.Count) []*wire.Busy {
 	var out []*wire.Busy
-	load := report.load.Own()
+	load := report.load.Local()
 	for id, b := range load {
 		out = append(out, withCounts(&wire.Busy{Runner: id, Jobs: int32(b.Requests), Tokens: b.Tokens}, counts[id]))
 	}
@@ -437,7 +437,7 @@
 	}
 	o := report.others(id)
 	// Its own is not kept: it is known at the moment.
-	for id, b := range report.load.Own() {
+	for id, b := range report.load.Local() {
 		x := o[id]
 		o[id] = proxy.InFlight{Requests: x.Requests + b.Requests, Tokens: x.Tokens + b.Tokens}
 	}
--- a/internal/dataplane/balancing/loadreport/zones.go
+++ b/internal/dataplane/balancing/loadreport/zones.go
@@ -120,7 +120,7 @@
 // zoneLoad is what this edge's zone has under way: its own load and all that reported here.
 func (report *LoadReport) zoneLoad() map[string]proxy.InFlight {
 	all := report.reported("")
-	for id, b := range report.load.Own() {
+	for id, b := range report.load.Local() {
 		x := all[id]
 		all[id] = proxy.InFlight{Requests: x.Requests + b.Requests, Tokens: x.Tokens + b.Tokens}
 	}
--- a/internal/dataplane/request/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -126,19 +126,19 @@
 		if _, ok := v.Open[j.Attempt]; ok {
 			return nil
 		}
-		if v.All()+j.Most > j.Budget {
+		if v.All()+j.MaxOutputTokens > j.TokenBudget {
 			return code.New(
 				code.BudgetSpent,
 				"%d of %d are spent or reserved, the turn may put out %d",
 				v.All(),
-				j.Budget,
-				j.Most,
+				j.TokenBudget,
+				j.MaxOutputTokens,
 			)
 		}
-		return v.Reserve(j.Attempt, j.Most, j.Budget)
+		return v.Reserve(j.Attempt, j.MaxOutputTokens, j.TokenBudget)
 	})
 	if err == nil {
-		j.Home, j.Homed = v.Home, true
+		j.PreviousRunner, j.BudgetReserved = v.Home, true
 	}
 	return err
 }
@@ -179,10 +179,10 @@
 
 // Do is the policy.
 func (p *Budgets) Do(j *Job, w *Response, next Next) Answer {
-	if j.Program == "" || j.Budget <= 0 || j.Most <= 0 {
+	if j.Program == "" || j.TokenBudget <= 0 || j.MaxOutputTokens <= 0 {
 		return next(j, w)
 	}
-	ctx, stop := context.WithTimeout(j, min(p.params.ReadTimeout, j.Left()))
+	ctx, stop := context.WithTimeout(j, min(p.params.ReadTimeout, j.TimeLeft()))
 	unsure := false // one of the tries may have reserved it
 	err := retryAtStores(ctx, func() error {
 		err := p.Reserve(ctx, j)
--- a/internal/dataplane/request/proxy/conversation.go
+++ b/internal/dataplane/request/proxy/conversation.go
@@ -194,10 +194,10 @@
 	}
 	var chain []*turn
 	in := j.Body
-	if j.Follows != "" {
-		ctx, stop := context.WithTimeout(j, min(c.params.ReadTimeout, j.Left()))
+	if j.PreviousAttempt != "" {
+		ctx, stop := context.WithTimeout(j, min(c.params.ReadTimeout, j.TimeLeft()))
 		err := retryAtStores(ctx, func() (err error) {
-			chain, err = c.chain(ctx, j.TenantName(), j.Follows)
+			chain, err = c.chain(ctx, j.TenantName(), j.PreviousAttempt)
 			return err
 		})
 		stop()
@@ -214,12 +214,12 @@
 	}
 	w.Collect()
 	a := next(j, w)
-	if a.Err != nil || !a.Good {
+	if a.Err != nil || !a.Success {
 		return a
 	}
 	ctx, stop := context.WithTimeout(
 		context.WithoutCancel(j),
-		max(min(j.Left(), 2*c.params.LateWriteTimeout), c.params.LateWriteTimeout),
+		max(min(j.TimeLeft(), 2*c.params.LateWriteTimeout), c.params.LateWriteTimeout),
 	)
 	defer stop()
 	keep := time.Duration(j.Path.KeepMs) * time.Millisecond
--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -29,34 +29,34 @@
 
 // Params are the settings of proxied requests.
 type Params struct {
-	MaxBody     int64         // bytes of a body taken where the table says nothing
-	Margin      time.Duration // the deadline lies so far before the caller's
-	StartupWait time.Duration // how long a job waits for a node that has just come up
-	HoldShare   float64       // part of its latency target that a job is held for a free place
-	Avoid       time.Duration // how long a runner that could not be reached is kept away from
-	Overload    float64       // times its capacity that a runner may be sent, where all are full
-	Idle        float64       // part of its capacity under which a runner has no reason to refuse
-	ListMaxAge  time.Duration // how old a reading of the list may be to prove a runner warm
-	Turns       TurnParams
-	Budgets     BudgetParams
-	Operations  OperationParams
-	Pool        PoolParams
+	MaxBody         int64         // bytes of a body taken where the table says nothing
+	Margin          time.Duration // the deadline lies so far before the caller's
+	StartupWait     time.Duration // how long a job waits for a node that has just come up
+	MaxHoldFraction float64       // part of its latency target that a job is held for a free place
+	Avoid           time.Duration // how long a runner that could not be reached is kept away from
+	Overload        float64       // times its capacity that a runner may be sent, where all are full
+	Idle            float64       // part of its capacity under which a runner has no reason to refuse
+	ListMaxAge      time.Duration // how old a reading of the list may be to prove a runner warm
+	Turns           TurnParams
+	Budgets         BudgetParams
+	Operations      OperationParams
+	Pool            PoolParams
 }
 
 // DefaultParams are the design's.
 var DefaultParams = Params{
-	MaxBody:     4 << 20,
-	Margin:      15 * time.Millisecond,
-	StartupWait: time.Second,
-	HoldShare:   0.25,
-	Avoid:       time.Second,
-	Overload:    3,
-	Idle:        0.7,
-	ListMaxAge:  2 * time.Second,
-	Turns:       DefaultTurns,
-	Budgets:     DefaultBudgets,
-	Operations:  DefaultOperations,
-	Pool:        DefaultPool,
+	MaxBody:         4 << 20,
+	Margin:          15 * time.Millisecond,
+	StartupWait:     time.Second,
+	MaxHoldFraction: 0.25,
+	Avoid:           time.Second,
+	Overload:        3,
+	Idle:            0.7,
+	ListMaxAge:      2 * time.Second,
+	Turns:           DefaultTurns,
+	Budgets:         DefaultBudgets,
+	Operations:      DefaultOperations,
+	Pool:            DefaultPool,
 }
 
 // Dependencies are what a handler is joined to.
@@ -162,11 +162,11 @@
 // refuse tells a caller what became of a job, and when to come back.
 func (handler *Handler) refuse(w http.ResponseWriter, a Answer) {
 	p := web.Of(a.Err)
-	if a.Wait > 0 {
+	if a.RetryAfter > 0 {
 		// Fractions are understood, and rounded up: never back too early.
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(cooldown.WaitMs(a.Wait))/1000, 'f', 3, 64))
-		p.WaitMs = cooldown.WaitMs(a.Wait)
-		p.NotBefore = time.Now().Add(a.Wait + time.Millisecond - 1).UTC().Format("2006-01-02T15:04:05.000Z")
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(cooldown.WaitMs(a.RetryAfter))/1000, 'f', 3, 64))
+		p.WaitMs = cooldown.WaitMs(a.RetryAfter)
+		p.NotBefore = time.Now().Add(a.RetryAfter + time.Millisecond - 1).UTC().Format("2006-01-02T15:04:05.000Z")
 	}
 	b, _ := json.Marshal(p)
 	w.Header().Set("Content-Type", "application/json")
@@ -207,12 +207,12 @@
 		most = n
 	}
 	patience := time.Duration(j.Path.GuardMs) * time.Millisecond
-	if j.Wait > 0 {
-		patience = min(patience, j.Wait-handler.params.Margin)
+	if j.CallerTimeout > 0 {
+		patience = min(patience, j.CallerTimeout-handler.params.Margin)
 	}
-	j.AnswerBy = j.Arrived.Add(patience)
+	j.ResponseDeadline = j.Arrived.Add(patience)
 	caller := http.NewResponseController(response.w)
-	_ = caller.SetWriteDeadline(j.AnswerBy.Add(callerSlack))
+	_ = caller.SetWriteDeadline(j.ResponseDeadline.Add(callerSlack))
 	b, err := bodyBy(caller, j, most)
 	if err != nil {
 		return Answer{Err: err}
@@ -250,7 +250,7 @@
 	if j.Req.ContentLength == 0 {
 		return nil, nil
 	}
-	_ = caller.SetReadDeadline(j.AnswerBy.Add(callerSlack))
+	_ = caller.SetReadDeadline(j.ResponseDeadline.Add(callerSlack))
 	b, err := body(j.Req, most)
 	if err == nil {
 		_ = caller.SetReadDeadline(time.Time{})
--- a/internal/dataplane/request/proxy/job.go
+++ b/internal/dataplane/request/proxy/job.go
@@ -27,39 +27,39 @@
 // Job is one try of a caller.
 type Job struct {
 	context.Context
-	Attempt string // its caller's name of this very try
-	Program string // empty: it belongs to none
-	Follows string // the try whose turn it goes on from
-	Subject string // what it is about, for a runner that saw it lately
+	Attempt         string // its caller's name of this very try
+	Program         string // empty: it belongs to none
+	PreviousAttempt string // the try whose turn it goes on from
+	AffinityKey     string // what it is about, for a runner that saw it lately
 	// OperationKey names the operation of a keyed request; all that name one run once.
 	OperationKey string
 	// Tenant is on whose behalf it is sent, and Credential the digest by which its caller is
 	// known; nil: callers carry none.
-	Tenant      *spec.Tenant
-	Credential  spec.Credential
-	PromptParts []PromptPart
-	In          int64         // tokens of the prompt
-	Most        int64         // tokens put out at the most
-	Budget      int64         // of all turns of the program; 0: none is stated
-	Wait        time.Duration // how long the caller waits; 0: it does not say
+	Tenant          *spec.Tenant
+	Credential      spec.Credential
+	PromptParts     []PromptPart
+	PromptTokens    int64         // tokens of the prompt
+	MaxOutputTokens int64         // tokens put out at the most
+	TokenBudget     int64         // of all turns of the program; 0: none is stated
+	CallerTimeout   time.Duration // how long the caller waits; 0: it does not say
 
-	// Home is the runner that the program's last turn ran on, where its budget says so;
+	// PreviousRunner is the runner that the program's last turn ran on, where its budget says so;
 	// Homed, that there is a budget to say it.
-	Home  string
-	Homed bool
+	PreviousRunner string
+	BudgetReserved bool
 
 	// AnswerBy is the earliest of the caller's wait and the path's guard, from arrival.
-	Arrived  time.Time
-	AnswerBy time.Time
-	View     *cluster.View
-	Path     *spec.Path
-	Service  *spec.Service
-	Req      *http.Request
-	Body     []byte // complete
+	Arrived          time.Time
+	ResponseDeadline time.Time
+	View             *cluster.View
+	Path             *spec.Path
+	Service          *spec.Service
+	Req              *http.Request
+	Body             []byte // complete
 }
 
-// Left is the time until the deadline.
-func (j *Job) Left() time.Duration { return time.Until(j.AnswerBy) }
+// TimeLeft is the time until the deadline.
+func (j *Job) TimeLeft() time.Duration { return time.Until(j.ResponseDeadline) }
 
 // Repeatable reports whether the job may run more than once.
 func (j *Job) Repeatable() bool {
@@ -87,7 +87,7 @@
 	Attempt         string // whose answer it is; empty: it does not say
 	Sealed          bool   // the runner's own seal is on it
 	NotRun          bool   // it did not run the job and never will
-	Other           bool   // it is another runner than the one meant; it did not run the job
+	OtherRunner     bool   // it is another runner than the one meant; it did not run the job
 	WarmupRemaining time.Duration
 }
 
--- a/internal/dataplane/request/proxy/load.go
+++ b/internal/dataplane/request/proxy/load.go
@@ -116,8 +116,8 @@
 	Tokens   int64
 }
 
-// Own lists what this node has under way.
-func (l *Load) Own() map[string]InFlight {
+// Local lists what this node has under way.
+func (l *Load) Local() map[string]InFlight {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]InFlight{}
--- a/internal/dataplane/request/proxy/operation.go
+++ b/internal/dataplane/request/proxy/operation.go
@@ -124,7 +124,7 @@
 // waitForOperation pauses before a job is tried once more whose operation is under way
 // elsewhere. It reports whether there is a point in trying.
 func (j *Job) waitForOperation() bool {
-	patience := min(underWayPatience, j.AnswerBy.Sub(j.Arrived)/2)
+	patience := min(underWayPatience, j.ResponseDeadline.Sub(j.Arrived)/2)
 	return time.Since(j.Arrived)+underWayPause < patience && loop.Wait(j, underWayPause)
 }
 
@@ -165,7 +165,7 @@
 // claim makes the operation this job's, or returns whose it is. Where it can't be determined,
 // the job is not forwarded; what it may have left at the stores is taken back.
 func (operations *Operations) claim(j *Job, owner string) (operation, error) {
-	ctx, stop := context.WithTimeout(j, min(operations.params.ClaimTimeout, j.Left()))
+	ctx, stop := context.WithTimeout(j, min(operations.params.ClaimTimeout, j.TimeLeft()))
 	defer stop()
 	claimed, err := json.Marshal(operation{
 		State:        operationStarted,
@@ -329,5 +329,5 @@
 	if err := w.replay(reply.Status, header, reply.Body); err != nil {
 		return Answer{Err: code.New(code.OutcomeUnknown, "%w", err)}
 	}
-	return Answer{Good: reply.Status/100 == 2, Repeated: true}
+	return Answer{Success: reply.Status/100 == 2, Repeated: true}
 }
--- a/internal/dataplane/request/proxy/pass.go
+++ b/internal/dataplane/request/proxy/pass.go
@@ -53,14 +53,14 @@
 		if r == nil {
 			return s.withoutNotRun(a)
 		}
-		admitted, ok := handler.parts.Cooldowns.Admit(j, cooldownKey(r), j.Left())
+		admitted, ok := handler.parts.Cooldowns.Admit(j, cooldownKey(r), j.TimeLeft())
 		if !ok {
 			continue
 		}
 		s.tried[r.ID] = true
 		x := handler.send(j, w, r, admitted)
 		if x.outcome == retry.Answered {
-			return Answer{Good: x.good}
+			return Answer{Success: x.good}
 		}
 		if x.underWay && j.waitForOperation() {
 			// It may be asked of the same runner again.
@@ -83,7 +83,7 @@
 		return false
 	case j.Path.Tries > 0 && s.count >= j.Path.Tries:
 		return false
-	case j.Left() <= 0 || j.Err() != nil:
+	case j.TimeLeft() <= 0 || j.Err() != nil:
 		return false
 	}
 	return w.canResume(j.Path.Resumable)
--- a/internal/dataplane/request/proxy/pool.go
+++ b/internal/dataplane/request/proxy/pool.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Made counts the connections opened.
-func (p *Pool) Made() uint64 {
+// ConnectionsOpened counts the connections opened.
+func (p *Pool) ConnectionsOpened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.made
--- a/internal/dataplane/request/proxy/proxy_test.go
+++ b/internal/dataplane/request/proxy/proxy_test.go
@@ -239,8 +239,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if (c == second) != tc.reused || p.Made() != map[bool]uint64{true: 1, false: 2}[tc.reused] {
-			t.Errorf("%s: used again %v, %d made", tc.what, c == second, p.Made())
+		if (c == second) != tc.reused || p.ConnectionsOpened() != map[bool]uint64{true: 1, false: 2}[tc.reused] {
+			t.Errorf("%s: used again %v, %d made", tc.what, c == second, p.ConnectionsOpened())
 		}
 		second.c.Close()
 		c.c.Close()
@@ -533,7 +533,7 @@
 			rt.Fatal("nobody was picked")
 		case r != nil && not[r.ID]:
 			rt.Fatalf("%s was picked", r.ID)
-		case r != nil && hasCapacity && l.Own()[r.ID].Requests >= max(r.Capacity, 1):
+		case r != nil && hasCapacity && l.Local()[r.ID].Requests >= max(r.Capacity, 1):
 			rt.Fatalf("%s has no room", r.ID)
 		}
 	})
--- a/internal/dataplane/request/proxy/quota.go
+++ b/internal/dataplane/request/proxy/quota.go
@@ -35,7 +35,7 @@
 		Limit:   quota.Limit{RatePerS: j.Tenant.RatePerS, Burst: j.Tenant.Burst},
 		Program: j.Program,
 		// Programs begin with a turn that goes on from none.
-		Begun: j.Follows != "" || j.Path.Kind != spec.Stream,
+		Begun: j.PreviousAttempt != "" || j.Path.Kind != spec.Stream,
 	})
 	if !d.Admitted {
 		err := code.New(code.OverQuota, "tenant %s has sent all that it may for now", j.Tenant.Name)
@@ -55,7 +55,7 @@
 		return true
 	default:
 	}
-	ctx, stop := context.WithTimeout(j, min(quotas.startupWait, j.Left()/2))
+	ctx, stop := context.WithTimeout(j, min(quotas.startupWait, j.TimeLeft()/2))
 	defer stop()
 	return loop.Until(ctx, quotas.node.Heard())
 }
--- a/internal/dataplane/request/proxy/request.go
+++ b/internal/dataplane/request/proxy/request.go
@@ -29,7 +29,7 @@
 		// Without an entry the library would add its own name.
 		q.Header["User-Agent"] = []string{""}
 	}
-	handler.parts.Headers.WriteRequest(q.Header, j, r, j.Left(), min(j.rank(), 9))
+	handler.parts.Headers.WriteRequest(q.Header, j, r, j.TimeLeft(), min(j.rank(), 9))
 	if w.begun && w.last != "" {
 		handler.parts.Headers.WriteResume(q.Header, w.last)
 	}
--- a/internal/dataplane/request/proxy/response.go
+++ b/internal/dataplane/request/proxy/response.go
@@ -15,10 +15,10 @@
 
 // Answer is what becomes of a job.
 type Answer struct {
-	Good bool  // complete, and the runner's own
-	Err  error // numbered
-	// Wait is when the caller may come back, of a job that did not run.
-	Wait time.Duration
+	Success bool  // complete, and the runner's own
+	Err     error // numbered
+	// RetryAfter is when the caller may come back, of a job that did not run.
+	RetryAfter time.Duration
 	// Repeated: it was recorded for an earlier job, and this one did not run.
 	Repeated bool
 }
@@ -27,7 +27,7 @@
 func (a Answer) NotRun() bool { return a.Err != nil && code.Of(a.Err).Ran() == "no" }
 
 // Refuse answers for a job that did not run.
-func Refuse(err error, wait time.Duration) Answer { return Answer{Err: err, Wait: wait} }
+func Refuse(err error, wait time.Duration) Answer { return Answer{Err: err, RetryAfter: wait} }
 
 // Next is the rest of a job's way, Policy one decision on it.
 type Next func(*Job, *Response) Answer
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -85,14 +85,14 @@
 	l := handler.parts.Endpoints.Current()
 	k, segment := "", ""
 	switch {
-	case j.Service.Engine != nil && j.Homed:
+	case j.Service.Engine != nil && j.BudgetReserved:
 		if len(j.PromptParts) > 0 {
 			segment = j.PromptParts[0].ID
 		}
 	case j.Service.Engine != nil && j.Program != "":
 		k = j.Program
 	case j.Path.Affine:
-		k = j.Subject
+		k = j.AffinityKey
 	}
 	return handler.parts.Load.Pick(
 		Selection{
@@ -100,7 +100,7 @@
 			List:           l,
 			Zone:           handler.parts.Self.Zone,
 			Key:            k,
-			PreviousRunner: j.Home,
+			PreviousRunner: j.PreviousRunner,
 			Prefix:         segment,
 			Allowed: func(r *endpoints.Runner) bool {
 				return !tried[r.ID] && !v.Spec.Empty(r.Zone) &&
@@ -158,16 +158,16 @@
 func (handler *Handler) selectRunner(j *Job, tried map[string]bool) (*endpoints.Runner, Answer) {
 	latencyTarget := time.Duration(j.Path.LatencyTargetMs) * time.Millisecond
 	if latencyTarget == 0 {
-		latencyTarget = j.Left()
+		latencyTarget = j.TimeLeft()
 	}
-	until := j.Arrived.Add(time.Duration(float64(latencyTarget) * handler.params.HoldShare))
+	until := j.Arrived.Add(time.Duration(float64(latencyTarget) * handler.params.MaxHoldFraction))
 	for {
 		free := handler.freeSlots.wait()
 		r, hasCapacity := handler.pick(j, tried)
 		if r != nil && hasCapacity {
 			return r, Answer{}
 		}
-		left := min(time.Until(until), j.Left())
+		left := min(time.Until(until), j.TimeLeft())
 		if r == nil {
 			// Where a cooldown is all that stands in the way, a job is held as long as
 			// for a place and no longer: else it receives at once when to come back.
--- a/internal/dataplane/request/proxy/send.go
+++ b/internal/dataplane/request/proxy/send.go
@@ -38,7 +38,7 @@
 
 // send passes a job to one runner.
 func (handler *Handler) send(j *Job, w *Response, r *endpoints.Runner, admitted *cooldown.Admission) attemptResult {
-	first, done := handler.parts.Load.Begin(r.ID, j.In+j.Most)
+	first, done := handler.parts.Load.Begin(r.ID, j.PromptTokens+j.MaxOutputTokens)
 	defer func() { done(); handler.freeSlots.tell() }()
 	defer admitted.End()
 	x := &exchange{handler: handler, j: j, w: w, r: r, admitted: admitted, nothingSent: !w.begun, events: w.events}
@@ -46,7 +46,7 @@
 		x.firstAt = time.Now()
 		first()
 	}
-	ctx, stop := context.WithDeadline(j, j.AnswerBy)
+	ctx, stop := context.WithDeadline(j, j.ResponseDeadline)
 	defer stop()
 	var err error
 	if x.c, err = handler.parts.Pool.get(ctx, r, false); err != nil {
@@ -73,7 +73,7 @@
 
 // watch lets the connection observe the deadline, and of a caller that has left.
 func (x *exchange) watch(ctx context.Context) {
-	_ = x.c.c.SetDeadline(x.j.AnswerBy)
+	_ = x.c.c.SetDeadline(x.j.ResponseDeadline)
 	x.unwatch = context.AfterFunc(ctx, func() { _ = x.c.c.SetDeadline(time.Unix(1, 0)) })
 }
 
@@ -122,14 +122,14 @@
 // slept wakes up here, and nothing goes out past the deadline, nor to a runner that may
 // not be sent to any more.
 func (x *exchange) stillAllowed() (attemptResult, bool) {
-	if x.j.Left() <= 0 || x.j.Err() != nil {
+	if x.j.TimeLeft() <= 0 || x.j.Err() != nil {
 		return attemptResult{outcome: retry.NotRun, err: code.New(code.DeadlinePassed, "no time is left")}, false
 	}
 	if !x.handler.stillAuthorized(x.j) {
 		err := code.New(code.UnknownKey, "the credential was withdrawn while the request waited")
 		return attemptResult{outcome: retry.NotRun, err: err, final: true}, false
 	}
-	if !x.admitted.StillValid(x.j, x.j.Left()) {
+	if !x.admitted.StillValid(x.j, x.j.TimeLeft()) {
 		wait := x.handler.parts.Cooldowns.KnownWait(cooldownKey(x.r))
 		return attemptResult{
 			outcome: retry.NotRun,
@@ -146,7 +146,7 @@
 	if a.info.WarmupRemaining > 0 {
 		x.handler.parts.Load.MarkWarmingUp(x.r.ID, a.info.WarmupRemaining)
 	}
-	if a.info.NotRun || a.info.Other {
+	if a.info.NotRun || a.info.OtherRunner {
 		return x.classifyRefusal(a)
 	}
 	x.record(a)
@@ -230,7 +230,7 @@
 	s := attemptResult{outcome: retry.NotRun, sent: true, wait: refusedWait}
 	load := x.handler.parts.Load
 	switch {
-	case a.info.Other:
+	case a.info.OtherRunner:
 		// Somebody else has the address: the runner has departed.
 		load.Avoid(x.r.ID, 10*x.handler.params.Avoid)
 		s.err = code.New(code.NoRunner, "runner %s is no longer at its address", x.r.ID)
--- a/internal/dataplane/request/proxy/verdict.go
+++ b/internal/dataplane/request/proxy/verdict.go
@@ -76,7 +76,7 @@
 		}
 	}
 	n := code.OutcomeUnknown
-	if x.j.Left() <= 0 {
+	if x.j.TimeLeft() <= 0 {
 		n = code.TimedOut
 	}
 	return attemptResult{sent: true, err: code.New(n, "runner %s: %w", x.r.ID, err)}
--- a/internal/kit/proxytest/harness_test.go
+++ b/internal/kit/proxytest/harness_test.go
@@ -46,12 +46,12 @@
 	if j.Attempt = h.Get(names.Try); j.Attempt == "" {
 		return code.New(code.NoHeader, "no try")
 	}
-	j.Program, j.Follows, j.Subject = h.Get("X-Test-Program"), h.Get("X-Test-Follows"), h.Get("X-Test-Subject")
+	j.Program, j.PreviousAttempt, j.AffinityKey = h.Get("X-Test-Program"), h.Get("X-Test-Follows"), h.Get("X-Test-Subject")
 	ms, _ := strconv.Atoi(h.Get("X-Test-Wait"))
-	j.Wait = time.Duration(ms) * time.Millisecond
-	j.Budget, _ = strconv.ParseInt(h.Get("X-Test-Budget"), 10, 64)
+	j.CallerTimeout = time.Duration(ms) * time.Millisecond
+	j.TokenBudget, _ = strconv.ParseInt(h.Get("X-Test-Budget"), 10, 64)
 	j.OperationKey = h.Get(names.Operation)
-	j.Most, _ = strconv.ParseInt(h.Get("X-Test-Most"), 10, 64)
+	j.MaxOutputTokens, _ = strconv.ParseInt(h.Get("X-Test-Most"), 10, 64)
 	return nil
 }
 
@@ -71,10 +71,10 @@
 
 func (dialect) ReadResponse(r *http.Response) proxy.ResponseInfo {
 	return proxy.ResponseInfo{
-		Attempt: r.Header.Get(names.Try),
-		Sealed:  r.Header.Get(names.Seal) != "",
-		Other:   r.StatusCode == http.StatusMisdirectedRequest,
-		NotRun:  r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != "",
+		Attempt:     r.Header.Get(names.Try),
+		Sealed:      r.Header.Get(names.Seal) != "",
+		OtherRunner: r.StatusCode == http.StatusMisdirectedRequest,
+		NotRun:      r.StatusCode == http.StatusMisdirectedRequest || r.Header.Get(names.NotRun) != "",
 	}
 }
 
--- a/internal/kit/proxytest/ingress_test.go
+++ b/internal/kit/proxytest/ingress_test.go
@@ -521,7 +521,7 @@
 		if n := len(r.runs("t")); n != 1 {
 			t.Errorf("ran %d times", n)
 		}
-		if own := r.load.Own(); len(own) > 0 {
+		if own := r.load.Local(); len(own) > 0 {
 			t.Errorf("still under way: %v", own)
 		}
 	})
@@ -608,7 +608,7 @@
 			done.Go(func() { _ = r.http.Serve(&oneConn{conn: theirs, closed: make(chan struct{})}) })
 			done.Go(func() { fmt.Fprint(ours, tc.ask) })
 			time.Sleep(8 * time.Second)
-			if own := r.load.Own(); len(own) > 0 {
+			if own := r.load.Local(); len(own) > 0 {
 				t.Errorf("%s: still under way: %v", tc.name, own)
 			}
 			_ = ours.SetReadDeadline(time.Now().Add(time.Second))
--- a/internal/kit/sim/cooldown_test.go
+++ b/internal/kit/sim/cooldown_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return code.New(code.BadHeader, "Left-Ms: %w", err)
 		}
-		j.Wait = time.Duration(n) * time.Millisecond
+		j.CallerTimeout = time.Duration(n) * time.Millisecond
 	}
 	return nil
 }
--- a/internal/platform/headers/fuzz_headers_test.go
+++ b/internal/platform/headers/fuzz_headers_test.go
@@ -39,7 +39,7 @@
 		if err := (Codec{}).ReadRequest(r, &j); err != nil {
 			return
 		}
-		if j.Wait < 0 || j.In < 0 || j.Most < 0 || j.Budget < 0 || j.In+j.Most < 0 {
+		if j.CallerTimeout < 0 || j.PromptTokens < 0 || j.MaxOutputTokens < 0 || j.TokenBudget < 0 || j.PromptTokens+j.MaxOutputTokens < 0 {
 			t.Errorf("figures below 0: %+v", j)
 		}
 		for _, p := range j.PromptParts {
@@ -47,7 +47,7 @@
 				t.Errorf("part %+v", p)
 			}
 		}
-		for _, name := range []string{j.Attempt, j.Program, j.Follows} {
+		for _, name := range []string{j.Attempt, j.Program, j.PreviousAttempt} {
 			if _, err := wire.Encode(&wire.Look{Key: name}); err != nil {
 				t.Errorf("%q is no key: %v", name, err)
 			}
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -65,10 +65,10 @@
 			return code.New(code.BadHeader, "%s: %q is not UTF-8", k, h.Get(k))
 		}
 	}
-	j.Program, j.Follows = h.Get(hProgram), h.Get(hPrevious)
-	j.Subject, j.OperationKey = h.Get(hSubject), h.Get(hOperation)
+	j.Program, j.PreviousAttempt = h.Get(hProgram), h.Get(hPrevious)
+	j.AffinityKey, j.OperationKey = h.Get(hSubject), h.Get(hOperation)
 	var err error
-	if j.Wait, err = span(h, hWait); err != nil {
+	if j.CallerTimeout, err = span(h, hWait); err != nil {
 		return err
 	}
 	// Nothing here rests on it, but a runner is not sent what can't be read.
@@ -76,7 +76,7 @@
 		return err
 	}
 	if v := h.Get(hBudget); v != "" {
-		if j.Budget, err = count(hBudget, v); err != nil {
+		if j.TokenBudget, err = count(hBudget, v); err != nil {
 			return err
 		}
 	}
@@ -85,10 +85,10 @@
 		if !ok {
 			return code.New(code.BadHeader, "%s: %q is not two counts", hTokens, v)
 		}
-		if j.In, err = count(hTokens, in); err != nil {
+		if j.PromptTokens, err = count(hTokens, in); err != nil {
 			return err
 		}
-		if j.Most, err = count(hTokens, most); err != nil {
+		if j.MaxOutputTokens, err = count(hTokens, most); err != nil {
 			return err
 		}
 	}
@@ -166,11 +166,11 @@
 // runner meant, states that the job did not run.
 func (Codec) ReadResponse(r *http.Response) proxy.ResponseInfo {
 	w := proxy.ResponseInfo{
-		Attempt: r.Header.Get(hAttempt),
-		Sealed:  r.Header.Get(hSeal) != "",
-		Other:   r.StatusCode == http.StatusMisdirectedRequest,
+		Attempt:     r.Header.Get(hAttempt),
+		Sealed:      r.Header.Get(hSeal) != "",
+		OtherRunner: r.StatusCode == http.StatusMisdirectedRequest,
 	}
-	w.NotRun = w.Other || r.Header.Get(hNotRun) != ""
+	w.NotRun = w.OtherRunner || r.Header.Get(hNotRun) != ""
 	// A figure that can't be read is none: it only says how long to be careful.
 	w.WarmupRemaining, _ = span(r.Header, headerColdRemaining)
 	return w
--- a/internal/platform/headers/headers_test.go
+++ b/internal/platform/headers/headers_test.go
@@ -56,21 +56,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := proxy.Job{Attempt: "9c41", Program: "p", Follows: "40c8", Subject: "17",
+	want := proxy.Job{Attempt: "9c41", Program: "p", PreviousAttempt: "40c8", AffinityKey: "17",
 		PromptParts: []proxy.PromptPart{
 			{ID: "5c1e07a2", Tokens: 800},
 			{ID: "91bd3f06", Tokens: 410},
-		}, In: 1460, Most: 80, Budget: 1088,
-		Wait: 4 * time.Second}
+		}, PromptTokens: 1460, MaxOutputTokens: 80, TokenBudget: 1088,
+		CallerTimeout: 4 * time.Second}
 	if !reflect.DeepEqual(j, want) {
 		t.Errorf("read %+v, want %+v", j, want)
 	}
 	// A caller with no time left does not say nothing.
 	j = proxy.Job{}
 	if err := (Codec{}).ReadRequest(&http.Request{Header: head(hAttempt, "a", hWait, "0")}, &j); err != nil ||
-		j.Wait <= 0 ||
-		j.Wait > time.Millisecond {
-		t.Errorf("no time left: %s, %v", j.Wait, err)
+		j.CallerTimeout <= 0 ||
+		j.CallerTimeout > time.Millisecond {
+		t.Errorf("no time left: %s, %v", j.CallerTimeout, err)
 	}
 }
 
@@ -178,7 +178,7 @@
 		{503, nil, proxy.ResponseInfo{}},
 		{429, nil, proxy.ResponseInfo{}},
 		{400, head(hNotRun, "1"), proxy.ResponseInfo{NotRun: true}},
-		{421, head("X-Damsontiller-Instance-Id", "i-2"), proxy.ResponseInfo{NotRun: true, Other: true}},
+		{421, head("X-Damsontiller-Instance-Id", "i-2"), proxy.ResponseInfo{NotRun: true, OtherRunner: true}},
 		{200, head(headerColdRemaining, "2500"), proxy.ResponseInfo{WarmupRemaining: 2500 * time.Millisecond}},
 		{200, head(headerColdRemaining, "long"), proxy.ResponseInfo{}},
 	} {
