--- a/internal/dataplane/balancing/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -245,7 +245,7 @@
 			case short.cooldown > 0 && !c.Fits(short.turnAfter(waiting[c.Route]), b.p.CallTime):
 				// A wait that can't fit is reported at once. What is told is how long the
 				// runners cool, since callers take it for that.
-				e.err = cooldown.Cooling(short.cooldown)
+				e.err = cooldown.CoolingAnswer(short.cooldown)
 			default:
 				none[n] = short
 				if short.cooldown > 0 {
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -22,10 +22,10 @@
 
 // Params are the worker's times.
 type Params struct {
-	Read     time.Duration // deadline of a read of the deadline
-	Write    time.Duration // deadline of installing one
-	CallTime time.Duration // what a call itself needs after a wait
-	Snapshot SnapshotParams
+	ReadTimeout  time.Duration // deadline of a read of the deadline
+	WriteTimeout time.Duration // deadline of installing one
+	CallTime     time.Duration // what a call itself needs after a wait
+	Snapshot     SnapshotParams
 	// Local leaves each node to its own refusals. It is here for the measure of
 	// what sharing is worth; no program sets it.
 	Local bool
@@ -33,10 +33,10 @@
 
 // DefaultParams are the design's.
 var DefaultParams = Params{
-	Read:     150 * time.Millisecond,
-	Write:    time.Second,
-	CallTime: 100 * time.Millisecond,
-	Snapshot: DefaultSnapshot,
+	ReadTimeout:  150 * time.Millisecond,
+	WriteTimeout: time.Second,
+	CallTime:     100 * time.Millisecond,
+	Snapshot:     DefaultSnapshot,
 }
 
 // Manager reads and installs cooldowns for the workers of this node.
@@ -119,7 +119,7 @@
 	if w := manager.KnownWait(key); w > 0 || manager.params.Local {
 		return w, manager.node.Cluster.Now().Version, nil
 	}
-	ctx, stop := context.WithTimeout(ctx, manager.params.Read)
+	ctx, stop := context.WithTimeout(ctx, manager.params.ReadTimeout)
 	defer stop()
 	st, ver, err := manager.stores.ReadStrict(ctx, keys.Cooldown(key))
 	if err != nil {
@@ -154,7 +154,7 @@
 }
 
 func (manager *Manager) write(ctx context.Context, key string, floor time.Duration) (time.Duration, error) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), manager.params.Write)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), manager.params.WriteTimeout)
 	defer stop()
 	c := manager.node.Cluster.Now().Spec.Cooldown
 	var wait time.Duration
@@ -241,8 +241,8 @@
 	})
 }
 
-// Spec is the version in force here.
-func (manager *Manager) Spec() uint64 { return manager.node.Cluster.Now().Version }
+// SpecVersion is the version in force here.
+func (manager *Manager) SpecVersion() uint64 { return manager.node.Cluster.Now().Version }
 
 // Installs is how many cooldowns this node has written.
 func (manager *Manager) Installs() uint64 {
--- a/internal/dataplane/cooldown/manager_test.go
+++ b/internal/dataplane/cooldown/manager_test.go
@@ -28,7 +28,7 @@
 		{"", "", false},
 		{"", "quota left", false},
 	} {
-		if got := Raised(tc.typ, tc.msg); got != tc.want {
+		if got := IsRateLimitError(tc.typ, tc.msg); got != tc.want {
 			t.Errorf("%q %q: %v", tc.typ, tc.msg, got)
 		}
 	}
--- a/internal/dataplane/cooldown/precheck.go
+++ b/internal/dataplane/cooldown/precheck.go
@@ -24,13 +24,13 @@
 		}
 	}
 	if least > 0 && !c.Fits(least, p.Manager.params.CallTime) {
-		return Cooling(least)
+		return CoolingAnswer(least)
 	}
 	return next(c)
 }
 
-// Cooling is the answer that tells when to come back.
-func Cooling(w time.Duration) job.Answer {
+// CoolingAnswer is the answer that tells when to come back.
+func CoolingAnswer(w time.Duration) job.Answer {
 	a := job.Bad(code.Cooling, "cooling down for %d ms", w.Milliseconds())
 	a.Wait, a.Since = w, time.Now()
 	return a
--- a/internal/dataplane/cooldown/schedule.go
+++ b/internal/dataplane/cooldown/schedule.go
@@ -27,8 +27,8 @@
 	return v, nil
 }
 
-// WaitOf is the wait that a register's value holds.
-func WaitOf(b []byte) (time.Duration, error) {
+// DecodeWait is the wait that a register's value holds.
+func DecodeWait(b []byte) (time.Duration, error) {
 	v, err := decode(b)
 	return time.Duration(v.WaitMs) * time.Millisecond, err
 }
--- a/internal/dataplane/cooldown/signals.go
+++ b/internal/dataplane/cooldown/signals.go
@@ -9,9 +9,9 @@
 
 var refusalPhrases = []string{"429", "rate limit", "ratelimit", "too many requests", "throttle", "quota exceeded"}
 
-// Raised reports whether a raised failure is a rate limit, by its message or its
+// IsRateLimitError reports whether a raised failure is a rate limit, by its message or its
 // type's name.
-func Raised(typ, msg string) bool {
+func IsRateLimitError(typ, msg string) bool {
 	for _, s := range []string{strings.ToLower(typ), strings.ToLower(msg)} {
 		for _, w := range refusalPhrases {
 			if strings.Contains(s, w) {
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -154,20 +154,25 @@
 		LateWriteTimeout: params.LateWriteTimeout,
 		Background:       e.background,
 	}
-	spend := budget.Policy{Stores: t, Pre: params.ReadTimeout, Write: params.WriteTimeout, Background: e.background}
+	spend := budget.Policy{
+		Stores:         t,
+		ReserveTimeout: params.ReadTimeout,
+		CommitTimeout:  params.WriteTimeout,
+		Background:     e.background,
+	}
 	turns := append(
 		[]job.Policy{
 			keyed,
 			conversation.Policy{
-				Stores:     t,
-				Read:       params.ReadTimeout,
-				Late:       params.LateWriteTimeout,
-				Background: e.background,
+				Stores:           t,
+				ReadTimeout:      params.ReadTimeout,
+				LateWriteTimeout: params.LateWriteTimeout,
+				Background:       e.background,
 			},
 			spend,
 		},
 		rest...)
-	calls := append([]job.Policy{keyed, budget.Tree{Policy: spend}}, rest...)
+	calls := append([]job.Policy{keyed, budget.SubagentPolicy{Policy: spend}}, rest...)
 	e.API = &turnapi.Handler{
 		Params: params.API,
 		ID:     np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36),
--- a/internal/dataplane/programs/budget/budget.go
+++ b/internal/dataplane/programs/budget/budget.go
@@ -25,22 +25,22 @@
 	Open  map[string]int64 `json:"open,omitempty"`
 	// LeftMs is the time that the program had left at the last write; Timed, that
 	// it has been received.
-	LeftMs int64 `json:"left_ms,omitempty"`
-	Timed  bool  `json:"timed,omitempty"`
+	LeftMs    int64 `json:"left_ms,omitempty"`
+	TimeKnown bool  `json:"timed,omitempty"`
 	// Root is set for a sub-agent, which has no budget of its own.
 	Root string `json:"root,omitempty"`
-	// Home is the runner that last read the program's prompts and may hold them still.
-	Home string `json:"home,omitempty"`
+	// LastRunner is the runner that last read the program's prompts and may hold them still.
+	LastRunner string `json:"home,omitempty"`
 }
 
-// Time counts down what was left by the age of the last write, and takes a smaller
+// UpdateTimeLeft counts down what was left by the age of the last write, and takes a smaller
 // word of what is left; a larger one is not taken.
-func (v *Value) Time(age, stated time.Duration) time.Duration {
+func (v *Value) UpdateTimeLeft(age, stated time.Duration) time.Duration {
 	left := stated
-	if v.Timed {
+	if v.TimeKnown {
 		left = min(time.Duration(v.LeftMs)*time.Millisecond-age, stated)
 	}
-	v.Timed, v.LeftMs = true, max(left, 0).Milliseconds()
+	v.TimeKnown, v.LeftMs = true, max(left, 0).Milliseconds()
 	return left
 }
 
@@ -49,7 +49,7 @@
 	if _, ok := v.Open[id]; ok {
 		return nil
 	}
-	left := total - v.All()
+	left := total - v.Used()
 	if left <= 0 {
 		return code.New(code.BudgetSpent, "the budget of %d is spent", total)
 	}
@@ -71,13 +71,13 @@
 // Policy reserves before a model turn and commits after it.
 type Policy struct {
 	Stores *storeclient.Client
-	// Pre is the deadline of reserving, Write of one try at settling.
-	Pre, Write time.Duration
-	Background job.Background
+	// ReserveTimeout is the deadline of reserving, CommitTimeout of one try at settling.
+	ReserveTimeout, CommitTimeout time.Duration
+	Background                    job.Background
 }
 
-// All is what is spent or still reserved.
-func (v *Value) All() int64 {
+// Used is what is spent or still reserved.
+func (v *Value) Used() int64 {
 	n := v.Spent
 	for _, o := range v.Open {
 		n += o
@@ -119,7 +119,7 @@
 	if !ok {
 		return job.Bad(code.BadField, "no budget is stated for program %q", c.Root)
 	}
-	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
+	ctx, stop := context.WithTimeout(c, min(p.ReserveTimeout, c.Left()))
 	st, err := p.Stores.ChangeStrict(ctx, keys.Budget(c.Root), func(st register.State) ([]byte, bool, error) {
 		v, err := read(st)
 		if err != nil {
@@ -160,7 +160,7 @@
 		done := make(chan struct{})
 		spent := c.Spent
 		p.Background.Go(func() { defer close(done); p.commit(c, spent) })
-		ctx, stop := context.WithTimeout(c, p.Write)
+		ctx, stop := context.WithTimeout(c, p.CommitTimeout)
 		defer stop()
 		select {
 		case <-done:
@@ -174,13 +174,13 @@
 // commit tries for a minute; what stays reserved counts as spent.
 func (p Policy) commit(c *job.Ctx, spent int64) {
 	for try := 0; try < 60; try++ {
-		ctx, stop := context.WithTimeout(p.Background.Ctx, p.Write)
+		ctx, stop := context.WithTimeout(p.Background.Ctx, p.CommitTimeout)
 		_, err := p.Stores.Change(ctx, keys.Budget(c.Root), func(st register.State) ([]byte, bool, error) {
 			v, err := read(st)
 			if err != nil {
 				return nil, false, err
 			}
-			v.Time(st.Age, time.Until(c.Ends))
+			v.UpdateTimeLeft(st.Age, time.Until(c.Ends))
 			v.Settle(c.ID, spent)
 			b, err := json.Marshal(v)
 			return b, true, err
@@ -199,10 +199,10 @@
 		return code.New(code.BadProgram, "%q was started by another program, of %q: name it", c.Root, v.Root)
 	}
 	subagent := c.Root != c.Program
-	if subagent && !v.Timed {
+	if subagent && !v.TimeKnown {
 		return code.New(code.BadProgram, "program %q is not known", c.Root)
 	}
-	if v.Time(age, time.Until(c.Ends)) > 0 {
+	if v.UpdateTimeLeft(age, time.Until(c.Ends)) > 0 {
 		return nil
 	}
 	if subagent {
@@ -211,8 +211,8 @@
 	// The time that was received is over and the program asks again: it has more than
 	// it said, as one that goes on with a kept conversation after days. Its output
 	// budget goes on; its time starts anew.
-	v.Timed = false
-	v.Time(0, time.Until(c.Ends))
+	v.TimeKnown = false
+	v.UpdateTimeLeft(0, time.Until(c.Ends))
 	return nil
 }
 
@@ -229,7 +229,7 @@
 	if c.Root = c.Program; c.StartedBy == "" {
 		return nil
 	}
-	ctx, stop := context.WithTimeout(c, min(2*p.Pre, c.Left()))
+	ctx, stop := context.WithTimeout(c, min(2*p.ReserveTimeout, c.Left()))
 	defer stop()
 	by, err := Read(ctx, p.Stores, c.StartedBy)
 	if err != nil {
@@ -238,7 +238,7 @@
 	if c.Root = by.Root; c.Root == "" {
 		c.Root = c.StartedBy
 	}
-	if by.Root == "" && !by.Timed {
+	if by.Root == "" && !by.TimeKnown {
 		return code.New(code.BadProgram, "program %q is not known", c.StartedBy)
 	}
 	if c.Root == c.Program {
@@ -273,18 +273,18 @@
 
 var errKnown = errors.New("the sub-agent is known")
 
-// Tree bounds a sub-agent's tool calls by the program at the root.
-type Tree struct{ Policy }
+// SubagentPolicy bounds a sub-agent's tool calls by the program at the root.
+type SubagentPolicy struct{ Policy }
 
 // Do is the policy.
-func (p Tree) Do(c *job.Ctx, next job.Next) job.Answer {
+func (p SubagentPolicy) Do(c *job.Ctx, next job.Next) job.Answer {
 	if c.StartedBy == "" {
 		return next(c)
 	}
 	if err := p.root(c); err != nil {
 		return job.Answer{Err: err}
 	}
-	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
+	ctx, stop := context.WithTimeout(c, min(p.ReserveTimeout, c.Left()))
 	st, err := p.Stores.Read(ctx, keys.Budget(c.Root))
 	stop()
 	if err != nil {
--- a/internal/dataplane/programs/conversation/conversation.go
+++ b/internal/dataplane/programs/conversation/conversation.go
@@ -28,10 +28,10 @@
 // Policy fetches the history before a turn and keeps the turn after it.
 type Policy struct {
 	Stores *storeclient.Client
-	// Read is the deadline of fetching a history, Late of keeping a turn whose own
+	// ReadTimeout is the deadline of fetching a history, LateWriteTimeout of keeping a turn whose own
 	// deadline has passed.
-	Read, Late time.Duration
-	Background job.Background
+	ReadTimeout, LateWriteTimeout time.Duration
+	Background                    job.Background
 }
 
 // Do is the policy.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return job.Bad(code.NotKept, "%w", err)
 	}
-	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.Late))
+	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.LateWriteTimeout))
 	defer stop()
 	// The keeping time is the intent's in force when the turn was accepted.
 	if err := p.Stores.PutBlob(ctx, keys.Turn(c.ID), b, keep); err != nil {
@@ -80,7 +80,7 @@
 	}
 	// Stores that don't answer by then are out of reach: the caller is notified,
 	// and not held until its own deadline.
-	ctx, stop := context.WithTimeout(c, min(p.Read, c.Left()))
+	ctx, stop := context.WithTimeout(c, min(p.ReadTimeout, c.Left()))
 	defer stop()
 	b, err := p.Stores.GetBlob(ctx, keys.Turn(c.Follows))
 	if err != nil {
--- a/internal/dataplane/quota/collector.go
+++ b/internal/dataplane/quota/collector.go
@@ -191,7 +191,7 @@
 	}
 	collector.ended = kept
 	for id, node := range collector.nodes {
-		if now.Sub(node.reportedAt) > collector.params.Hold+collector.params.Window {
+		if now.Sub(node.reportedAt) > collector.params.MaxSilence+collector.params.Window {
 			for tenant := range node.use {
 				collector.set(node, tenant, tenantUse{})
 			}
@@ -217,7 +217,7 @@
 		}
 	}
 	for _, node := range collector.nodes {
-		if now.Sub(node.reportedAt) > collector.params.Fresh {
+		if now.Sub(node.reportedAt) > collector.params.MaxAge {
 			v.silent = append(v.silent, node)
 		}
 		if up := now.Sub(node.startedAt); up < collector.params.Window && !node.knownBefore {
--- a/internal/dataplane/quota/exchange.go
+++ b/internal/dataplane/quota/exchange.go
@@ -31,16 +31,16 @@
 type ExchangeParams struct {
 	Interval time.Duration // between two reports
 	Timeout  time.Duration // for an answer
-	// FirstGone is after how long without an answer of the first edge another one merges:
+	// FailoverAfter is after how long without an answer of the first edge another one merges:
 	// until then a node goes by what it heard last.
-	FirstGone time.Duration
+	FailoverAfter time.Duration
 }
 
 // DefaultExchange are the design's. Params.Horizon covers two intervals and an answer's way.
 var DefaultExchange = ExchangeParams{
-	Interval:  250 * time.Millisecond,
-	Timeout:   150 * time.Millisecond,
-	FirstGone: time.Second,
+	Interval:      250 * time.Millisecond,
+	Timeout:       150 * time.Millisecond,
+	FailoverAfter: time.Second,
 }
 
 // NewExchange joins a node's counts to the other edges.
@@ -71,7 +71,7 @@
 		x.firstAnsweredAt = time.Now()
 		return
 	}
-	if time.Since(x.firstAnsweredAt) < x.params.FirstGone {
+	if time.Since(x.firstAnsweredAt) < x.params.FailoverAfter {
 		return
 	}
 	asked := 0
--- a/internal/dataplane/quota/node.go
+++ b/internal/dataplane/quota/node.go
@@ -49,8 +49,8 @@
 	return &Node{params: p, start: time.Now(), accounts: map[string]*account{}, heard: make(chan struct{})}
 }
 
-// Heard is closed once the node has heard for the first time.
-func (node *Node) Heard() <-chan struct{} { return node.heard }
+// Ready is closed once the node has heard for the first time.
+func (node *Node) Ready() <-chan struct{} { return node.heard }
 
 // Decision is what becomes of a request.
 type Decision struct {
@@ -66,8 +66,8 @@
 	Limit  Limit
 	// Program is the program that the request belongs to; empty: none.
 	Program string
-	// Begun: the program is known to have run before, elsewhere perhaps.
-	Begun bool
+	// ProgramStarted: the program is known to have run before, elsewhere perhaps.
+	ProgramStarted bool
 }
 
 // Admit decides on a request of a tenant and counts it.
@@ -80,7 +80,7 @@
 	defer node.mu.Unlock()
 	a, slot := node.account(r.Tenant, now)
 	a.asked.add(slot)
-	begun := r.Begun || r.Program == "" || a.begun(r.Program, now)
+	begun := r.ProgramStarted || r.Program == "" || a.begun(r.Program, now)
 	if wait := node.refuses(a, r.Limit, begun, now); wait > 0 {
 		return Decision{RetryAfter: min(max(wait, minRetryAfter), maxRetryAfter)}
 	}
@@ -128,12 +128,12 @@
 	switch {
 	case node.heardAt.IsZero():
 		return minRetryAfter
-	case silence > node.params.Fresh:
+	case silence > node.params.MaxAge:
 		// Cut off: no more than is held for this node elsewhere.
-		return unless(silence < node.params.Hold && own < max(float64(a.held), part), maxRetryAfter)
+		return unless(silence < node.params.MaxSilence && own < max(float64(a.held), part), maxRetryAfter)
 	case a.mergedAt.IsZero() && node.available < 1:
 		return unless(own < 1+part*node.available, minRetryAfter)
-	case !a.constrained && now.Sub(a.mergedAt) > node.params.Fresh:
+	case !a.constrained && now.Sub(a.mergedAt) > node.params.MaxAge:
 		// Far from its limit, and asked for seldom here.
 		return unless(own < budget, minRetryAfter)
 	}
--- a/internal/dataplane/quota/node_test.go
+++ b/internal/dataplane/quota/node_test.go
@@ -46,7 +46,7 @@
 	}{
 		{"as much as before", 30, 2 * time.Second, 0, 30},
 		{"its equal part", 3, 2 * time.Second, 10, 13},
-		{"past its hold", 30, DefaultParams.Hold, 0, 0},
+		{"past its hold", 30, DefaultParams.MaxSilence, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/dataplane/quota/quota.go
+++ b/internal/dataplane/quota/quota.go
@@ -46,10 +46,10 @@
 	// Reserve is how many times what the fleet is asked for within Horizon must be left for a
 	// new program to begin.
 	Reserve float64
-	// Fresh is how long after a node last heard it goes by what it heard.
-	Fresh time.Duration
-	// Hold is how long a silent node may go on, and how long its part is held for it.
-	Hold time.Duration
+	// MaxAge is how long after a node last heard it goes by what it heard.
+	MaxAge time.Duration
+	// MaxSilence is how long a silent node may go on, and how long its part is held for it.
+	MaxSilence time.Duration
 	// StartupWait is how long a request waits for a node that has heard nothing yet.
 	StartupWait time.Duration
 }
@@ -61,8 +61,8 @@
 	Slack:       20,
 	Horizon:     600 * time.Millisecond,
 	Reserve:     2,
-	Fresh:       time.Second,
-	Hold:        30 * time.Second,
+	MaxAge:      time.Second,
+	MaxSilence:  30 * time.Second,
 	StartupWait: 500 * time.Millisecond,
 }
 
--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -101,7 +101,7 @@
 
 // waits sends a job back to wait out a cooldown, if that fits.
 func waits(w time.Duration) job.Answer {
-	a := cooldown.Cooling(w)
+	a := cooldown.CoolingAnswer(w)
 	a.Again = true
 	return a
 }
@@ -121,7 +121,7 @@
 		return job.Bad(code.DeadlinePassed, "no time is left, or the caller has disconnected"), false
 	case clock.Since(c.Looked, time.Now) > storeclient.ReadWindow:
 		return back("the read of the cooldown is too old")
-	case p.Cooldowns.Spec() != c.Ver:
+	case p.Cooldowns.SpecVersion() != c.Ver:
 		return back("the spec has changed since the read")
 	case w > 0:
 		return waits(w), false
@@ -230,7 +230,7 @@
 		a.Again, a.Wait = retry.Allowed(retry.NotRun, repeatable(c)), 0
 		return a
 	}
-	if cooldown.Raised("", err.Error()) {
+	if cooldown.IsRateLimitError("", err.Error()) {
 		p.Cooldowns.Install(c, c.Runner.Cool, 0)
 	}
 	return p.uncertain(c, code.OutcomeUnknown, "no answer came", err)
@@ -315,7 +315,7 @@
 		a.Again = true
 		return a
 	}
-	if cooldown.Raised(pr.Error.Type, pr.Error.Message) {
+	if cooldown.IsRateLimitError(pr.Error.Type, pr.Error.Message) {
 		// A raised one: installed for all, and tried again after the cooldown
 		// if it surely did not run or may run twice.
 		w := p.Cooldowns.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
--- a/internal/dataplane/request/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -96,7 +96,7 @@
 		for id, n := range due {
 			v.Settle(id, n.spent)
 			if n.home != "" {
-				v.Home = n.home
+				v.LastRunner = n.home
 			}
 		}
 		if err := f(&v); err != nil {
@@ -126,11 +126,11 @@
 		if _, ok := v.Open[j.Attempt]; ok {
 			return nil
 		}
-		if v.All()+j.Most > j.Budget {
+		if v.Used()+j.Most > j.Budget {
 			return code.New(
 				code.BudgetSpent,
 				"%d of %d are spent or reserved, the turn may put out %d",
-				v.All(),
+				v.Used(),
 				j.Budget,
 				j.Most,
 			)
@@ -138,7 +138,7 @@
 		return v.Reserve(j.Attempt, j.Most, j.Budget)
 	})
 	if err == nil {
-		j.Home, j.Homed = v.Home, true
+		j.Home, j.Homed = v.LastRunner, true
 	}
 	return err
 }
--- a/internal/dataplane/request/proxy/quota.go
+++ b/internal/dataplane/request/proxy/quota.go
@@ -35,7 +35,7 @@
 		Limit:   quota.Limit{RatePerS: j.Tenant.RatePerS, Burst: j.Tenant.Burst},
 		Program: j.Program,
 		// Programs begin with a turn that goes on from none.
-		Begun: j.Follows != "" || j.Path.Kind != spec.Stream,
+		ProgramStarted: j.Follows != "" || j.Path.Kind != spec.Stream,
 	})
 	if !d.Admitted {
 		err := code.New(code.OverQuota, "tenant %s has sent all that it may for now", j.Tenant.Name)
@@ -51,11 +51,11 @@
 // waitForCounts waits a moment for a node that has just come up.
 func (quotas *Quotas) waitForCounts(j *Job) bool {
 	select {
-	case <-quotas.node.Heard():
+	case <-quotas.node.Ready():
 		return true
 	default:
 	}
 	ctx, stop := context.WithTimeout(j, min(quotas.startupWait, j.Left()/2))
 	defer stop()
-	return loop.Until(ctx, quotas.node.Heard())
+	return loop.Until(ctx, quotas.node.Ready())
 }
--- a/internal/dataplane/request/turnapi/handler_test.go
+++ b/internal/dataplane/request/turnapi/handler_test.go
@@ -174,7 +174,7 @@
 			{300 * time.Millisecond, time.Second, time.Millisecond},
 		} {
 			w, p := serve(t, good(), func(*job.Ctx) job.Answer {
-				a := cooldown.Cooling(tc.cooldown)
+				a := cooldown.CoolingAnswer(tc.cooldown)
 				time.Sleep(tc.took)
 				return a
 			})
--- a/internal/dataplane/store/cooldowns.go
+++ b/internal/dataplane/store/cooldowns.go
@@ -72,7 +72,7 @@
 	if d := c.all[key]; d != nil && d.ver == r.Cell.Ver && d.op == op {
 		return
 	}
-	w, err := cooldown.WaitOf(r.Cell.Val)
+	w, err := cooldown.DecodeWait(r.Cell.Val)
 	if err != nil {
 		// Whoever changes the register next meets the same failure and says so.
 		return
--- a/internal/kit/sim/audit.go
+++ b/internal/kit/sim/audit.go
@@ -70,7 +70,7 @@
 		w, err := budget.Read(rctx, t, p)
 		stop()
 		total, _ := s.Spec.Output(p)
-		if all := w.All(); err != nil || all < n || all > total {
+		if all := w.Used(); err != nil || all < n || all > total {
 			v[checker.Budget] = append(
 				v[checker.Budget],
 				fmt.Sprintf("%s was given %d of %d, its budget says %d, %v", p, n, total, all, err),
