--- a/internal/dataplane/balancing/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -117,7 +117,7 @@
 	runners     map[string]*runner
 	edges       map[uint64]*edge // by incarnation
 	opened      time.Time
-	listed      []runnerapi.Listed
+	listed      []runnerapi.ListedRunner
 }
 
 // boundOrphans bounds what edges that have departed have left running: each may have
--- a/internal/dataplane/balancing/assignment/polling.go
+++ b/internal/dataplane/balancing/assignment/polling.go
@@ -59,11 +59,11 @@
 	}
 }
 
-func (assigner *Assigner) pollPlatform(ctx context.Context, addr string) []runnerapi.Listed {
+func (assigner *Assigner) pollPlatform(ctx context.Context, addr string) []runnerapi.ListedRunner {
 	if addr == "" {
 		return nil
 	}
-	var l runnerapi.Platform
+	var l runnerapi.RunnerList
 	if err := assigner.get(ctx, "http://"+addr+"/v1/runners", &l); err != nil {
 		assigner.node.Log.Debug("platform list not read", "err", err)
 		// The list lags anyway; the last one read stays good.
--- a/internal/dataplane/balancing/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -200,7 +200,7 @@
 	if !ok || c.Fits(d, b.p.CallTime) {
 		return job.Answer{}, false
 	}
-	a := job.Bad(
+	a := job.Failure(
 		code.TooLong,
 		"%d jobs are before it, and its turn would come in %s",
 		waiting,
@@ -226,9 +226,9 @@
 		case b.stop.Load():
 			e.err = stopping
 		case c.Err() != nil:
-			e.err = job.Bad(code.DeadlinePassed, "the caller has disconnected")
+			e.err = job.Failure(code.DeadlinePassed, "the caller has disconnected")
 		case c.Left() < b.p.CallTime:
-			e.err = job.Bad(code.DeadlinePassed, "no slot was free in time")
+			e.err = job.Failure(code.DeadlinePassed, "no slot was free in time")
 		default:
 			short, known := none[n]
 			if !known {
@@ -240,7 +240,7 @@
 					p.n++
 				}
 			case short.cooldown < 0:
-				e.err = job.Bad(code.NoRunner, "no runner is left for %s", c.Route)
+				e.err = job.Failure(code.NoRunner, "no runner is left for %s", c.Route)
 				e.err.Wait = time.Second
 			case short.cooldown > 0 && !c.Fits(short.turnAfter(waiting[c.Route]), b.p.CallTime):
 				// A wait that can't fit is reported at once. What is told is how long the
@@ -277,7 +277,7 @@
 func (b *Backlog) Do(c *job.Ctx, next job.Next) (a job.Answer) {
 	if b.n.Add(1) > int64(b.p.Most) {
 		b.n.Add(-1)
-		a = job.Bad(code.BacklogFull, "%d jobs wait already", b.p.Most)
+		a = job.Failure(code.BacklogFull, "%d jobs wait already", b.p.Most)
 		a.Wait = time.Second
 		return a
 	}
@@ -301,7 +301,7 @@
 			b.recordCall(c.Route, time.Since(began))
 		}
 		b.directory.Finished(r, a)
-		b.slots.Release(r.Ix, r.Incarnation, e.kind)
+		b.slots.Release(r.Index, r.Incarnation, e.kind)
 		b.Notify()
 	}()
 	return next(c)
--- a/internal/dataplane/balancing/balancer/balancer.go
+++ b/internal/dataplane/balancing/balancer/balancer.go
@@ -230,12 +230,12 @@
 			e := directory.entries[ixs[i]]
 			directory.cooldowns.BeginCall(e.cooldownKey)
 			why.Picked, why.Spec = e.Name, directory.node.Cluster.Now().Version
-			c.Whys = append(c.Whys, why)
+			c.Decisions = append(c.Decisions, why)
 			return job.Runner{
-				Ix:          ixs[i],
+				Index:       ixs[i],
 				Name:        e.Name,
 				Addr:        e.Addr,
-				Cool:        e.cooldownKey,
+				CooldownKey: e.cooldownKey,
 				Incarnation: incarnation,
 			}, k, true, 0
 		}
@@ -274,7 +274,7 @@
 
 // Finished records how an picked runner's call ended.
 func (directory *Directory) Finished(r job.Runner, a job.Answer) {
-	directory.cooldowns.EndCall(r.Cool, a.Err == nil)
+	directory.cooldowns.EndCall(r.CooldownKey, a.Err == nil)
 }
 
 // prefix is the share of the job's parts, leading ones, that a runner holds.
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -87,7 +87,7 @@
 		Follows: c.Follows != "",
 		Left:    c.Left().Seconds(),
 		Words:   int64(n),
-		Output:  c.Most,
+		Output:  c.MaxOutput,
 		Parts:   c.Parts,
 	}
 }
@@ -174,7 +174,7 @@
 
 // Pick gives the place of the best of rs, and how it came to be: all ranks are
 // one policy's, or all the built-in's.
-func (selector *Selector) Pick(c *job.Ctx, rs []script.Runner) (int, job.Why) {
+func (selector *Selector) Pick(c *job.Ctx, rs []script.Runner) (int, job.Decision) {
 	p := selector.For(c)
 	why, err := rankRunners(p, c, rs)
 	if err != nil {
@@ -191,8 +191,8 @@
 	return best, why
 }
 
-func rankRunners(p Policy, c *job.Ctx, rs []script.Runner) (job.Why, error) {
-	why := job.Why{Policy: p.Name(), Ranks: make([]job.Rank, len(rs))}
+func rankRunners(p Policy, c *job.Ctx, rs []script.Runner) (job.Decision, error) {
+	why := job.Decision{Policy: p.Name(), Ranks: make([]job.Rank, len(rs))}
 	for i := range rs {
 		n, err := p.Rank(c, &rs[i])
 		if err != nil {
--- a/internal/dataplane/cooldown/precheck.go
+++ b/internal/dataplane/cooldown/precheck.go
@@ -31,7 +31,7 @@
 
 // Cooling is the answer that tells when to come back.
 func Cooling(w time.Duration) job.Answer {
-	a := job.Bad(code.Cooling, "cooling down for %d ms", w.Milliseconds())
+	a := job.Failure(code.Cooling, "cooling down for %d ms", w.Milliseconds())
 	a.Wait, a.Since = w, time.Now()
 	return a
 }
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -144,7 +144,7 @@
 		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.Keys},
 		call.Retry{CallTime: params.Cooldown.CallTime},
 		e.backlog,
-		call.Cool{Cooldowns: e.Cooldowns},
+		call.CooldownCheck{Cooldowns: e.Cooldowns},
 		idempotency.Start{Stores: t, ReadTimeout: params.ReadTimeout},
 	}
 	keyed := idempotency.Policy{
@@ -253,7 +253,7 @@
 		metrics.Row{
 			Name:  "policy_fallbacks_total",
 			Help:  "Decisions in which a policy program failed.",
-			Value: float64(s.Fell),
+			Value: float64(s.PolicyFallbacks),
 			Total: true,
 		},
 	)
@@ -297,20 +297,20 @@
 
 // Status is what an edge says of itself.
 type Status struct {
-	ID       string           `json:"id"`
-	Ready    bool             `json:"ready"`
-	Spec     uint64           `json:"spec"`
-	Waiting  int              `json:"waiting"`
-	Epoch    uint64           `json:"deal_epoch"`
-	Counts   map[string]int64 `json:"counts"`
-	Rounds   uint64           `json:"register_rounds"`
-	Sent     uint64           `json:"messages_sent"`
-	Installs uint64           `json:"cooldowns_installed"`
-	Slots    map[string]int   `json:"slots"`
-	Cooling  map[string]int64 `json:"cooling_ms"`
-	Policy   string           `json:"policy"`
-	Share    int              `json:"policy_share"`
-	Fell     int64            `json:"policy_fallbacks"`
+	ID              string           `json:"id"`
+	Ready           bool             `json:"ready"`
+	Spec            uint64           `json:"spec"`
+	Waiting         int              `json:"waiting"`
+	Epoch           uint64           `json:"deal_epoch"`
+	Counts          map[string]int64 `json:"counts"`
+	Rounds          uint64           `json:"register_rounds"`
+	Sent            uint64           `json:"messages_sent"`
+	Installs        uint64           `json:"cooldowns_installed"`
+	Slots           map[string]int   `json:"slots"`
+	Cooling         map[string]int64 `json:"cooling_ms"`
+	Policy          string           `json:"policy"`
+	Share           int              `json:"policy_share"`
+	PolicyFallbacks int64            `json:"policy_fallbacks"`
 	// Proxied counts the proxied requests by the name of the code that they were answered
 	// with; Quotas has what this edge knows of the tenants that asked it lately.
 	Proxied map[string]int64       `json:"proxied,omitempty"`
@@ -321,19 +321,19 @@
 
 func (e *Edge) status() Status {
 	s := Status{
-		ID:       e.Peer.Self.Id,
-		Ready:    e.checkOpen() == nil,
-		Spec:     e.Cluster.Now().Version,
-		Waiting:  e.backlog.Len(),
-		Epoch:    e.Epochs.Highest(),
-		Counts:   e.API.Counts(),
-		Rounds:   e.Proposer.Rounds.Load(),
-		Sent:     e.Peer.Sent(),
-		Installs: e.Cooldowns.Installs(),
-		Slots:    map[string]int{},
-		Cooling:  e.Cooldowns.Active(),
-		Policy:   policy.Builtin,
-		Fell:     e.selector.Fallbacks.Load(),
+		ID:              e.Peer.Self.Id,
+		Ready:           e.checkOpen() == nil,
+		Spec:            e.Cluster.Now().Version,
+		Waiting:         e.backlog.Len(),
+		Epoch:           e.Epochs.Highest(),
+		Counts:          e.API.Counts(),
+		Rounds:          e.Proposer.Rounds.Load(),
+		Sent:            e.Peer.Sent(),
+		Installs:        e.Cooldowns.Installs(),
+		Slots:           map[string]int{},
+		Cooling:         e.Cooldowns.Active(),
+		Policy:          policy.Builtin,
+		PolicyFallbacks: e.selector.Fallbacks.Load(),
 	}
 	if l := e.Cluster.Now().Spec.Live; l != nil {
 		s.Policy, s.Share = l.Policy, l.Share
--- a/internal/dataplane/programs/budget/budget.go
+++ b/internal/dataplane/programs/budget/budget.go
@@ -117,7 +117,7 @@
 	}
 	total, ok := c.View.Spec.Output(c.Root)
 	if !ok {
-		return job.Bad(code.BadField, "no budget is stated for program %q", c.Root)
+		return job.Failure(code.BadField, "no budget is stated for program %q", c.Root)
 	}
 	ctx, stop := context.WithTimeout(c, min(p.Pre, c.Left()))
 	st, err := p.Stores.ChangeStrict(ctx, keys.Budget(c.Root), func(st register.State) ([]byte, bool, error) {
@@ -128,7 +128,7 @@
 		if err := v.begin(c, st.Age); err != nil {
 			return nil, false, err
 		}
-		if err := v.Reserve(c.ID, c.Most, total); err != nil {
+		if err := v.Reserve(c.ID, c.MaxOutput, total); err != nil {
 			return nil, false, err
 		}
 		b, err := json.Marshal(v)
@@ -138,7 +138,7 @@
 	if code.Of(err) == code.OutcomeUnknown {
 		// Perhaps it is reserved; nothing was passed, so it is handed back.
 		p.Background.Go(func() { p.commit(c, 0) })
-		return job.Bad(code.StoresUnreachable, "the budget could not be reserved: %w", err)
+		return job.Failure(code.StoresUnreachable, "the budget could not be reserved: %w", err)
 	}
 	if err != nil {
 		return job.Answer{Err: err}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	c.Most = v.Open[c.ID]
+	c.MaxOutput = v.Open[c.ID]
 	p.bound(c, v)
 	c.At(job.Reserved)
 	a := next(c)
@@ -180,7 +180,7 @@
 			if err != nil {
 				return nil, false, err
 			}
-			v.Time(st.Age, time.Until(c.Ends))
+			v.Time(st.Age, time.Until(c.ProgramEnd))
 			v.Settle(c.ID, spent)
 			b, err := json.Marshal(v)
 			return b, true, err
@@ -202,7 +202,7 @@
 	if subagent && !v.Timed {
 		return code.New(code.BadProgram, "program %q is not known", c.Root)
 	}
-	if v.Time(age, time.Until(c.Ends)) > 0 {
+	if v.Time(age, time.Until(c.ProgramEnd)) > 0 {
 		return nil
 	}
 	if subagent {
@@ -212,7 +212,7 @@
 	// it said, as one that goes on with a kept conversation after days. Its output
 	// budget goes on; its time starts anew.
 	v.Timed = false
-	v.Time(0, time.Until(c.Ends))
+	v.Time(0, time.Until(c.ProgramEnd))
 	return nil
 }
 
--- a/internal/dataplane/programs/conversation/conversation.go
+++ b/internal/dataplane/programs/conversation/conversation.go
@@ -38,12 +38,12 @@
 func (p Policy) Do(c *job.Ctx, next job.Next) job.Answer {
 	keep, ok := c.View.Spec.Keep(c.Conv)
 	if !ok {
-		return job.Bad(code.BadField, "conversation: no keeping time is stated for class %q", c.Conv)
+		return job.Failure(code.BadField, "conversation: no keeping time is stated for class %q", c.Conv)
 	}
 	if err := p.history(c); err != nil {
 		return job.Answer{Err: err}
 	}
-	c.At(job.Read)
+	c.At(job.HistoryRead)
 	a := next(c)
 	if a.Err != nil {
 		return a
@@ -52,7 +52,7 @@
 		Text string `json:"text"`
 	}
 	if err := json.Unmarshal(a.Body, &got); err != nil {
-		return job.Bad(code.Incomplete, "answer can't be read: %w", err)
+		return job.Failure(code.Incomplete, "answer can't be read: %w", err)
 	}
 	b, err := json.Marshal(
 		turn{
@@ -62,13 +62,13 @@
 		},
 	)
 	if err != nil {
-		return job.Bad(code.NotKept, "%w", err)
+		return job.Failure(code.NotKept, "%w", err)
 	}
 	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.Late))
 	defer stop()
 	// The keeping time is the intent's in force when the turn was accepted.
 	if err := p.Stores.PutBlob(ctx, keys.Turn(c.ID), b, keep); err != nil {
-		return job.Bad(code.NotKept, "the turn ran but could not be kept: %w", err)
+		return job.Failure(code.NotKept, "the turn ran but could not be kept: %w", err)
 	}
 	return a
 }
--- a/internal/dataplane/programs/idempotency/idempotency.go
+++ b/internal/dataplane/programs/idempotency/idempotency.go
@@ -91,11 +91,11 @@
 	switch ran := a.Ran(); {
 	case ran == "yes":
 		if err := p.done(c, a); err != nil {
-			return job.Bad(code.NotKept, "the job ran, its result could not be kept: %w", err)
+			return job.Failure(code.NotKept, "the job ran, its result could not be kept: %w", err)
 		}
 	case ran == "no":
 		// Never passed, or clearly refused: freed first, then said.
-		if c.Sure = p.release(c, false); !c.Sure && c.Started {
+		if c.NoOtherAttempt = p.release(c, false); !c.NoOtherAttempt && c.Started {
 			p.Background.Go(func() { p.release(c, true) })
 		}
 	}
@@ -132,17 +132,17 @@
 	case errors.Is(err, errTaken) && now.taken():
 		return inProgress(c, now)
 	case errors.Is(err, errTaken):
-		return job.Bad(code.Overtaken, "another request with this key was answered that it did not run")
+		return job.Failure(code.Overtaken, "another request with this key was answered that it did not run")
 	case code.Of(err) == code.OutcomeUnknown:
 		// Perhaps it says 'started'. Nothing was passed and nothing will be under
 		// it; it is freed when the tier lets us.
 		c.Started = true
-		return job.Bad(code.StoresUnreachable, "the claim could not be written: %w", err)
+		return job.Failure(code.StoresUnreachable, "the claim could not be written: %w", err)
 	case err != nil:
 		return job.Answer{Err: err}
 	}
 	c.Started = true
-	c.At(job.Begun)
+	c.At(job.Started)
 	return next(c)
 }
 
@@ -150,13 +150,13 @@
 func inProgress(c *job.Ctx, v value) job.Answer {
 	switch {
 	case v.Hash != c.Hash:
-		return job.Bad(code.KeyReused, "the key was used for another job")
+		return job.Failure(code.KeyReused, "the key was used for another job")
 	case v.State == Done && v.Code == 0:
-		return job.Good(v.Body)
+		return job.Success(v.Body)
 	case v.State == Done:
-		return job.Bad(code.Code(v.Code), "%s", v.Text)
+		return job.Failure(code.Code(v.Code), "%s", v.Text)
 	}
-	return job.Bad(code.InProgress, "started by an earlier request, its outcome is not known here")
+	return job.Failure(code.InProgress, "started by an earlier request, its outcome is not known here")
 }
 
 // changeOwned changes the claim as long as this job holds it, or nobody has touched it
--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -25,11 +25,11 @@
 	"damsontiller/internal/transport/code"
 )
 
-// MaxAnswer bounds a runner's answer.
-const MaxAnswer = 1 << 20
+// MaxResponseBytes bounds a runner's answer.
+const MaxResponseBytes = 1 << 20
 
-// Tries bounds how often one job is passed.
-const Tries = 4
+// MaxAttempts bounds how often one job is passed.
+const MaxAttempts = 4
 
 // Caller is the end of the way.
 type Caller struct {
@@ -70,39 +70,39 @@
 func (p Retry) Do(c *job.Ctx, next job.Next) job.Answer {
 	for try := 1; ; try++ {
 		a := next(c)
-		if !a.Again || try == Tries || !c.Fits(a.Wait, p.CallTime) {
+		if !a.Retryable || try == MaxAttempts || !c.Fits(a.Wait, p.CallTime) {
 			return a
 		}
 	}
 }
 
-// Cool reads the deadline of the picked runner's key right before the call.
-type Cool struct{ Cooldowns *cooldown.Manager }
+// CooldownCheck reads the deadline of the picked runner's key right before the call.
+type CooldownCheck struct{ Cooldowns *cooldown.Manager }
 
 // Do is the policy. Where the wait fits, the job goes back to the backlog and
 // waits there; where it does not, the caller is notified at once.
-func (p Cool) Do(c *job.Ctx, next job.Next) job.Answer {
+func (p CooldownCheck) Do(c *job.Ctx, next job.Next) job.Answer {
 	c.At(job.Picked)
-	c.Looked = clock.Now(time.Now)
-	w, ver, err := p.Cooldowns.Read(c, c.Runner.Cool)
+	c.CooldownReadAt = clock.Now(time.Now)
+	w, ver, err := p.Cooldowns.Read(c, c.Runner.CooldownKey)
 	if err != nil {
 		// Calling early must never happen; not calling is allowed.
-		a := job.Bad(code.StoresUnreachable, "the cooldown could not be read: %w", err)
+		a := job.Failure(code.StoresUnreachable, "the cooldown could not be read: %w", err)
 		a.Wait = time.Second
 		return a
 	}
 	if w > 0 {
 		return waits(w)
 	}
-	c.Ver = ver
-	c.At(job.Looked)
+	c.CooldownVersion = ver
+	c.At(job.CooldownRead)
 	return next(c)
 }
 
 // waits sends a job back to wait out a cooldown, if that fits.
 func waits(w time.Duration) job.Answer {
 	a := cooldown.Cooling(w)
-	a.Again = true
+	a.Retryable = true
 	return a
 }
 
@@ -111,23 +111,23 @@
 // job goes back to the backlog.
 func (p *Caller) stands(c *job.Ctx) (job.Answer, bool) {
 	back := func(why string) (job.Answer, bool) {
-		a := job.Bad(code.FellBack, "%s", why)
-		a.Again = true
+		a := job.Failure(code.FellBack, "%s", why)
+		a.Retryable = true
 		return a, false
 	}
 	r := c.Runner
-	switch w := p.Cooldowns.KnownWait(r.Cool); {
+	switch w := p.Cooldowns.KnownWait(r.CooldownKey); {
 	case c.Err() != nil, c.Left() <= 0:
-		return job.Bad(code.DeadlinePassed, "no time is left, or the caller has disconnected"), false
-	case clock.Since(c.Looked, time.Now) > storeclient.ReadWindow:
+		return job.Failure(code.DeadlinePassed, "no time is left, or the caller has disconnected"), false
+	case clock.Since(c.CooldownReadAt, time.Now) > storeclient.ReadWindow:
 		return back("the read of the cooldown is too old")
-	case p.Cooldowns.Spec() != c.Ver:
+	case p.Cooldowns.Spec() != c.CooldownVersion:
 		return back("the spec has changed since the read")
 	case w > 0:
 		return waits(w), false
-	case !p.Slots.Valid(r.Ix, r.Incarnation):
+	case !p.Slots.Valid(r.Index, r.Incarnation):
 		return back("the slot's term is over")
-	case !p.Directory.Eligible(r.Ix, r.Incarnation):
+	case !p.Directory.Eligible(r.Index, r.Incarnation):
 		return back("the runner is draining, its zone is emptied, or it is another process")
 	}
 	return job.Answer{}, true
@@ -145,12 +145,12 @@
 			Parts:       c.Parts,
 			History:     c.History,
 			Prompt:      c.Prompt,
-			MaxOutput:   c.Most,
+			MaxOutput:   c.MaxOutput,
 			DeadlineMs:  c.Left().Milliseconds(),
 		},
 	)
 	if err != nil {
-		return job.Bad(code.BadField, "%w", err)
+		return job.Failure(code.BadField, "%w", err)
 	}
 	// What has been passed is received to its end, whether or not its caller is
 	// still there: its result is worth keeping.
@@ -162,7 +162,7 @@
 	})
 	q, err := newRequest(ctx, c.Runner.Addr, c.ID, body, p.naming.keeps(c.Runner.Addr))
 	if err != nil {
-		return job.Bad(code.RunnerFailure, "%w", err)
+		return job.Failure(code.RunnerFailure, "%w", err)
 	}
 	c.At(job.Passing)
 	if a, ok := p.stands(c); !ok {
@@ -176,8 +176,8 @@
 	}
 	defer r.Body.Close()
 	p.naming.observe(c.Runner.Addr, r.Header)
-	b, err := io.ReadAll(io.LimitReader(r.Body, MaxAnswer+1))
-	if err != nil || len(b) > MaxAnswer {
+	b, err := io.ReadAll(io.LimitReader(r.Body, MaxResponseBytes+1))
+	if err != nil || len(b) > MaxResponseBytes {
 		if r.StatusCode == http.StatusOK {
 			return p.uncertain(c, code.Incomplete, "the answer broke off", err)
 		}
@@ -224,14 +224,14 @@
 		if assignment.PortRefused(err) {
 			p.departs(c, "port refused")
 		} else {
-			p.Directory.Avoid(c.Runner.Ix, p.Avoid)
+			p.Directory.Avoid(c.Runner.Index, p.Avoid)
 		}
-		a := job.Bad(code.NoRunner, "runner %s can't be reached", c.Runner.Name)
-		a.Again, a.Wait = retry.Allowed(retry.NotRun, repeatable(c)), 0
+		a := job.Failure(code.NoRunner, "runner %s can't be reached", c.Runner.Name)
+		a.Retryable, a.Wait = retry.Allowed(retry.NotRun, repeatable(c)), 0
 		return a
 	}
 	if cooldown.Raised("", err.Error()) {
-		p.Cooldowns.Install(c, c.Runner.Cool, 0)
+		p.Cooldowns.Install(c, c.Runner.CooldownKey, 0)
 	}
 	return p.uncertain(c, code.OutcomeUnknown, "no answer came", err)
 }
@@ -242,13 +242,13 @@
 	if err != nil {
 		c.Log.Debug("answer lost", "job", c.ID, "runner", c.Runner.Name, "err", err)
 	}
-	a := job.Bad(n, "%s from runner %s", what, c.Runner.Name)
-	a.Again = retry.Allowed(retry.Unknown, repeatable(c))
+	a := job.Failure(n, "%s from runner %s", what, c.Runner.Name)
+	a.Retryable = retry.Allowed(retry.Unknown, repeatable(c))
 	return a
 }
 
 func (p *Caller) departs(c *job.Ctx, why string) {
-	p.Directory.Avoid(c.Runner.Ix, p.Avoid)
+	p.Directory.Avoid(c.Runner.Index, p.Avoid)
 	p.OnDeparture(c.Runner.Name, why)
 }
 
@@ -271,7 +271,7 @@
 		return p.uncertain(c, code.Incomplete, "a negative output", nil)
 	}
 	c.Spent, c.PrefixHit = r.Output, r.PrefixHit
-	p.Directory.SetPrefixes(c.Runner.Ix, r.Prefixes)
+	p.Directory.SetPrefixes(c.Runner.Index, r.Prefixes)
 	out := map[string]any{
 		"job":    c.ID,
 		"text":   *r.Text,
@@ -286,7 +286,7 @@
 	if err != nil {
 		return p.uncertain(c, code.Incomplete, "an answer that can't be passed on", err)
 	}
-	return job.Good(body)
+	return job.Success(body)
 }
 
 // refused sorts out an answer that is no success. By the runners' contract a
@@ -297,28 +297,28 @@
 	clear := r.StatusCode/100 == 4 || r.StatusCode == http.StatusServiceUnavailable
 	if c.View.Spec.Cooldown.Refusal(r.StatusCode) {
 		// A returned refusal: installed for all, and handed back unretried.
-		a := job.Bad(code.RunnerDrop, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
-		a.Wait = p.Cooldowns.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
+		a := job.Failure(code.RunnerDrop, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
+		a.Wait = p.Cooldowns.Install(c, c.Runner.CooldownKey, cooldown.RetryAfter(r.Header))
 		a.Since = time.Now()
 		return a
 	}
 	if pr.State == runnerapi.Other {
 		// Its successor answered: nothing ran, and the assigner should know.
 		p.departs(c, "another process answers")
-		a := job.Bad(code.NoRunner, "runner %s is another process by now", c.Runner.Name)
-		a.Again = true
+		a := job.Failure(code.NoRunner, "runner %s is another process by now", c.Runner.Name)
+		a.Retryable = true
 		return a
 	}
 	if pr.State == runnerapi.Draining {
 		p.departs(c, "it is draining")
-		a := job.Bad(code.NoRunner, "runner %s is draining", c.Runner.Name)
-		a.Again = true
+		a := job.Failure(code.NoRunner, "runner %s is draining", c.Runner.Name)
+		a.Retryable = true
 		return a
 	}
 	if cooldown.Raised(pr.Error.Type, pr.Error.Message) {
 		// A raised one: installed for all, and tried again after the cooldown
 		// if it surely did not run or may run twice.
-		w := p.Cooldowns.Install(c, c.Runner.Cool, cooldown.RetryAfter(r.Header))
+		w := p.Cooldowns.Install(c, c.Runner.CooldownKey, cooldown.RetryAfter(r.Header))
 		if clear {
 			return waits(w)
 		}
@@ -327,10 +327,10 @@
 		return a
 	}
 	if clear {
-		a := job.Bad(code.NoRunner, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
+		a := job.Failure(code.NoRunner, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
 		// It would refuse again at once; another may not.
-		p.Directory.Avoid(c.Runner.Ix, p.Avoid/10)
-		a.Again, a.Wait = r.StatusCode == http.StatusServiceUnavailable, 0
+		p.Directory.Avoid(c.Runner.Index, p.Avoid/10)
+		a.Retryable, a.Wait = r.StatusCode == http.StatusServiceUnavailable, 0
 		return a
 	}
 	return p.uncertain(c, code.RunnerFailure, "status "+http.StatusText(r.StatusCode), nil)
--- a/internal/dataplane/request/job/job.go
+++ b/internal/dataplane/request/job/job.go
@@ -24,22 +24,22 @@
 	// StartedBy is the program that started this one, a sub-agent; Root is the one at
 	// the beginning, whose budget both spend. Ends is when the program ends by its
 	// caller's word, on the local clock.
-	StartedBy string
-	Root      string
-	Ends      time.Time
-	Class     string
-	Urgent    bool
-	Priority  int // place of the class in the spec's order
-	Route     string
-	Key       string // Idempotency-Key; empty: the job may be repeated
-	Hash      string // of the body, to know a key used for another job
-	Parts     []string
-	Asked     int64 // largest output asked for
-	Most      int64 // largest output allowed
-	Prompt    string
-	Follows   string
-	Conv      string // conversation class
-	History   []Line
+	StartedBy       string
+	Root            string
+	ProgramEnd      time.Time
+	Class           string
+	Urgent          bool
+	Priority        int // place of the class in the spec's order
+	Route           string
+	Key             string // Idempotency-Key; empty: the job may be repeated
+	Hash            string // of the body, to know a key used for another job
+	Parts           []string
+	RequestedOutput int64 // largest output asked for
+	MaxOutput       int64 // largest output allowed
+	Prompt          string
+	Follows         string
+	Conv            string // conversation class
+	History         []Line
 	// AnswerBy is the earlier of the caller's wait and the program's end, on the
 	// local clock, counted from arrival.
 	AnswerBy time.Time
@@ -51,18 +51,18 @@
 	Passed time.Time
 	// Order is its place within its class, by the policy; Whys tell how each of its
 	// choices came to be.
-	Order float64
-	Whys  []Why
-	// Looked is when the read at its cooldown was asked for, Ver the spec it was
+	Order     float64
+	Decisions []Decision
+	// CooldownReadAt is when the read at its cooldown was asked for, Ver the spec it was
 	// answered under: what the pass rests on.
-	Looked clock.Moment
-	Ver    uint64
+	CooldownReadAt  clock.Moment
+	CooldownVersion uint64
 	// ClaimVer is the claim's version as read at ingress; Started tells that it
 	// says 'started' for this job, Sure that no request with its key that came
 	// before this one's answer can run any more.
-	ClaimVer uint64
-	Started  bool
-	Sure     bool
+	ClaimVer       uint64
+	Started        bool
+	NoOtherAttempt bool
 	// Point is called at each numbered point of the way; nil outside tests.
 	Point func(Point, *Ctx)
 	// Spent is the output that the runner reports, PrefixHit whether the prefix was cached.
@@ -75,13 +75,13 @@
 
 // The points, in order.
 const (
-	Taken            Point = iota + 1 // parsed at ingress
+	Parsed           Point = iota + 1 // parsed at ingress
 	Claimed                           // its claim is read
-	Read                              // its history is there
+	HistoryRead                       // its history is there
 	Reserved                          // its budget is reserved
 	Picked                            // it has a runner and a slot
-	Looked                            // its runner's cooldown is read
-	Begun                             // its claim says 'started'
+	CooldownRead                      // its runner's cooldown is read
+	Started                           // its claim says 'started'
 	Passing                           // right before what is checked before the first byte
 	ResponseReceived                  // the runner has answered, nothing is written yet
 	Points           = int(ResponseReceived)
@@ -94,18 +94,18 @@
 	}
 }
 
-// Word is "no", "yes" or "unknown", of the work: of a keyed job, 'no' is said
+// Ran is "no", "yes" or "unknown", of the work: of a keyed job, 'no' is said
 // only by who can be sure that no earlier request with its key ran or will.
-func (c *Ctx) Word(a Answer) string {
+func (c *Ctx) Ran(a Answer) string {
 	w := a.Ran()
-	if w == "no" && c.Key != "" && !c.Sure && code.Of(a.Err).Drop() {
+	if w == "no" && c.Key != "" && !c.NoOtherAttempt && code.Of(a.Err).Drop() {
 		return "unknown"
 	}
 	return w
 }
 
-// Why is how an choice came to be: the policy, and each candidate's rank.
-type Why struct {
+// Decision is how an choice came to be: the policy, and each candidate's rank.
+type Decision struct {
 	Policy string `json:"policy"`
 	Picked string `json:"elected"`
 	Spec   uint64 `json:"spec"` // version it was made under
@@ -129,10 +129,10 @@
 
 // Runner is an picked back end.
 type Runner struct {
-	Ix          int
+	Index       int
 	Name        string
 	Addr        string
-	Cool        string // its cooldown key
+	CooldownKey string // its cooldown key
 	Incarnation string // of the process that the slot is for
 }
 
@@ -150,15 +150,15 @@
 	// which the answer is written where that is zero.
 	Wait  time.Duration
 	Since time.Time
-	// Again: nothing stands against passing the job once more.
-	Again bool
+	// Retryable: nothing stands against passing the job once more.
+	Retryable bool
 }
 
-// Good is a complete response.
-func Good(body json.RawMessage) Answer { return Answer{Body: body} }
+// Success is a complete response.
+func Success(body json.RawMessage) Answer { return Answer{Body: body} }
 
-// Bad is a numbered failure.
-func Bad(c code.Code, format string, a ...any) Answer {
+// Failure is a numbered failure.
+func Failure(c code.Code, format string, a ...any) Answer {
 	return Answer{Err: code.New(c, format, a...)}
 }
 
--- a/internal/dataplane/request/runnerapi/runnerapi.go
+++ b/internal/dataplane/request/runnerapi/runnerapi.go
@@ -57,15 +57,15 @@
 	State string `json:"state,omitempty"`
 }
 
-// Listed is one entry of the platform's list, GET /v1/runners.
-type Listed struct {
+// ListedRunner is one entry of the platform's list, GET /v1/runners.
+type ListedRunner struct {
 	Name  string `json:"name"`
 	Addr  string `json:"addr"`
 	Zone  string `json:"zone"`
 	Route string `json:"route"`
 }
 
-// Platform is the platform's list.
-type Platform struct {
-	Runners []Listed `json:"runners"`
+// RunnerList is the platform's list.
+type RunnerList struct {
+	Runners []ListedRunner `json:"runners"`
 }
--- a/internal/dataplane/request/turnapi/handler.go
+++ b/internal/dataplane/request/turnapi/handler.go
@@ -116,9 +116,9 @@
 	case err != nil:
 		a.Err = err
 	case c.Left() <= 0:
-		a = job.Bad(code.DeadlinePassed, "no time is left")
+		a = job.Failure(code.DeadlinePassed, "no time is left")
 	default:
-		c.At(job.Taken)
+		c.At(job.Parsed)
 		a = handler.execute(c)
 	}
 	n := code.Of(a.Err)
@@ -148,7 +148,7 @@
 		// Refused before it was read: of a keyed one nothing is known here.
 		c = &job.Ctx{Key: x.Request().Header.Get(HeaderIdempotencyKey)}
 	}
-	p.Job, p.Ran = c.ID, c.Word(a)
+	p.Job, p.Ran = c.ID, c.Ran(a)
 	if code.Code(p.Code) == code.Unknown {
 		handler.Log.Error("failure without a number", "err", a.Err)
 	}
@@ -233,7 +233,7 @@
 			return err
 		}
 	}
-	c.Ends = at.Add(left)
+	c.ProgramEnd = at.Add(left)
 	c.AnswerBy = at.Add(min(left, wait) - handler.Params.Margin)
 	if c.Key = h.Get(HeaderIdempotencyKey); c.Key == "" {
 		// An empty key is no key, and must not be taken for 'may be repeated'.
@@ -277,7 +277,7 @@
 		return code.New(code.BadField, "follows: not a turn")
 	}
 	c.Conv, c.Follows, c.Prompt, c.Class = t.Conversation, t.Follows, t.Prompt, t.Class
-	c.Asked, c.Most = t.MaxOutput, t.MaxOutput
+	c.RequestedOutput, c.MaxOutput = t.MaxOutput, t.MaxOutput
 	c.Route = t.Model
 	for _, r := range c.View.Spec.Routes {
 		if r.Model && (t.Model == "" || t.Model == r.Name) {
--- a/internal/dataplane/request/turnapi/handler_test.go
+++ b/internal/dataplane/request/turnapi/handler_test.go
@@ -110,7 +110,7 @@
 		q := good()
 		tc.do(&q)
 		made := false
-		w, p := serve(t, q, func(*job.Ctx) job.Answer { made = true; return job.Good([]byte("{}")) })
+		w, p := serve(t, q, func(*job.Ctx) job.Answer { made = true; return job.Success([]byte("{}")) })
 		if code.Code(p.Code) != tc.want || w.Code != tc.want.Status() || p.Failure == "" || p.Name != tc.want.Name() {
 			t.Errorf("%s: status %d, %+v, want %d", tc.what, w.Code, p, tc.want)
 		}
@@ -123,12 +123,12 @@
 // TestJob: what a good request says reaches the job.
 func TestJob(t *testing.T) {
 	var got *job.Ctx
-	w, _ := serve(t, good(), func(c *job.Ctx) job.Answer { got = c; return job.Good([]byte(`{"job":"x"}`)) })
+	w, _ := serve(t, good(), func(c *job.Ctx) job.Answer { got = c; return job.Success([]byte(`{"job":"x"}`)) })
 	if w.Code != http.StatusOK || got == nil {
 		t.Fatalf("status %d", w.Code)
 	}
 	if !got.Urgent || got.Priority != 0 || got.Program != "reel/1" || got.Key != "k" || got.Route != "model" ||
-		got.Most != 5 ||
+		got.MaxOutput != 5 ||
 		len(got.Parts) != 2 ||
 		got.Hash == "" {
 		t.Errorf("%+v", got)
@@ -143,8 +143,8 @@
 // header, and the finer truth in the body.
 func TestWhenToComeBack(t *testing.T) {
 	w, p := serve(t, good(), func(c *job.Ctx) job.Answer {
-		c.Sure = true
-		a := job.Bad(code.Cooling, "x")
+		c.NoOtherAttempt = true
+		a := job.Failure(code.Cooling, "x")
 		a.Wait = 2300 * time.Millisecond
 		return a
 	})
@@ -153,7 +153,7 @@
 		t.Errorf("%d %v %+v", w.Code, w.Header(), p)
 	}
 	// Of a key whose claim nobody could free, 'not run' is not ours to say.
-	if _, p := serve(t, good(), func(*job.Ctx) job.Answer { return job.Bad(code.Cooling, "x") }); p.Ran != "unknown" {
+	if _, p := serve(t, good(), func(*job.Ctx) job.Answer { return job.Failure(code.Cooling, "x") }); p.Ran != "unknown" {
 		t.Errorf("unsure, and told %q", p.Ran)
 	}
 	at, err := time.Parse(time.RFC3339Nano, p.NotBefore)
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -21,8 +21,8 @@
 // Buckets is the number of ranges.
 const Buckets = 256
 
-// PullMost bounds what one comparison brings, so that traffic goes first.
-const PullMost = 2000
+// MaxRepairKeys bounds what one comparison brings, so that traffic goes first.
+const MaxRepairKeys = 2000
 
 func bucket(key string) uint32 {
 	h := fnv.New32a()
@@ -144,7 +144,7 @@
 		}
 	}
 	n := 0
-	for len(l.Buckets) > 0 && n < PullMost {
+	for len(l.Buckets) > 0 && n < MaxRepairKeys {
 		r, err := ask(&wire.Req{Op: &wire.Req_List{List: l}})
 		if err != nil {
 			return n, err
--- a/internal/dataplane/store/store.go
+++ b/internal/dataplane/store/store.go
@@ -87,14 +87,14 @@
 	return s.Cluster.Now().Spec.StateKeep(key)
 }
 
-// RepairEvery is the time between two comparisons with another store.
-const RepairEvery = 3 * time.Second
+// RepairInterval is the time between two comparisons with another store.
+const RepairInterval = 3 * time.Second
 
 // Repaired counts the keys taken from other stores.
 func (s *Store) Repaired() int64 { return s.repaired.Load() }
 
-// MaxKey bounds a key; longer ones are refused before the disk sees them.
-const MaxKey = 512
+// MaxKeyBytes bounds a key; longer ones are refused before the disk sees them.
+const MaxKeyBytes = 512
 
 func (s *Store) put(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	defer s.Gate.Begin()()
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	p := q.GetPut()
-	if len(p.Key) == 0 || len(p.Key) > MaxKey || p.KeepMs <= 0 {
+	if len(p.Key) == 0 || len(p.Key) > MaxKeyBytes || p.KeepMs <= 0 {
 		return nil, code.New(code.Garbled, "key of %d bytes, keep of %d ms", len(p.Key), p.KeepMs)
 	}
 	return nil, s.v.PutBlob(p.Key, p.Val, time.Duration(p.KeepMs)*time.Millisecond)
@@ -155,7 +155,7 @@
 	s.Go(ctx, func(ctx context.Context) {
 		loop.Every(ctx, expireInterval, nil, func(context.Context) { s.expire() })
 	})
-	s.Go(ctx, func(ctx context.Context) { loop.Every(ctx, RepairEvery, nil, s.repair) })
+	s.Go(ctx, func(ctx context.Context) { loop.Every(ctx, RepairInterval, nil, s.repair) })
 	return nil
 }
 
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -12,18 +12,18 @@
 
 // Row is one job.
 type Row struct {
-	Job     string    `json:"job"`
-	Program string    `json:"program"`
-	Class   string    `json:"class,omitempty"`
-	Route   string    `json:"route"`
-	Spec    uint64    `json:"spec"` // version at the door
-	Order   float64   `json:"order"`
-	Tries   []job.Why `json:"tries"` // each choice, in order
-	Queued  int64     `json:"queued_ms"`
-	Took    int64     `json:"took_ms"`
-	Code    int       `json:"code"`
-	Name    string    `json:"name"`
-	Failure string    `json:"problem,omitempty"`
+	Job     string         `json:"job"`
+	Program string         `json:"program"`
+	Class   string         `json:"class,omitempty"`
+	Route   string         `json:"route"`
+	Spec    uint64         `json:"spec"` // version at the door
+	Order   float64        `json:"order"`
+	Tries   []job.Decision `json:"tries"` // each choice, in order
+	Queued  int64          `json:"queued_ms"`
+	Took    int64          `json:"took_ms"`
+	Code    int            `json:"code"`
+	Name    string         `json:"name"`
+	Failure string         `json:"problem,omitempty"`
 }
 
 // Journal is the memory of the last rows.
@@ -47,7 +47,7 @@
 		Route:   c.Route,
 		Spec:    c.View.Version,
 		Order:   c.Order,
-		Tries:   c.Whys,
+		Tries:   c.Decisions,
 		Took:    took.Milliseconds(),
 		Code:    int(n),
 		Name:    n.Name(),
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -76,7 +76,7 @@
 		Conv:      c.Conv,
 		Parts:     c.Parts,
 		Words:     len(c.Prompt),
-		Most:      c.Asked,
+		Most:      c.RequestedOutput,
 		Wait:      (c.Left() + took).Milliseconds(),
 		Code:      int(code.Of(a.Err)),
 		Took:      took.Milliseconds(),
--- a/internal/dataplane/traffic/traffic_test.go
+++ b/internal/dataplane/traffic/traffic_test.go
@@ -84,7 +84,7 @@
 				AnswerBy: time.Now().Add(time.Second),
 				View:     &cluster.View{},
 			}
-			recorder.Add("e1", "a", c, job.Bad(code.Cooling, "secret"), 20*time.Millisecond)
+			recorder.Add("e1", "a", c, job.Failure(code.Cooling, "secret"), 20*time.Millisecond)
 		}
 		for range 3 {
 			add()
--- a/internal/kit/runner/runner.go
+++ b/internal/kit/runner/runner.go
@@ -466,12 +466,12 @@
 	Addr string
 	Lag  time.Duration
 	mu   sync.Mutex
-	list []runnerapi.Listed
+	list []runnerapi.ListedRunner
 	srv  *http.Server
 }
 
 // Set replaces the list, seen after the lag.
-func (p *Platform) Set(l []runnerapi.Listed) {
+func (p *Platform) Set(l []runnerapi.ListedRunner) {
 	time.AfterFunc(p.Lag, func() {
 		p.mu.Lock()
 		p.list = l
@@ -490,7 +490,7 @@
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			_ = json.NewEncoder(w).Encode(runnerapi.Platform{Runners: p.list})
+			_ = json.NewEncoder(w).Encode(runnerapi.RunnerList{Runners: p.list})
 		}),
 	}
 	go func() { _ = p.srv.Serve(ln) }()
--- a/internal/kit/sim/brief_test.go
+++ b/internal/kit/sim/brief_test.go
@@ -139,8 +139,8 @@
 func TestNever01Twice(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(ctx context.Context, s *sim.Sim, p *stops) {
-		for pt := job.Taken; int(pt) <= job.Points; pt++ {
-			if pt == job.Read || pt == job.Reserved {
+		for pt := job.Parsed; int(pt) <= job.Points; pt++ {
+			if pt == job.HistoryRead || pt == job.Reserved {
 				continue // points of turns only
 			}
 			for _, how := range []string{"freeze", "kill", "lose"} {
@@ -637,9 +637,9 @@
 func TestNever11Early(t *testing.T) {
 	t.Parallel()
 	still(t, "andina", func(_ context.Context, s *sim.Sim, p *stops) {
-		for _, pt := range []job.Point{job.Picked, job.Looked, job.Begun, job.Passing} {
+		for _, pt := range []job.Point{job.Picked, job.CooldownRead, job.Started, job.Passing} {
 			for _, key := range []string{"", fmt.Sprint("k", pt)} {
-				if pt == job.Begun && key == "" {
+				if pt == job.Started && key == "" {
 					continue
 				}
 				p.set("e2", pt, func(*job.Ctx) { time.Sleep(1500 * time.Millisecond) })
--- a/internal/kit/sim/operators_test.go
+++ b/internal/kit/sim/operators_test.go
@@ -429,8 +429,8 @@
 			_ = json.NewEncoder(
 				w,
 			).Encode(
-				runnerapi.Platform{
-					Runners: []runnerapi.Listed{
+				runnerapi.RunnerList{
+					Runners: []runnerapi.ListedRunner{
 						{Name: "a9", Addr: extra.P.Addr, Zone: "a", Route: "assets"},
 						{Name: "bad name", Addr: "x"},
 					},
