--- a/internal/dataplane/request/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -29,8 +29,8 @@
 
 // settlement is what a turn put out, and where.
 type settlement struct {
-	spent int64
-	home  string // empty: it says nothing
+	spent  int64
+	runner string // empty: it says nothing
 }
 
 // BudgetParams are the times of budgets.
@@ -48,129 +48,129 @@
 }
 
 // NewBudgets makes the keeper of budgets.
-func NewBudgets(p BudgetParams, t *storeclient.Client, bg job.Background) *Budgets {
-	c := &Budgets{stores: t, params: p, background: bg, pending: map[string]map[string]settlement{}}
-	for i := range c.locks {
-		c.locks[i] = make(chan struct{}, 1)
-		c.locks[i] <- struct{}{}
+func NewBudgets(params BudgetParams, stores *storeclient.Client, background job.Background) *Budgets {
+	budgets := &Budgets{stores: stores, params: params, background: background, pending: map[string]map[string]settlement{}}
+	for i := range budgets.locks {
+		budgets.locks[i] = make(chan struct{}, 1)
+		budgets.locks[i] <- struct{}{}
 	}
-	return c
+	return budgets
 }
 
-func readBudget(st register.State) (budget.Value, error) {
-	var v budget.Value
-	if len(st.Value) == 0 {
-		return v, nil
+func readBudget(state register.State) (budget.Value, error) {
+	var value budget.Value
+	if len(state.Value) == 0 {
+		return value, nil
 	}
-	if err := json.Unmarshal(st.Value, &v); err != nil {
-		return v, code.New(code.Garbled, "budget: %w", err)
+	if err := json.Unmarshal(state.Value, &value); err != nil {
+		return value, code.New(code.Garbled, "budget: %w", err)
 	}
-	return v, nil
+	return value, nil
 }
 
 func budgetKey(j *Job) string { return keys.ProxyBudget(j.TenantName(), j.Program) }
 
 // change makes f's change of a program's budget together with the settlements due.
-func (p *Budgets) change(ctx context.Context, key string, f func(*budget.Value) error) (budget.Value, error) {
+func (budgets *Budgets) change(ctx context.Context, key string, update func(*budget.Value) error) (budget.Value, error) {
 	// Nobody waits for his turn longer than for the change itself.
-	l := p.locks[weigh(key, "")%uint64(len(p.locks))]
-	if !loop.Until(ctx, l) {
+	lock := budgets.locks[rendezvousHash(key, "")%uint64(len(budgets.locks))]
+	if !loop.Until(ctx, lock) {
 		return budget.Value{}, code.New(
 			code.StoresUnreachable,
 			"other changes of budgets are under way: %w",
 			ctx.Err(),
 		)
 	}
-	defer func() { l <- struct{}{} }()
-	p.mu.Lock()
+	defer func() { lock <- struct{}{} }()
+	budgets.mu.Lock()
 	due := map[string]settlement{}
-	for k, n := range p.pending[key] {
-		due[k] = n
+	for attempt, settled := range budgets.pending[key] {
+		due[attempt] = settled
 	}
-	p.mu.Unlock()
-	st, err := p.stores.Change(ctx, key, func(st register.State) ([]byte, bool, error) {
-		v, err := readBudget(st)
+	budgets.mu.Unlock()
+	state, err := budgets.stores.Change(ctx, key, func(state register.State) ([]byte, bool, error) {
+		value, err := readBudget(state)
 		if err != nil {
 			return nil, false, err
 		}
-		for id, n := range due {
-			v.Settle(id, n.spent)
-			if n.home != "" {
-				v.Home = n.home
+		for attempt, settled := range due {
+			value.Settle(attempt, settled.spent)
+			if settled.runner != "" {
+				value.Home = settled.runner
 			}
 		}
-		if err := f(&v); err != nil {
+		if err := update(&value); err != nil {
 			return nil, false, err
 		}
-		b, err := json.Marshal(v)
-		return b, false, err
+		encoded, err := json.Marshal(value)
+		return encoded, false, err
 	})
 	if err != nil {
 		return budget.Value{}, err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for id := range due {
-		delete(p.pending[key], id)
+	budgets.mu.Lock()
+	defer budgets.mu.Unlock()
+	for attempt := range due {
+		delete(budgets.pending[key], attempt)
 	}
-	if len(p.pending[key]) == 0 {
-		delete(p.pending, key)
+	if len(budgets.pending[key]) == 0 {
+		delete(budgets.pending, key)
 	}
-	return readBudget(st)
+	return readBudget(state)
 }
 
 // Reserve sets the most that a job may put out aside, or says that the budget
 // does not hold it.
-func (p *Budgets) Reserve(ctx context.Context, j *Job) error {
-	v, err := p.change(ctx, budgetKey(j), func(v *budget.Value) error {
-		if _, ok := v.Open[j.Attempt]; ok {
+func (budgets *Budgets) Reserve(ctx context.Context, j *Job) error {
+	value, err := budgets.change(ctx, budgetKey(j), func(value *budget.Value) error {
+		if _, ok := value.Open[j.Attempt]; ok {
 			return nil
 		}
-		if v.All()+j.MaxOutputTokens > j.TokenBudget {
+		if value.All()+j.MaxOutputTokens > j.TokenBudget {
 			return code.New(
 				code.BudgetSpent,
 				"%d of %d are spent or reserved, the turn may put out %d",
-				v.All(),
+				value.All(),
 				j.TokenBudget,
 				j.MaxOutputTokens,
 			)
 		}
-		return v.Reserve(j.Attempt, j.MaxOutputTokens, j.TokenBudget)
+		return value.Reserve(j.Attempt, j.MaxOutputTokens, j.TokenBudget)
 	})
 	if err == nil {
-		j.PreviousRunner, j.BudgetReserved = v.Home, true
+		j.PreviousRunner, j.BudgetReserved = value.Home, true
 	}
 	return err
 }
 
 // Commit writes down, under the key of a budget, what a turn put out, with the program's next turn or soon.
-func (p *Budgets) Commit(key, try string, spent int64, home string) {
-	p.mu.Lock()
-	first := p.pending[key] == nil
+func (budgets *Budgets) Commit(key, attempt string, spent int64, runner string) {
+	budgets.mu.Lock()
+	first := budgets.pending[key] == nil
 	if first {
-		p.pending[key] = map[string]settlement{}
+		budgets.pending[key] = map[string]settlement{}
 	}
-	p.pending[key][try] = settlement{spent, home}
-	p.mu.Unlock()
+	budgets.pending[key][attempt] = settlement{spent, runner}
+	budgets.mu.Unlock()
 	if !first {
 		return
 	}
-	p.background.Go(func() {
+	budgets.background.Go(func() {
 		// One that waits already takes this along.
 		for try := 0; try < 60; try++ {
 			if try == 0 {
-				loop.Wait(p.background.Ctx, p.params.CommitDelay)
+				loop.Wait(budgets.background.Ctx, budgets.params.CommitDelay)
 			}
-			p.mu.Lock()
-			n := len(p.pending[key])
-			p.mu.Unlock()
-			if n == 0 {
+			budgets.mu.Lock()
+			unwritten := len(budgets.pending[key])
+			budgets.mu.Unlock()
+			if unwritten == 0 {
 				return
 			}
-			ctx, stop := context.WithTimeout(context.WithoutCancel(p.background.Ctx), p.params.WriteTimeout)
-			_, err := p.change(ctx, key, func(*budget.Value) error { return nil })
+			ctx, stop := context.WithTimeout(context.WithoutCancel(budgets.background.Ctx), budgets.params.WriteTimeout)
+			_, err := budgets.change(ctx, key, func(*budget.Value) error { return nil })
 			stop()
-			if err != nil && !loop.Wait(p.background.Ctx, 250*time.Millisecond) {
+			if err != nil && !loop.Wait(budgets.background.Ctx, 250*time.Millisecond) {
 				return
 			}
 		}
@@ -178,21 +178,21 @@
 }
 
 // Do is the policy.
-func (p *Budgets) Do(j *Job, w *Response, next Next) Answer {
+func (budgets *Budgets) Do(j *Job, response *Response, next Next) Answer {
 	if j.Program == "" || j.TokenBudget <= 0 || j.MaxOutputTokens <= 0 {
-		return next(j, w)
+		return next(j, response)
 	}
-	ctx, stop := context.WithTimeout(j, min(p.params.ReadTimeout, j.TimeLeft()))
-	unsure := false // one of the tries may have reserved it
+	ctx, stop := context.WithTimeout(j, min(budgets.params.ReadTimeout, j.TimeLeft()))
+	mayBeReserved := false // one of the tries may have reserved it
 	err := retryAtStores(ctx, func() error {
-		err := p.Reserve(ctx, j)
-		unsure = unsure || code.Of(err) == code.OutcomeUnknown
+		err := budgets.Reserve(ctx, j)
+		mayBeReserved = mayBeReserved || code.Of(err) == code.OutcomeUnknown
 		return err
 	})
 	stop()
-	if err != nil && unsure {
+	if err != nil && mayBeReserved {
 		// Perhaps it is reserved; nothing was sent, so it is handed back.
-		p.Commit(budgetKey(j), j.Attempt, 0, "")
+		budgets.Commit(budgetKey(j), j.Attempt, 0, "")
 	}
 	switch {
 	case code.Of(err) == code.OutcomeUnknown:
@@ -203,8 +203,8 @@
 	case err != nil:
 		return Refuse(err, 200*time.Millisecond)
 	}
-	a := next(j, w)
+	answer := next(j, response)
 	// What the caller was handed, whatever became of the rest.
-	p.Commit(budgetKey(j), j.Attempt, int64(w.Events())*j.perEvent(), w.runner)
-	return a
+	budgets.Commit(budgetKey(j), j.Attempt, int64(response.Events())*j.tokensPerEvent(), response.runner)
+	return answer
 }
--- a/internal/dataplane/request/proxy/conversation.go
+++ b/internal/dataplane/request/proxy/conversation.go
@@ -41,192 +41,192 @@
 
 	mu          sync.Mutex
 	cached      map[string]*list.Element
-	leastRecent *list.List // least lately used last
-	size        int
+	lru         *list.List // least lately used last
+	cachedBytes int
 }
 
 // NewTurns makes the keeper of turns.
-func NewTurns(p TurnParams, t *storeclient.Client) *Turns {
-	return &Turns{stores: t, params: p, cached: map[string]*list.Element{}, leastRecent: list.New()}
+func NewTurns(params TurnParams, stores *storeclient.Client) *Turns {
+	return &Turns{stores: stores, params: params, cached: map[string]*list.Element{}, lru: list.New()}
 }
 
 // turn is one kept turn as this node remembers it; it is never changed.
 type turn struct {
-	id    string
-	key   string    // of its blob; names its tenant as well
-	until time.Time // kept at least so long
+	id        string
+	key       string    // of its blob; names its tenant as well
+	expiresAt time.Time // kept at least so long
 	*wire.Turn
 }
 
-func (t *turn) bytes() int { return len(t.In) + len(t.Out) + 32*len(t.Before) + 200 }
+func (t *turn) size() int { return len(t.In) + len(t.Out) + 32*len(t.Before) + 200 }
 
-func (c *Turns) get(key string) *turn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	e := c.cached[key]
-	if e == nil {
+func (turns *Turns) lookup(key string) *turn {
+	turns.mu.Lock()
+	defer turns.mu.Unlock()
+	element := turns.cached[key]
+	if element == nil {
 		return nil
 	}
-	c.leastRecent.MoveToFront(e)
-	return e.Value.(*turn)
+	turns.lru.MoveToFront(element)
+	return element.Value.(*turn)
 }
 
-func (c *Turns) remember(t *turn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if e := c.cached[t.key]; e != nil {
-		c.size -= e.Value.(*turn).bytes()
-		c.leastRecent.Remove(e)
-	}
-	c.cached[t.key] = c.leastRecent.PushFront(t)
-	for c.size += t.bytes(); c.size > c.params.CacheBytes && c.leastRecent.Len() > 1; {
-		e := c.leastRecent.Back()
-		old := e.Value.(*turn)
-		c.leastRecent.Remove(e)
-		delete(c.cached, old.key)
-		c.size -= old.bytes()
+func (turns *Turns) store(added *turn) {
+	turns.mu.Lock()
+	defer turns.mu.Unlock()
+	if element := turns.cached[added.key]; element != nil {
+		turns.cachedBytes -= element.Value.(*turn).size()
+		turns.lru.Remove(element)
+	}
+	turns.cached[added.key] = turns.lru.PushFront(added)
+	for turns.cachedBytes += added.size(); turns.cachedBytes > turns.params.CacheBytes && turns.lru.Len() > 1; {
+		element := turns.lru.Back()
+		evicted := element.Value.(*turn)
+		turns.lru.Remove(element)
+		delete(turns.cached, evicted.key)
+		turns.cachedBytes -= evicted.size()
 	}
 }
 
-func (c *Turns) fetch(ctx context.Context, tenant, id string) (*turn, error) {
+func (turns *Turns) fetch(ctx context.Context, tenant, id string) (*turn, error) {
 	key := keys.ProxyTurn(tenant, id)
 	// A node may remember a turn past its time: only the stores can say that it
 	// is over, and until then it is still good.
-	if t := c.get(key); t != nil && time.Now().Before(t.until) {
-		return t, nil
+	if found := turns.lookup(key); found != nil && time.Now().Before(found.expiresAt) {
+		return found, nil
 	}
-	asked := time.Now()
-	b, left, err := c.stores.GetBlobTimeLeft(ctx, key)
+	requestedAt := time.Now()
+	encoded, timeLeft, err := turns.stores.GetBlobTimeLeft(ctx, key)
 	if err != nil {
 		return nil, err
 	}
-	t := &turn{id: id, key: key, until: asked.Add(left), Turn: &wire.Turn{}}
-	if err := wire.Decode(b, t.Turn); err != nil {
+	found := &turn{id: id, key: key, expiresAt: requestedAt.Add(timeLeft), Turn: &wire.Turn{}}
+	if err := wire.Decode(encoded, found.Turn); err != nil {
 		return nil, err
 	}
-	c.remember(t)
-	return t, nil
+	turns.store(found)
+	return found, nil
 }
 
 // chain fetches the turn that a job goes on from and all before it, oldest
 // first. NoTurn is only said where a majority says so.
-func (c *Turns) chain(ctx context.Context, tenant, id string) ([]*turn, error) {
-	head, err := c.fetch(ctx, tenant, id)
+func (turns *Turns) fetchChain(ctx context.Context, tenant, id string) ([]*turn, error) {
+	latest, err := turns.fetch(ctx, tenant, id)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]*turn, len(head.Before)+1)
-	out[len(head.Before)] = head
-	errs := make(chan error, len(head.Before))
-	for i, id := range head.Before {
-		if t := c.get(keys.ProxyTurn(tenant, id)); t != nil {
-			out[i] = t
+	chain := make([]*turn, len(latest.Before)+1)
+	chain[len(latest.Before)] = latest
+	errs := make(chan error, len(latest.Before))
+	for i, id := range latest.Before {
+		if t := turns.lookup(keys.ProxyTurn(tenant, id)); t != nil {
+			chain[i] = t
 			errs <- nil
 			continue
 		}
 		go func() {
-			t, err := c.fetch(ctx, tenant, id)
-			out[i] = t
+			t, err := turns.fetch(ctx, tenant, id)
+			chain[i] = t
 			errs <- err
 		}()
 	}
-	for range head.Before {
-		if e := <-errs; e != nil {
-			err = e
+	for range latest.Before {
+		if fetchErr := <-errs; fetchErr != nil {
+			err = fetchErr
 		}
 	}
 	if err != nil {
 		// The turn is there, so what led to it must be: not found is not sure.
 		return nil, code.New(code.StoresUnreachable, "turn %s: the turns before it: %w", id, err)
 	}
-	return out, nil
+	return chain, nil
 }
 
 // Keep brings a turn to a majority, and renews those before it whose time would
 // be over before its own.
-func (c *Turns) Keep(ctx context.Context, tenant, id string, chain []*turn, in, out []byte, keep time.Duration) error {
-	t := &turn{id: id, key: keys.ProxyTurn(tenant, id), Turn: &wire.Turn{In: in, Out: out}}
-	for _, b := range chain {
-		t.Before = append(t.Before, b.id)
+func (turns *Turns) Keep(ctx context.Context, tenant, id string, chain []*turn, in, out []byte, retention time.Duration) error {
+	kept := &turn{id: id, key: keys.ProxyTurn(tenant, id), Turn: &wire.Turn{In: in, Out: out}}
+	for _, previous := range chain {
+		kept.Before = append(kept.Before, previous.id)
 	}
 	now := time.Now()
 	errs := make(chan error, len(chain)+1)
-	n := 1
+	writes := 1
 	var renewed []*turn
-	put := func(t *turn) {
-		b := wire.MustEncode(t.Turn)
+	put := func(written *turn) {
+		encoded := wire.MustEncode(written.Turn)
 		errs <- retryAtStores(ctx, func() error {
-			return c.stores.PutBlob(ctx, t.key, b, keep+c.params.ExtraRetention)
+			return turns.stores.PutBlob(ctx, written.key, encoded, retention+turns.params.ExtraRetention)
 		})
 	}
-	for _, b := range chain {
-		if b.until.Before(now.Add(keep + 2*c.params.LateWriteTimeout)) {
-			n++
-			copied := &turn{id: b.id, key: b.key, until: now.Add(keep + c.params.ExtraRetention), Turn: b.Turn}
-			go put(copied)
-			renewed = append(renewed, copied)
+	for _, previous := range chain {
+		if previous.expiresAt.Before(now.Add(retention + 2*turns.params.LateWriteTimeout)) {
+			writes++
+			renewal := &turn{id: previous.id, key: previous.key, expiresAt: now.Add(retention + turns.params.ExtraRetention), Turn: previous.Turn}
+			go put(renewal)
+			renewed = append(renewed, renewal)
 		}
 	}
-	t.until = now.Add(keep + c.params.ExtraRetention)
-	go put(t)
+	kept.expiresAt = now.Add(retention + turns.params.ExtraRetention)
+	go put(kept)
 	var err error
-	for range n {
-		if e := <-errs; e != nil {
-			err = e
+	for range writes {
+		if writeErr := <-errs; writeErr != nil {
+			err = writeErr
 		}
 	}
 	if err != nil {
 		return code.New(code.NotKept, "the turn ran but could not be kept: %w", err)
 	}
 	// Only now: a renewal that failed must be tried again by the next turn.
-	for _, r := range renewed {
-		c.remember(r)
+	for _, renewal := range renewed {
+		turns.store(renewal)
 	}
-	c.remember(t)
+	turns.store(kept)
 	return nil
 }
 
 // Do is the policy: the runner gets the entire chain, and the answer ends only
 // once the turn is kept.
-func (c *Turns) Do(j *Job, w *Response, next Next) Answer {
+func (turns *Turns) Do(j *Job, response *Response, next Next) Answer {
 	if !j.Path.Kept {
-		return next(j, w)
+		return next(j, response)
 	}
 	var chain []*turn
-	in := j.Body
+	input := j.Body
 	if j.PreviousAttempt != "" {
-		ctx, stop := context.WithTimeout(j, min(c.params.ReadTimeout, j.TimeLeft()))
+		ctx, stop := context.WithTimeout(j, min(turns.params.ReadTimeout, j.TimeLeft()))
 		err := retryAtStores(ctx, func() (err error) {
-			chain, err = c.chain(ctx, j.TenantName(), j.PreviousAttempt)
+			chain, err = turns.fetchChain(ctx, j.TenantName(), j.PreviousAttempt)
 			return err
 		})
 		stop()
 		if err != nil {
 			return Refuse(err, 250*time.Millisecond)
 		}
-		var b bytes.Buffer
+		var prompt bytes.Buffer
 		for _, t := range chain {
-			b.Write(t.In)
-			b.Write(t.Out)
+			prompt.Write(t.In)
+			prompt.Write(t.Out)
 		}
-		b.Write(in)
-		j.Body = b.Bytes()
+		prompt.Write(input)
+		j.Body = prompt.Bytes()
 	}
-	w.Collect()
-	a := next(j, w)
-	if a.Err != nil || !a.Success {
-		return a
+	response.Collect()
+	answer := next(j, response)
+	if answer.Err != nil || !answer.Success {
+		return answer
 	}
 	ctx, stop := context.WithTimeout(
 		context.WithoutCancel(j),
-		max(min(j.TimeLeft(), 2*c.params.LateWriteTimeout), c.params.LateWriteTimeout),
+		max(min(j.TimeLeft(), 2*turns.params.LateWriteTimeout), turns.params.LateWriteTimeout),
 	)
 	defer stop()
-	keep := time.Duration(j.Path.KeepMs) * time.Millisecond
-	if err := c.Keep(ctx, j.TenantName(), j.Attempt, chain, in, w.Text(), keep); err != nil {
+	retention := time.Duration(j.Path.KeepMs) * time.Millisecond
+	if err := turns.Keep(ctx, j.TenantName(), j.Attempt, chain, input, response.Text(), retention); err != nil {
 		return Answer{Err: err}
 	}
-	return a
+	return answer
 }
 
 // retryAtStores does something at the stores until it is done, or time is over; it must be safe
--- a/internal/dataplane/request/proxy/fuzz_test.go
+++ b/internal/dataplane/request/proxy/fuzz_test.go
@@ -12,7 +12,7 @@
 )
 
 // taken is what became of bytes that were read as a runner's answer.
-type taken struct {
+type readResult struct {
 	success bool // handed on as a unit success
 	refused bool // taken for the statement that the job did not run
 	used    int  // bytes read for it
@@ -20,9 +20,9 @@
 }
 
 // takeAnswer reads bytes as the answer to the try "a".
-func takeAnswer(b []byte, kind string) taken {
+func readAsAnswer(b []byte, kind string) readResult {
 	left := bytes.NewReader(b)
-	c := &conn{br: bufio.NewReader(left)}
+	c := &conn{reader: bufio.NewReader(left)}
 	readResponse := func(r *http.Response) ResponseInfo {
 		return ResponseInfo{
 			Attempt: r.Header.Get("Try"),
@@ -30,19 +30,19 @@
 			NotRun:  r.Header.Get("Not-Run") != "",
 		}
 	}
-	a, err := c.answer(&http.Request{Method: http.MethodPost}, "a", readResponse)
+	a, err := c.readAnswer(&http.Request{Method: http.MethodPost}, "a", readResponse)
 	if err != nil {
-		return taken{}
+		return readResult{}
 	}
 	w := httptest.NewRecorder()
-	x := &exchange{j: &Job{Path: &spec.Path{Kind: kind}}, w: &Response{w: w}, r: &endpoints.Runner{ID: "i-1"}, c: c}
+	x := &exchange{job: &Job{Path: &spec.Path{Kind: kind}}, response: &Response{w: w}, runner: &endpoints.Runner{ID: "i-1"}, conn: c}
 	if a.info.NotRun {
-		return taken{refused: true, used: len(b) - left.Len() - c.br.Buffered()}
+		return readResult{refused: true, used: len(b) - left.Len() - c.reader.Buffered()}
 	}
-	if x.unusable(a) != nil || x.handOn(a) != nil {
-		return taken{}
+	if x.unusable(a) != nil || x.forwardAnswer(a) != nil {
+		return readResult{}
 	}
-	return taken{success: a.success(), used: len(b) - left.Len() - c.br.Buffered(), body: w.Body.String()}
+	return readResult{success: a.success(), used: len(b) - left.Len() - c.reader.Buffered(), body: w.Body.String()}
 }
 
 // FuzzAnswer: whatever a runner sends, reading it ends; and where it is taken for a complete
@@ -74,12 +74,12 @@
 		if stream {
 			kind = spec.Stream
 		}
-		complete := takeAnswer(b, kind)
+		complete := readAsAnswer(b, kind)
 		if !complete.success && !complete.refused {
 			return
 		}
 		for n := range complete.used {
-			if segment := takeAnswer(b[:n], kind); segment.success || segment.refused {
+			if segment := readAsAnswer(b[:n], kind); segment.success || segment.refused {
 				t.Fatalf("%d of %d bytes are taken for %+v", n, complete.used, segment)
 			}
 		}
--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -25,7 +25,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-func itoa(n int64) string { return strconv.FormatInt(n, 10) }
+func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
 // Params are the settings of proxied requests.
 type Params struct {
@@ -76,160 +76,160 @@
 
 // Handler takes proxied requests and sees each to its answer.
 type Handler struct {
-	params      Params
-	parts       Dependencies
-	next        Next
-	routes      atomic.Pointer[index]
-	freeSlots   *broadcast
-	zoneRefills refillTimes
+	params            Params
+	dependencies      Dependencies
+	next              Next
+	routes            atomic.Pointer[versionedIndex]
+	freeSlots         *broadcast
+	zoneReactivations reactivationTimes
 
 	mu     sync.Mutex
 	counts map[string]int64
 }
 
-type index struct {
-	ver uint64
+type versionedIndex struct {
+	version uint64
 	*spec.Index
 }
 
 // New makes a handler.
-func New(p Params, parts Dependencies) *Handler {
-	handler := &Handler{params: p, parts: parts, freeSlots: newBroadcast(), counts: map[string]int64{}}
-	handler.next = Chain(handler.forward, parts.Policies...)
+func New(params Params, dependencies Dependencies) *Handler {
+	handler := &Handler{params: params, dependencies: dependencies, freeSlots: newBroadcast(), counts: map[string]int64{}}
+	handler.next = Chain(handler.forward, dependencies.Policies...)
 	return handler
 }
 
 // index is that of the table in force, made once a version.
-func (handler *Handler) index(v *cluster.View) *spec.Index {
-	x := handler.routes.Load()
-	if x == nil || x.ver != v.Version {
-		x = &index{v.Version, spec.NewIndex(&v.Table)}
-		handler.routes.Store(x)
+func (handler *Handler) index(view *cluster.View) *spec.Index {
+	current := handler.routes.Load()
+	if current == nil || current.version != view.Version {
+		current = &versionedIndex{view.Version, spec.NewIndex(&view.Table)}
+		handler.routes.Store(current)
 	}
-	return x.Index
+	return current.Index
 }
 
 // Counts is how many jobs were answered with each code.
 func (handler *Handler) Counts() map[string]int64 {
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
-	out := map[string]int64{}
-	for k, n := range handler.counts {
-		out[k] = n
+	counts := map[string]int64{}
+	for name, count := range handler.counts {
+		counts[name] = count
 	}
-	return out
+	return counts
 }
 
 // callerSlack is how long past a job's deadline its caller has to read the answer.
-const callerSlack = 2 * time.Second
+const callerReadGrace = 2 * time.Second
 
 // lastEventHeader names the last event that a caller has (WHATWG, Server-sent events).
 const lastEventHeader = "Last-Event-Id"
 
 // ServeHTTP takes one job.
 func (handler *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	j := &Job{Context: r.Context(), Arrived: time.Now(), View: handler.parts.View(), Req: r}
+	j := &Job{Context: r.Context(), Arrived: time.Now(), View: handler.dependencies.View(), Req: r}
 	response := &Response{w: w}
 	caller := http.NewResponseController(w)
 	// A caller that does not read is not waited for. The deadline holds on for what the
 	// server still writes, and the next request on the connection sets its own.
-	_ = caller.SetWriteDeadline(j.Arrived.Add(handler.params.StartupWait + callerSlack))
-	a := handler.do(j, response)
+	_ = caller.SetWriteDeadline(j.Arrived.Add(handler.params.StartupWait + callerReadGrace))
+	answer := handler.serve(j, response)
 	handler.mu.Lock()
-	handler.counts[code.Of(a.Err).Name()]++
+	handler.counts[code.Of(answer.Err).Name()]++
 	handler.mu.Unlock()
-	if a.Err == nil {
+	if answer.Err == nil {
 		return
 	}
-	handler.parts.Log.Debug(
+	handler.dependencies.Log.Debug(
 		"job not served",
 		"job",
 		j.Attempt,
 		"code",
-		int(code.Of(a.Err)),
+		int(code.Of(answer.Err)),
 		"why",
-		a.Err,
+		answer.Err,
 		"took",
 		time.Since(j.Arrived),
 	)
-	if response.begun || j.Err() != nil {
+	if response.headSent || j.Err() != nil {
 		// What has begun must not appear complete.
 		panic(http.ErrAbortHandler)
 	}
-	handler.refuse(w, a)
+	handler.writeError(w, answer)
 }
 
 // refuse tells a caller what became of a job, and when to come back.
-func (handler *Handler) refuse(w http.ResponseWriter, a Answer) {
-	p := web.Of(a.Err)
-	if a.RetryAfter > 0 {
+func (handler *Handler) writeError(w http.ResponseWriter, answer Answer) {
+	problem := web.Of(answer.Err)
+	if answer.RetryAfter > 0 {
 		// Fractions are understood, and rounded up: never back too early.
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(cooldown.WaitMs(a.RetryAfter))/1000, 'f', 3, 64))
-		p.WaitMs = cooldown.WaitMs(a.RetryAfter)
-		p.NotBefore = time.Now().Add(a.RetryAfter + time.Millisecond - 1).UTC().Format("2006-01-02T15:04:05.000Z")
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(cooldown.WaitMs(answer.RetryAfter))/1000, 'f', 3, 64))
+		problem.WaitMs = cooldown.WaitMs(answer.RetryAfter)
+		problem.NotBefore = time.Now().Add(answer.RetryAfter + time.Millisecond - 1).UTC().Format("2006-01-02T15:04:05.000Z")
 	}
-	b, _ := json.Marshal(p)
+	encoded, _ := json.Marshal(problem)
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	w.WriteHeader(code.Code(p.Code).Status())
-	_, _ = w.Write(b)
+	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
+	w.WriteHeader(code.Code(problem.Code).Status())
+	_, _ = w.Write(encoded)
 }
 
-func (handler *Handler) do(j *Job, response *Response) Answer {
-	if err := handler.open(j); err != nil {
+func (handler *Handler) serve(j *Job, response *Response) Answer {
+	if err := handler.waitUntilReady(j); err != nil {
 		return Refuse(err, 200*time.Millisecond)
 	}
-	j.View = handler.parts.View()
+	j.View = handler.dependencies.View()
 	if j.View.Table.Revision == 0 {
 		return Refuse(code.New(code.NotReady, "no table of routes yet"), 200*time.Millisecond)
 	}
-	x := handler.index(j.View)
-	j.Path = x.Path(j.Req.Host, rawPath(j.Req))
+	index := handler.index(j.View)
+	j.Path = index.Path(j.Req.Host, rawPath(j.Req))
 	if j.Path == nil {
-		if h, _, err := net.SplitHostPort(j.Req.Host); err == nil {
-			j.Path = x.Path(h, rawPath(j.Req))
+		if host, _, err := net.SplitHostPort(j.Req.Host); err == nil {
+			j.Path = index.Path(host, rawPath(j.Req))
 		}
 	}
 	if j.Path != nil && j.Path.Kind == spec.Stream && j.Path.Resumable {
-		response.resumable, response.callerHas = true, j.Req.Header.Get(lastEventHeader)
+		response.resumable, response.callerLastEventID = true, j.Req.Header.Get(lastEventHeader)
 	}
 	if j.Path == nil {
 		return Answer{Err: code.New(code.NoRoute, "no route for %s%s", j.Req.Host, rawPath(j.Req))}
 	}
-	if err := handler.authenticate(j, x); err != nil {
+	if err := handler.authenticate(j, index); err != nil {
 		return Answer{Err: err}
 	}
-	if err := handler.parts.Headers.ReadRequest(j.Req, j); err != nil {
+	if err := handler.dependencies.Headers.ReadRequest(j.Req, j); err != nil {
 		return Answer{Err: err}
 	}
-	most := handler.params.MaxBody
-	if n := j.View.Table.Limits.BodyBytes; n > 0 {
-		most = n
+	maxBody := handler.params.MaxBody
+	if limit := j.View.Table.Limits.BodyBytes; limit > 0 {
+		maxBody = limit
 	}
-	patience := time.Duration(j.Path.GuardMs) * time.Millisecond
+	timeout := time.Duration(j.Path.GuardMs) * time.Millisecond
 	if j.CallerTimeout > 0 {
-		patience = min(patience, j.CallerTimeout-handler.params.Margin)
+		timeout = min(timeout, j.CallerTimeout-handler.params.Margin)
 	}
-	j.ResponseDeadline = j.Arrived.Add(patience)
+	j.ResponseDeadline = j.Arrived.Add(timeout)
 	caller := http.NewResponseController(response.w)
-	_ = caller.SetWriteDeadline(j.ResponseDeadline.Add(callerSlack))
-	b, err := bodyBy(caller, j, most)
+	_ = caller.SetWriteDeadline(j.ResponseDeadline.Add(callerReadGrace))
+	content, err := readBodyWithDeadline(caller, j, maxBody)
 	if err != nil {
 		return Answer{Err: err}
 	}
-	j.Body = b
-	if patience <= 0 {
+	j.Body = content
+	if timeout <= 0 {
 		return Refuse(code.New(code.DeadlinePassed, "no time is left"), 0)
 	}
-	j.Service = x.Service(pickByWeight(j.Path.To, j.draw()))
+	j.Service = index.Service(pickByWeight(j.Path.To, j.routingHash()))
 	return handler.next(j, response)
 }
 
 // open waits a moment for a node that has just come up to be ready: after a loss of
 // power all callers come back at once, and a refusal would cost each a try.
-func (handler *Handler) open(j *Job) error {
+func (handler *Handler) waitUntilReady(j *Job) error {
 	for {
-		err := handler.parts.Ready()
+		err := handler.dependencies.Ready()
 		if code.Of(err) != code.NotReady || time.Since(j.Arrived) > handler.params.StartupWait {
 			return err
 		}
@@ -241,38 +241,38 @@
 
 // rawPath is the path as it came, not unescaped.
 func rawPath(r *http.Request) string {
-	p, _, _ := strings.Cut(r.RequestURI, "?")
-	return p
+	path, _, _ := strings.Cut(r.RequestURI, "?")
+	return path
 }
 
 // bodyBy reads an entire body, for as long as the job may take.
-func bodyBy(caller *http.ResponseController, j *Job, most int64) ([]byte, error) {
+func readBodyWithDeadline(caller *http.ResponseController, j *Job, maxBytes int64) ([]byte, error) {
 	if j.Req.ContentLength == 0 {
 		return nil, nil
 	}
-	_ = caller.SetReadDeadline(j.ResponseDeadline.Add(callerSlack))
-	b, err := body(j.Req, most)
+	_ = caller.SetReadDeadline(j.ResponseDeadline.Add(callerReadGrace))
+	content, err := readBody(j.Req, maxBytes)
 	if err == nil {
 		_ = caller.SetReadDeadline(time.Time{})
 	}
-	return b, err
+	return content, err
 }
 
 // body reads a request's body up to a limit.
-func body(r *http.Request, most int64) ([]byte, error) {
-	if r.ContentLength > most {
-		return nil, code.New(code.TooLarge, "more than %d bytes", most)
+func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
+	if r.ContentLength > maxBytes {
+		return nil, code.New(code.TooLarge, "more than %d bytes", maxBytes)
 	}
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
-	var b []byte
+	var content []byte
 	var err error
 	if r.ContentLength > 0 {
-		b = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(r.Body, b)
+		content = make([]byte, r.ContentLength)
+		_, err = io.ReadFull(r.Body, content)
 	} else {
-		b, err = io.ReadAll(io.LimitReader(r.Body, most+1))
+		content, err = io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	}
 	if isTimeout(err) {
 		return nil, code.New(code.BodyLost, "body did not come in time: %w", err)
@@ -280,28 +280,28 @@
 	if err != nil {
 		return nil, code.New(code.BadJSON, "body can't be read: %w", err)
 	}
-	if int64(len(b)) > most {
-		return nil, code.New(code.TooLarge, "more than %d bytes", most)
+	if int64(len(content)) > maxBytes {
+		return nil, code.New(code.TooLarge, "more than %d bytes", maxBytes)
 	}
-	return b, nil
+	return content, nil
 }
 
 // draw is a job's draw where a path has several services: the same for all jobs of
 // one program, so that what a runner holds of it stays of use.
-func (j *Job) draw() uint64 {
-	k := j.Program
+func (j *Job) routingHash() uint64 {
+	key := j.Program
 	switch {
 	case j.Path.Kind == spec.Keyed && j.OperationKey != "":
 		// A repeat goes where the first went.
-		k = j.OperationKey
-	case k == "":
-		k = j.Attempt
+		key = j.OperationKey
+	case key == "":
+		key = j.Attempt
 	}
-	return weigh(k, j.Path.Name)
+	return rendezvousHash(key, j.Path.Name)
 }
 
 // perEvent is the output that one event counts for.
-func (j *Job) perEvent() int64 {
+func (j *Job) tokensPerEvent() int64 {
 	if j.Service == nil || j.Service.Engine == nil {
 		return 1
 	}
@@ -309,11 +309,11 @@
 }
 
 // noRunner refuses a job that no runner may be sent now.
-func noRunner(j *Job, why string) Answer {
-	return Refuse(code.New(code.NoRunner, "no runner of %s: %s", j.Service.Name, why), 150*time.Millisecond)
+func noRunner(j *Job, reason string) Answer {
+	return Refuse(code.New(code.NoRunner, "no runner of %s: %s", j.Service.Name, reason), 150*time.Millisecond)
 }
 
 func isTimeout(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout() || errors.Is(err, context.DeadlineExceeded)
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/dataplane/request/proxy/load.go
+++ b/internal/dataplane/request/proxy/load.go
@@ -16,8 +16,8 @@
 type Load struct {
 	Watch *outlier.Watch // of how the runners do
 
-	mu  sync.Mutex
-	all map[string]*runnerLoad
+	mu       sync.Mutex
+	byRunner map[string]*runnerLoad
 }
 
 type runnerLoad struct {
@@ -31,22 +31,22 @@
 	warmingUntil  time.Time // warming up until then, by its own report
 	warmupLimiter *rate.Limiter
 	warmupRate    float64
-	used          time.Time
+	lastUsedAt    time.Time
 }
 
 // NewLoad makes a load that knows of nothing.
 func NewLoad() *Load {
-	return &Load{Watch: outlier.NewWatch(outlier.DefaultParams), all: map[string]*runnerLoad{}}
+	return &Load{Watch: outlier.NewWatch(outlier.DefaultParams), byRunner: map[string]*runnerLoad{}}
 }
 
 func (l *Load) entry(id string) *runnerLoad {
-	b := l.all[id]
-	if b == nil {
-		b = &runnerLoad{}
-		l.all[id] = b
+	entry := l.byRunner[id]
+	if entry == nil {
+		entry = &runnerLoad{}
+		l.byRunner[id] = entry
 	}
-	b.used = time.Now()
-	return b
+	entry.lastUsedAt = time.Now()
+	return entry
 }
 
 // Begin counts a job in; first says that its first event has come, done counts it
@@ -54,60 +54,60 @@
 func (l *Load) Begin(id string, tokens int64) (first, done func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.entry(id)
-	b.requests++
-	b.prefilling++
-	b.tokens += tokens
-	early := true
+	entry := l.entry(id)
+	entry.requests++
+	entry.prefilling++
+	entry.tokens += tokens
+	prefilling := true
 	first = func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if early {
-			early = false
-			b.prefilling--
+		if prefilling {
+			prefilling = false
+			entry.prefilling--
 		}
 	}
 	return first, func() {
 		first()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		b.requests--
-		b.tokens -= tokens
+		entry.requests--
+		entry.tokens -= tokens
 	}
 }
 
 // Avoid keeps this node's jobs away from a runner for a while.
-func (l *Load) Avoid(id string, d time.Duration) {
+func (l *Load) Avoid(id string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if u := time.Now().Add(d); u.After(l.entry(id).avoidUntil) {
-		l.entry(id).avoidUntil = u
+	if until := time.Now().Add(duration); until.After(l.entry(id).avoidUntil) {
+		l.entry(id).avoidUntil = until
 	}
 }
 
 // MarkWarmingUp takes a runner's own report that it is warming up.
-func (l *Load) MarkWarmingUp(id string, d time.Duration) {
+func (l *Load) MarkWarmingUp(id string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.entry(id).warmingUntil = time.Now().Add(d)
+	l.entry(id).warmingUntil = time.Now().Add(duration)
 }
 
 // BelowCapacity reports whether a runner has less under way than so many times its capacity.
-func (l *Load) BelowCapacity(r *endpoints.Runner, s *spec.Service, times float64) bool {
+func (l *Load) BelowCapacity(r *endpoints.Runner, s *spec.Service, factor float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.entry(r.ID).utilization(r, s) < times
+	return l.entry(r.ID).utilization(r, s) < factor
 }
 
 // InFlight is how many jobs each runner has, of all nodes, as far as is known.
 func (l *Load) InFlight() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string]int, len(l.all))
-	for id, b := range l.all {
-		out[id] = b.requests + b.remote
+	counts := make(map[string]int, len(l.byRunner))
+	for id, entry := range l.byRunner {
+		counts[id] = entry.requests + entry.remote
 	}
-	return out
+	return counts
 }
 
 // InFlight is what this node has under way at one runner.
@@ -120,38 +120,38 @@
 func (l *Load) Local() map[string]InFlight {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[string]InFlight{}
-	for id, b := range l.all {
-		if b.requests > 0 {
-			out[id] = InFlight{b.requests, b.tokens}
+	local := map[string]InFlight{}
+	for id, entry := range l.byRunner {
+		if entry.requests > 0 {
+			local[id] = InFlight{entry.requests, entry.tokens}
 		}
 	}
-	return out
+	return local
 }
 
 // UpdateRemote takes what all other nodes have under way.
 func (l *Load) UpdateRemote(others map[string]InFlight) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, b := range l.all {
-		o := others[id]
-		b.remote, b.remoteTokens = o.Requests, o.Tokens
+	for id, entry := range l.byRunner {
+		remote := others[id]
+		entry.remote, entry.remoteTokens = remote.Requests, remote.Tokens
 	}
-	for id, o := range others {
-		if l.all[id] == nil {
-			b := l.entry(id)
-			b.remote, b.remoteTokens = o.Requests, o.Tokens
+	for id, remote := range others {
+		if l.byRunner[id] == nil {
+			entry := l.entry(id)
+			entry.remote, entry.remoteTokens = remote.Requests, remote.Tokens
 		}
 	}
 }
 
 // Retain forgets runners that are not on the list any more.
-func (l *Load) Retain(on func(id string) bool) {
+func (l *Load) Retain(listed func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, b := range l.all {
-		if b.requests == 0 && !on(id) && time.Since(b.used) > 10*time.Second {
-			delete(l.all, id)
+	for id, entry := range l.byRunner {
+		if entry.requests == 0 && !listed(id) && time.Since(entry.lastUsedAt) > 10*time.Second {
+			delete(l.byRunner, id)
 		}
 	}
 }
--- a/internal/dataplane/request/proxy/loadbalancer.go
+++ b/internal/dataplane/request/proxy/loadbalancer.go
@@ -31,8 +31,8 @@
 // nothing of; for one whose prompts it holds, half as much again or a fifth of its
 // capacity, for to read them anew elsewhere costs more than a few jobs beside it.
 const (
-	spread         = 1.25
-	affinityBonus  = 1.5
+	costSpread     = 1.25
+	affinitySpread = 1.5
 	affinityMargin = 0.2
 )
 
@@ -55,14 +55,14 @@
 // Pick selects the runner for a job: the one that its key points to, in this node's zone
 // first, unless it is loaded much more than the rest; without a key the least loaded.
 // hasCapacity reports whether the one selected can take another job at once.
-func (l *Load) Pick(a Selection) (r *endpoints.Runner, hasCapacity bool) {
+func (l *Load) Pick(selection Selection) (r *endpoints.Runner, hasCapacity bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	cs, trial := l.candidates(a)
+	candidates, trial := l.candidates(selection)
 	if trial != nil {
 		return trial, true
 	}
-	if c := l.choose(a, cs); c != nil {
+	if c := l.choose(selection, candidates); c != nil {
 		return c.runner, c.utilization < 1
 	}
 	return nil, false
@@ -70,95 +70,95 @@
 
 // candidates are the runners that the job may be sent to. Where one of them is on trial
 // after an ejection, and this job is to be it, that runner is given instead.
-func (l *Load) candidates(a Selection) (cs []candidate, trial *endpoints.Runner) {
+func (l *Load) candidates(selection Selection) (candidates []candidate, trial *endpoints.Runner) {
 	now := time.Now()
 	var suspected, ejected []candidate
-	for _, r := range a.List.Of(a.Service.Name) {
-		if r.Draining || !a.Allowed(r) {
+	for _, r := range selection.List.Of(selection.Service.Name) {
+		if r.Draining || !selection.Allowed(r) {
 			continue
 		}
-		b := l.entry(r.ID)
-		if now.Before(b.avoidUntil) {
+		load := l.entry(r.ID)
+		if now.Before(load.avoidUntil) {
 			continue
 		}
 		c := candidate{
 			runner:      r,
-			load:        b,
-			utilization: b.utilization(r, a.Service),
-			warmingUp:   now.Before(b.warmingUntil) || a.WarmingUp(r),
+			load:        load,
+			utilization: load.utilization(r, selection.Service),
+			warmingUp:   now.Before(load.warmingUntil) || selection.WarmingUp(r),
 		}
-		one := 1 / float64(max(r.Capacity, 1))
-		c.cost = (c.utilization+one)*l.Watch.Slow(r.ID) - one
-		switch l.Watch.Suspicion(r.ID, a.Repeatable) {
+		perJob := 1 / float64(max(r.Capacity, 1))
+		c.cost = (c.utilization+perJob)*l.Watch.Slow(r.ID) - perJob
+		switch l.Watch.Suspicion(r.ID, selection.Repeatable) {
 		case outlier.Out:
 			// The trial of an ejected runner is best a job that has nothing cached anywhere.
-			if c.utilization < 1 && !c.warmingUp && l.Watch.Trial(r.ID, a.Repeatable && a.PreviousRunner == "") {
+			if c.utilization < 1 && !c.warmingUp && l.Watch.Trial(r.ID, selection.Repeatable && selection.PreviousRunner == "") {
 				return nil, r
 			}
 			ejected = append(ejected, c)
 		case outlier.Once:
 			// One failure is not worth to read a program's prompts anew.
-			if r.ID == a.PreviousRunner {
-				cs = append(cs, c)
+			if r.ID == selection.PreviousRunner {
+				candidates = append(candidates, c)
 			} else {
 				suspected = append(suspected, c)
 			}
 		case outlier.Often:
 			suspected = append(suspected, c)
 		default:
-			cs = append(cs, c)
+			candidates = append(candidates, c)
 		}
 	}
 	// Where this node suspects many, the fault is rather its own; and where no other has
 	// capacity, a suspected runner is better than none.
-	n, free := len(cs)+len(suspected), slices.ContainsFunc(cs, func(c candidate) bool { return c.utilization < 1 })
-	if 10*len(suspected) > 3*n && n > 3 || !free {
-		cs = append(cs, suspected...)
+	total, hasFree := len(candidates)+len(suspected), slices.ContainsFunc(candidates, func(c candidate) bool { return c.utilization < 1 })
+	if 10*len(suspected) > 3*total && total > 3 || !hasFree {
+		candidates = append(candidates, suspected...)
 	}
-	if len(cs) == 0 {
-		cs = ejected
+	if len(candidates) == 0 {
+		candidates = ejected
 	}
-	return cs, nil
+	return candidates, nil
 }
 
 // choose finds the best of the candidates; nil where none may be sent the job.
-func (l *Load) choose(a Selection, cs []candidate) *candidate {
-	if len(cs) == 0 {
+func (l *Load) choose(selection Selection, candidates []candidate) *candidate {
+	if len(candidates) == 0 {
 		return nil
 	}
-	sum := 0.0
-	for _, c := range cs {
-		sum += c.utilization
+	total := 0.0
+	for _, c := range candidates {
+		total += c.utilization
 	}
-	mean := sum / float64(len(cs))
-	bound := mean*spread + 1/float64(max(cs[0].runner.Capacity, 1))
-	affinityBound := max(mean*affinityBonus, mean+affinityMargin)
-	for i := range cs {
-		c := &cs[i]
-		if c.runner.ID == a.PreviousRunner && !c.warmingUp && c.cost <= affinityBound && c.utilization < 1 {
+	mean := total / float64(len(candidates))
+	costBound := mean*costSpread + 1/float64(max(candidates[0].runner.Capacity, 1))
+	affinityBound := max(mean*affinitySpread, mean+affinityMargin)
+	for i := range candidates {
+		c := &candidates[i]
+		if c.runner.ID == selection.PreviousRunner && !c.warmingUp && c.cost <= affinityBound && c.utilization < 1 {
 			return c
 		}
 	}
-	homes := []bool{true, false}
-	if !staysHome(a, cs, mean) {
-		homes = homes[1:]
+	zonePasses := []bool{true, false}
+	if !prefersLocalZone(selection, candidates, mean) {
+		zonePasses = zonePasses[1:]
 	}
-	if a.Prefix != "" {
-		for _, home := range homes {
-			if c := l.byPrefix(a, cs, home, bound); c != nil {
+	if selection.Prefix != "" {
+		for _, local := range zonePasses {
+			if c := l.byPrefix(selection, candidates, local, costBound); c != nil {
 				return c
 			}
 		}
 	}
-	if a.Key != "" {
+	if selection.Key != "" {
 		// Own zone first: a prefix is not read twice, nor sent between zones.
-		for _, home := range homes {
-			if c := l.byAffinity(a, cs, home, affinityBound); c != nil {
+		for _, local := range zonePasses {
+			if c := l.byAffinity(selection, candidates, local, affinityBound); c != nil {
 				return c
 			}
 		}
 	}
-	return l.leastLoaded(a, cs)
+	return l.leastLoaded(selection, candidates)
 }
 
 // zoneTolerance is how many times as loaded as all runners those of this node's zone may be
@@ -169,115 +169,115 @@
 // is loaded more than the rest, so large a part of the jobs goes elsewhere at once that it
 // would be loaded as they are: each edge of the zone decides by figures some hundred
 // milliseconds old, and all of them would fill a runner that looks free.
-func staysHome(a Selection, cs []candidate, mean float64) bool {
-	sum, n := 0.0, 0
-	for _, c := range cs {
-		if c.runner.Zone == a.Zone {
-			sum += c.utilization
-			n++
+func prefersLocalZone(selection Selection, candidates []candidate, mean float64) bool {
+	localTotal, localCount := 0.0, 0
+	for _, c := range candidates {
+		if c.runner.Zone == selection.Zone {
+			localTotal += c.utilization
+			localCount++
 		}
 	}
-	if n == 0 || sum/float64(n) <= mean*zoneTolerance {
+	if localCount == 0 || localTotal/float64(localCount) <= mean*zoneTolerance {
 		return true
 	}
-	return rand.Float64() < mean*float64(n)/sum
+	return rand.Float64() < mean*float64(localCount)/localTotal
 }
 
-func (b *runnerLoad) utilization(r *endpoints.Runner, s *spec.Service) float64 {
-	f := float64(b.requests+b.remote) / float64(max(r.Capacity, 1))
+func (load *runnerLoad) utilization(r *endpoints.Runner, s *spec.Service) float64 {
+	fraction := float64(load.requests+load.remote) / float64(max(r.Capacity, 1))
 	if s.Engine != nil {
-		f = max(f, float64(b.tokens+b.remoteTokens)/float64(s.Engine.CacheTokens))
+		fraction = max(fraction, float64(load.tokens+load.remoteTokens)/float64(s.Engine.CacheTokens))
 	}
-	return f
+	return fraction
 }
 
-func (a *Selection) warmingUp(c *candidate) bool {
-	return !c.warmingUp || c.load.allowWarmup(a.Service.WarmupRate, a.WarmupShares(c.runner))
+func (selection *Selection) allowsWarmup(c *candidate) bool {
+	return !c.warmingUp || c.load.allowWarmup(selection.Service.WarmupRate, selection.WarmupShares(c.runner))
 }
 
-func (l *Load) byAffinity(a Selection, cs []candidate, home bool, bound float64) *candidate {
+func (l *Load) byAffinity(selection Selection, candidates []candidate, local bool, costBound float64) *candidate {
 	var best *candidate
-	var top uint64
-	for i := range cs {
-		c := &cs[i]
-		if (c.runner.Zone == a.Zone) != home || c.cost > bound || c.utilization >= 1 || c.warmingUp {
+	var highest uint64
+	for i := range candidates {
+		c := &candidates[i]
+		if (c.runner.Zone == selection.Zone) != local || c.cost > costBound || c.utilization >= 1 || c.warmingUp {
 			continue
 		}
-		if h := weigh(a.Key, c.runner.ID); best == nil || h > top {
-			best, top = c, h
+		if hash := rendezvousHash(selection.Key, c.runner.ID); best == nil || hash > highest {
+			best, highest = c, hash
 		}
 	}
 	return best
 }
 
 // byPrefix finds the least loaded of the few runners that a shared part points to.
-func (l *Load) byPrefix(a Selection, cs []candidate, home bool, bound float64) *candidate {
-	type at struct {
-		c *candidate
-		h uint64
+func (l *Load) byPrefix(selection Selection, candidates []candidate, local bool, costBound float64) *candidate {
+	type match struct {
+		c    *candidate
+		hash uint64
 	}
-	var top []at
-	for i := range cs {
-		c := &cs[i]
-		if (c.runner.Zone == a.Zone) != home || c.cost > bound || c.utilization >= 1 || c.warmingUp {
+	var ranked []match
+	for i := range candidates {
+		c := &candidates[i]
+		if (c.runner.Zone == selection.Zone) != local || c.cost > costBound || c.utilization >= 1 || c.warmingUp {
 			continue
 		}
-		top = append(top, at{c, weigh(a.Prefix, c.runner.ID)})
+		ranked = append(ranked, match{c, rendezvousHash(selection.Prefix, c.runner.ID)})
 	}
-	slices.SortFunc(top, func(a, b at) int { return cmp.Compare(b.h, a.h) })
+	slices.SortFunc(ranked, func(a, b match) int { return cmp.Compare(b.hash, a.hash) })
 	var best *candidate
-	for _, t := range top[:min(prefixCandidates, len(top))] {
-		if best == nil || t.c.weight() < best.weight() {
-			best = t.c
+	for _, match := range ranked[:min(prefixCandidates, len(ranked))] {
+		if best == nil || match.c.newProgramCost() < best.newProgramCost() {
+			best = match.c
 		}
 	}
 	return best
 }
 
 // weight is a runner's load in the eyes of a new program.
-func (c *candidate) weight() float64 {
+func (c *candidate) newProgramCost() float64 {
 	return c.cost + float64((prefillWeight-1)*c.load.prefilling)/float64(max(c.runner.Capacity, 1))
 }
 
 // leastLoaded finds the least loaded; of equals one of this zone, then any.
-func (l *Load) leastLoaded(a Selection, cs []candidate) *candidate {
-	for len(cs) > 0 {
-		best, n := -1, 0
-		top := 0.0
-		for i := range cs {
-			f := cs[i].cost
-			if cs[i].runner.Zone != a.Zone {
-				f += 0.5 / float64(max(cs[i].runner.Capacity, 1))
+func (l *Load) leastLoaded(selection Selection, candidates []candidate) *candidate {
+	for len(candidates) > 0 {
+		best, ties := -1, 0
+		lowest := 0.0
+		for i := range candidates {
+			cost := candidates[i].cost
+			if candidates[i].runner.Zone != selection.Zone {
+				cost += 0.5 / float64(max(candidates[i].runner.Capacity, 1))
 			}
 			switch {
-			case best < 0 || f < top:
-				best, top, n = i, f, 1
-			case f == top:
+			case best < 0 || cost < lowest:
+				best, lowest, ties = i, cost, 1
+			case cost == lowest:
 				// Each of n equals has the same chance.
-				if n++; rand.IntN(n) == 0 {
+				if ties++; rand.IntN(ties) == 0 {
 					best = i
 				}
 			}
 		}
-		if a.warmingUp(&cs[best]) {
-			return &cs[best]
+		if selection.allowsWarmup(&candidates[best]) {
+			return &candidates[best]
 		}
-		cs[best] = cs[len(cs)-1]
-		cs = cs[:len(cs)-1]
+		candidates[best] = candidates[len(candidates)-1]
+		candidates = candidates[:len(candidates)-1]
 	}
 	return nil
 }
 
 // weigh is a key's weight at a runner, the same on every node.
-func weigh(key, id string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(key))
-	h.Write([]byte{0})
-	h.Write([]byte(id))
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	x *= 0xc4ceb9fe1a85ec53
-	return x ^ x>>33
+func rendezvousHash(key, id string) uint64 {
+	hasher := fnv.New64a()
+	hasher.Write([]byte(key))
+	hasher.Write([]byte{0})
+	hasher.Write([]byte(id))
+	hash := hasher.Sum64()
+	hash ^= hash >> 33
+	hash *= 0xff51afd7ed558ccd
+	hash ^= hash >> 33
+	hash *= 0xc4ceb9fe1a85ec53
+	return hash ^ hash>>33
 }
--- a/internal/dataplane/request/proxy/operation.go
+++ b/internal/dataplane/request/proxy/operation.go
@@ -57,21 +57,21 @@
 // How long a request waits for another one of its operation, which is most likely about to
 // end, and when its caller may come back.
 const (
-	underWayPatience = time.Second
-	underWayPause    = 50 * time.Millisecond
-	underWayWait     = 150 * time.Millisecond
+	inProgressMaxWait      = time.Second
+	inProgressPollInterval = 50 * time.Millisecond
+	inProgressRetryAfter   = 150 * time.Millisecond
 )
 
 // NewOperations makes the keeper of operations.
 func NewOperations(
-	p OperationParams,
-	t *storeclient.Client,
+	params OperationParams,
+	stores *storeclient.Client,
 	members func() []*wire.Member,
 	self *wire.Member,
-	h Headers,
-	bg job.Background,
+	headers Headers,
+	background job.Background,
 ) *Operations {
-	return &Operations{stores: t, members: members, self: self, headers: h, params: p, background: bg}
+	return &Operations{stores: stores, members: members, self: self, headers: headers, params: params, background: background}
 }
 
 // operationState is how far an operation is.
@@ -104,16 +104,16 @@
 	Body   []byte      `json:"body"`
 }
 
-func readOperation(st register.State) (operation, error) {
-	var o operation
-	if st.Expired || len(st.Value) == 0 {
+func readOperation(state register.State) (operation, error) {
+	var decoded operation
+	if state.Expired || len(state.Value) == 0 {
 		// One past its window may be begun anew.
-		return o, nil
+		return decoded, nil
 	}
-	if err := json.Unmarshal(st.Value, &o); err != nil {
-		return o, code.New(code.Garbled, "operation: %w", err)
+	if err := json.Unmarshal(state.Value, &decoded); err != nil {
+		return decoded, code.New(code.Garbled, "operation: %w", err)
 	}
-	return o, nil
+	return decoded, nil
 }
 
 // deduplicated reports whether the runners themselves answer repeats of a job's operation.
@@ -124,14 +124,14 @@
 // waitForOperation pauses before a job is tried once more whose operation is under way
 // elsewhere. It reports whether there is a point in trying.
 func (j *Job) waitForOperation() bool {
-	patience := min(underWayPatience, j.ResponseDeadline.Sub(j.Arrived)/2)
-	return time.Since(j.Arrived)+underWayPause < patience && loop.Wait(j, underWayPause)
+	patience := min(inProgressMaxWait, j.ResponseDeadline.Sub(j.Arrived)/2)
+	return time.Since(j.Arrived)+inProgressPollInterval < patience && loop.Wait(j, inProgressPollInterval)
 }
 
 // Do is the policy.
-func (operations *Operations) Do(j *Job, w *Response, next Next) Answer {
+func (operations *Operations) Do(j *Job, response *Response, next Next) Answer {
 	if j.Path.Kind != spec.Keyed || j.OperationKey == "" {
-		return next(j, w)
+		return next(j, response)
 	}
 	owner := strconv.FormatUint(rand.Uint64(), 36)
 	for {
@@ -140,34 +140,34 @@
 		case err != nil:
 			return Refuse(err, 200*time.Millisecond)
 		case claim.Owner == owner && claim.State == operationStarted:
-			return operations.run(j, w, next, owner)
+			return operations.run(j, response, next, owner)
 		case claim.State == operationDone:
-			return operations.repeat(j, w, claim.Reply)
+			return operations.replayOutcome(j, response, claim.Reply)
 		case claim.State == operationUnknown:
 			return Answer{Err: code.New(code.OutcomeUnknown, "the operation may have run, its outcome is not known")}
-		case claim.Deduplicates && operations.redirect(j, claim):
-			return next(j, w)
+		case claim.Deduplicates && operations.useClaimedService(j, claim):
+			return next(j, response)
 		case claim.Deduplicates:
 			const why = "the path leads no more to the service that ran the operation"
 			return Answer{Err: code.New(code.OutcomeUnknown, why)}
-		case !operations.isRunning(claim):
+		case !operations.ownerAlive(claim):
 			return Answer{Err: code.New(code.OutcomeUnknown, "the node that ran the operation has ended")}
 		case !j.waitForOperation():
 			err := code.New(code.InProgress, "another request of this operation is under way")
-			return Refuse(err, underWayWait)
+			return Refuse(err, inProgressRetryAfter)
 		}
 	}
 }
 
 // errClaimed ends a change that found the operation another's.
-var errClaimed = errors.New("the operation is claimed")
+var errClaimedByOther = errors.New("the operation is claimed")
 
 // claim makes the operation this job's, or returns whose it is. Where it can't be determined,
 // the job is not forwarded; what it may have left at the stores is taken back.
 func (operations *Operations) claim(j *Job, owner string) (operation, error) {
 	ctx, stop := context.WithTimeout(j, min(operations.params.ClaimTimeout, j.TimeLeft()))
 	defer stop()
-	claimed, err := json.Marshal(operation{
+	encoded, err := json.Marshal(operation{
 		State:        operationStarted,
 		Owner:        owner,
 		Node:         operations.self.Id,
@@ -178,29 +178,29 @@
 	if err != nil {
 		return operation{}, err
 	}
-	var found operation
-	var chosen register.State
-	unsure := false
+	var existing operation
+	var written register.State
+	mayBeClaimed := false
 	err = retryAtStores(ctx, func() error {
-		chosen, err = operations.stores.Change(ctx, operations.key(j), func(st register.State) ([]byte, bool, error) {
+		written, err = operations.stores.Change(ctx, operations.key(j), func(state register.State) ([]byte, bool, error) {
 			var err error
-			if found, err = readOperation(st); err != nil {
+			if existing, err = readOperation(state); err != nil {
 				return nil, false, err
 			}
-			if found.State != operationFree && found.Owner != owner {
-				return nil, false, errClaimed
+			if existing.State != operationFree && existing.Owner != owner {
+				return nil, false, errClaimedByOther
 			}
-			return claimed, false, nil
+			return encoded, false, nil
 		})
-		unsure = unsure || code.Of(err) == code.OutcomeUnknown
+		mayBeClaimed = mayBeClaimed || code.Of(err) == code.OutcomeUnknown
 		return err
 	})
 	switch {
-	case errors.Is(err, errClaimed):
-		return found, nil
+	case errors.Is(err, errClaimedByOther):
+		return existing, nil
 	case err == nil:
-		return readOperation(chosen)
-	case unsure && !j.Service.Deduplicates:
+		return readOperation(written)
+	case mayBeClaimed && !j.Service.Deduplicates:
 		operations.settle(j, owner, operation{})
 	}
 	return operation{}, code.New(code.StoresUnreachable, "the operation could not be claimed: %w", err)
@@ -212,10 +212,10 @@
 
 // redirect sends a repeat to the service that the first request went to, where that
 // deduplicates and the path still leads to it.
-func (operations *Operations) redirect(j *Job, claim operation) bool {
-	leadsTo := func(s spec.Share) bool { return s.Service == claim.Service && s.Weight > 0 }
-	leads := slices.ContainsFunc(j.Path.To, leadsTo)
-	if !leads {
+func (operations *Operations) useClaimedService(j *Job, claim operation) bool {
+	routesTo := func(s spec.Share) bool { return s.Service == claim.Service && s.Weight > 0 }
+	stillRouted := slices.ContainsFunc(j.Path.To, routesTo)
+	if !stillRouted {
 		return false
 	}
 	for i := range j.View.Table.Services {
@@ -228,41 +228,41 @@
 }
 
 // isRunning reports whether the process that claimed an operation is still there.
-func (operations *Operations) isRunning(claim operation) bool {
-	for _, m := range operations.members() {
-		if m.Id == claim.Node {
-			return m.Live && m.Inc == claim.Incarnation
+func (operations *Operations) ownerAlive(claim operation) bool {
+	for _, member := range operations.members() {
+		if member.Id == claim.Node {
+			return member.Live && member.Inc == claim.Incarnation
 		}
 	}
 	return false
 }
 
 // run forwards an operation that this job owns, and writes down what became of it.
-func (operations *Operations) run(j *Job, w *Response, next Next, owner string) Answer {
+func (operations *Operations) run(j *Job, response *Response, next Next, owner string) Answer {
 	if j.Service.Deduplicates {
-		return next(j, w)
+		return next(j, response)
 	}
 	recorded := false
-	w.beforeComplete = func(r *http.Response, body []byte) {
+	response.beforeComplete = func(r *http.Response, body []byte) {
 		recorded = true
-		operations.record(j, owner, &operationReply{Status: r.StatusCode, Header: repeatable(r.Header), Body: body})
+		operations.record(j, owner, &operationReply{Status: r.StatusCode, Header: endToEndHeaders(r.Header), Body: body})
 	}
-	a := next(j, w)
+	answer := next(j, response)
 	switch {
 	case recorded:
-	case a.NotRun():
+	case answer.NotRun():
 		// Freed first, then said; where that fails, behind the answer.
 		operations.settle(j, owner, operation{})
 	default:
 		operations.settle(j, owner, operation{State: operationUnknown, Owner: owner})
 	}
-	return a
+	return answer
 }
 
 // repeatable is the head of an answer without what concerns one connection or one try.
-func repeatable(h http.Header) http.Header {
+func endToEndHeaders(header http.Header) http.Header {
 	out := http.Header{}
-	copyHeaders(out, h)
+	copyHeaders(out, header)
 	return out
 }
 
@@ -275,17 +275,17 @@
 
 // settle writes down what became of an operation, if it is the owner's still. It returns once
 // that is done or RecordTimeout has passed, and then goes on behind the answer.
-func (operations *Operations) settle(j *Job, owner string, to operation) {
+func (operations *Operations) settle(j *Job, owner string, outcome operation) {
 	key := operations.key(j)
 	ctx, stop := context.WithTimeout(context.WithoutCancel(j), operations.params.RecordTimeout)
 	defer stop()
-	if operations.write(ctx, key, owner, to) == nil {
+	if operations.write(ctx, key, owner, outcome) == nil {
 		return
 	}
 	operations.background.Go(func() {
-		for try := 0; try < settleTries; try++ {
+		for attempt := 0; attempt < settleAttempts; attempt++ {
 			ctx, stop := context.WithTimeout(operations.background.Ctx, operations.params.RecordTimeout)
-			err := operations.write(ctx, key, owner, to)
+			err := operations.write(ctx, key, owner, outcome)
 			stop()
 			if err == nil || !loop.Wait(operations.background.Ctx, operations.params.RetryInterval) {
 				return
@@ -295,38 +295,38 @@
 }
 
 // settleTries bounds the tries at writing down an outcome behind its answer.
-const settleTries = 60
+const settleAttempts = 60
 
 // write replaces the claim if it is the owner's.
-func (operations *Operations) write(ctx context.Context, key, owner string, to operation) error {
+func (operations *Operations) write(ctx context.Context, key, owner string, outcome operation) error {
 	err := retryAtStores(ctx, func() error {
-		_, err := operations.stores.Change(ctx, key, func(st register.State) ([]byte, bool, error) {
-			now, err := readOperation(st)
+		_, err := operations.stores.Change(ctx, key, func(state register.State) ([]byte, bool, error) {
+			current, err := readOperation(state)
 			if err != nil {
 				return nil, false, err
 			}
-			if now.Owner != owner {
-				return nil, false, errClaimed
+			if current.Owner != owner {
+				return nil, false, errClaimedByOther
 			}
-			b, err := json.Marshal(to)
-			return b, false, err
+			encoded, err := json.Marshal(outcome)
+			return encoded, false, err
 		})
 		return err
 	})
-	if errors.Is(err, errClaimed) {
+	if errors.Is(err, errClaimedByOther) {
 		return nil
 	}
 	return err
 }
 
 // repeat answers with what was recorded of the operation's one run.
-func (operations *Operations) repeat(j *Job, w *Response, reply *operationReply) Answer {
+func (operations *Operations) replayOutcome(j *Job, response *Response, reply *operationReply) Answer {
 	if reply == nil {
 		return Answer{Err: code.New(code.Garbled, "an operation that is done without its answer")}
 	}
 	header := reply.Header.Clone()
 	operations.headers.WriteRepeat(header, j)
-	if err := w.replay(reply.Status, header, reply.Body); err != nil {
+	if err := response.replay(reply.Status, header, reply.Body); err != nil {
 		return Answer{Err: code.New(code.OutcomeUnknown, "%w", err)}
 	}
 	return Answer{Success: reply.Status/100 == 2, Repeated: true}
--- a/internal/dataplane/request/proxy/outlier_test.go
+++ b/internal/dataplane/request/proxy/outlier_test.go
@@ -18,7 +18,7 @@
 func TestPickOutliers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, list := NewLoad(), runners(4, 4, "a")
-		ask := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: any, WarmingUp: none}
+		ask := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: anyRunner, WarmingUp: noRunners}
 		pick := func(ask Selection) string {
 			if r, _ := l.Pick(ask); r != nil {
 				return r.ID
@@ -125,8 +125,8 @@
 			Service:   &spec.Service{Name: "s"},
 			List:      list,
 			Zone:      "a",
-			Allowed:   any,
-			WarmingUp: none,
+			Allowed:   anyRunner,
+			WarmingUp: noRunners,
 			Key:       rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
 			PreviousRunner: rapid.SampledFrom(
 				[]string{"", "i-a0"},
--- a/internal/dataplane/request/proxy/pass.go
+++ b/internal/dataplane/request/proxy/pass.go
@@ -9,67 +9,67 @@
 
 // attemptResult is what became of one send.
 type attemptResult struct {
-	outcome retry.Outcome
-	good    bool // of an answered one: a success
-	sent    bool // a byte may have been sent
-	err     error
-	wait    time.Duration // when the caller may come back, of a job that did not run
+	outcome    retry.Outcome
+	success    bool // of an answered one: a success
+	sent       bool // a byte may have been sent
+	err        error
+	retryAfter time.Duration // when the caller may come back, of a job that did not run
 	// final: of a job that did not run, no other runner may be sent it either.
 	final bool
 	// underWay: the runners have another request of the job's operation under way.
-	underWay bool
+	inProgress bool
 }
 
 // attempts are those of one job so far.
 type attempts struct {
-	tried map[string]bool // runners
-	count int             // that a byte of it may have reached
-	ran   bool            // it may have run at one of them
+	tried      map[string]bool // runners
+	sentCount  int             // that a byte of it may have reached
+	mayHaveRun bool            // it may have run at one of them
 }
 
 // recordAttempt adds a send without an answer.
-func (s *attempts) recordAttempt(x attemptResult) {
-	if x.sent {
-		s.count++
+func (s *attempts) recordAttempt(result attemptResult) {
+	if result.sent {
+		s.sentCount++
 	}
-	if x.outcome != retry.NotRun {
-		s.ran = true
+	if result.outcome != retry.NotRun {
+		s.mayHaveRun = true
 	}
 }
 
 // withoutNotRun takes the promise out of a refusal where an earlier send may have run.
-func (s *attempts) withoutNotRun(a Answer) Answer {
-	if s.ran && a.NotRun() {
-		return Answer{Err: code.New(code.OutcomeUnknown, "an earlier send may have run; then: %s", code.Text(a.Err))}
+func (s *attempts) downgradeRefusal(answer Answer) Answer {
+	if s.mayHaveRun && answer.NotRun() {
+		return Answer{Err: code.New(code.OutcomeUnknown, "an earlier send may have run; then: %s", code.Text(answer.Err))}
 	}
-	return a
+	return answer
 }
 
 // forward is the end of the way: pick, send, and the outcome of it.
-func (handler *Handler) forward(j *Job, w *Response) Answer {
-	s := &attempts{tried: map[string]bool{}}
+func (handler *Handler) forward(j *Job, response *Response) Answer {
+	history := &attempts{tried: map[string]bool{}}
 	for {
-		r, a := handler.selectRunner(j, s.tried)
-		if r == nil {
-			return s.withoutNotRun(a)
+		runner, refusal := handler.selectRunner(j, history.tried)
+		if runner == nil {
+			return history.downgradeRefusal(refusal)
 		}
-		admitted, ok := handler.parts.Cooldowns.Admit(j, cooldownKey(r), j.TimeLeft())
+		admitted, ok := handler.dependencies.Cooldowns.Admit(j, cooldownKey(runner), j.TimeLeft())
 		if !ok {
 			continue
 		}
-		s.tried[r.ID] = true
-		x := handler.send(j, w, r, admitted)
-		if x.outcome == retry.Answered {
-			return Answer{Success: x.good}
+		history.tried[runner.ID] = true
+		result := handler.send(j, response, runner, admitted)
+		if result.outcome == retry.Answered {
+			return Answer{Success: result.success}
 		}
-		if x.underWay && j.waitForOperation() {
+		if result.inProgress && j.waitForOperation() {
 			// It may be asked of the same runner again.
-			delete(s.tried, r.ID)
+			delete(history.tried, runner.ID)
 			continue
 		}
-		s.recordAttempt(x)
-		if x.final || x.underWay || !mayResend(j, w, s, x.outcome) {
-			return handler.unserved(j, s, x)
+		history.recordAttempt(result)
+		if result.final || result.inProgress || !mayResend(j, response, history, result.outcome) {
+			return handler.failedAnswer(j, history, result)
 		}
 	}
 }
@@ -77,25 +77,25 @@
 // mayResend is the one place that decides whether a job goes to another runner: by what
 // is known of the last send, by the table's bound on runners, by the time left, and by
 // what the caller has been handed already.
-func mayResend(j *Job, w *Response, s *attempts, last retry.Outcome) bool {
+func mayResend(j *Job, response *Response, history *attempts, last retry.Outcome) bool {
 	switch {
 	case !retry.Allowed(last, j.Repeatable()):
 		return false
-	case j.Path.Tries > 0 && s.count >= j.Path.Tries:
+	case j.Path.Tries > 0 && history.sentCount >= j.Path.Tries:
 		return false
 	case j.TimeLeft() <= 0 || j.Err() != nil:
 		return false
 	}
-	return w.canResume(j.Path.Resumable)
+	return response.canResume(j.Path.Resumable)
 }
 
 // unserved is the answer to a job that is not sent again.
-func (handler *Handler) unserved(j *Job, s *attempts, last attemptResult) Answer {
+func (handler *Handler) failedAnswer(j *Job, history *attempts, last attemptResult) Answer {
 	if last.outcome != retry.NotRun {
 		return Answer{Err: last.err}
 	}
-	if _, all := handler.cooling(j, nil); code.Of(last.err) == code.RunnerDrop {
-		last.wait = max(all, refusedWait)
+	if _, wait := handler.cooldownWaits(j, nil); code.Of(last.err) == code.RunnerDrop {
+		last.retryAfter = max(wait, refusalRetryAfter)
 	}
-	return s.withoutNotRun(Refuse(last.err, last.wait))
+	return history.downgradeRefusal(Refuse(last.err, last.retryAfter))
 }
--- a/internal/dataplane/request/proxy/pool.go
+++ b/internal/dataplane/request/proxy/pool.go
@@ -21,9 +21,9 @@
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
 	params PoolParams
 
-	mu   sync.Mutex
-	idle map[string][]*conn // by runner; the latest used last
-	made uint64
+	mu     sync.Mutex
+	idle   map[string][]*conn // by runner; the latest used last
+	opened uint64
 }
 
 // PoolParams bound the pool.
@@ -37,15 +37,15 @@
 var DefaultPool = PoolParams{MaxIdle: 24, IdleTimeout: 20 * time.Second, DialTimeout: time.Second}
 
 // NewPool makes a pool over a way to dial.
-func NewPool(p PoolParams, dial func(ctx context.Context, addr string) (net.Conn, error)) *Pool {
-	return &Pool{dial: dial, params: p, idle: map[string][]*conn{}}
+func NewPool(params PoolParams, dial func(ctx context.Context, addr string) (net.Conn, error)) *Pool {
+	return &Pool{dial: dial, params: params, idle: map[string][]*conn{}}
 }
 
 type conn struct {
-	c      net.Conn
-	br     *bufio.Reader
-	until  time.Time // idle no longer than this
-	unused bool      // never answered on yet
+	netConn   net.Conn
+	reader    *bufio.Reader
+	idleUntil time.Time // idle no longer than this
+	unused    bool      // never answered on yet
 }
 
 // errDial: nothing was sent.
@@ -54,86 +54,86 @@
 func (e errDial) Error() string { return "dial: " + e.err.Error() }
 func (e errDial) Unwrap() error { return e.err }
 
-func key(r *endpoints.Runner) string { return r.ID + "@" + r.Addr }
+func poolKey(r *endpoints.Runner) string { return r.ID + "@" + r.Addr }
 
 // get gives an idle connection that is still clean, or a new one.
 func (p *Pool) get(ctx context.Context, r *endpoints.Runner, dialNew bool) (*conn, error) {
 	for !dialNew {
-		c := p.take(key(r))
-		if c == nil {
+		idle := p.popIdle(poolKey(r))
+		if idle == nil {
 			break
 		}
-		if time.Now().Before(c.until) && c.clean() {
-			return c, nil
+		if time.Now().Before(idle.idleUntil) && idle.isClean() {
+			return idle, nil
 		}
-		c.c.Close()
+		idle.netConn.Close()
 	}
 	ctx, stop := context.WithTimeout(ctx, p.params.DialTimeout)
 	defer stop()
-	n, err := p.dial(ctx, r.Addr)
+	netConn, err := p.dial(ctx, r.Addr)
 	if err != nil {
 		return nil, errDial{err}
 	}
 	p.mu.Lock()
-	p.made++
+	p.opened++
 	p.mu.Unlock()
-	return &conn{c: n, br: bufio.NewReaderSize(n, 4096), unused: true}, nil
+	return &conn{netConn: netConn, reader: bufio.NewReaderSize(netConn, 4096), unused: true}, nil
 }
 
-func (p *Pool) take(k string) *conn {
+func (p *Pool) popIdle(key string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.idle[k]
-	if len(l) == 0 {
+	idle := p.idle[key]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := l[len(l)-1]
-	p.idle[k] = l[:len(l)-1]
+	c := idle[len(idle)-1]
+	p.idle[key] = idle[:len(idle)-1]
 	return c
 }
 
 // put gives a connection back after a complete response.
-func (p *Pool) put(r *endpoints.Runner, c *conn, rest time.Duration) {
-	if rest <= 0 || c.br.Buffered() > 0 || c.c.SetDeadline(time.Time{}) != nil {
-		c.c.Close()
+func (p *Pool) put(r *endpoints.Runner, c *conn, idleTime time.Duration) {
+	if idleTime <= 0 || c.reader.Buffered() > 0 || c.netConn.SetDeadline(time.Time{}) != nil {
+		c.netConn.Close()
 		return
 	}
-	c.until, c.unused = time.Now().Add(rest), false
+	c.idleUntil, c.unused = time.Now().Add(idleTime), false
 	p.mu.Lock()
-	l := p.idle[key(r)]
-	full := len(l) >= p.params.MaxIdle
+	idle := p.idle[poolKey(r)]
+	full := len(idle) >= p.params.MaxIdle
 	if !full {
-		p.idle[key(r)] = append(l, c)
+		p.idle[poolKey(r)] = append(idle, c)
 	}
 	p.mu.Unlock()
 	if full {
-		c.c.Close()
+		c.netConn.Close()
 	}
 }
 
 // Retain lets go of connections past their rest, and of all to runners that are
 // not on the list any more.
-func (p *Pool) Retain(on func(id string) bool) {
+func (p *Pool) Retain(listed func(id string) bool) {
 	now := time.Now()
-	var shut []*conn
+	var closing []*conn
 	p.mu.Lock()
-	for k, l := range p.idle {
-		id, _, _ := strings.Cut(k, "@")
-		keep := l[:0]
-		for _, c := range l {
-			if on(id) && now.Before(c.until) {
-				keep = append(keep, c)
+	for key, idle := range p.idle {
+		id, _, _ := strings.Cut(key, "@")
+		kept := idle[:0]
+		for _, c := range idle {
+			if listed(id) && now.Before(c.idleUntil) {
+				kept = append(kept, c)
 			} else {
-				shut = append(shut, c)
+				closing = append(closing, c)
 			}
 		}
-		if p.idle[k] = keep; len(keep) == 0 {
-			delete(p.idle, k)
+		if p.idle[key] = kept; len(kept) == 0 {
+			delete(p.idle, key)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range shut {
-		c.c.Close()
+	for _, c := range closing {
+		c.netConn.Close()
 	}
 }
 
@@ -141,46 +141,46 @@
 func (p *Pool) ConnectionsOpened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.made
+	return p.opened
 }
 
 // clean checks, without waiting, whether the other side has closed an idle
 // connection or said something that nobody asked for.
-func (c *conn) clean() bool {
-	s, ok := c.c.(syscall.Conn)
+func (c *conn) isClean() bool {
+	sysConn, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	rc, err := s.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var n int
-	var rerr error
-	b := make([]byte, 1)
-	if err := rc.Read(func(fd uintptr) bool {
-		n, rerr = syscall.Read(int(fd), b)
+	var readErr error
+	buffer := make([]byte, 1)
+	if err := rawConn.Read(func(fd uintptr) bool {
+		n, readErr = syscall.Read(int(fd), buffer)
 		return true
 	}); err != nil {
 		return false
 	}
-	return n < 0 && errors.Is(rerr, syscall.EAGAIN)
+	return n < 0 && errors.Is(readErr, syscall.EAGAIN)
 }
 
 // rest is how long a connection may be idle after an answer.
-func (p *Pool) rest(r *http.Response) time.Duration {
+func (p *Pool) keepAliveTime(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
 	}
-	for _, f := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
-		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
-		if strings.EqualFold(k, "timeout") {
-			s, err := strconv.Atoi(v)
+	for _, parameter := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
+		if strings.EqualFold(name, "timeout") {
+			seconds, err := strconv.Atoi(value)
 			if err != nil {
 				return 0
 			}
 			// Used before the runner closes it, not at the same moment.
-			return min(time.Duration(s)*time.Second-500*time.Millisecond, p.params.IdleTimeout)
+			return min(time.Duration(seconds)*time.Second-500*time.Millisecond, p.params.IdleTimeout)
 		}
 	}
 	return p.params.IdleTimeout
--- a/internal/dataplane/request/proxy/proxy_test.go
+++ b/internal/dataplane/request/proxy/proxy_test.go
@@ -58,18 +58,18 @@
 func feed(response *Response, body io.Reader) (string, error) {
 	w := httptest.NewRecorder()
 	response.w = w
-	err := response.stream(&http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(body)})
+	err := response.forwardStream(&http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(body)})
 	return w.Body.String(), err
 }
 
 // dribble gives at most n bytes at once, and at last an error.
-type dribble struct {
+type chunkReader struct {
 	r   io.Reader
 	n   int
 	err error
 }
 
-func (d *dribble) Read(b []byte) (int, error) {
+func (d *chunkReader) Read(b []byte) (int, error) {
 	n, err := d.r.Read(b[:min(len(b), d.n)])
 	if err == io.EOF && d.err != nil {
 		err = d.err
@@ -101,12 +101,12 @@
 	} {
 		for _, n := range []int{1, 7, 1 << 20} {
 			response := &Response{collect: true}
-			got, err := feed(response, &dribble{strings.NewReader(tc.in), n, nil})
+			got, err := feed(response, &chunkReader{strings.NewReader(tc.in), n, nil})
 			if err != nil || got != tc.in {
 				t.Errorf("%s: passed %q, %v", tc.what, got, err)
 			}
-			if string(response.Text()) != tc.text || response.last != tc.last || response.events != tc.events {
-				t.Errorf("%s: text %q, last %q, %d events", tc.what, response.Text(), response.last, response.events)
+			if string(response.Text()) != tc.text || response.lastEventID != tc.last || response.events != tc.events {
+				t.Errorf("%s: text %q, last %q, %d events", tc.what, response.Text(), response.lastEventID, response.events)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 	complete := "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata: d\n\n"
 	for n := range len(complete) {
 		response := &Response{}
-		got, err := feed(response, &dribble{strings.NewReader(complete[:n]), 5, io.ErrUnexpectedEOF})
+		got, err := feed(response, &chunkReader{strings.NewReader(complete[:n]), 5, io.ErrUnexpectedEOF})
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("cut after %d: %v", n, err)
 		}
@@ -148,7 +148,7 @@
 			t.Errorf("%q: %d bytes passed, %v", s, len(got), err)
 		}
 	}
-	big := "id: 1\ndata: " + strings.Repeat("x", maxEvent/2) + "\n\n"
+	big := "id: 1\ndata: " + strings.Repeat("x", maxEventBytes/2) + "\n\n"
 	if got, err := feed(&Response{}, strings.NewReader(big)); err != nil || got != big {
 		t.Errorf("a big event: %d of %d bytes, %v", len(got), len(big), err)
 	}
@@ -171,7 +171,7 @@
 
 // pair is a runner's connection on loopback, as the pool sees it: real sockets, so
 // that what lies unread in one is seen.
-func pair(t *testing.T) (*Pool, *endpoints.Runner, func() net.Conn) {
+func newTestPool(t *testing.T) (*Pool, *endpoints.Runner, func() net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -209,14 +209,14 @@
 		{
 			"a byte too many already read",
 			time.Minute,
-			func(c *conn, r net.Conn) { _, _ = r.Write([]byte("x")); _, _ = c.br.Peek(1) },
+			func(c *conn, r net.Conn) { _, _ = r.Write([]byte("x")); _, _ = c.reader.Peek(1) },
 			false,
 		},
 		{"no rest", 0, func(*conn, net.Conn) {}, false},
 		{"past its rest", time.Nanosecond, func(*conn, net.Conn) {}, false},
 		{"swept", time.Minute, nil, false},
 	} {
-		p, r, accept := pair(t)
+		p, r, accept := newTestPool(t)
 		c, err := p.get(t.Context(), r, false)
 		if err != nil {
 			t.Fatal(err)
@@ -232,8 +232,8 @@
 			p.Retain(func(id string) bool { return id == r.ID })
 		}
 		// What the far side did takes a moment to arrive: the poller sees when.
-		if !tc.reused && tc.rest == time.Minute && tc.spoil != nil && c.br.Buffered() == 0 {
-			arrived(t, c.c)
+		if !tc.reused && tc.rest == time.Minute && tc.spoil != nil && c.reader.Buffered() == 0 {
+			waitReadable(t, c.netConn)
 		}
 		second, err := p.get(t.Context(), r, false)
 		if err != nil {
@@ -242,13 +242,13 @@
 		if (c == second) != tc.reused || p.ConnectionsOpened() != map[bool]uint64{true: 1, false: 2}[tc.reused] {
 			t.Errorf("%s: used again %v, %d made", tc.what, c == second, p.ConnectionsOpened())
 		}
-		second.c.Close()
-		c.c.Close()
+		second.netConn.Close()
+		c.netConn.Close()
 	}
 }
 
 // arrived waits until there is something to be read, and leaves it there.
-func arrived(t *testing.T, c net.Conn) {
+func waitReadable(t *testing.T, c net.Conn) {
 	rc, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -262,7 +262,7 @@
 
 // TestPoolKeys: a connection is for one runner process at one address.
 func TestPoolKeys(t *testing.T) {
-	p, r, accept := pair(t)
+	p, r, accept := newTestPool(t)
 	c, err := p.get(t.Context(), r, false)
 	if err != nil {
 		t.Fatal(err)
@@ -274,16 +274,16 @@
 		t.Errorf("another process at the address got the connection, %v", err)
 	}
 	accept()
-	second.c.Close()
+	second.netConn.Close()
 	if second, err = p.get(t.Context(), r, true); err != nil || second == c {
 		t.Errorf("a fresh one was asked for, %v", err)
 	}
-	second.c.Close()
+	second.netConn.Close()
 }
 
 // TestPoolBound: no more connections rest than are allowed.
 func TestPoolBound(t *testing.T) {
-	p, r, accept := pair(t)
+	p, r, accept := newTestPool(t)
 	p.params.MaxIdle = 2
 	var cs []*conn
 	for range 4 {
@@ -297,7 +297,7 @@
 	for _, c := range cs {
 		p.put(r, c, time.Minute)
 	}
-	if n := len(p.idle[key(r)]); n != 2 {
+	if n := len(p.idle[poolKey(r)]); n != 2 {
 		t.Errorf("%d rest", n)
 	}
 }
@@ -323,7 +323,7 @@
 		if tc.keep != "" {
 			r.Header.Set("Keep-Alive", tc.keep)
 		}
-		if got := p.rest(r); got != tc.want {
+		if got := p.keepAliveTime(r); got != tc.want {
 			t.Errorf("%q, close %v: %s, want %s", tc.keep, tc.shut, got, tc.want)
 		}
 	}
@@ -354,13 +354,13 @@
 		{"nothing of the kind\r\n\r\n", false, false},
 		{"", false, false},
 	} {
-		c := &conn{br: bufio.NewReader(strings.NewReader(tc.in))}
-		r, err := c.answer(
+		c := &conn{reader: bufio.NewReader(strings.NewReader(tc.in))}
+		r, err := c.readAnswer(
 			&http.Request{Method: "GET"},
 			"a",
 			func(r *http.Response) ResponseInfo { return ResponseInfo{Attempt: r.Header.Get("Try")} },
 		)
-		if (err == nil) != tc.good || tc.good && r.surplus != tc.surplus {
+		if (err == nil) != tc.good || tc.good && r.skippedOthers != tc.surplus {
 			t.Errorf("%.60q: %v, %+v", tc.in, err, r)
 		}
 		if err == nil && tc.good {
@@ -391,8 +391,8 @@
 // TestWrite: a target goes out as it came in.
 func TestWrite(t *testing.T) {
 	for _, uri := range []string{"/", "/a//b/?", "//", "///x//y?//z", "//h.test/x?", "/%2F%2f"} {
-		handler := &Handler{parts: Dependencies{Headers: nothing{}}}
-		q := handler.request(
+		handler := &Handler{dependencies: Dependencies{Headers: noHeaders{}}}
+		q := handler.runnerRequest(
 			&Job{
 				Context: t.Context(),
 				Path:    &spec.Path{},
@@ -403,7 +403,7 @@
 			&endpoints.Runner{Addr: "10.0.0.1:1"},
 		)
 		var b bytes.Buffer
-		if err := write(&b, q); err != nil {
+		if err := writeRequest(&b, q); err != nil {
 			t.Fatal(err)
 		}
 		got, err := http.ReadRequest(bufio.NewReader(&b))
@@ -413,17 +413,17 @@
 	}
 }
 
-type nothing struct{}
+type noHeaders struct{}
 
-func (nothing) ReadRequest(*http.Request, *Job) error                                 { return nil }
-func (nothing) WriteRequest(http.Header, *Job, *endpoints.Runner, time.Duration, int) {}
-func (nothing) Credential(*http.Request) string                                       { return "" }
-func (nothing) WriteRepeat(http.Header, *Job)                                         {}
-func (nothing) WriteResume(http.Header, string)                                       {}
-func (nothing) ReadResponse(*http.Response) ResponseInfo                              { return ResponseInfo{} }
+func (noHeaders) ReadRequest(*http.Request, *Job) error                                 { return nil }
+func (noHeaders) WriteRequest(http.Header, *Job, *endpoints.Runner, time.Duration, int) {}
+func (noHeaders) Credential(*http.Request) string                                       { return "" }
+func (noHeaders) WriteRepeat(http.Header, *Job)                                         {}
+func (noHeaders) WriteResume(http.Header, string)                                       {}
+func (noHeaders) ReadResponse(*http.Response) ResponseInfo                              { return ResponseInfo{} }
 
-func any(*endpoints.Runner) bool  { return true }
-func none(*endpoints.Runner) bool { return false }
+func anyRunner(*endpoints.Runner) bool { return true }
+func noRunners(*endpoints.Runner) bool { return false }
 
 // runners are n in each of the zones.
 func runners(hasCapacity, n int, zones ...string) *endpoints.List {
@@ -449,8 +449,8 @@
 			List:      list,
 			Zone:      "b",
 			Key:       "k",
-			Allowed:   any,
-			WarmingUp: none,
+			Allowed:   anyRunner,
+			WarmingUp: noRunners,
 		}
 		first, hasCapacity := l.Pick(ask)
 		if first.Zone != "b" || !hasCapacity {
@@ -525,7 +525,7 @@
 			Zone:      "a",
 			Key:       rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
 			Allowed:   func(r *endpoints.Runner) bool { return !not[r.ID] },
-			WarmingUp: none,
+			WarmingUp: noRunners,
 		}
 		r, hasCapacity := l.Pick(ask)
 		switch {
@@ -611,7 +611,7 @@
 			edges,
 			edge{
 				NewLoad(),
-				&Handler{parts: Dependencies{Self: all[i], Members: func() []*wire.Member { return views[i] }}},
+				&Handler{dependencies: Dependencies{Self: all[i], Members: func() []*wire.Member { return views[i] }}},
 			},
 		)
 	}
@@ -626,7 +626,7 @@
 				continue
 			}
 			for range rnd.IntN(3) {
-				if r, _ := e.l.Pick(Selection{Service: service, List: list, Zone: "a", Allowed: any, WarmingUp: any, WarmupShares: func(r *endpoints.Runner) int { return e.handler.shares(r, rps) }}); r != nil {
+				if r, _ := e.l.Pick(Selection{Service: service, List: list, Zone: "a", Allowed: anyRunner, WarmingUp: anyRunner, WarmupShares: func(r *endpoints.Runner) int { return e.handler.warmupNodes(r, rps) }}); r != nil {
 					at = append(at, time.Now())
 				}
 			}
@@ -665,7 +665,7 @@
 // TestRefills: a zone in use again is distinguished from one that always was.
 func TestRefills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var z refillTimes
+		var z reactivationTimes
 		if !z.observe(nil, "a").IsZero() || !z.observe([]string{"a"}, "a").IsZero() {
 			t.Error("nobody refilled it")
 		}
@@ -697,7 +697,7 @@
 		{-1, "abcdef", code.TooLarge},
 		{5, "abc", code.BadJSON},
 	} {
-		b, err := body(&http.Request{ContentLength: tc.length, Body: io.NopCloser(strings.NewReader(tc.in))}, 5)
+		b, err := readBody(&http.Request{ContentLength: tc.length, Body: io.NopCloser(strings.NewReader(tc.in))}, 5)
 		if code.Of(err) != tc.want || err == nil && string(b) != tc.in {
 			t.Errorf("%d %q: %q, %v", tc.length, tc.in, b, err)
 		}
@@ -741,8 +741,8 @@
 			ctx, stop := context.WithTimeout(t.Context(), tc.callers)
 			defer stop()
 			arrived := time.Now()
-			handler := &Handler{params: DefaultParams, parts: Dependencies{Ready: ready}}
-			if err := handler.open(&Job{Context: ctx, Arrived: arrived}); code.Of(err) != tc.want {
+			handler := &Handler{params: DefaultParams, dependencies: Dependencies{Ready: ready}}
+			if err := handler.waitUntilReady(&Job{Context: ctx, Arrived: arrived}); code.Of(err) != tc.want {
 				t.Errorf("%s: %v", tc.name, err)
 			}
 			if took := time.Since(arrived); took > tc.took {
@@ -761,9 +761,9 @@
 		once, goOn bool
 	}{
 		{"nothing yet", Response{}, true, true},
-		{"the head", Response{begun: true}, false, true},
-		{"a named event", Response{begun: true, wrote: true, last: "3"}, false, true},
-		{"an event without a name", Response{begun: true, wrote: true}, false, false},
+		{"the head", Response{headSent: true}, false, true},
+		{"a named event", Response{headSent: true, bodySent: true, lastEventID: "3"}, false, true},
+		{"an event without a name", Response{headSent: true, bodySent: true}, false, false},
 	} {
 		if got := c.out.canResume(false); got != c.once {
 			t.Errorf("%s, not resumable: %v", c.name, got)
@@ -839,7 +839,7 @@
 			home := 0
 			for i := range picks {
 				r, _ := l.Pick(Selection{
-					Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: any, WarmingUp: none,
+					Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: anyRunner, WarmingUp: noRunners,
 					Prefix: fmt.Sprintf("part-%d", i%16),
 				})
 				if r.Zone == "a" {
--- a/internal/dataplane/request/proxy/quota.go
+++ b/internal/dataplane/request/proxy/quota.go
@@ -22,30 +22,30 @@
 }
 
 // Do is the policy.
-func (quotas *Quotas) Do(j *Job, w *Response, next Next) Answer {
+func (quotas *Quotas) Do(j *Job, response *Response, next Next) Answer {
 	if j.Tenant == nil || j.Tenant.RatePerS <= 0 {
-		return next(j, w)
+		return next(j, response)
 	}
 	if !quotas.waitForCounts(j) {
 		err := code.New(code.NotReady, "this node has not heard yet what others have admitted")
 		return Refuse(err, 200*time.Millisecond)
 	}
-	d := quotas.node.Admit(quota.Request{
+	decision := quotas.node.Admit(quota.Request{
 		Tenant:  j.Tenant.Name,
 		Limit:   quota.Limit{RatePerS: j.Tenant.RatePerS, Burst: j.Tenant.Burst},
 		Program: j.Program,
 		// Programs begin with a turn that goes on from none.
 		Begun: j.PreviousAttempt != "" || j.Path.Kind != spec.Stream,
 	})
-	if !d.Admitted {
+	if !decision.Admitted {
 		err := code.New(code.OverQuota, "tenant %s has sent all that it may for now", j.Tenant.Name)
-		return Refuse(err, d.RetryAfter)
+		return Refuse(err, decision.RetryAfter)
 	}
-	a := next(j, w)
-	if a.NotRun() || a.Repeated {
-		quotas.node.Cancel(j.Tenant.Name, d)
+	answer := next(j, response)
+	if answer.NotRun() || answer.Repeated {
+		quotas.node.Cancel(j.Tenant.Name, decision)
 	}
-	return a
+	return answer
 }
 
 // waitForCounts waits a moment for a node that has just come up.
--- a/internal/dataplane/request/proxy/response.go
+++ b/internal/dataplane/request/proxy/response.go
@@ -38,10 +38,10 @@
 }
 
 // Chain joins policies in order before the last step.
-func Chain(last Next, ps ...Policy) Next {
-	for i := len(ps) - 1; i >= 0; i-- {
-		p, next := ps[i], last
-		last = func(j *Job, w *Response) Answer { return p.Do(j, w, next) }
+func Chain(last Next, policies ...Policy) Next {
+	for i := len(policies) - 1; i >= 0; i-- {
+		policy, next := policies[i], last
+		last = func(j *Job, w *Response) Answer { return policy.Do(j, w, next) }
 	}
 	return last
 }
@@ -49,32 +49,32 @@
 // Response is the way back to the caller. Once it has begun, the answer can only end
 // complete or be broken off.
 type Response struct {
-	w       http.ResponseWriter
-	begun   bool
-	collect bool
-	text    bytes.Buffer
-	events  int
-	runner  string    // the runner whose answer is forwarded
-	first   func()    // called at the first event
-	wrote   bool      // more than the head
-	moved   time.Time // when the job was sent or the last event came
-	last    string    // id of the last event forwarded; empty: it has none
+	w              http.ResponseWriter
+	headSent       bool
+	collect        bool
+	data           bytes.Buffer
+	events         int
+	runner         string    // the runner whose answer is forwarded
+	onFirstEvent   func()    // called at the first event
+	bodySent       bool      // more than the head
+	lastProgressAt time.Time // when the job was sent or the last event came
+	lastEventID    string    // id of the last event forwarded; empty: it has none
 	// resumption drops events that the caller has had from an earlier run, resumable tells
 	// that there may be one, and callerHas is the id up to which the caller says it has them.
-	resumption resumption
-	resumable  bool
-	callerHas  string
+	resumption        resumption
+	resumable         bool
+	callerLastEventID string
 	// beforeComplete, if set, is called with a complete answer before any of it is forwarded.
 	beforeComplete func(r *http.Response, body []byte)
 }
 
 // Begun reports whether the caller has seen the head.
-func (response *Response) Begun() bool { return response.begun }
+func (response *Response) Begun() bool { return response.headSent }
 
 // canResume reports whether another run can go on from what the caller was handed: nothing,
 // only the head, or a resumable stream whose last event has a name.
 func (response *Response) canResume(resumable bool) bool {
-	return !response.begun || resumable && (response.last != "" || !response.wrote)
+	return !response.headSent || resumable && (response.lastEventID != "" || !response.bodySent)
 }
 
 // Events counts the events forwarded.
@@ -84,7 +84,7 @@
 func (response *Response) Collect() { response.collect = true }
 
 // Text is the data kept since Collect.
-func (response *Response) Text() []byte { return response.text.Bytes() }
+func (response *Response) Text() []byte { return response.data.Bytes() }
 
 // Headers that concern one connection only.
 var hopByHopHeaders = map[string]bool{
@@ -101,55 +101,55 @@
 
 // copyHeaders copies headers, less those of one connection.
 func copyHeaders(to, from http.Header) {
-	named := map[string]bool{}
-	for _, v := range from["Connection"] {
-		for _, f := range strings.Split(v, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(f))] = true
+	connectionHeaders := map[string]bool{}
+	for _, list := range from["Connection"] {
+		for _, name := range strings.Split(list, ",") {
+			connectionHeaders[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	for k, vs := range from {
-		if !hopByHopHeaders[k] && !named[k] && k != "Content-Length" {
-			to[k] = vs
+	for name, values := range from {
+		if !hopByHopHeaders[name] && !connectionHeaders[name] && name != "Content-Length" {
+			to[name] = values
 		}
 	}
 }
 
 // head passes a runner's head on.
-func (response *Response) head(r *http.Response) {
-	if response.begun {
+func (response *Response) writeHead(r *http.Response) {
+	if response.headSent {
 		return
 	}
-	response.begun = true
-	h := response.w.Header()
-	copyHeaders(h, r.Header)
-	if _, ok := h["Content-Type"]; !ok {
+	response.headSent = true
+	header := response.w.Header()
+	copyHeaders(header, r.Header)
+	if _, ok := header["Content-Type"]; !ok {
 		// Nothing is guessed about the runner's bytes.
-		h["Content-Type"] = nil
+		header["Content-Type"] = nil
 	}
 	response.w.WriteHeader(r.StatusCode)
 }
 
 // errCaller: the caller can't be written to any more.
-var errCaller = errors.New("the caller has disconnected")
+var errCallerGone = errors.New("the caller has disconnected")
 
 // stream passes events on as they come, complete ones only, so that another run can
 // go on after the last. It ends without a failure only where the runner ended.
-func (response *Response) stream(r *http.Response) error {
-	br := bufio.NewReaderSize(r.Body, 2048)
-	rc := http.NewResponseController(response.w)
-	response.head(r)
-	if err := rc.Flush(); err != nil {
-		return errCaller
+func (response *Response) forwardStream(r *http.Response) error {
+	reader := bufio.NewReaderSize(r.Body, 2048)
+	controller := http.NewResponseController(response.w)
+	response.writeHead(r)
+	if err := controller.Flush(); err != nil {
+		return errCallerGone
 	}
 	if response.resumable {
-		response.resumption.begin(cmp.Or(response.last, response.callerHas))
+		response.resumption.begin(cmp.Or(response.lastEventID, response.callerLastEventID))
 	}
-	var ev []byte
+	var event []byte
 	for {
-		l, err := br.ReadSlice('\n')
-		ev = append(ev, l...)
-		if len(ev) > maxEvent {
-			return code.New(code.Incomplete, "an event over %d bytes", maxEvent)
+		line, err := reader.ReadSlice('\n')
+		event = append(event, line...)
+		if len(event) > maxEventBytes {
+			return code.New(code.Incomplete, "an event over %d bytes", maxEventBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -158,25 +158,25 @@
 			return err
 		}
 		// What ends without a blank line is forwarded and is no event.
-		complete := err == nil && blank(l) && len(ev) > len(l)
-		if complete && response.resumption.repeats(ev) {
-			ev = ev[:0]
+		complete := err == nil && isBlankLine(line) && len(event) > len(line)
+		if complete && response.resumption.isDuplicate(event) {
+			event = event[:0]
 			continue
 		}
-		if complete || err != nil && len(ev) > 0 {
+		if complete || err != nil && len(event) > 0 {
 			// Counted first: of a write that fails the caller may still get all.
-			if response.wrote = true; complete {
-				response.recordEvent(ev)
+			if response.bodySent = true; complete {
+				response.recordEvent(event)
 			}
-			if _, werr := response.w.Write(ev); werr != nil {
-				return errCaller
+			if _, writeErr := response.w.Write(event); writeErr != nil {
+				return errCallerGone
 			}
-			if err == nil && br.Buffered() == 0 {
-				if werr := rc.Flush(); werr != nil {
-					return errCaller
+			if err == nil && reader.Buffered() == 0 {
+				if writeErr := controller.Flush(); writeErr != nil {
+					return errCallerGone
 				}
 			}
-			ev = ev[:0]
+			event = event[:0]
 		}
 		if err != nil {
 			return nil
@@ -185,97 +185,97 @@
 }
 
 // maxEvent bounds one event.
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
-func blank(l []byte) bool { return len(bytes.TrimRight(l, "\r\n")) == 0 }
+func isBlankLine(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
 // recordEvent remembers an event's id and, if asked, its data.
-func (response *Response) recordEvent(ev []byte) {
-	some, named := false, false
-	for l := range bytes.Lines(ev) {
-		k, v, _ := bytes.Cut(bytes.TrimRight(l, "\r\n"), []byte(":"))
-		v = bytes.TrimPrefix(v, []byte(" "))
-		switch string(k) {
+func (response *Response) recordEvent(event []byte) {
+	hasData, hasID := false, false
+	for line := range bytes.Lines(event) {
+		field, value, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
+		value = bytes.TrimPrefix(value, []byte(" "))
+		switch string(field) {
 		case "id":
-			response.last, named = string(v), true
+			response.lastEventID, hasID = string(value), true
 			if response.resumable {
-				response.resumption.handedOn(response.last)
+				response.resumption.recordID(response.lastEventID)
 			}
 		case "data":
 			if response.collect {
-				response.text.Write(v)
-				response.text.WriteByte('\n')
+				response.data.Write(value)
+				response.data.WriteByte('\n')
 			}
-			some = true
+			hasData = true
 		}
 	}
-	if some {
-		response.moved = time.Now()
-		if response.events++; response.events == 1 && response.first != nil {
-			response.first()
+	if hasData {
+		response.lastProgressAt = time.Now()
+		if response.events++; response.events == 1 && response.onFirstEvent != nil {
+			response.onFirstEvent()
 		}
-		if !named {
-			response.last = ""
+		if !hasID {
+			response.lastEventID = ""
 		}
 	}
 }
 
 // maxBuffered is what of an answer is held to prove that it is complete before its head
 // is forwarded; a longer one is passed as it comes and broken off if it breaks off.
-const maxBuffered = 256 << 10
+const maxBufferedBytes = 256 << 10
 
 // complete passes an answer on that is no stream.
-func (response *Response) complete(r *http.Response) error {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxBuffered))
+func (response *Response) forwardWhole(r *http.Response) error {
+	content, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBytes))
 	if err != nil {
 		return err
 	}
-	if len(b) < maxBuffered || r.ContentLength == int64(len(b)) {
+	if len(content) < maxBufferedBytes || r.ContentLength == int64(len(content)) {
 		if response.beforeComplete != nil {
-			response.beforeComplete(r, b)
+			response.beforeComplete(r, content)
 		}
 		if r.ContentLength >= 0 || r.Request.Method != http.MethodHead {
-			response.w.Header()["Content-Length"] = []string{itoa(max(r.ContentLength, int64(len(b))))}
+			response.w.Header()["Content-Length"] = []string{formatInt(max(r.ContentLength, int64(len(content))))}
 		}
-		response.head(r)
-		if len(b) > 0 {
-			if _, err := response.w.Write(b); err != nil {
-				return errCaller
+		response.writeHead(r)
+		if len(content) > 0 {
+			if _, err := response.w.Write(content); err != nil {
+				return errCallerGone
 			}
 		}
 		return nil
 	}
 	if r.ContentLength >= 0 {
-		response.w.Header()["Content-Length"] = []string{itoa(r.ContentLength)}
+		response.w.Header()["Content-Length"] = []string{formatInt(r.ContentLength)}
 	}
-	response.head(r)
-	if _, err := response.w.Write(b); err != nil {
-		return errCaller
+	response.writeHead(r)
+	if _, err := response.w.Write(content); err != nil {
+		return errCallerGone
 	}
-	_, err = io.Copy(toCaller{response.w}, r.Body)
+	_, err = io.Copy(callerWriter{response.w}, r.Body)
 	return err
 }
 
 // replay hands on an answer that was recorded.
 func (response *Response) replay(status int, header http.Header, body []byte) error {
-	response.begun = true
-	h := response.w.Header()
-	copyHeaders(h, header)
-	h["Content-Length"] = []string{itoa(int64(len(body)))}
+	response.headSent = true
+	sent := response.w.Header()
+	copyHeaders(sent, header)
+	sent["Content-Length"] = []string{formatInt(int64(len(body)))}
 	response.w.WriteHeader(status)
 	if _, err := response.w.Write(body); err != nil {
-		return errCaller
+		return errCallerGone
 	}
 	return nil
 }
 
 // toCaller tells a caller that can't be written to from a runner that broke off.
-type toCaller struct{ w io.Writer }
+type callerWriter struct{ w io.Writer }
 
-func (c toCaller) Write(b []byte) (int, error) {
+func (c callerWriter) Write(b []byte) (int, error) {
 	n, err := c.w.Write(b)
 	if err != nil {
-		return n, errCaller
+		return n, errCallerGone
 	}
 	return n, nil
 }
--- a/internal/dataplane/request/proxy/resumption.go
+++ b/internal/dataplane/request/proxy/resumption.go
@@ -11,27 +11,27 @@
 type resumption struct {
 	after     string          // id of the last event that the caller has; empty: it has none
 	replaying bool            // this run has brought an event that the caller has
-	had       map[string]bool // ids that the caller was handed, where they are no numbers
+	seen      map[string]bool // ids that the caller was handed, where they are no numbers
 }
 
 // maxNamedEvents bounds the ids kept of a stream whose ids are no numbers.
-const maxNamedEvents = 4096
+const maxNonNumericIDs = 4096
 
 // begin is called where a run begins whose events the caller has up to an id.
 func (r *resumption) begin(after string) { r.after, r.replaying = after, false }
 
 // repeats reports whether the caller has an event already. Once one comes that the caller
 // has not, those that follow it are new as well.
-func (r *resumption) repeats(event []byte) bool {
+func (r *resumption) isDuplicate(event []byte) bool {
 	if r.after == "" {
 		return false
 	}
-	id, named := eventID(event)
-	if !named {
+	id, hasID := eventID(event)
+	if !hasID {
 		// Between events that the caller has stands what it has as well.
 		return r.replaying
 	}
-	if r.had[id] || id == r.after || risesTo(id, r.after) {
+	if r.seen[id] || id == r.after || precedes(id, r.after) {
 		r.replaying = true
 		return true
 	}
@@ -40,18 +40,18 @@
 }
 
 // handedOn remembers an event that the caller was handed.
-func (r *resumption) handedOn(id string) {
-	if _, err := strconv.ParseUint(id, 10, 64); err == nil || len(r.had) >= maxNamedEvents {
+func (r *resumption) recordID(id string) {
+	if _, err := strconv.ParseUint(id, 10, 64); err == nil || len(r.seen) >= maxNonNumericIDs {
 		return
 	}
-	if r.had == nil {
-		r.had = map[string]bool{}
+	if r.seen == nil {
+		r.seen = map[string]bool{}
 	}
-	r.had[id] = true
+	r.seen[id] = true
 }
 
 // risesTo reports whether an id comes before another in the order of numbers.
-func risesTo(id, later string) bool {
+func precedes(id, later string) bool {
 	a, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return false
@@ -61,12 +61,12 @@
 }
 
 // eventID is the id that an event names.
-func eventID(event []byte) (id string, named bool) {
+func eventID(event []byte) (id string, hasID bool) {
 	for line := range bytes.Lines(event) {
 		field, value, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
 		if string(field) == "id" {
-			id, named = string(bytes.TrimPrefix(value, []byte(" "))), true
+			id, hasID = string(bytes.TrimPrefix(value, []byte(" "))), true
 		}
 	}
-	return id, named
+	return id, hasID
 }
--- a/internal/dataplane/request/proxy/resumption_test.go
+++ b/internal/dataplane/request/proxy/resumption_test.go
@@ -28,7 +28,7 @@
 		{"the caller has a later one", "", event("1") + event("2"), "7", ""},
 		{"numbers rise as numbers", event("99"), event("100") + event("101"), "", event("100") + event("101")},
 	} {
-		response := &Response{resumable: true, callerHas: tc.callerHas}
+		response := &Response{resumable: true, callerLastEventID: tc.callerHas}
 		if tc.first != "" {
 			if got, err := feed(response, strings.NewReader(tc.first)); err != nil || got != tc.first {
 				t.Errorf("%s: the first run passed %q, %v", tc.name, got, err)
@@ -38,7 +38,7 @@
 			t.Errorf("%s: the second run passed %q, want %q, %v", tc.name, got, tc.want, err)
 		}
 	}
-	plain := &Response{callerHas: "5"}
+	plain := &Response{callerLastEventID: "5"}
 	if got, err := feed(plain, strings.NewReader(event("1"))); err != nil || got != event("1") {
 		t.Errorf("a stream that can't be taken up again passed %q, %v", got, err)
 	}
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -13,18 +13,18 @@
 )
 
 // pickByWeight is the service that a draw falls to.
-func pickByWeight(to []spec.Share, draw uint64) string {
-	sum := int64(0)
-	for _, s := range to {
-		sum += s.Weight
+func pickByWeight(shares []spec.Share, draw uint64) string {
+	total := int64(0)
+	for _, share := range shares {
+		total += share.Weight
 	}
-	if sum <= 0 {
+	if total <= 0 {
 		return ""
 	}
-	at := int64(draw % uint64(sum))
-	for _, s := range to {
-		if at -= s.Weight; at < 0 {
-			return s.Service
+	position := int64(draw % uint64(total))
+	for _, share := range shares {
+		if position -= share.Weight; position < 0 {
+			return share.Service
 		}
 	}
 	return ""
@@ -44,7 +44,7 @@
 	return b.ch
 }
 
-func (b *broadcast) tell() {
+func (b *broadcast) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.ch)
@@ -53,74 +53,74 @@
 
 // refillTimes remembers since when zones are in use again: their runners may have
 // lost their caches while they were not.
-type refillTimes struct {
-	mu    sync.Mutex
-	empty map[string]bool
-	since map[string]time.Time
+type reactivationTimes struct {
+	mu            sync.Mutex
+	empty         map[string]bool
+	reactivatedAt map[string]time.Time
 }
 
 // observe compares with the zones emptied now, and gives since when one is in use.
-func (z *refillTimes) observe(emptied []string, zone string) time.Time {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	if z.empty == nil {
-		z.empty, z.since = map[string]bool{}, map[string]time.Time{}
+func (times *reactivationTimes) observe(emptyZones []string, zone string) time.Time {
+	times.mu.Lock()
+	defer times.mu.Unlock()
+	if times.empty == nil {
+		times.empty, times.reactivatedAt = map[string]bool{}, map[string]time.Time{}
 	}
-	now := map[string]bool{}
-	for _, e := range emptied {
-		now[e] = true
+	current := map[string]bool{}
+	for _, name := range emptyZones {
+		current[name] = true
 	}
-	for e := range z.empty {
-		if !now[e] {
-			z.since[e] = time.Now()
+	for name := range times.empty {
+		if !current[name] {
+			times.reactivatedAt[name] = time.Now()
 		}
 	}
-	z.empty = now
-	return z.since[zone]
+	times.empty = current
+	return times.reactivatedAt[zone]
 }
 
 // pick finds a runner that may be sent this job now.
 func (handler *Handler) pick(j *Job, tried map[string]bool) (*endpoints.Runner, bool) {
-	v := handler.parts.View()
-	l := handler.parts.Endpoints.Current()
-	k, segment := "", ""
+	view := handler.dependencies.View()
+	list := handler.dependencies.Endpoints.Current()
+	key, prefix := "", ""
 	switch {
 	case j.Service.Engine != nil && j.BudgetReserved:
 		if len(j.PromptParts) > 0 {
-			segment = j.PromptParts[0].ID
+			prefix = j.PromptParts[0].ID
 		}
 	case j.Service.Engine != nil && j.Program != "":
-		k = j.Program
+		key = j.Program
 	case j.Path.Affine:
-		k = j.AffinityKey
+		key = j.AffinityKey
 	}
-	return handler.parts.Load.Pick(
+	return handler.dependencies.Load.Pick(
 		Selection{
 			Service:        j.Service,
-			List:           l,
-			Zone:           handler.parts.Self.Zone,
-			Key:            k,
+			List:           list,
+			Zone:           handler.dependencies.Self.Zone,
+			Key:            key,
 			PreviousRunner: j.PreviousRunner,
-			Prefix:         segment,
+			Prefix:         prefix,
 			Allowed: func(r *endpoints.Runner) bool {
-				return !tried[r.ID] && !v.Spec.Empty(r.Zone) &&
-					(handler.parts.Cooldowns.Idle() || handler.parts.Cooldowns.GateOpen(cooldownKey(r)))
+				return !tried[r.ID] && !view.Spec.Empty(r.Zone) &&
+					(handler.dependencies.Cooldowns.Idle() || handler.dependencies.Cooldowns.GateOpen(cooldownKey(r)))
 			},
 			WarmingUp: func(r *endpoints.Runner) bool {
 				if j.Service.WarmupRate <= 0 {
 					return false
 				}
 				warmingUp := time.Duration(r.WarmupRemainingMs) * time.Millisecond
-				if time.Since(l.ReadAt) < warmingUp {
+				if time.Since(list.ReadAt) < warmingUp {
 					return true
 				}
 				// Since its zone is in use again it may be warming up, until a list read well
 				// after says that it is not.
-				s := handler.zoneRefills.observe(v.Spec.EmptyZones, r.Zone)
-				return !s.IsZero() && l.ReadAt.Before(s.Add(handler.params.ListMaxAge)) &&
-					time.Since(s) < time.Duration(j.Service.WarmupMs)*time.Millisecond+handler.params.ListMaxAge
+				reactivatedAt := handler.zoneReactivations.observe(view.Spec.EmptyZones, r.Zone)
+				return !reactivatedAt.IsZero() && list.ReadAt.Before(reactivatedAt.Add(handler.params.ListMaxAge)) &&
+					time.Since(reactivatedAt) < time.Duration(j.Service.WarmupMs)*time.Millisecond+handler.params.ListMaxAge
 			},
-			WarmupShares: func(r *endpoints.Runner) int { return handler.shares(r, j.Service.WarmupRate) },
+			WarmupShares: func(r *endpoints.Runner) int { return handler.warmupNodes(r, j.Service.WarmupRate) },
 			Repeatable:   j.Repeatable(),
 		},
 	)
@@ -130,27 +130,27 @@
 
 // shares is among how many nodes a warming runner's rate is assigned, 0 where this one
 // has no part: the few edges that the runner's id points to.
-func (handler *Handler) shares(r *endpoints.Runner, perS float64) int {
-	most := WarmupNodes
+func (handler *Handler) warmupNodes(r *endpoints.Runner, perS float64) int {
+	maxNodes := WarmupNodes
 	if perS < 1 {
 		// Each may send one at once, which is most of what so slow a runner bears.
-		most--
+		maxNodes--
 	}
-	mine := weigh(handler.parts.Self.Id, r.ID)
-	n, above := 1, 0 // this one counts, whatever the others think of it
-	for _, m := range handler.parts.Members() {
-		if m.Role != "edge" || !m.Live || m.Id == handler.parts.Self.Id {
+	ownHash := rendezvousHash(handler.dependencies.Self.Id, r.ID)
+	edges, higher := 1, 0 // this one counts, whatever the others think of it
+	for _, member := range handler.dependencies.Members() {
+		if member.Role != "edge" || !member.Live || member.Id == handler.dependencies.Self.Id {
 			continue
 		}
-		n++
-		if weigh(m.Id, r.ID) > mine {
-			above++
+		edges++
+		if rendezvousHash(member.Id, r.ID) > ownHash {
+			higher++
 		}
 	}
-	if above >= most {
+	if higher >= maxNodes {
 		return 0
 	}
-	return min(n, most)
+	return min(edges, maxNodes)
 }
 
 // selectRunner waits for a runner with a free place, as long as a part of the job's latency target,
@@ -160,43 +160,43 @@
 	if latencyTarget == 0 {
 		latencyTarget = j.TimeLeft()
 	}
-	until := j.Arrived.Add(time.Duration(float64(latencyTarget) * handler.params.MaxHoldFraction))
+	holdUntil := j.Arrived.Add(time.Duration(float64(latencyTarget) * handler.params.MaxHoldFraction))
 	for {
-		free := handler.freeSlots.wait()
-		r, hasCapacity := handler.pick(j, tried)
-		if r != nil && hasCapacity {
-			return r, Answer{}
+		slotFreed := handler.freeSlots.wait()
+		runner, hasCapacity := handler.pick(j, tried)
+		if runner != nil && hasCapacity {
+			return runner, Answer{}
 		}
-		left := min(time.Until(until), j.TimeLeft())
-		if r == nil {
+		holdLeft := min(time.Until(holdUntil), j.TimeLeft())
+		if runner == nil {
 			// Where a cooldown is all that stands in the way, a job is held as long as
 			// for a place and no longer: else it receives at once when to come back.
-			if soon, all := handler.cooling(j, tried); all > 0 && (soon <= 0 || soon > left) {
+			if untriedWait, anyWait := handler.cooldownWaits(j, tried); anyWait > 0 && (untriedWait <= 0 || untriedWait > holdLeft) {
 				return nil, Refuse(
 					code.New(
 						code.Cooling,
 						"all runners of %s are cooling down for %d ms",
 						j.Service.Name,
-						cooldown.WaitMs(all),
+						cooldown.WaitMs(anyWait),
 					),
-					all,
+					anyWait,
 				)
 			}
 		}
-		if left <= 0 {
-			if r == nil {
+		if holdLeft <= 0 {
+			if runner == nil {
 				return nil, noRunner(j, "none may be sent a job now")
 			}
-			if !handler.parts.Load.BelowCapacity(r, j.Service, handler.params.Overload) {
+			if !handler.dependencies.Load.BelowCapacity(runner, j.Service, handler.params.Overload) {
 				return nil, Refuse(
 					code.New(code.BacklogFull, "all runners of %s are full", j.Service.Name),
 					200*time.Millisecond,
 				)
 			}
-			return r, Answer{}
+			return runner, Answer{}
 		}
-		ctx, stop := context.WithTimeout(j, min(left, 25*time.Millisecond))
-		loop.Until(ctx, free)
+		ctx, stop := context.WithTimeout(j, min(holdLeft, 25*time.Millisecond))
+		loop.Until(ctx, slotFreed)
 		stop()
 		if j.Err() != nil {
 			return nil, Refuse(code.New(code.DeadlinePassed, "the caller has disconnected"), 0)
@@ -206,34 +206,34 @@
 
 // refusedWait is when a caller may come back whom one runner refused while others
 // are clear.
-const refusedWait = 100 * time.Millisecond
+const refusalRetryAfter = 100 * time.Millisecond
 
 // cooling tells when the first of a service's runners is clear again, 0 where not
 // all are cooling down: soon of those not tried yet, all of any. Runners that leave
 // or stand in an emptied zone count for nothing.
-func (handler *Handler) cooling(j *Job, tried map[string]bool) (soon, all time.Duration) {
-	if handler.parts.Cooldowns.Idle() {
+func (handler *Handler) cooldownWaits(j *Job, tried map[string]bool) (untriedWait, anyWait time.Duration) {
+	if handler.dependencies.Cooldowns.Idle() {
 		return 0, 0
 	}
-	v := handler.parts.View()
-	for _, r := range handler.parts.Endpoints.Current().Of(j.Service.Name) {
-		if r.Draining || v.Spec.Empty(r.Zone) {
+	view := handler.dependencies.View()
+	for _, runner := range handler.dependencies.Endpoints.Current().Of(j.Service.Name) {
+		if runner.Draining || view.Spec.Empty(runner.Zone) {
 			continue
 		}
-		w := handler.parts.Cooldowns.KnownWait(cooldownKey(r))
+		wait := handler.dependencies.Cooldowns.KnownWait(cooldownKey(runner))
 		switch {
-		case w <= 0 && !tried[r.ID]:
+		case wait <= 0 && !tried[runner.ID]:
 			return 0, 0
-		case w <= 0:
+		case wait <= 0:
 			// It was tried, and something else stands against it.
 			continue
 		}
-		if all == 0 || w < all {
-			all = w
+		if anyWait == 0 || wait < anyWait {
+			anyWait = wait
 		}
-		if !tried[r.ID] && (soon == 0 || w < soon) {
-			soon = w
+		if !tried[runner.ID] && (untriedWait == 0 || wait < untriedWait) {
+			untriedWait = wait
 		}
 	}
-	return soon, all
+	return untriedWait, anyWait
 }
--- a/internal/dataplane/request/proxy/tenant.go
+++ b/internal/dataplane/request/proxy/tenant.go
@@ -7,13 +7,13 @@
 
 // authenticate finds the tenant of a job by the credential that its caller carries. Where the
 // table has no tenants, or the path asks for no credential, a job may have none.
-func (handler *Handler) authenticate(j *Job, x *spec.Index) error {
+func (handler *Handler) authenticate(j *Job, index *spec.Index) error {
 	if len(j.View.Table.Tenants) == 0 {
 		return nil
 	}
-	if secret := handler.parts.Headers.Credential(j.Req); secret != "" {
+	if secret := handler.dependencies.Headers.Credential(j.Req); secret != "" {
 		j.Credential = spec.CredentialOf(secret)
-		j.Tenant = x.Tenant(j.Credential)
+		j.Tenant = index.Tenant(j.Credential)
 	}
 	if j.Tenant == nil && !j.Path.Keyless {
 		return code.New(code.UnknownKey, "the request carries no credential that is known")
@@ -27,16 +27,16 @@
 	if j.Tenant == nil {
 		return true
 	}
-	v := handler.parts.View()
-	if v.Version == j.View.Version {
+	view := handler.dependencies.View()
+	if view.Version == j.View.Version {
 		return true
 	}
-	now := handler.index(v).Tenant(j.Credential)
-	return now != nil && now.Name == j.Tenant.Name
+	tenant := handler.index(view).Tenant(j.Credential)
+	return tenant != nil && tenant.Name == j.Tenant.Name
 }
 
 // tenantRanks is how many ranks of paths lie between two ranks of tenants.
-const tenantRanks = 3
+const pathRanksPerTenantRank = 3
 
 // rank is a job's precedence, 0 first. The tenant's goes before the path's, which orders the
 // jobs of tenants of one rank.
@@ -44,5 +44,5 @@
 	if j.Tenant == nil || j.Tenant.Rank == nil {
 		return j.Path.Rank
 	}
-	return *j.Tenant.Rank*tenantRanks + min(j.Path.Rank, tenantRanks-1)
+	return *j.Tenant.Rank*pathRanksPerTenantRank + min(j.Path.Rank, pathRanksPerTenantRank-1)
 }
--- a/internal/dataplane/request/proxy/warmup.go
+++ b/internal/dataplane/request/proxy/warmup.go
@@ -12,20 +12,20 @@
 const WarmupNodes = 4
 
 // warming up reports whether this node may send a warming runner one more job now.
-func (b *runnerLoad) allowWarmup(perS float64, nodes int) bool {
+func (load *runnerLoad) allowWarmup(perS float64, nodes int) bool {
 	if perS <= 0 || nodes == 0 {
 		return false
 	}
-	r := rateShare(perS, nodes)
+	share := rateShare(perS, nodes)
 	switch {
-	case b.warmupLimiter == nil:
-		b.warmupLimiter, b.warmupRate = rate.NewLimiter(rate.Limit(r), 1), r
-	case b.warmupRate != r:
+	case load.warmupLimiter == nil:
+		load.warmupLimiter, load.warmupRate = rate.NewLimiter(rate.Limit(share), 1), share
+	case load.warmupRate != share:
 		// The same bucket goes on: a new one would be full at each change of the members.
-		b.warmupLimiter.SetLimit(rate.Limit(r))
-		b.warmupRate = r
+		load.warmupLimiter.SetLimit(rate.Limit(share))
+		load.warmupRate = share
 	}
-	return b.warmupLimiter.Allow()
+	return load.warmupLimiter.Allow()
 }
 
 // rateShare is one node's part of a rate. A second holds as many jobs as its part rounded
@@ -33,9 +33,9 @@
 // that is hardly more than an integer is that number: six parts of a quarter each
 // then stay within half again the rate and five.
 func rateShare(perS float64, nodes int) float64 {
-	r := perS / float64(nodes)
-	if f := math.Floor(r); f >= 1 && r-f < 1.0/6 {
-		return f
+	share := perS / float64(nodes)
+	if whole := math.Floor(share); whole >= 1 && share-whole < 1.0/6 {
+		return whole
 	}
-	return r
+	return share
 }
