--- a/internal/dataplane/quota/bytes_test.go
+++ b/internal/dataplane/quota/bytes_test.go
@@ -11,36 +11,36 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestExchangeBytes: what the exchange of counts costs an edge stays under a bound, at the size
-// of today and at that of two years on, and so does what the collector bears. Tenants' shares
-// of the requests fall as 1/rank; one is over its quota.
+// TestExchangeBytes checks that the traffic of the exchange stays below a bound for an edge and for
+// the collector, at the current fleet size and at the size expected in two years. The request rates
+// of the tenants are proportional to 1/rank, and one tenant is over its quota.
 func TestExchangeBytes(t *testing.T) {
 	for _, c := range []struct {
-		edges, tenants int
-		perS           float64
-		edgeKBPerS     float64 // both ways
-		collectorKB    float64 // a second, both ways
+		edges, tenants  int
+		ratePerS        float64 // requests of all tenants
+		edgeKBPerS      float64 // both directions
+		collectorKBPerS float64 // both directions
 	}{
 		{64, 81, 900, 2, 128},
 		{450, 460, 13_000, 4, 1_800},
 	} {
 		t.Run(fmt.Sprintf("%d edges", c.edges), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				edge, collector := measureExchange(c.edges, c.tenants, c.perS)
+				edge, collector := measureExchange(c.edges, c.tenants, c.ratePerS)
 				t.Logf("%d edges, %d tenants, %.0f requests/s: %.2f KB/s an edge, %.0f KB/s the collector",
-					c.edges, c.tenants, c.perS, edge, collector)
-				if edge > c.edgeKBPerS || collector > c.collectorKB {
+					c.edges, c.tenants, c.ratePerS, edge, collector)
+				if edge > c.edgeKBPerS || collector > c.collectorKBPerS {
 					t.Errorf("%.2f KB/s an edge, %.0f the collector; %.2f and %.0f are allowed",
-						edge, collector, c.edgeKBPerS, c.collectorKB)
+						edge, collector, c.edgeKBPerS, c.collectorKBPerS)
 				}
 			})
 		})
 	}
 }
 
-// measureExchange plays requests for some seconds; it gives KB a second of an edge and of the
-// collector.
-func measureExchange(edges, tenants int, perS float64) (edgeKB, collectorKB float64) {
+// measureExchange simulates requests for a few seconds and returns the traffic of an edge and of the
+// collector in KB per second.
+func measureExchange(edges, tenants int, ratePerS float64) (edgeKBPerS, collectorKBPerS float64) {
 	const seconds = 8
 	random := rand.New(rand.NewPCG(1, 0))
 	var fleet Fleet
@@ -56,16 +56,16 @@
 	}
 	limitOf := map[string]Limit{}
 	for i, w := range weights {
-		rate := math.Ceil(1.6 * perS * w / sum)
+		rate := math.Ceil(1.6 * ratePerS * w / sum)
 		if i == 1 {
 			rate /= 4
 		}
 		limitOf[fmt.Sprintf("tenant%04d", i)] = Limit{rate, rate}
 	}
-	draw := func() string {
-		at := random.Float64() * sum
+	pickTenant := func() string {
+		position := random.Float64() * sum
 		for i, w := range weights {
-			if at -= w; at < 0 {
+			if position -= w; position < 0 {
 				return fmt.Sprintf("tenant%04d", i)
 			}
 		}
@@ -75,12 +75,12 @@
 	for range seconds * 4 {
 		for i, node := range nodes {
 			report := node.Report()
-			news := collector.Collect(fleet[i], 1, report, fleet, func(n string) Limit { return limitOf[n] })
+			news := collector.Collect(fleet[i], 1, report, fleet, func(tenant string) Limit { return limitOf[tenant] })
 			node.Merge(report, time.Now(), news)
 			bytes += proto.Size(report) + proto.Size(news)
 		}
-		for range int(perS / 4) {
-			tenant := draw()
+		for range int(ratePerS / 4) {
+			tenant := pickTenant()
 			nodes[random.IntN(edges)].Admit(Request{Tenant: tenant, Limit: limitOf[tenant]})
 		}
 		time.Sleep(250 * time.Millisecond)
--- a/internal/dataplane/quota/collector.go
+++ b/internal/dataplane/quota/collector.go
@@ -8,57 +8,59 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Collector merges the counts of all nodes that report to it. Its methods may be called
-// concurrently.
+// Collector merges the counts of all nodes that report to it. It is safe for concurrent use.
 type Collector struct {
-	params Params
-	table  uint64 // names this collector's start
+	params  Params
+	tableID uint64 // identifies this collector instance
 
 	mu     sync.Mutex
 	nodes  map[string]*reporter
-	ended  []former
-	totals map[string]*total
-	// constrained are the tenants near their limits, as of checkedAt.
+	ended  []endedIncarnation
+	totals map[string]*tenantTotal
+	// constrained lists the tenants near their limits, as of checkedAt.
 	constrained []string
 	checkedAt   time.Time
 }
 
-// reporter is one node as it last reported.
+// reporter is the state of one node according to its last report.
 type reporter struct {
 	incarnation uint64
 	use         map[string]tenantUse
 	reportedAt  time.Time
 	startedAt   time.Time
-	// knownBefore: this collector has the counts of the node's earlier start as well.
-	knownBefore bool
+	// previousKnown is set if this collector also has the counts of the node's previous
+	// incarnation.
+	previousKnown bool
 }
 
-type tenantUse struct{ admitted, asked uint32 }
+// tenantUse counts the requests of one tenant at one node.
+type tenantUse struct{ admitted, requested uint32 }
 
-// former is the use of a start of a node that has ended; it counts for a window still.
-type former struct {
+// endedIncarnation holds the counts of a node's previous incarnation. They remain in the totals
+// for one window.
+type endedIncarnation struct {
 	use   map[string]tenantUse
 	until time.Time
 }
 
-// total is the sum over all nodes, those that are silent and former ones included.
-type total struct{ admitted, asked float64 }
+// tenantTotal is the sum over all nodes, including silent nodes and ended incarnations.
+type tenantTotal struct{ admitted, requested float64 }
 
-// NewCollector makes a collector that has heard nobody.
+// NewCollector returns a collector without any counts.
 func NewCollector(p Params) *Collector {
 	return &Collector{
-		params: p,
-		table:  rand.Uint64() | 1,
-		nodes:  map[string]*reporter{},
-		totals: map[string]*total{},
+		params:  p,
+		tableID: rand.Uint64() | 1,
+		nodes:   map[string]*reporter{},
+		totals:  map[string]*tenantTotal{},
 	}
 }
 
-// Fleet is what is known of the nodes that may admit requests: their ids.
+// Fleet lists the ids of the nodes that may admit requests.
 type Fleet []string
 
-// Collect takes a node's report and tells it what the others have counted; limit gives the
-// limit of a tenant.
+// Collect merges the report of a node and returns the counts of the other nodes. The limit
+// function returns the limit of a tenant.
 func (collector *Collector) Collect(
 	id string,
 	incarnation uint64,
@@ -72,52 +74,52 @@
 	node := collector.nodes[id]
 	switch {
 	case node != nil && incarnation < node.incarnation:
-		// Late: of a start that has ended.
+		// A delayed report of an ended incarnation.
 		return &wire.QuotaNews{Resend: true}
-	case report.Table != 0 && (report.Table != collector.table || node == nil || node.incarnation != incarnation):
+	case report.Table != 0 && (report.Table != collector.tableID || node == nil || node.incarnation != incarnation):
 		return &wire.QuotaNews{Resend: true}
 	}
-	collector.letGo(now)
+	collector.expire(now)
 	node = collector.update(node, id, incarnation, report, now)
-	news := &wire.QuotaNews{Table: collector.table, Nodes: int32(max(len(fleet), len(collector.nodes)))}
+	news := &wire.QuotaNews{Table: collector.tableID, Nodes: int32(max(len(fleet), len(collector.nodes)))}
 	view := collector.view(fleet, now)
-	news.Available = toCount(thousand * (1 - view.unknown/view.nodes))
+	news.Available = toCount(permille * (1 - view.unknownNodes/view.nodeCount))
 	collector.findConstrained(view, limit, now)
-	told := map[string]bool{}
-	tell := func(tenant string) {
-		if bound := limit(tenant); !told[tenant] && !bound.Unlimited() {
-			told[tenant] = true
-			news.Tenants = append(news.Tenants, collector.news(node, tenant, bound, view))
+	included := map[string]bool{}
+	include := func(tenant string) {
+		if tenantLimit := limit(tenant); !included[tenant] && !tenantLimit.Unlimited() {
+			included[tenant] = true
+			news.Tenants = append(news.Tenants, collector.tenantNews(node, tenant, tenantLimit, view))
 		}
 	}
 	for _, use := range report.Use {
-		tell(use.Tenant)
+		include(use.Tenant)
 	}
 	for _, tenant := range collector.constrained {
-		tell(tenant)
+		include(tenant)
 	}
 	return news
 }
 
-// checkInterval is the time between two searches for tenants near their limits.
+// checkInterval is the minimum time between two searches for tenants near their limits.
 const checkInterval = 100 * time.Millisecond
 
-// findConstrained finds the tenants near their limits; all nodes are told of these.
-func (collector *Collector) findConstrained(v view, limit func(string) Limit, now time.Time) {
+// findConstrained updates the list of tenants near their limits. Their counts are sent to all nodes.
+func (collector *Collector) findConstrained(v fleetView, limit func(string) Limit, now time.Time) {
 	if now.Sub(collector.checkedAt) < checkInterval {
 		return
 	}
 	collector.checkedAt, collector.constrained = now, collector.constrained[:0]
-	nobody := &reporter{}
+	noReporter := &reporter{}
 	for tenant := range collector.totals {
-		bound := limit(tenant)
-		if !bound.Unlimited() && collector.news(nobody, tenant, bound, v).Constrained {
+		tenantLimit := limit(tenant)
+		if !tenantLimit.Unlimited() && collector.tenantNews(noReporter, tenant, tenantLimit, v).Constrained {
 			collector.constrained = append(collector.constrained, tenant)
 		}
 	}
 }
 
-// update replaces a node's counts.
+// update replaces the counts of a node by those in its report.
 func (collector *Collector) update(
 	node *reporter,
 	id string,
@@ -126,19 +128,19 @@
 	now time.Time,
 ) *reporter {
 	if node != nil && node.incarnation != incarnation {
-		collector.ended = append(collector.ended, former{node.use, now.Add(collector.params.Window)})
+		collector.ended = append(collector.ended, endedIncarnation{node.use, now.Add(collector.params.Window)})
 		for tenant, use := range node.use {
-			collector.totals[tenant].asked -= float64(use.asked)
+			collector.totals[tenant].requested -= float64(use.requested)
 		}
 		node.use, node.incarnation = map[string]tenantUse{}, incarnation
-		node.startedAt, node.knownBefore = startOf(report, now), true
+		node.startedAt, node.previousKnown = startOf(report, now), true
 	}
 	if node == nil {
 		node = &reporter{incarnation: incarnation, use: map[string]tenantUse{}, startedAt: startOf(report, now)}
 		collector.nodes[id] = node
 	}
 	if report.Table == 0 {
-		// All counts: what is not among them is 0.
+		// A full report: tenants that are not listed have no requests.
 		for tenant := range node.use {
 			collector.set(node, tenant, tenantUse{})
 		}
@@ -150,41 +152,43 @@
 	return node
 }
 
+// startOf returns the start time of the reporting node.
 func startOf(report *wire.QuotaReport, now time.Time) time.Time {
 	return now.Add(-time.Duration(report.UpMs) * time.Millisecond)
 }
 
-// set replaces one count of a node.
+// set replaces the counts of one tenant at a node and adjusts the totals.
 func (collector *Collector) set(node *reporter, tenant string, use tenantUse) {
 	sum := collector.totals[tenant]
 	if sum == nil {
-		sum = &total{}
+		sum = &tenantTotal{}
 		collector.totals[tenant] = sum
 	}
 	old := node.use[tenant]
 	sum.admitted += float64(use.admitted) - float64(old.admitted)
-	sum.asked += float64(use.asked) - float64(old.asked)
+	sum.requested += float64(use.requested) - float64(old.requested)
 	if use == (tenantUse{}) {
 		delete(node.use, tenant)
 	} else {
 		node.use[tenant] = use
 	}
-	if sum.admitted == 0 && sum.asked == 0 {
+	if sum.admitted == 0 && sum.requested == 0 {
 		delete(collector.totals, tenant)
 	}
 }
 
-// letGo drops former starts after a window, and silent nodes after their hold.
-func (collector *Collector) letGo(now time.Time) {
+// expire drops the counts of ended incarnations after one window, and silent nodes once their
+// reserved share has expired.
+func (collector *Collector) expire(now time.Time) {
 	kept := collector.ended[:0]
-	for _, f := range collector.ended {
-		if now.Before(f.until) {
-			kept = append(kept, f)
+	for _, incarnation := range collector.ended {
+		if now.Before(incarnation.until) {
+			kept = append(kept, incarnation)
 			continue
 		}
-		for tenant, use := range f.use {
+		for tenant, use := range incarnation.use {
 			sum := collector.totals[tenant]
-			if sum.admitted -= float64(use.admitted); sum.admitted == 0 && sum.asked == 0 {
+			if sum.admitted -= float64(use.admitted); sum.admitted == 0 && sum.requested == 0 {
 				delete(collector.totals, tenant)
 			}
 		}
@@ -200,55 +204,55 @@
 	}
 }
 
-// view is what bounds all tenants alike at one moment.
-type view struct {
-	silent []*reporter // in the fleet, and not heard for a while: their part is held for them
-	nodes  float64     // in the fleet
-	// unknown is how many nodes' parts are not available, since nobody here knows what they
-	// have admitted.
-	unknown float64
+// fleetView is the state of the fleet at one moment. It affects all tenants equally.
+type fleetView struct {
+	silent    []*reporter // nodes without a recent report, whose shares are reserved
+	nodeCount float64     // nodes in the fleet
+	// unknownNodes is the number of equal shares that are withheld because it is not known
+	// what their nodes have admitted. A node that has just started counts as a fraction.
+	unknownNodes float64
 }
 
-func (collector *Collector) view(fleet Fleet, now time.Time) view {
-	v := view{nodes: float64(max(len(fleet), len(collector.nodes), 1))}
+func (collector *Collector) view(fleet Fleet, now time.Time) fleetView {
+	v := fleetView{nodeCount: float64(max(len(fleet), len(collector.nodes), 1))}
 	for _, id := range fleet {
 		if collector.nodes[id] == nil {
-			v.unknown++
+			v.unknownNodes++
 		}
 	}
 	for _, node := range collector.nodes {
 		if now.Sub(node.reportedAt) > collector.params.MaxAge {
 			v.silent = append(v.silent, node)
 		}
-		if up := now.Sub(node.startedAt); up < collector.params.Window && !node.knownBefore {
-			v.unknown += 1 - float64(up)/float64(collector.params.Window)
+		if uptime := now.Sub(node.startedAt); uptime < collector.params.Window && !node.previousKnown {
+			v.unknownNodes += 1 - float64(uptime)/float64(collector.params.Window)
 		}
 	}
-	v.unknown = min(v.unknown, v.nodes)
+	v.unknownNodes = min(v.unknownNodes, v.nodeCount)
 	return v
 }
 
-// news is what one node is told of one tenant.
-func (collector *Collector) news(node *reporter, tenant string, limit Limit, v view) *wire.TenantNews {
+// tenantNews returns the counts of one tenant at all nodes other than the given one.
+func (collector *Collector) tenantNews(node *reporter, tenant string, limit Limit, v fleetView) *wire.TenantNews {
 	budget := collector.params.budget(limit)
-	part := budget / v.nodes
-	sum := total{}
+	equalShare := budget / v.nodeCount
+	sum := tenantTotal{}
 	if t := collector.totals[tenant]; t != nil {
 		sum = *t
 	}
 	for _, silent := range v.silent {
 		use := silent.use[tenant]
-		sum.admitted += max(0, part-float64(use.admitted))
-		sum.asked -= float64(use.asked)
+		sum.admitted += max(0, equalShare-float64(use.admitted))
+		sum.requested -= float64(use.requested)
 	}
-	bound := budget - part*v.unknown + min(part*v.unknown, collector.params.Slack/4)
+	fleetCap := budget - equalShare*v.unknownNodes + min(equalShare*v.unknownNodes, collector.params.Slack/4)
 	own := node.use[tenant]
-	asked := collector.params.askedPerS(toCount(sum.asked))
+	requestRate := collector.params.ratePerS(toCount(sum.requested))
 	return &wire.TenantNews{
 		Tenant:      tenant,
 		Others:      toCount(sum.admitted - float64(own.admitted)),
-		OthersAsked: toCount(sum.asked - float64(own.asked)),
-		Cap:         toCount(bound),
-		Constrained: bound-sum.admitted <= asked*collector.params.Horizon.Seconds(),
+		OthersAsked: toCount(sum.requested - float64(own.requested)),
+		Cap:         toCount(fleetCap),
+		Constrained: fleetCap-sum.admitted <= requestRate*collector.params.Horizon.Seconds(),
 	}
 }
--- a/internal/dataplane/quota/exchange.go
+++ b/internal/dataplane/quota/exchange.go
@@ -12,106 +12,112 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Exchange carries the counts of one edge to the collector, and is the collector where this
-// edge is the first of all. Where no tenant has a quota it sends nothing.
+// Exchange reports the counts of one edge to the collector, and runs the collector if this edge
+// is the first in the agreed order. It sends nothing if no tenant has a quota.
 type Exchange struct {
 	params    ExchangeParams
-	process   *node.Node
+	local     *node.Node
 	counts    *Node
 	collector *Collector
 
-	firstAnsweredAt time.Time // the exchanging goroutine's own
+	primaryAnsweredAt time.Time // only accessed by the goroutine of Run
 
-	mu      sync.Mutex
-	limits  map[string]Limit // under the version limitsOf
-	limitOf uint64
+	mu            sync.Mutex
+	limits        map[string]Limit // by tenant, as of limitsVersion
+	limitsVersion uint64
 }
 
-// ExchangeParams are the times of the exchange.
+// ExchangeParams configures the timing of the exchange.
 type ExchangeParams struct {
 	Interval time.Duration // between two reports
-	Timeout  time.Duration // for an answer
-	// FailoverAfter is after how long without an answer of the first edge another one merges:
-	// until then a node goes by what it heard last.
+	Timeout  time.Duration // for a response
+	// FailoverAfter is how long the primary edge may fail to respond before edges report to
+	// another one. Until then a node uses the counts it received last.
 	FailoverAfter time.Duration
 }
 
-// DefaultExchange are the design's. Params.Horizon covers two intervals and an answer's way.
+// DefaultExchange are the default parameters. Params.Horizon must cover two intervals and the
+// latency of a response.
 var DefaultExchange = ExchangeParams{
 	Interval:      250 * time.Millisecond,
 	Timeout:       150 * time.Millisecond,
 	FailoverAfter: time.Second,
 }
 
-// NewExchange joins a node's counts to the other edges.
-func NewExchange(p ExchangeParams, process *node.Node, counts *Node, collector *Collector) *Exchange {
-	x := &Exchange{params: p, process: process, counts: counts, collector: collector}
-	process.Peer.Handle(&wire.Req_QuotaReport{}, x.collect)
+// NewExchange returns the exchange of a node's counts with the other edges, and registers the
+// handler for reports.
+func NewExchange(p ExchangeParams, local *node.Node, counts *Node, collector *Collector) *Exchange {
+	x := &Exchange{params: p, local: local, counts: counts, collector: collector}
+	local.Peer.Handle(&wire.Req_QuotaReport{}, x.handleReport)
 	return x
 }
 
-// Run reports until ctx ends.
+// Run sends reports periodically until ctx is done.
 func (x *Exchange) Run(ctx context.Context) { loop.Every(ctx, x.params.Interval, nil, x.step) }
 
-// maxCandidates is how many edges are asked in one step: the first of all, and where that one
-// is gone the first of the own zone.
+// maxCandidates is the maximum number of edges in the local zone that are tried in one step when
+// the primary edge does not respond. The local edge is always a candidate.
 const maxCandidates = 2
 
-// step reports to the first edge of all. Where that one is gone for long, edges report to the
-// first of their own zone that answers: those that are cut off together find each other.
+// step reports to the primary edge, the first in the agreed order. If that edge has not responded
+// for FailoverAfter, it reports to the first edge of the local zone that responds, so that the
+// edges of a partitioned zone share a collector.
 func (x *Exchange) step(ctx context.Context) {
-	if !x.quotas() {
+	if !x.refreshLimits() {
 		return
 	}
-	order := singleton.Order(x.process.Cluster.Now(), x.process.Lease.Members())
+	order := singleton.Order(x.local.Cluster.Now(), x.local.Lease.Members())
 	if len(order) == 0 {
 		return
 	}
 	if x.report(ctx, order[0]) {
-		x.firstAnsweredAt = time.Now()
+		x.primaryAnsweredAt = time.Now()
 		return
 	}
-	if time.Since(x.firstAnsweredAt) < x.params.FailoverAfter {
+	if time.Since(x.primaryAnsweredAt) < x.params.FailoverAfter {
 		return
 	}
-	asked := 0
+	attempts := 0
 	for _, m := range order[1:] {
-		if m.Zone != x.process.Peer.Self.Zone || asked == maxCandidates && m.Id != x.process.Peer.Self.Id {
+		if m.Zone != x.local.Peer.Self.Zone || attempts == maxCandidates && m.Id != x.local.Peer.Self.Id {
 			continue
 		}
-		if asked++; x.report(ctx, m) {
+		if attempts++; x.report(ctx, m) {
 			return
 		}
 	}
 }
 
-// report sends the counts to one edge, this one perhaps, and merges its answer.
+// report sends the counts to one edge, possibly the local one, and merges its response.
 func (x *Exchange) report(ctx context.Context, to *wire.Member) bool {
-	report, at := x.counts.Report(), time.Now()
-	if to.Id == x.process.Peer.Self.Id {
-		x.counts.Merge(report, at, x.merge(to.Id, to.Inc, report))
+	report, sentAt := x.counts.Report(), time.Now()
+	if to.Id == x.local.Peer.Self.Id {
+		x.counts.Merge(report, sentAt, x.collect(to.Id, to.Inc, report))
 		return true
 	}
 	request := &wire.Req{Op: &wire.Req_QuotaReport{QuotaReport: report}}
-	answer, err := x.process.Peer.CallFor(ctx, x.params.Timeout, to.Addr, request)
-	if err != nil || answer.GetQuotaNews() == nil {
+	response, err := x.local.Peer.CallFor(ctx, x.params.Timeout, to.Addr, request)
+	if err != nil || response.GetQuotaNews() == nil {
 		return false
 	}
-	x.counts.Merge(report, at, answer.GetQuotaNews())
+	x.counts.Merge(report, sentAt, response.GetQuotaNews())
 	return true
 }
 
-// collect is the side that merges.
-func (x *Exchange) collect(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	if q.Id == "" {
-		return nil, code.New(code.Garbled, "a report of counts of nobody")
+// handleReport handles the report of another edge.
+func (x *Exchange) handleReport(_ context.Context, request *wire.Req) (*wire.Resp, error) {
+	if request.Id == "" {
+		return nil, code.New(code.Garbled, "quota report without a node id")
 	}
-	return &wire.Resp{Op: &wire.Resp_QuotaNews{QuotaNews: x.merge(q.Id, q.Inc, q.GetQuotaReport())}}, nil
+	return &wire.Resp{Op: &wire.Resp_QuotaNews{
+		QuotaNews: x.collect(request.Id, request.Inc, request.GetQuotaReport()),
+	}}, nil
 }
 
-func (x *Exchange) merge(id string, incarnation uint64, report *wire.QuotaReport) *wire.QuotaNews {
+// collect passes a report to the local collector.
+func (x *Exchange) collect(id string, incarnation uint64, report *wire.QuotaReport) *wire.QuotaNews {
 	var fleet Fleet
-	for _, m := range x.process.Lease.Members() {
+	for _, m := range x.local.Lease.Members() {
 		if m.Role == "edge" {
 			fleet = append(fleet, m.Id)
 		}
@@ -119,13 +125,14 @@
 	return x.collector.Collect(id, incarnation, report, fleet, x.limit)
 }
 
-// quotas reports whether any tenant has a quota, and refreshes the limits.
-func (x *Exchange) quotas() bool {
-	view := x.process.Cluster.Now()
+// refreshLimits updates the limits from the current configuration and reports whether any tenant has
+// a quota.
+func (x *Exchange) refreshLimits() bool {
+	view := x.local.Cluster.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.limits == nil || x.limitOf != view.Version {
-		x.limits, x.limitOf = map[string]Limit{}, view.Version
+	if x.limits == nil || x.limitsVersion != view.Version {
+		x.limits, x.limitsVersion = map[string]Limit{}, view.Version
 		for _, t := range view.Table.Tenants {
 			if limit := (Limit{RatePerS: t.RatePerS, Burst: t.Burst}); !limit.Unlimited() {
 				x.limits[t.Name] = limit
@@ -135,9 +142,9 @@
 	return len(x.limits) > 0
 }
 
-// limit is the quota of a tenant, by the table in force here.
+// limit returns the quota of a tenant in the current configuration.
 func (x *Exchange) limit(tenant string) Limit {
-	x.quotas()
+	x.refreshLimits()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.limits[tenant]
--- a/internal/dataplane/quota/node.go
+++ b/internal/dataplane/quota/node.go
@@ -7,70 +7,74 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Node decides on requests at one node. Its methods may be called concurrently.
+// Node admits or refuses the requests that reach one node. It is safe for concurrent use.
 type Node struct {
 	params Params
 	start  time.Time
 
 	mu       sync.Mutex
 	accounts map[string]*account
-	// table names the collector whose merged counts were heard last; 0: none, or it wants
-	// all counts anew.
-	table   uint64
-	heardAt time.Time // before the report was sent that was answered last; zero: never
-	nodes   int       // in the fleet, as last heard
-	// available is the part of each limit that may be admitted, of tenants of which nothing
-	// was heard yet.
-	available float64
-	heard     chan struct{}
+	// tableID identifies the collector that answered last. It is 0 before the first answer and
+	// if the collector has requested a full report.
+	tableID    uint64
+	lastSyncAt time.Time // when the report that was answered last was sent; zero if none was
+	nodeCount  int       // nodes in the fleet, as of the last exchange
+	// availableShare is the fraction of the limit that may be admitted for tenants without
+	// merged counts.
+	availableShare float64
+	ready          chan struct{}
 }
 
-// account is what a node knows of one tenant.
+// account holds the counts of one tenant at this node.
 type account struct {
-	admitted, asked counter
-	// Of all other nodes, as merged: admitted in a window, asked for in a second; and the
-	// most that all nodes may admit in a window.
-	others, othersAsked, cap float64
-	mergedAt                 time.Time
-	// held is what this node had admitted in a window when it last heard.
-	held uint32
-	// Near the limit: how many may be admitted until the node hears again, fractions
-	// included, and how many have been.
-	allowance, used float64
-	constrained     bool
-	// programs are those that have begun here, by when they last sent a request.
+	admitted, requested counter
+	// The merged counts of all other nodes: requests admitted in a window, and the rate of
+	// requests per second.
+	othersAdmitted, othersRate float64
+	fleetCap                   float64 // maximum that all nodes together may admit in a window
+	mergedAt                   time.Time
+	// admittedAtSync is the number of requests that this node had admitted in a window as of
+	// the last exchange.
+	admittedAtSync uint32
+	// Near the limit: the number of requests that may be admitted until the next exchange, which
+	// may be fractional, and the number admitted since the last one.
+	allowance, allowanceUsed float64
+	constrained              bool
+	// programs maps each program that has started at this node to the time of its last request.
 	programs map[string]time.Time
-	// What the collector knows.
-	sentAdmitted, sentAsked uint32
+	// The counts that the collector has confirmed.
+	reportedAdmitted, reportedRequested uint32
 }
 
-// NewNode makes a node that has heard nothing.
+// NewNode returns a node that has not exchanged counts yet.
 func NewNode(p Params) *Node {
-	return &Node{params: p, start: time.Now(), accounts: map[string]*account{}, heard: make(chan struct{})}
+	return &Node{params: p, start: time.Now(), accounts: map[string]*account{}, ready: make(chan struct{})}
 }
 
-// Ready is closed once the node has heard for the first time.
-func (node *Node) Ready() <-chan struct{} { return node.heard }
+// Ready returns a channel that is closed after the first exchange of counts.
+func (node *Node) Ready() <-chan struct{} { return node.ready }
 
-// Decision is what becomes of a request.
+// Decision is the result of an admission check.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when the next request of the tenant may be admitted, of one that is not.
+	// RetryAfter is how long the tenant should wait before its next request, if this one was
+	// refused.
 	RetryAfter time.Duration
 	slot       int64
 }
 
-// Request is what a decision rests on.
+// Request is the input of an admission check.
 type Request struct {
 	Tenant string
 	Limit  Limit
-	// Program is the program that the request belongs to; empty: none.
+	// Program is the program that the request belongs to, if any.
 	Program string
-	// ProgramStarted: the program is known to have run before, elsewhere perhaps.
+	// ProgramStarted is set if the program is known to have sent requests before, possibly to
+	// another node.
 	ProgramStarted bool
 }
 
-// Admit decides on a request of a tenant and counts it.
+// Admit decides whether a request of a tenant may run, and counts it.
 func (node *Node) Admit(r Request) Decision {
 	if r.Limit.Unlimited() {
 		return Decision{Admitted: true}
@@ -79,28 +83,29 @@
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	a, slot := node.account(r.Tenant, now)
-	a.asked.add(slot)
-	begun := r.ProgramStarted || r.Program == "" || a.begun(r.Program, now)
-	if wait := node.refuses(a, r.Limit, begun, now); wait > 0 {
+	a.requested.add(slot)
+	started := r.ProgramStarted || r.Program == "" || a.hasStarted(r.Program, now)
+	if wait := node.admissionWait(a, r.Limit, started, now); wait > 0 {
 		return Decision{RetryAfter: min(max(wait, minRetryAfter), maxRetryAfter)}
 	}
 	a.admitted.add(slot)
-	a.used++
-	a.begin(r.Program, now)
+	a.allowanceUsed++
+	a.recordProgram(r.Program, now)
 	return Decision{Admitted: true, slot: slot}
 }
 
-// Cancel takes an admitted request back that has not run.
+// Cancel reverts the count of an admitted request that did not run.
 func (node *Node) Cancel(tenant string, d Decision) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	if a := node.accounts[tenant]; a != nil && d.Admitted {
 		a.admitted.remove(d.slot)
-		a.used = max(0, a.used-1)
+		a.allowanceUsed = max(0, a.allowanceUsed-1)
 	}
 }
 
-// account finds a tenant's account, with its counters at the present slot.
+// account returns a tenant's account, creating it if necessary, and the current slot. The counters
+// are advanced to that slot.
 func (node *Node) account(tenant string, now time.Time) (*account, int64) {
 	a := node.accounts[tenant]
 	if a == nil {
@@ -109,69 +114,77 @@
 	}
 	slot := node.params.slotOf(now.Sub(node.start))
 	a.admitted.advance(slot)
-	a.asked.advance(slot)
+	a.requested.advance(slot)
 	return a, slot
 }
 
-// Bounds of the time after which a refused caller may come back.
+// Bounds of Decision.RetryAfter.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = time.Second
 )
 
-// refuses is how long it takes until one more request may be admitted; 0: it may be now.
-func (node *Node) refuses(a *account, limit Limit, begun bool, now time.Time) time.Duration {
+// admissionWait returns how long to wait until one more request may be admitted, or 0 if it may
+// be admitted now.
+func (node *Node) admissionWait(a *account, limit Limit, started bool, now time.Time) time.Duration {
 	budget := node.params.budget(limit)
 	own := float64(a.admitted.sum)
-	part := budget / float64(max(node.nodes, 1))
-	silence := now.Sub(node.heardAt)
+	equalShare := budget / float64(max(node.nodeCount, 1))
+	sinceSync := now.Sub(node.lastSyncAt)
 	switch {
-	case node.heardAt.IsZero():
+	case node.lastSyncAt.IsZero():
 		return minRetryAfter
-	case silence > node.params.MaxAge:
-		// Cut off: no more than is held for this node elsewhere.
-		return unless(silence < node.params.MaxSilence && own < max(float64(a.held), part), maxRetryAfter)
-	case a.mergedAt.IsZero() && node.available < 1:
-		return unless(own < 1+part*node.available, minRetryAfter)
+	case sinceSync > node.params.MaxAge:
+		// Without contact to a collector: at most the share that the collector reserves for this node.
+		return waitUnlessAdmitted(
+			sinceSync < node.params.MaxSilence && own < max(float64(a.admittedAtSync), equalShare),
+			maxRetryAfter,
+		)
+	case a.mergedAt.IsZero() && node.availableShare < 1:
+		return waitUnlessAdmitted(own < 1+equalShare*node.availableShare, minRetryAfter)
 	case !a.constrained && now.Sub(a.mergedAt) > node.params.MaxAge:
-		// Far from its limit, and asked for seldom here.
-		return unless(own < budget, minRetryAfter)
+		// The tenant is far from its limit and has sent few requests to this node.
+		return waitUnlessAdmitted(own < budget, minRetryAfter)
 	}
-	left := min(budget, a.cap) - a.others - own
-	asked := a.othersAsked + node.params.askedPerS(a.asked.recent(askedSlots))
-	ahead := asked * node.params.Horizon.Seconds()
-	need := node.params.Reserve * ahead
-	if begun {
-		// What runs ahead may use half of what the budget leaves of what is allowed.
-		need = max(1, ahead-(node.params.allowed(limit)-budget)/2)
-		if left >= 1 && a.used+1 <= a.allowance {
+	remaining := min(budget, a.fleetCap) - a.othersAdmitted - own
+	requestRate := a.othersRate + node.params.ratePerS(a.requested.recent(rateSlots))
+	expected := requestRate * node.params.Horizon.Seconds()
+	required := node.params.Reserve * expected
+	if started {
+		// Requests that are not merged yet may use half of the tolerance above the budget.
+		required = max(1, expected-(node.params.allowed(limit)-budget)/2)
+		if remaining >= 1 && a.allowanceUsed+1 <= a.allowance {
 			return 0
 		}
 	}
-	return unless(left >= need, time.Duration((need-left)/limit.RatePerS*float64(time.Second)))
+	return waitUnlessAdmitted(
+		remaining >= required,
+		time.Duration((required-remaining)/limit.RatePerS*float64(time.Second)),
+	)
 }
 
-func unless(admitted bool, wait time.Duration) time.Duration {
+// waitUnlessAdmitted returns 0 for an admitted request, and otherwise the wait, but at least
+// minRetryAfter.
+func waitUnlessAdmitted(admitted bool, wait time.Duration) time.Duration {
 	if admitted {
 		return 0
 	}
 	return max(wait, minRetryAfter)
 }
 
-// programMemory is how long a program is remembered after its last request, and maxPrograms
-// how many are for one tenant.
 const (
-	programMemory = 15 * time.Second
-	maxPrograms   = 4096
+	programTTL  = 15 * time.Second // how long a program is remembered after its last request
+	maxPrograms = 4096             // maximum number of programs remembered for one tenant
 )
 
-// begun reports whether a program has begun at this node.
-func (a *account) begun(program string, now time.Time) bool {
-	at, ok := a.programs[program]
-	return ok && now.Sub(at) < programMemory
+// hasStarted reports whether a program has recently sent a request that this node admitted.
+func (a *account) hasStarted(program string, now time.Time) bool {
+	lastRequestAt, ok := a.programs[program]
+	return ok && now.Sub(lastRequestAt) < programTTL
 }
 
-func (a *account) begin(program string, now time.Time) {
+// recordProgram records the time of an admitted request of a program.
+func (a *account) recordProgram(program string, now time.Time) {
 	if program == "" {
 		return
 	}
@@ -181,101 +194,102 @@
 	a.programs[program] = now
 }
 
-// forget lets go of programs that have not sent anything for long.
-func (a *account) forget(now time.Time) {
-	for program, at := range a.programs {
-		if now.Sub(at) >= programMemory {
+// expirePrograms removes the programs that have not sent a request for programTTL.
+func (a *account) expirePrograms(now time.Time) {
+	for program, lastRequestAt := range a.programs {
+		if now.Sub(lastRequestAt) >= programTTL {
 			delete(a.programs, program)
 		}
 	}
 }
 
-// Report is what has changed since the collector answered last, or all counts where it has
-// none of this node.
+// Report returns the counts that have changed since the last answer of the collector, or all counts
+// if the collector has none of this node.
 func (node *Node) Report() *wire.QuotaReport {
 	now := time.Now()
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	report := &wire.QuotaReport{Table: node.table, UpMs: now.Sub(node.start).Milliseconds()}
+	report := &wire.QuotaReport{Table: node.tableID, UpMs: now.Sub(node.start).Milliseconds()}
 	for tenant, a := range node.accounts {
 		node.account(tenant, now)
-		admitted, asked := a.admitted.sum, a.asked.recent(askedSlots)
-		if node.table == 0 {
-			a.sentAdmitted, a.sentAsked = 0, 0
+		admitted, requested := a.admitted.sum, a.requested.recent(rateSlots)
+		if node.tableID == 0 {
+			a.reportedAdmitted, a.reportedRequested = 0, 0
 		}
-		if admitted == a.sentAdmitted && asked == a.sentAsked {
-			if a.forget(now); admitted == 0 && a.asked.sum == 0 && len(a.programs) == 0 {
+		if admitted == a.reportedAdmitted && requested == a.reportedRequested {
+			if a.expirePrograms(now); admitted == 0 && a.requested.sum == 0 && len(a.programs) == 0 {
 				delete(node.accounts, tenant)
 			}
 			continue
 		}
-		report.Use = append(report.Use, &wire.TenantUse{Tenant: tenant, Admitted: admitted, Asked: asked})
+		report.Use = append(report.Use, &wire.TenantUse{Tenant: tenant, Admitted: admitted, Asked: requested})
 	}
 	return report
 }
 
-// Merge takes the answer to a report that was made at a time.
+// Merge applies the collector's answer to a report that was sent at sentAt.
 func (node *Node) Merge(report *wire.QuotaReport, sentAt time.Time, news *wire.QuotaNews) {
 	now := time.Now()
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	if news == nil || news.Resend {
-		// Another collector than before, or one that has lost this node's counts.
-		node.table = 0
+		// The collector is a different one or does not have this node's counts.
+		node.tableID = 0
 		return
 	}
-	node.table, node.nodes, node.available = news.Table, int(news.Nodes), float64(news.Available)/thousand
-	if node.heardAt.IsZero() {
-		close(node.heard)
+	node.tableID, node.nodeCount, node.availableShare = news.Table, int(news.Nodes), float64(news.Available)/permille
+	if node.lastSyncAt.IsZero() {
+		close(node.ready)
 	}
-	node.heardAt = sentAt
+	node.lastSyncAt = sentAt
 	for _, use := range report.Use {
 		if a := node.accounts[use.Tenant]; a != nil {
-			a.sentAdmitted, a.sentAsked = use.Admitted, use.Asked
+			a.reportedAdmitted, a.reportedRequested = use.Admitted, use.Asked
 		}
 	}
 	for _, a := range node.accounts {
-		a.held, a.constrained = a.admitted.sum, false
+		a.admittedAtSync, a.constrained = a.admitted.sum, false
 	}
-	for _, n := range news.Tenants {
-		a, _ := node.account(n.Tenant, now)
-		node.merge(a, n, sentAt)
+	for _, tenantNews := range news.Tenants {
+		a, _ := node.account(tenantNews.Tenant, now)
+		node.merge(a, tenantNews, sentAt)
 	}
 }
 
-// merge takes what the others have counted of one tenant.
-func (node *Node) merge(a *account, n *wire.TenantNews, sentAt time.Time) {
+// merge applies the counts of the other nodes for one tenant.
+func (node *Node) merge(a *account, news *wire.TenantNews, sentAt time.Time) {
 	a.mergedAt = sentAt
-	a.others, a.cap = float64(n.Others), float64(n.Cap)
-	a.othersAsked = node.params.askedPerS(n.OthersAsked)
-	a.constrained = n.Constrained
-	own := node.params.askedPerS(a.asked.recent(askedSlots))
-	left := max(0, a.cap-a.others-float64(a.admitted.sum))
+	a.othersAdmitted, a.fleetCap = float64(news.Others), float64(news.Cap)
+	a.othersRate = node.params.ratePerS(news.OthersAsked)
+	a.constrained = news.Constrained
+	ownRate := node.params.ratePerS(a.requested.recent(rateSlots))
+	remaining := max(0, a.fleetCap-a.othersAdmitted-float64(a.admitted.sum))
 	share := 1.0
-	if own+a.othersAsked > 0 {
-		share = own / (own + a.othersAsked)
+	if ownRate+a.othersRate > 0 {
+		share = ownRate / (ownRate + a.othersRate)
 	}
-	// What is under one request is saved up for later.
-	saved := min(max(0, a.allowance-a.used), 1)
-	a.allowance, a.used = saved+share*left/2, 0
+	// Up to one unused request is carried over, so that shares below one request accumulate.
+	carriedOver := min(max(0, a.allowance-a.allowanceUsed), 1)
+	a.allowance, a.allowanceUsed = carriedOver+share*remaining/2, 0
 }
 
-const thousand = 1000
+// permille is the unit of QuotaNews.Available.
+const permille = 1000
 
-// State is what a node knows of one tenant, for operators.
+// State describes one tenant at this node, for operators.
 type State struct {
-	Admitted    uint32  `json:"admitted"`     // here, within a window
-	Others      float64 `json:"others"`       // at all other nodes, as merged
-	Bound       float64 `json:"bound"`        // on all together, as merged
-	Constrained bool    `json:"constrained"`  // near its limit
-	MergedAgoMs int64   `json:"merged_ms"`    // age of what was merged; -1: nothing was
-	HeardAgoMs  int64   `json:"collector_ms"` // since the collector was last heard; -1: never
+	Admitted       uint32  `json:"admitted"`     // requests admitted at this node in a window
+	Others         float64 `json:"others"`       // requests admitted at all other nodes in a window
+	Bound          float64 `json:"bound"`        // maximum for all nodes together in a window
+	Constrained    bool    `json:"constrained"`  // whether the tenant is near its limit
+	MergedAgeMs    int64   `json:"merged_ms"`    // age of the merged counts; -1 if there are none
+	CollectorAgeMs int64   `json:"collector_ms"` // age of the last exchange; -1 if there was none
 }
 
-// States lists the tenants that have sent requests to this node lately.
+// States returns the tenants that have recently sent requests to this node.
 func (node *Node) States() map[string]State {
 	now := time.Now()
-	ago := func(at time.Time) int64 {
+	ageMs := func(at time.Time) int64 {
 		if at.IsZero() {
 			return -1
 		}
@@ -287,12 +301,12 @@
 	for tenant, a := range node.accounts {
 		node.account(tenant, now)
 		out[tenant] = State{
-			Admitted:    a.admitted.sum,
-			Others:      a.others,
-			Bound:       a.cap,
-			Constrained: a.constrained,
-			MergedAgoMs: ago(a.mergedAt),
-			HeardAgoMs:  ago(node.heardAt),
+			Admitted:       a.admitted.sum,
+			Others:         a.othersAdmitted,
+			Bound:          a.fleetCap,
+			Constrained:    a.constrained,
+			MergedAgeMs:    ageMs(a.mergedAt),
+			CollectorAgeMs: ageMs(node.lastSyncAt),
 		}
 	}
 	return out
