--- a/internal/dataplane/programs/conversation/conversation.go
+++ b/internal/dataplane/programs/conversation/conversation.go
@@ -28,22 +28,22 @@
 // Policy fetches the history before a turn and keeps the turn after it.
 type Policy struct {
 	Stores *storeclient.Client
-	// Read is the deadline of fetching a history, Late of keeping a turn whose own
+	// ReadTimeout is the deadline of fetching a history, LateWriteTimeout of keeping a turn whose own
 	// deadline has passed.
-	Read, Late time.Duration
-	Background job.Background
+	ReadTimeout, LateWriteTimeout time.Duration
+	Background                    job.Background
 }
 
 // Do is the policy.
 func (p Policy) Do(c *job.Ctx, next job.Next) job.Answer {
 	keep, ok := c.View.Spec.Keep(c.Conv)
 	if !ok {
-		return job.Bad(code.BadField, "conversation: no keeping time is stated for class %q", c.Conv)
+		return job.Failure(code.BadField, "conversation: no keeping time is stated for class %q", c.Conv)
 	}
 	if err := p.history(c); err != nil {
 		return job.Answer{Err: err}
 	}
-	c.At(job.Read)
+	c.At(job.HistoryRead)
 	a := next(c)
 	if a.Err != nil {
 		return a
@@ -52,7 +52,7 @@
 		Text string `json:"text"`
 	}
 	if err := json.Unmarshal(a.Body, &got); err != nil {
-		return job.Bad(code.Incomplete, "answer can't be read: %w", err)
+		return job.Failure(code.Incomplete, "answer can't be read: %w", err)
 	}
 	b, err := json.Marshal(
 		turn{
@@ -62,13 +62,13 @@
 		},
 	)
 	if err != nil {
-		return job.Bad(code.NotKept, "%w", err)
+		return job.Failure(code.NotKept, "%w", err)
 	}
-	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.Late))
+	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.LateWriteTimeout))
 	defer stop()
 	// The keeping time is the intent's in force when the turn was accepted.
 	if err := p.Stores.PutBlob(ctx, keys.Turn(c.ID), b, keep); err != nil {
-		return job.Bad(code.NotKept, "the turn ran but could not be kept: %w", err)
+		return job.Failure(code.NotKept, "the turn ran but could not be kept: %w", err)
 	}
 	return a
 }
@@ -80,7 +80,7 @@
 	}
 	// Stores that don't answer by then are out of reach: the caller is notified,
 	// and not held until its own deadline.
-	ctx, stop := context.WithTimeout(c, min(p.Read, c.Left()))
+	ctx, stop := context.WithTimeout(c, min(p.ReadTimeout, c.Left()))
 	defer stop()
 	b, err := p.Stores.GetBlob(ctx, keys.Turn(c.Follows))
 	if err != nil {
