--- a/internal/dataplane/balancing/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -119,7 +119,7 @@
 	runners       map[string]*trackedRunner
 	edges         map[uint64]*edge // by incarnation
 	allReportedAt time.Time
-	listed        []runnerapi.Listed // last list read from the platform
+	listed        []runnerapi.ListedRunner // last list read from the platform
 }
 
 // boundOrphans bounds the number of jobs that departed edges have left running: an edge may
--- a/internal/dataplane/balancing/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -208,7 +208,7 @@
 	if !ok || c.Fits(wait, b.params.CallTime) {
 		return job.Answer{}, false
 	}
-	a := job.Bad(
+	a := job.Failure(
 		code.TooLong,
 		"%d jobs are before it, and its turn would come in %s",
 		waiting,
@@ -234,9 +234,9 @@
 		case b.stop.Load():
 			result.err = stopping
 		case c.Err() != nil:
-			result.err = job.Bad(code.DeadlinePassed, "the caller has disconnected")
+			result.err = job.Failure(code.DeadlinePassed, "the caller has disconnected")
 		case c.Left() < b.params.CallTime:
-			result.err = job.Bad(code.DeadlinePassed, "no slot was free in time")
+			result.err = job.Failure(code.DeadlinePassed, "no slot was free in time")
 		default:
 			short, known := shortages[key]
 			if !known {
@@ -248,12 +248,12 @@
 					rate.dispatched++
 				}
 			case short.cooldown < 0:
-				result.err = job.Bad(code.NoRunner, "no runner is left for %s", c.Route)
+				result.err = job.Failure(code.NoRunner, "no runner is left for %s", c.Route)
 				result.err.Wait = time.Second
 			case short.cooldown > 0 && !c.Fits(short.turnAfter(waiting[c.Route]), b.params.CallTime):
 				// A wait that exceeds the deadline is reported at once. The answer carries
 				// the cooldown of the runners, since callers interpret it as that.
-				result.err = cooldown.Cooling(short.cooldown)
+				result.err = cooldown.CoolingAnswer(short.cooldown)
 			default:
 				shortages[key] = short
 				if short.cooldown > 0 {
@@ -285,7 +285,7 @@
 func (b *Backlog) Do(c *job.Ctx, next job.Next) (a job.Answer) {
 	if b.waiting.Add(1) > int64(b.params.MaxWaiting) {
 		b.waiting.Add(-1)
-		a = job.Bad(code.BacklogFull, "%d jobs wait already", b.params.MaxWaiting)
+		a = job.Failure(code.BacklogFull, "%d jobs wait already", b.params.MaxWaiting)
 		a.Wait = time.Second
 		return a
 	}
@@ -309,7 +309,7 @@
 			b.recordCall(c.Route, time.Since(startedAt))
 		}
 		b.directory.Finished(r, a)
-		b.slots.Release(r.Ix, r.Incarnation, result.kind)
+		b.slots.Release(r.Index, r.Incarnation, result.kind)
 		b.Notify()
 	}()
 	return next(c)
--- a/internal/dataplane/balancing/balancer/balancer.go
+++ b/internal/dataplane/balancing/balancer/balancer.go
@@ -232,12 +232,12 @@
 			e := directory.entries[indices[i]]
 			directory.cooldowns.BeginCall(e.cooldownKey)
 			why.Picked, why.Spec = e.Name, directory.node.Cluster.Now().Version
-			c.Whys = append(c.Whys, why)
+			c.Decisions = append(c.Decisions, why)
 			return job.Runner{
-				Ix:          indices[i],
+				Index:       indices[i],
 				Name:        e.Name,
 				Addr:        e.Addr,
-				Cool:        e.cooldownKey,
+				CooldownKey: e.cooldownKey,
 				Incarnation: incarnation,
 			}, k, true, 0
 		}
@@ -277,7 +277,7 @@
 
 // Finished records the result of a call to a picked runner.
 func (directory *Directory) Finished(r job.Runner, a job.Answer) {
-	directory.cooldowns.EndCall(r.Cool, a.Err == nil)
+	directory.cooldowns.EndCall(r.CooldownKey, a.Err == nil)
 }
 
 // cachedShare returns the fraction of the job's parts that are covered by the longest cached prefix.
--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -205,7 +205,7 @@
 // ownReport returns this edge's load and outcome counts in wire form.
 func (report *LoadReport) ownReport(counts map[string]outlier.Count) []*wire.Busy {
 	var out []*wire.Busy
-	load := report.load.Own()
+	load := report.load.Local()
 	for id, b := range load {
 		out = append(out, withCounts(&wire.Busy{Runner: id, Jobs: int32(b.Requests), Tokens: b.Tokens}, counts[id]))
 	}
@@ -442,7 +442,7 @@
 	}
 	o := report.others(id)
 	// This edge's own load is not stored in reports; add its current value.
-	for id, b := range report.load.Own() {
+	for id, b := range report.load.Local() {
 		x := o[id]
 		o[id] = proxy.InFlight{Requests: x.Requests + b.Requests, Tokens: x.Tokens + b.Tokens}
 	}
--- a/internal/dataplane/balancing/loadreport/zones.go
+++ b/internal/dataplane/balancing/loadreport/zones.go
@@ -121,7 +121,7 @@
 // zoneLoad returns the load of this zone: that of this edge and of all edges that report to it.
 func (report *LoadReport) zoneLoad() map[string]proxy.InFlight {
 	all := report.reportedLoad("")
-	for id, b := range report.load.Own() {
+	for id, b := range report.load.Local() {
 		x := all[id]
 		all[id] = proxy.InFlight{Requests: x.Requests + b.Requests, Tokens: x.Tokens + b.Tokens}
 	}
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -92,7 +92,7 @@
 		Follows: c.Follows != "",
 		Left:    c.Left().Seconds(),
 		Words:   int64(words),
-		Output:  c.Most,
+		Output:  c.MaxOutput,
 		Parts:   c.Parts,
 	}
 }
@@ -180,7 +180,7 @@
 // Pick returns the index of the highest ranked runner and a trace of the decision. If
 // the policy fails for any runner, all runners are ranked by the built-in rules, so
 // that ranks of two policies are never compared.
-func (selector *Selector) Pick(c *job.Ctx, runners []script.Runner) (int, job.Why) {
+func (selector *Selector) Pick(c *job.Ctx, runners []script.Runner) (int, job.Decision) {
 	p := selector.PolicyFor(c)
 	why, err := rankRunners(p, c, runners)
 	if err != nil {
@@ -198,8 +198,8 @@
 }
 
 // rankRunners ranks all runners by one policy; it stops at the first error.
-func rankRunners(p Policy, c *job.Ctx, runners []script.Runner) (job.Why, error) {
-	why := job.Why{Policy: p.Name(), Ranks: make([]job.Rank, len(runners))}
+func rankRunners(p Policy, c *job.Ctx, runners []script.Runner) (job.Decision, error) {
+	why := job.Decision{Policy: p.Name(), Ranks: make([]job.Rank, len(runners))}
 	for i := range runners {
 		rank, err := p.Rank(c, &runners[i])
 		if err != nil {
