--- a/internal/dataplane/balancing/balancer/balancer.go
+++ b/internal/dataplane/balancing/balancer/balancer.go
@@ -227,12 +227,12 @@
 		indices = append(indices, index)
 	}
 	if len(candidates) > 0 {
-		i, why := directory.selector.Pick(c, candidates)
+		i, decision := directory.selector.Pick(c, candidates)
 		if k, incarnation, ok := directory.slots.Acquire(indices[i], c.Urgent); ok {
 			e := directory.entries[indices[i]]
 			directory.cooldowns.BeginCall(e.cooldownKey)
-			why.Picked, why.Spec = e.Name, directory.node.Cluster.Now().Version
-			c.Decisions = append(c.Decisions, why)
+			decision.Picked, decision.Spec = e.Name, directory.node.Cluster.Now().Version
+			c.Decisions = append(c.Decisions, decision)
 			return job.Runner{
 				Index:       indices[i],
 				Name:        e.Name,
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -182,30 +182,30 @@
 // that ranks of two policies are never compared.
 func (selector *Selector) Pick(c *job.Ctx, runners []script.Runner) (int, job.Decision) {
 	p := selector.PolicyFor(c)
-	why, err := rankRunners(p, c, runners)
+	decision, err := rankRunners(p, c, runners)
 	if err != nil {
 		selector.recordFallback(p, err)
-		why, _ = rankRunners(builtin{}, c, runners)
-		why.Policy = p.Name() + ", which failed: " + Builtin
+		decision, _ = rankRunners(builtin{}, c, runners)
+		decision.Policy = p.Name() + ", which failed: " + Builtin
 	}
 	best := 0
-	for i, rank := range why.Ranks {
-		if rank.Rank > why.Ranks[best].Rank {
+	for i, rank := range decision.Ranks {
+		if rank.Rank > decision.Ranks[best].Rank {
 			best = i
 		}
 	}
-	return best, why
+	return best, decision
 }
 
 // rankRunners ranks all runners by one policy; it stops at the first error.
 func rankRunners(p Policy, c *job.Ctx, runners []script.Runner) (job.Decision, error) {
-	why := job.Decision{Policy: p.Name(), Ranks: make([]job.Rank, len(runners))}
+	decision := job.Decision{Policy: p.Name(), Ranks: make([]job.Rank, len(runners))}
 	for i := range runners {
 		rank, err := p.Rank(c, &runners[i])
 		if err != nil {
-			return why, err
+			return decision, err
 		}
-		why.Ranks[i] = job.Rank{
+		decision.Ranks[i] = job.Rank{
 			Runner: runners[i].Name,
 			Zone:   runners[i].Zone,
 			Free:   runners[i].Free,
@@ -213,5 +213,5 @@
 			Rank:   rank,
 		}
 	}
-	return why, nil
+	return decision, nil
 }
