--- a/internal/dataplane/request/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -15,41 +15,46 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Budgets keeps the output budget that a program's own callers state, complete over
-// all nodes: a turn reserves the most it may put out, and commits to what it did.
-// What nobody commits counts as spent.
+// Budgets enforces the output-token budgets that callers state for their programs, across all
+// nodes. A turn reserves its maximum output before it runs and settles the reservation with the
+// output it produced. A reservation that is never settled counts as spent in full.
 type Budgets struct {
 	stores     *storeclient.Client
 	params     BudgetParams
 	background job.Background
 	mu         sync.Mutex
-	pending    map[string]map[string]settlement // not yet written, by key of a program's budget and try
-	locks      [64]chan struct{}                // changes of one program from this node take turns; each holds a token
+	pending    map[string]map[string]settlement // not yet written, by budget key and attempt
+	locks      [64]chan struct{}                // serialize changes of one program; each channel holds one token
 }
 
-// settlement is what a turn put out, and where.
+// settlement records the output of a turn and the runner that produced it.
 type settlement struct {
 	spent  int64
-	runner string // empty: it says nothing
+	runner string // empty: unknown, the stored runner is kept
 }
 
-// BudgetParams are the times of budgets.
+// BudgetParams are the timeouts and delays of the budget policy.
 type BudgetParams struct {
 	ReadTimeout  time.Duration // for reserving
-	CommitDelay  time.Duration // how long a settlement waits for the program's next turn
-	WriteTimeout time.Duration // for one try at writing it
+	CommitDelay  time.Duration // how long a settlement waits to be combined with the program's next reservation
+	WriteTimeout time.Duration // for one attempt at writing settlements
 }
 
-// DefaultBudgets are the design's.
+// DefaultBudgets are the default parameters of the budget policy.
 var DefaultBudgets = BudgetParams{
 	ReadTimeout:  800 * time.Millisecond,
 	CommitDelay:  200 * time.Millisecond,
 	WriteTimeout: time.Second,
 }
 
-// NewBudgets makes the keeper of budgets.
+// NewBudgets returns the budget policy over the given stores.
 func NewBudgets(params BudgetParams, stores *storeclient.Client, background job.Background) *Budgets {
-	budgets := &Budgets{stores: stores, params: params, background: background, pending: map[string]map[string]settlement{}}
+	budgets := &Budgets{
+		stores:     stores,
+		params:     params,
+		background: background,
+		pending:    map[string]map[string]settlement{},
+	}
 	for i := range budgets.locks {
 		budgets.locks[i] = make(chan struct{}, 1)
 		budgets.locks[i] <- struct{}{}
@@ -70,9 +75,13 @@
 
 func budgetKey(j *Job) string { return keys.ProxyBudget(j.TenantName(), j.Program) }
 
-// change makes f's change of a program's budget together with the settlements due.
-func (budgets *Budgets) change(ctx context.Context, key string, update func(*budget.Value) error) (budget.Value, error) {
-	// Nobody waits for his turn longer than for the change itself.
+// change applies update to a program's budget, together with the program's pending settlements.
+func (budgets *Budgets) change(
+	ctx context.Context,
+	key string,
+	update func(*budget.Value) error,
+) (budget.Value, error) {
+	// The wait for the lock counts toward the timeout of the change itself.
 	lock := budgets.locks[rendezvousHash(key, "")%uint64(len(budgets.locks))]
 	if !loop.Until(ctx, lock) {
 		return budget.Value{}, code.New(
@@ -119,8 +128,8 @@
 	return readBudget(state)
 }
 
-// Reserve sets the most that a job may put out aside, or says that the budget
-// does not hold it.
+// Reserve reserves the maximum output of a job, or fails with BudgetSpent if the budget has too
+// little left.
 func (budgets *Budgets) Reserve(ctx context.Context, j *Job) error {
 	value, err := budgets.change(ctx, budgetKey(j), func(value *budget.Value) error {
 		if _, ok := value.Open[j.Attempt]; ok {
@@ -143,7 +152,8 @@
 	return err
 }
 
-// Commit writes down, under the key of a budget, what a turn put out, with the program's next turn or soon.
+// Commit queues the settlement of a turn under its budget key. It is written with the program's
+// next reservation, or by a background write after CommitDelay.
 func (budgets *Budgets) Commit(key, attempt string, spent int64, runner string) {
 	budgets.mu.Lock()
 	first := budgets.pending[key] == nil
@@ -156,7 +166,7 @@
 		return
 	}
 	budgets.background.Go(func() {
-		// One that waits already takes this along.
+		// If a background write is already scheduled for the key, it includes this settlement.
 		for try := 0; try < 60; try++ {
 			if try == 0 {
 				loop.Wait(budgets.background.Ctx, budgets.params.CommitDelay)
@@ -177,13 +187,14 @@
 	})
 }
 
-// Do is the policy.
+// Do reserves the job's maximum output before the job runs and settles it with the forwarded output
+// afterwards.
 func (budgets *Budgets) Do(j *Job, response *Response, next Next) Answer {
 	if j.Program == "" || j.TokenBudget <= 0 || j.MaxOutputTokens <= 0 {
 		return next(j, response)
 	}
 	ctx, stop := context.WithTimeout(j, min(budgets.params.ReadTimeout, j.TimeLeft()))
-	mayBeReserved := false // one of the tries may have reserved it
+	mayBeReserved := false // a write with an unknown outcome may have reserved it
 	err := retryAtStores(ctx, func() error {
 		err := budgets.Reserve(ctx, j)
 		mayBeReserved = mayBeReserved || code.Of(err) == code.OutcomeUnknown
@@ -191,7 +202,7 @@
 	})
 	stop()
 	if err != nil && mayBeReserved {
-		// Perhaps it is reserved; nothing was sent, so it is handed back.
+		// The reservation may exist although nothing was sent, so it is settled with zero output.
 		budgets.Commit(budgetKey(j), j.Attempt, 0, "")
 	}
 	switch {
@@ -204,7 +215,7 @@
 		return Refuse(err, 200*time.Millisecond)
 	}
 	answer := next(j, response)
-	// What the caller was handed, whatever became of the rest.
+	// The output forwarded to the caller counts as spent, even if the response was cut off.
 	budgets.Commit(budgetKey(j), j.Attempt, int64(response.Events())*j.tokensPerEvent(), response.runner)
 	return answer
 }
--- a/internal/dataplane/request/proxy/conversation.go
+++ b/internal/dataplane/request/proxy/conversation.go
@@ -14,17 +14,17 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// TurnParams are the times and bounds of kept turns.
+// TurnParams are the timeouts and limits of stored turns.
 type TurnParams struct {
-	ReadTimeout      time.Duration // for fetching what this node lacks of a chain
-	LateWriteTimeout time.Duration // for keeping a turn whose own deadline has passed
-	// ExtraRetention is how much longer than promised a turn is kept, so that those after
-	// it seldom renew it.
+	ReadTimeout      time.Duration // for fetching turns of a chain that this node has not cached
+	LateWriteTimeout time.Duration // for storing a turn whose own deadline has passed
+	// ExtraRetention is added to the promised retention, so that later turns of the conversation
+	// seldom have to renew it.
 	ExtraRetention time.Duration
-	CacheBytes     int // of turns remembered by this node
+	CacheBytes     int // size limit of this node's cache of turns
 }
 
-// DefaultTurns are the design's.
+// DefaultTurns are the default parameters of stored turns.
 var DefaultTurns = TurnParams{
 	ReadTimeout:      time.Second,
 	LateWriteTimeout: time.Second,
@@ -32,29 +32,28 @@
 	CacheBytes:       8 << 20,
 }
 
-// Turns keeps conversations as deltas: of each turn what it brought and what
-// came of it, with the names of all before it. A turn is at a majority of its
-// stores before its answer ends.
+// Turns stores conversations as deltas: each turn holds its own input and output and the ids of all
+// turns before it. A turn is written to a majority of its stores before its response ends.
 type Turns struct {
 	stores *storeclient.Client
 	params TurnParams
 
 	mu          sync.Mutex
 	cached      map[string]*list.Element
-	lru         *list.List // least lately used last
+	lru         *list.List // least recently used at the back
 	cachedBytes int
 }
 
-// NewTurns makes the keeper of turns.
+// NewTurns returns the policy that stores turns in the given stores.
 func NewTurns(params TurnParams, stores *storeclient.Client) *Turns {
 	return &Turns{stores: stores, params: params, cached: map[string]*list.Element{}, lru: list.New()}
 }
 
-// turn is one kept turn as this node remembers it; it is never changed.
+// turn is a stored turn in this node's cache. It is immutable.
 type turn struct {
 	id        string
-	key       string    // of its blob; names its tenant as well
-	expiresAt time.Time // kept at least so long
+	key       string    // of its blob; includes the tenant
+	expiresAt time.Time // the stores keep it at least until then
 	*wire.Turn
 }
 
@@ -90,8 +89,8 @@
 
 func (turns *Turns) fetch(ctx context.Context, tenant, id string) (*turn, error) {
 	key := keys.ProxyTurn(tenant, id)
-	// A node may remember a turn past its time: only the stores can say that it
-	// is over, and until then it is still good.
+	// A cached turn may have expired. Only the stores can tell, so the cache is used only within
+	// the known retention.
 	if found := turns.lookup(key); found != nil && time.Now().Before(found.expiresAt) {
 		return found, nil
 	}
@@ -108,8 +107,8 @@
 	return found, nil
 }
 
-// chain fetches the turn that a job goes on from and all before it, oldest
-// first. NoTurn is only said where a majority says so.
+// fetchChain fetches the turn that a job continues and all turns before it, oldest first. It
+// returns NoTurn only if a majority of the stores has no such turn.
 func (turns *Turns) fetchChain(ctx context.Context, tenant, id string) ([]*turn, error) {
 	latest, err := turns.fetch(ctx, tenant, id)
 	if err != nil {
@@ -136,15 +135,22 @@
 		}
 	}
 	if err != nil {
-		// The turn is there, so what led to it must be: not found is not sure.
+		// The latest turn exists, so its predecessors must exist too: not finding one does not
+		// prove that it is gone.
 		return nil, code.New(code.StoresUnreachable, "turn %s: the turns before it: %w", id, err)
 	}
 	return chain, nil
 }
 
-// Keep brings a turn to a majority, and renews those before it whose time would
-// be over before its own.
-func (turns *Turns) Keep(ctx context.Context, tenant, id string, chain []*turn, in, out []byte, retention time.Duration) error {
+// Keep writes a turn to a majority of its stores, and renews the turns before it that would expire
+// before it does.
+func (turns *Turns) Keep(
+	ctx context.Context,
+	tenant, id string,
+	chain []*turn,
+	in, out []byte,
+	retention time.Duration,
+) error {
 	kept := &turn{id: id, key: keys.ProxyTurn(tenant, id), Turn: &wire.Turn{In: in, Out: out}}
 	for _, previous := range chain {
 		kept.Before = append(kept.Before, previous.id)
@@ -162,7 +168,12 @@
 	for _, previous := range chain {
 		if previous.expiresAt.Before(now.Add(retention + 2*turns.params.LateWriteTimeout)) {
 			writes++
-			renewal := &turn{id: previous.id, key: previous.key, expiresAt: now.Add(retention + turns.params.ExtraRetention), Turn: previous.Turn}
+			renewal := &turn{
+				id:        previous.id,
+				key:       previous.key,
+				expiresAt: now.Add(retention + turns.params.ExtraRetention),
+				Turn:      previous.Turn,
+			}
 			go put(renewal)
 			renewed = append(renewed, renewal)
 		}
@@ -178,7 +189,7 @@
 	if err != nil {
 		return code.New(code.NotKept, "the turn ran but could not be kept: %w", err)
 	}
-	// Only now: a renewal that failed must be tried again by the next turn.
+	// Cached only after all writes succeeded, so that the next turn retries a renewal that failed.
 	for _, renewal := range renewed {
 		turns.store(renewal)
 	}
@@ -186,8 +197,7 @@
 	return nil
 }
 
-// Do is the policy: the runner gets the entire chain, and the answer ends only
-// once the turn is kept.
+// Do sends the runner the entire conversation, and ends the response only after the turn is stored.
 func (turns *Turns) Do(j *Job, response *Response, next Next) Answer {
 	if !j.Path.Kept {
 		return next(j, response)
@@ -229,10 +239,10 @@
 	return answer
 }
 
-// retryAtStores does something at the stores until it is done, or time is over; it must be safe
-// to do twice. While their set changes they refuse who goes by the old one, some of them
-// perhaps after others have taken it, and a store that is new may not know yet that it is
-// one: moments that pass.
+// retryAtStores repeats an operation at the stores until it succeeds, fails for good or ctx ends.
+// The operation must be idempotent. While the set of stores changes, stores refuse clients that use
+// the old set, possibly after other stores have accepted the write, and a new store may not know
+// yet that it is in the set. Both conditions are transient.
 func retryAtStores(ctx context.Context, do func() error) error {
 	for try := 0; ; try++ {
 		err := do()
@@ -242,7 +252,7 @@
 	}
 }
 
-// isTransient reports whether a failure at the stores may be over in a moment.
+// isTransient reports whether a failure at the stores is likely to pass soon.
 func isTransient(err error) bool {
 	c := code.Of(err)
 	return c == code.StoresUnreachable || c == code.OutcomeUnknown
--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -27,23 +27,23 @@
 
 func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
-// Params are the settings of proxied requests.
+// Params are the settings of the request proxy.
 type Params struct {
-	MaxBody         int64         // bytes of a body taken where the table says nothing
-	Margin          time.Duration // the deadline lies so far before the caller's
-	StartupWait     time.Duration // how long a job waits for a node that has just come up
-	MaxHoldFraction float64       // part of its latency target that a job is held for a free place
-	Avoid           time.Duration // how long a runner that could not be reached is kept away from
-	Overload        float64       // times its capacity that a runner may be sent, where all are full
-	Idle            float64       // part of its capacity under which a runner has no reason to refuse
-	ListMaxAge      time.Duration // how old a reading of the list may be to prove a runner warm
+	MaxBody         int64         // body size limit where the route table sets none
+	Margin          time.Duration // subtracted from the caller's timeout to get the job's deadline
+	StartupWait     time.Duration // how long a job waits for a node that has just started
+	MaxHoldFraction float64       // fraction of its latency target that a job waits for a free slot
+	Avoid           time.Duration // how long a runner is avoided after it could not be reached
+	Overload        float64       // multiple of its capacity up to which a runner is used when all are full
+	Idle            float64       // utilization below which a runner has no reason to refuse a job
+	ListMaxAge      time.Duration // maximum age of a runner list that proves a runner is warmed up
 	Turns           TurnParams
 	Budgets         BudgetParams
 	Operations      OperationParams
 	Pool            PoolParams
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the default settings of the request proxy.
 var DefaultParams = Params{
 	MaxBody:         4 << 20,
 	Margin:          15 * time.Millisecond,
@@ -59,7 +59,7 @@
 	Pool:            DefaultPool,
 }
 
-// Dependencies are what a handler is joined to.
+// Dependencies are the components that a Handler uses.
 type Dependencies struct {
 	Self      *wire.Member
 	View      func() *cluster.View
@@ -71,13 +71,13 @@
 	Cooldowns *cooldown.Manager
 	Headers   Headers
 	Log       hclog.Logger
-	Policies  []Policy // before the send, outermost first
+	Policies  []Policy // applied before the send, outermost first
 }
 
-// Handler takes proxied requests and sees each to its answer.
+// Handler serves proxied requests.
 type Handler struct {
 	params            Params
-	dependencies      Dependencies
+	deps              Dependencies
 	next              Next
 	routes            atomic.Pointer[versionedIndex]
 	freeSlots         *broadcast
@@ -92,14 +92,14 @@
 	*spec.Index
 }
 
-// New makes a handler.
-func New(params Params, dependencies Dependencies) *Handler {
-	handler := &Handler{params: params, dependencies: dependencies, freeSlots: newBroadcast(), counts: map[string]int64{}}
-	handler.next = Chain(handler.forward, dependencies.Policies...)
+// New returns a Handler that applies the policies to each job before sending it.
+func New(params Params, deps Dependencies) *Handler {
+	handler := &Handler{params: params, deps: deps, freeSlots: newBroadcast(), counts: map[string]int64{}}
+	handler.next = Chain(handler.forward, deps.Policies...)
 	return handler
 }
 
-// index is that of the table in force, made once a version.
+// index returns the route index of a view's table. It is rebuilt when the version changes.
 func (handler *Handler) index(view *cluster.View) *spec.Index {
 	current := handler.routes.Load()
 	if current == nil || current.version != view.Version {
@@ -109,7 +109,7 @@
 	return current.Index
 }
 
-// Counts is how many jobs were answered with each code.
+// Counts returns how many jobs ended with each code.
 func (handler *Handler) Counts() map[string]int64 {
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
@@ -120,19 +120,20 @@
 	return counts
 }
 
-// callerSlack is how long past a job's deadline its caller has to read the answer.
+// callerReadGrace is how long after a job's deadline its caller may still read the response.
 const callerReadGrace = 2 * time.Second
 
-// lastEventHeader names the last event that a caller has (WHATWG, Server-sent events).
+// lastEventHeader carries the id of the last event that a caller received (WHATWG, Server-sent
+// events).
 const lastEventHeader = "Last-Event-Id"
 
-// ServeHTTP takes one job.
+// ServeHTTP serves one job.
 func (handler *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	j := &Job{Context: r.Context(), Arrived: time.Now(), View: handler.dependencies.View(), Req: r}
+	j := &Job{Context: r.Context(), Arrived: time.Now(), View: handler.deps.View(), Req: r}
 	response := &Response{w: w}
 	caller := http.NewResponseController(w)
-	// A caller that does not read is not waited for. The deadline holds on for what the
-	// server still writes, and the next request on the connection sets its own.
+	// Bounds the time spent on a caller that does not read. The deadline stays in force for what
+	// the server still writes; the next request on the connection sets its own.
 	_ = caller.SetWriteDeadline(j.Arrived.Add(handler.params.StartupWait + callerReadGrace))
 	answer := handler.serve(j, response)
 	handler.mu.Lock()
@@ -141,7 +142,7 @@
 	if answer.Err == nil {
 		return
 	}
-	handler.dependencies.Log.Debug(
+	handler.deps.Log.Debug(
 		"job not served",
 		"job",
 		j.Attempt,
@@ -153,20 +154,21 @@
 		time.Since(j.Arrived),
 	)
 	if response.headSent || j.Err() != nil {
-		// What has begun must not appear complete.
+		// A response that has started must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 	handler.writeError(w, answer)
 }
 
-// refuse tells a caller what became of a job, and when to come back.
+// writeError answers a job that failed before its response started, with the time to retry after.
 func (handler *Handler) writeError(w http.ResponseWriter, answer Answer) {
 	problem := web.Of(answer.Err)
 	if answer.RetryAfter > 0 {
-		// Fractions are understood, and rounded up: never back too early.
+		// Callers parse fractions of a second. Rounding up prevents a retry that is too early.
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(cooldown.WaitMs(answer.RetryAfter))/1000, 'f', 3, 64))
 		problem.WaitMs = cooldown.WaitMs(answer.RetryAfter)
-		problem.NotBefore = time.Now().Add(answer.RetryAfter + time.Millisecond - 1).UTC().Format("2006-01-02T15:04:05.000Z")
+		problem.NotBefore = time.Now().Add(answer.RetryAfter + time.Millisecond - 1).
+			UTC().Format("2006-01-02T15:04:05.000Z")
 	}
 	encoded, _ := json.Marshal(problem)
 	w.Header().Set("Content-Type", "application/json")
@@ -179,7 +181,7 @@
 	if err := handler.waitUntilReady(j); err != nil {
 		return Refuse(err, 200*time.Millisecond)
 	}
-	j.View = handler.dependencies.View()
+	j.View = handler.deps.View()
 	if j.View.Table.Revision == 0 {
 		return Refuse(code.New(code.NotReady, "no table of routes yet"), 200*time.Millisecond)
 	}
@@ -199,7 +201,7 @@
 	if err := handler.authenticate(j, index); err != nil {
 		return Answer{Err: err}
 	}
-	if err := handler.dependencies.Headers.ReadRequest(j.Req, j); err != nil {
+	if err := handler.deps.Headers.ReadRequest(j.Req, j); err != nil {
 		return Answer{Err: err}
 	}
 	maxBody := handler.params.MaxBody
@@ -225,11 +227,11 @@
 	return handler.next(j, response)
 }
 
-// open waits a moment for a node that has just come up to be ready: after a loss of
-// power all callers come back at once, and a refusal would cost each a try.
+// waitUntilReady waits up to StartupWait for a node that has just started to become ready. After a
+// power loss all callers reconnect at once, and a refusal would cost each of them an attempt.
 func (handler *Handler) waitUntilReady(j *Job) error {
 	for {
-		err := handler.dependencies.Ready()
+		err := handler.deps.Ready()
 		if code.Of(err) != code.NotReady || time.Since(j.Arrived) > handler.params.StartupWait {
 			return err
 		}
@@ -239,13 +241,13 @@
 	}
 }
 
-// rawPath is the path as it came, not unescaped.
+// rawPath returns the request path as received, without unescaping.
 func rawPath(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return path
 }
 
-// bodyBy reads an entire body, for as long as the job may take.
+// readBodyWithDeadline reads the entire body before the job's deadline.
 func readBodyWithDeadline(caller *http.ResponseController, j *Job, maxBytes int64) ([]byte, error) {
 	if j.Req.ContentLength == 0 {
 		return nil, nil
@@ -258,7 +260,7 @@
 	return content, err
 }
 
-// body reads a request's body up to a limit.
+// readBody reads a request body up to a size limit.
 func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
 	if r.ContentLength > maxBytes {
 		return nil, code.New(code.TooLarge, "more than %d bytes", maxBytes)
@@ -286,13 +288,13 @@
 	return content, nil
 }
 
-// draw is a job's draw where a path has several services: the same for all jobs of
-// one program, so that what a runner holds of it stays of use.
+// routingHash selects one of a path's services for a job. It is the same for all jobs of a program,
+// so that the program keeps using the caches of the same service.
 func (j *Job) routingHash() uint64 {
 	key := j.Program
 	switch {
 	case j.Path.Kind == spec.Keyed && j.OperationKey != "":
-		// A repeat goes where the first went.
+		// A repeated request goes to the service of the first one.
 		key = j.OperationKey
 	case key == "":
 		key = j.Attempt
@@ -300,7 +302,7 @@
 	return rendezvousHash(key, j.Path.Name)
 }
 
-// perEvent is the output that one event counts for.
+// tokensPerEvent is the number of output tokens that one event counts for.
 func (j *Job) tokensPerEvent() int64 {
 	if j.Service == nil || j.Service.Engine == nil {
 		return 1
@@ -308,7 +310,7 @@
 	return j.Service.Engine.TokensPerEvent
 }
 
-// noRunner refuses a job that no runner may be sent now.
+// noRunner refuses a job for which no runner is available.
 func noRunner(j *Job, reason string) Answer {
 	return Refuse(code.New(code.NoRunner, "no runner of %s: %s", j.Service.Name, reason), 150*time.Millisecond)
 }
--- a/internal/dataplane/request/proxy/job.go
+++ b/internal/dataplane/request/proxy/job.go
@@ -1,7 +1,6 @@
-// Package proxy is the path of proxied HTTP requests: the request is forwarded as it
-// came and the response is streamed back as it is produced. It selects a runner,
-// observes the cooldown, sends once, and classifies the outcome; package retry says what
-// may be sent again.
+// Package proxy serves proxied HTTP requests. A request is forwarded as received and the response
+// is streamed back as it is produced. The package selects a runner, respects its cooldown, sends
+// the request and classifies the outcome; package retry decides what may be sent again.
 package proxy
 
 import (
@@ -14,51 +13,53 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// MaxName bounds the names of tries and programs, which become keys at the stores:
-// a turn whose name could not be kept must not run.
+// MaxName limits the bytes of attempt and program names. They become keys at the stores, and a turn
+// whose name could not be stored must not run.
 const MaxName = 256
 
-// PromptPart is a part of a prompt that several jobs may share.
+// PromptPart is a section of a prompt that several jobs may share.
 type PromptPart struct {
 	ID     string
 	Tokens int64
 }
 
-// Job is one try of a caller.
+// Job is one attempt of a caller.
 type Job struct {
 	context.Context
-	Attempt         string // its caller's name of this very try
-	Program         string // empty: it belongs to none
-	PreviousAttempt string // the try whose turn it goes on from
-	AffinityKey     string // what it is about, for a runner that saw it lately
-	// OperationKey names the operation of a keyed request; all that name one run once.
+	Attempt         string // the caller's id of this attempt
+	Program         string // empty: none
+	PreviousAttempt string // the attempt whose turn this one continues
+	AffinityKey     string // identifies data that a runner may have cached from an earlier job
+	// OperationKey identifies the operation of a keyed request. All requests with one key run the
+	// operation once.
 	OperationKey string
-	// Tenant is on whose behalf it is sent, and Credential the digest by which its caller is
-	// known; nil: callers carry none.
+	// Tenant is the tenant that the job belongs to, and Credential the digest of the credential it
+	// was sent with. Tenant is nil if requests need no credential.
 	Tenant          *spec.Tenant
 	Credential      spec.Credential
 	PromptParts     []PromptPart
-	PromptTokens    int64         // tokens of the prompt
-	MaxOutputTokens int64         // tokens put out at the most
-	TokenBudget     int64         // of all turns of the program; 0: none is stated
-	CallerTimeout   time.Duration // how long the caller waits; 0: it does not say
+	PromptTokens    int64
+	MaxOutputTokens int64
+	TokenBudget     int64         // output tokens of all turns of the program; 0: no budget
+	CallerTimeout   time.Duration // how long the caller waits for the response; 0: not stated
 
-	// PreviousRunner is the runner that the program's last turn ran on, where its budget says so;
-	// Homed, that there is a budget to say it.
+	// PreviousRunner is the runner of the program's last turn, if its budget records one.
+	// BudgetReserved reports that a budget was reserved, which sets PreviousRunner.
 	PreviousRunner string
 	BudgetReserved bool
 
-	// AnswerBy is the earliest of the caller's wait and the path's guard, from arrival.
+	// ResponseDeadline is the earlier of the caller's timeout and the path's guard time, both
+	// counted from Arrived.
 	Arrived          time.Time
 	ResponseDeadline time.Time
 	View             *cluster.View
 	Path             *spec.Path
 	Service          *spec.Service
 	Req              *http.Request
-	Body             []byte // complete
+	Body             []byte // read in full
 }
 
-// TimeLeft is the time until the deadline.
+// TimeLeft returns the time until the job's deadline.
 func (j *Job) TimeLeft() time.Duration { return time.Until(j.ResponseDeadline) }
 
 // Repeatable reports whether the job may run more than once.
@@ -74,7 +75,7 @@
 	return false
 }
 
-// TenantName is the name of the job's tenant; empty: it has none.
+// TenantName returns the name of the job's tenant, or the empty string if it has none.
 func (j *Job) TenantName() string {
 	if j.Tenant == nil {
 		return ""
@@ -82,28 +83,29 @@
 	return j.Tenant.Name
 }
 
-// ResponseInfo is what a runner's answer says beside its body.
+// ResponseInfo is what the head of a runner's response states about the job.
 type ResponseInfo struct {
-	Attempt         string // whose answer it is; empty: it does not say
-	Sealed          bool   // the runner's own seal is on it
-	NotRun          bool   // it did not run the job and never will
-	OtherRunner     bool   // it is another runner than the one meant; it did not run the job
+	Attempt         string // the attempt that it answers; empty: not stated
+	Sealed          bool   // it carries the runner's seal
+	NotRun          bool   // the runner did not run the job and will not
+	OtherRunner     bool   // sent by another runner than the one addressed, which did not run the job
 	WarmupRemaining time.Duration
 }
 
-// Headers is how jobs and answers are spelt on HTTP. It only translates.
+// Headers translates jobs and responses to and from HTTP headers.
 type Headers interface {
-	// ReadRequest fills a job from a request's head; a failure names the header.
+	// ReadRequest fills a job from the headers of a request. An error names the header.
 	ReadRequest(r *http.Request, j *Job) error
-	// WriteRequest writes what goes to a runner beside the caller's own headers: the try's
-	// name, the runner meant, the time left, the precedence (0 first).
+	// WriteRequest adds the proxy's headers to a request to a runner: the attempt id, the addressed
+	// runner, the time left and the priority (0 is the highest).
 	WriteRequest(h http.Header, j *Job, to *endpoints.Runner, left time.Duration, priority int)
-	// Credential is the credential that a request carries; empty: none.
+	// Credential returns the credential of a request, or the empty string.
 	Credential(r *http.Request) string
-	// WriteRepeat makes the head of an answer recorded for another try one to this job.
+	// WriteRepeat changes the headers of a response recorded for another attempt so that it answers
+	// this job.
 	WriteRepeat(h http.Header, j *Job)
-	// WriteResume asks a runner to begin after an event.
+	// WriteResume asks a runner to start after the given event.
 	WriteResume(h http.Header, after string)
-	// ReadResponse reads an answer's head.
+	// ReadResponse reads the headers of a runner's response.
 	ReadResponse(r *http.Response) ResponseInfo
 }
--- a/internal/dataplane/request/proxy/load.go
+++ b/internal/dataplane/request/proxy/load.go
@@ -11,30 +11,30 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Load is the load of each runner: what this node has under way, what the
-// others had when last received, and what to keep away from for a moment.
+// Load tracks the load of each runner: the jobs in flight from this node, those reported by other
+// nodes, and the runners to avoid for a short time.
 type Load struct {
-	Watch *outlier.Watch // of how the runners do
+	Watch *outlier.Watch // detects outliers among the runners
 
 	mu       sync.Mutex
 	byRunner map[string]*runnerLoad
 }
 
 type runnerLoad struct {
-	requests   int   // jobs of this node under way
-	prefilling int   // of them, those without a first event: their prompts are to be read
-	tokens     int64 // of prompts and outputs
-	// Of the other nodes, as last received.
+	requests   int   // in flight from this node
+	prefilling int   // of these, without a first event yet: their prompts are still being read
+	tokens     int64 // prompt and output tokens of these requests
+	// In flight from the other nodes, as last reported.
 	remote        int
 	remoteTokens  int64
 	avoidUntil    time.Time
-	warmingUntil  time.Time // warming up until then, by its own report
+	warmingUntil  time.Time // warming up until then, as reported by the runner
 	warmupLimiter *rate.Limiter
 	warmupRate    float64
 	lastUsedAt    time.Time
 }
 
-// NewLoad makes a load that knows of nothing.
+// NewLoad returns a Load without any runners.
 func NewLoad() *Load {
 	return &Load{Watch: outlier.NewWatch(outlier.DefaultParams), byRunner: map[string]*runnerLoad{}}
 }
@@ -49,8 +49,8 @@
 	return entry
 }
 
-// Begin counts a job in; first says that its first event has come, done counts it
-// out.
+// Begin adds a job to a runner's load. The caller calls first at the job's first event, and done
+// when the job has ended.
 func (l *Load) Begin(id string, tokens int64) (first, done func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Avoid keeps this node's jobs away from a runner for a while.
+// Avoid keeps this node's jobs away from a runner for a duration.
 func (l *Load) Avoid(id string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,21 +85,21 @@
 	}
 }
 
-// MarkWarmingUp takes a runner's own report that it is warming up.
+// MarkWarmingUp records a runner's report that it is warming up for a duration.
 func (l *Load) MarkWarmingUp(id string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(id).warmingUntil = time.Now().Add(duration)
 }
 
-// BelowCapacity reports whether a runner has less under way than so many times its capacity.
+// BelowCapacity reports whether a runner's utilization is below factor.
 func (l *Load) BelowCapacity(r *endpoints.Runner, s *spec.Service, factor float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entry(r.ID).utilization(r, s) < factor
 }
 
-// InFlight is how many jobs each runner has, of all nodes, as far as is known.
+// InFlight returns the number of jobs in flight at each runner, from all nodes as far as known.
 func (l *Load) InFlight() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,13 +110,13 @@
 	return counts
 }
 
-// InFlight is what this node has under way at one runner.
+// InFlight is the load that one node has in flight at a runner.
 type InFlight struct {
 	Requests int
 	Tokens   int64
 }
 
-// Local lists what this node has under way.
+// Local returns this node's load in flight at each runner.
 func (l *Load) Local() map[string]InFlight {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +129,7 @@
 	return local
 }
 
-// UpdateRemote takes what all other nodes have under way.
+// UpdateRemote sets the load in flight from all other nodes.
 func (l *Load) UpdateRemote(others map[string]InFlight) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// Retain forgets runners that are not on the list any more.
+// Retain removes runners that are no longer listed, once they have been unused for 10 seconds.
 func (l *Load) Retain(listed func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/request/proxy/loadbalancer.go
+++ b/internal/dataplane/request/proxy/loadbalancer.go
@@ -12,49 +12,50 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Selection is what an choice rests on.
+// Selection holds the criteria for selecting a runner for a job.
 type Selection struct {
 	Service        *spec.Service
 	List           *endpoints.List
-	Zone           string // this node's
+	Zone           string // this node's zone
 	Key            string // jobs of one key go to one runner; empty: to the least loaded
-	PreviousRunner string // the runner that the job's program ran on last
-	Prefix         string // what its prompt begins with; empty: nothing shared
+	PreviousRunner string // the runner of the program's last turn; empty: none
+	Prefix         string // id of the shared prefix of the prompt; empty: none
 	Allowed        func(*endpoints.Runner) bool
-	WarmingUp      func(*endpoints.Runner) bool // it is warming up
-	WarmupShares   func(*endpoints.Runner) int  // among how many nodes its rate is assigned; 0: this node has no part
-	// Repeatable jobs go to a suspected runner earlier: they can go on elsewhere.
+	WarmingUp      func(*endpoints.Runner) bool // reports whether a runner is warming up
+	WarmupShares   func(*endpoints.Runner) int  // nodes that share a runner's warm-up rate; 0: this node has none
+	// Repeatable jobs are sent to a suspected runner earlier, since another runner can finish them.
 	Repeatable bool
 }
 
-// How far above the middle a runner may be: spread times, for a job that it holds
-// nothing of; for one whose prompts it holds, half as much again or a fifth of its
-// capacity, for to read them anew elsewhere costs more than a few jobs beside it.
+// Limits on a runner's cost relative to the mean utilization. costSpread applies to a job that has
+// nothing cached at the runner. A runner that has the job's prompts cached may exceed the mean by
+// the factor affinitySpread or by affinityMargin of its capacity, whichever is more: reading the
+// prompts again on another runner costs more than sharing a runner with a few more jobs.
 const (
 	costSpread     = 1.25
 	affinitySpread = 1.5
 	affinityMargin = 0.2
 )
 
-// prefixCandidates is how many runners a shared part points to: so many read it, and the least
-// loaded of them is picked.
+// prefixCandidates is the number of runners that a shared prefix is assigned to. Each of them reads
+// the prefix once, and the least loaded of them is selected.
 const prefixCandidates = 3
 
-// prefillWeight is what a job whose prompt is still to be read weighs beside one that puts
-// out.
+// prefillWeight is the load of a job whose prompt is still being read, relative to a job that
+// produces output.
 const prefillWeight = 3
 
 type candidate struct {
 	runner      *endpoints.Runner
 	load        *runnerLoad
-	utilization float64 // of its capacity in use
-	cost        float64 // how loaded it is in the eyes of one more job: a slow runner is longer at each
+	utilization float64 // fraction of its capacity in use
+	cost        float64 // utilization weighted by slowness: a slow runner takes longer for each job
 	warmingUp   bool
 }
 
-// Pick selects the runner for a job: the one that its key points to, in this node's zone
-// first, unless it is loaded much more than the rest; without a key the least loaded.
-// hasCapacity reports whether the one selected can take another job at once.
+// Pick selects the runner for a job: by the job's affinity key, in this node's zone first, unless
+// that runner is loaded much more than the rest; without a key, the least loaded. hasCapacity
+// reports whether the selected runner can start another job at once.
 func (l *Load) Pick(selection Selection) (r *endpoints.Runner, hasCapacity bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,8 +69,8 @@
 	return nil, false
 }
 
-// candidates are the runners that the job may be sent to. Where one of them is on trial
-// after an ejection, and this job is to be it, that runner is given instead.
+// candidates returns the runners that the job may be sent to. If an ejected runner is due for a
+// trial and this job is suitable, it returns that runner as trial instead.
 func (l *Load) candidates(selection Selection) (candidates []candidate, trial *endpoints.Runner) {
 	now := time.Now()
 	var suspected, ejected []candidate
@@ -91,13 +92,15 @@
 		c.cost = (c.utilization+perJob)*l.Watch.Slow(r.ID) - perJob
 		switch l.Watch.Suspicion(r.ID, selection.Repeatable) {
 		case outlier.Out:
-			// The trial of an ejected runner is best a job that has nothing cached anywhere.
-			if c.utilization < 1 && !c.warmingUp && l.Watch.Trial(r.ID, selection.Repeatable && selection.PreviousRunner == "") {
+			// A job with nothing cached at any runner suits best as the trial of an ejected runner.
+			if c.utilization < 1 && !c.warmingUp &&
+				l.Watch.Trial(r.ID, selection.Repeatable && selection.PreviousRunner == "") {
 				return nil, r
 			}
 			ejected = append(ejected, c)
 		case outlier.Once:
-			// One failure is not worth to read a program's prompts anew.
+			// A single failure does not justify reading the program's prompts again on another
+			// runner.
 			if r.ID == selection.PreviousRunner {
 				candidates = append(candidates, c)
 			} else {
@@ -109,9 +112,12 @@
 			candidates = append(candidates, c)
 		}
 	}
-	// Where this node suspects many, the fault is rather its own; and where no other has
-	// capacity, a suspected runner is better than none.
-	total, hasFree := len(candidates)+len(suspected), slices.ContainsFunc(candidates, func(c candidate) bool { return c.utilization < 1 })
+	// If this node suspects many runners, the fault is more likely its own. If no other runner has
+	// capacity, a suspected one is better than none.
+	total, hasFree := len(candidates)+len(suspected), slices.ContainsFunc(
+		candidates,
+		func(c candidate) bool { return c.utilization < 1 },
+	)
 	if 10*len(suspected) > 3*total && total > 3 || !hasFree {
 		candidates = append(candidates, suspected...)
 	}
@@ -121,7 +127,7 @@
 	return candidates, nil
 }
 
-// choose finds the best of the candidates; nil where none may be sent the job.
+// choose returns the best of the candidates, or nil if the job may be sent to none of them.
 func (l *Load) choose(selection Selection, candidates []candidate) *candidate {
 	if len(candidates) == 0 {
 		return nil
@@ -151,7 +157,8 @@
 		}
 	}
 	if selection.Key != "" {
-		// Own zone first: a prefix is not read twice, nor sent between zones.
+		// The local zone first, so that prompts are neither read in two zones nor sent between
+		// them.
 		for _, local := range zonePasses {
 			if c := l.byAffinity(selection, candidates, local, affinityBound); c != nil {
 				return c
@@ -161,14 +168,15 @@
 	return l.leastLoaded(selection, candidates)
 }
 
-// zoneTolerance is how many times as loaded as all runners those of this node's zone may be
-// before a part of its jobs goes to other zones.
+// zoneTolerance is the ratio of the local zone's mean utilization to that of all runners above
+// which some of the zone's jobs go to other zones.
 const zoneTolerance = 1.15
 
-// staysHome reports whether a job looks for a runner in this node's zone first. Where the zone
-// is loaded more than the rest, so large a part of the jobs goes elsewhere at once that it
-// would be loaded as they are: each edge of the zone decides by figures some hundred
-// milliseconds old, and all of them would fill a runner that looks free.
+// prefersLocalZone reports whether a job tries the runners in this node's zone first. If the zone
+// is loaded more than the rest, a random fraction of the jobs goes elsewhere, just large enough to
+// bring the zone to the mean utilization. The choice is random because every edge of the zone works
+// with load reports some hundred milliseconds old: without it, all of them would fill the runner
+// that looks free.
 func prefersLocalZone(selection Selection, candidates []candidate, mean float64) bool {
 	localTotal, localCount := 0.0, 0
 	for _, c := range candidates {
@@ -210,7 +218,8 @@
 	return best
 }
 
-// byPrefix finds the least loaded of the few runners that a shared part points to.
+// byPrefix selects the least loaded of the few runners that the prompt's shared prefix is assigned
+// to.
 func (l *Load) byPrefix(selection Selection, candidates []candidate, local bool, costBound float64) *candidate {
 	type match struct {
 		c    *candidate
@@ -234,12 +243,14 @@
 	return best
 }
 
-// weight is a runner's load in the eyes of a new program.
+// newProgramCost is a runner's cost for the first job of a program, whose prompt is still to be
+// read.
 func (c *candidate) newProgramCost() float64 {
 	return c.cost + float64((prefillWeight-1)*c.load.prefilling)/float64(max(c.runner.Capacity, 1))
 }
 
-// leastLoaded finds the least loaded; of equals one of this zone, then any.
+// leastLoaded selects the least loaded runner. Among equally loaded ones it prefers those of the
+// local zone, then selects at random.
 func (l *Load) leastLoaded(selection Selection, candidates []candidate) *candidate {
 	for len(candidates) > 0 {
 		best, ties := -1, 0
@@ -253,7 +264,7 @@
 			case best < 0 || cost < lowest:
 				best, lowest, ties = i, cost, 1
 			case cost == lowest:
-				// Each of n equals has the same chance.
+				// Reservoir sampling: each of the tied candidates has the same probability.
 				if ties++; rand.IntN(ties) == 0 {
 					best = i
 				}
@@ -268,7 +279,8 @@
 	return nil
 }
 
-// weigh is a key's weight at a runner, the same on every node.
+// rendezvousHash returns the rendezvous hashing weight of a key at a runner or node. It is the same
+// on every node.
 func rendezvousHash(key, id string) uint64 {
 	hasher := fnv.New64a()
 	hasher.Write([]byte(key))
--- a/internal/dataplane/request/proxy/operation.go
+++ b/internal/dataplane/request/proxy/operation.go
@@ -20,17 +20,18 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Operations runs each operation of a keyed path once, whichever nodes its requests reach:
-// the first request claims the operation at the stores before it is forwarded, the others
-// find the claim. What a repeat gets depends on the service:
+// Operations runs each operation of a keyed path once, on whichever nodes its requests arrive. The
+// first request claims the operation at the stores before it is forwarded; later requests find the
+// claim. The response to a repeated request depends on the service:
 //
-//   - Runners that deduplicate keep the outcome themselves. The claim holds a repeat to the
-//     service that the first went to, whatever the table says by then, and their table answers.
-//   - For all others the claim holds the outcome as well, recorded before the first caller gets
-//     it. An operation whose outcome nobody knows is never sent again.
+//   - Runners that deduplicate keep the outcome themselves. The claim binds repeated requests to
+//     the service of the first one, even if the route table has changed since, and the runners'
+//     own table answers them.
+//   - For all other services the claim also holds the outcome, which is recorded before the first
+//     caller receives it. An operation with an unknown outcome is never sent again.
 //
-// Invariant: a request is forwarded only by the owner of the claim, or to the claim's own
-// deduplicating service.
+// Invariant: a request is forwarded only by the owner of the claim, or to the deduplicating service
+// named in the claim.
 type Operations struct {
 	stores     *storeclient.Client
 	members    func() []*wire.Member
@@ -40,29 +41,29 @@
 	background job.Background
 }
 
-// OperationParams are the times of operations.
+// OperationParams are the timeouts and intervals of the operations policy.
 type OperationParams struct {
-	ClaimTimeout  time.Duration // for claiming one
-	RecordTimeout time.Duration // for recording an outcome before its caller gets it
-	RetryInterval time.Duration // between two tries at writing down, behind an answer, what became of one
+	ClaimTimeout  time.Duration // for claiming an operation
+	RecordTimeout time.Duration // for recording an outcome before the caller receives it
+	RetryInterval time.Duration // between two background attempts at writing an outcome
 }
 
-// DefaultOperations are the design's.
+// DefaultOperations are the default parameters of the operations policy.
 var DefaultOperations = OperationParams{
 	ClaimTimeout:  800 * time.Millisecond,
 	RecordTimeout: time.Second,
 	RetryInterval: 500 * time.Millisecond,
 }
 
-// How long a request waits for another one of its operation, which is most likely about to
-// end, and when its caller may come back.
+// A request whose operation is in progress elsewhere polls for its outcome for a limited time,
+// since the other request will most likely end soon. Then the caller is told when to retry.
 const (
 	inProgressMaxWait      = time.Second
 	inProgressPollInterval = 50 * time.Millisecond
 	inProgressRetryAfter   = 150 * time.Millisecond
 )
 
-// NewOperations makes the keeper of operations.
+// NewOperations returns the policy that runs each operation once.
 func NewOperations(
 	params OperationParams,
 	stores *storeclient.Client,
@@ -71,24 +72,31 @@
 	headers Headers,
 	background job.Background,
 ) *Operations {
-	return &Operations{stores: stores, members: members, self: self, headers: headers, params: params, background: background}
+	return &Operations{
+		stores:     stores,
+		members:    members,
+		self:       self,
+		headers:    headers,
+		params:     params,
+		background: background,
+	}
 }
 
-// operationState is how far an operation is.
+// operationState is the progress of an operation.
 type operationState string
 
 const (
-	operationFree    operationState = ""        // nobody has claimed it, or it surely did not run
+	operationFree    operationState = ""        // not claimed, or known not to have run
 	operationStarted operationState = "started" // its owner may forward it
 	operationDone    operationState = "done"    // Reply is its outcome
-	operationUnknown operationState = "unknown" // it may have run, and nobody knows how it ended
+	operationUnknown operationState = "unknown" // it may have run, with an unknown outcome
 )
 
-// operation is the claim at the stores.
+// operation is the claim record at the stores.
 type operation struct {
 	State operationState `json:"state"`
-	// Owner is drawn anew by each request that claims; Node and Incarnation are those of the
-	// process that it came through.
+	// Owner is a random id of the claiming request; Node and Incarnation identify the process that
+	// received it.
 	Owner        string          `json:"owner,omitempty"`
 	Node         string          `json:"node,omitempty"`
 	Incarnation  uint64          `json:"incarnation,omitempty"`
@@ -97,7 +105,7 @@
 	Reply        *operationReply `json:"reply,omitempty"`
 }
 
-// operationReply is a recorded answer.
+// operationReply is a recorded response.
 type operationReply struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
@@ -107,7 +115,7 @@
 func readOperation(state register.State) (operation, error) {
 	var decoded operation
 	if state.Expired || len(state.Value) == 0 {
-		// One past its window may be begun anew.
+		// An expired operation may run again.
 		return decoded, nil
 	}
 	if err := json.Unmarshal(state.Value, &decoded); err != nil {
@@ -116,19 +124,20 @@
 	return decoded, nil
 }
 
-// deduplicated reports whether the runners themselves answer repeats of a job's operation.
+// deduplicated reports whether the runners themselves answer repeated requests of a job's
+// operation.
 func (j *Job) deduplicated() bool {
 	return j.Path.Kind == spec.Keyed && j.OperationKey != "" && j.Service != nil && j.Service.Deduplicates
 }
 
-// waitForOperation pauses before a job is tried once more whose operation is under way
-// elsewhere. It reports whether there is a point in trying.
+// waitForOperation waits one poll interval before a job is retried whose operation is in progress
+// elsewhere. It returns false if the job has waited long enough or is canceled.
 func (j *Job) waitForOperation() bool {
 	patience := min(inProgressMaxWait, j.ResponseDeadline.Sub(j.Arrived)/2)
 	return time.Since(j.Arrived)+inProgressPollInterval < patience && loop.Wait(j, inProgressPollInterval)
 }
 
-// Do is the policy.
+// Do claims the job's operation and forwards the job, or answers it from the existing claim.
 func (operations *Operations) Do(j *Job, response *Response, next Next) Answer {
 	if j.Path.Kind != spec.Keyed || j.OperationKey == "" {
 		return next(j, response)
@@ -159,11 +168,11 @@
 	}
 }
 
-// errClaimed ends a change that found the operation another's.
+// errClaimedByOther aborts a change to a claim that another request owns.
 var errClaimedByOther = errors.New("the operation is claimed")
 
-// claim makes the operation this job's, or returns whose it is. Where it can't be determined,
-// the job is not forwarded; what it may have left at the stores is taken back.
+// claim claims the operation for this job, or returns the existing claim. If the owner can't be
+// determined, the job is not forwarded, and a claim that may have been written is released.
 func (operations *Operations) claim(j *Job, owner string) (operation, error) {
 	ctx, stop := context.WithTimeout(j, min(operations.params.ClaimTimeout, j.TimeLeft()))
 	defer stop()
@@ -182,9 +191,9 @@
 	var written register.State
 	mayBeClaimed := false
 	err = retryAtStores(ctx, func() error {
-		written, err = operations.stores.Change(ctx, operations.key(j), func(state register.State) ([]byte, bool, error) {
+		written, err = operations.stores.Change(ctx, operations.key(j), func(st register.State) ([]byte, bool, error) {
 			var err error
-			if existing, err = readOperation(state); err != nil {
+			if existing, err = readOperation(st); err != nil {
 				return nil, false, err
 			}
 			if existing.State != operationFree && existing.Owner != owner {
@@ -210,8 +219,8 @@
 	return keys.Operation(j.TenantName(), j.OperationKey)
 }
 
-// redirect sends a repeat to the service that the first request went to, where that
-// deduplicates and the path still leads to it.
+// useClaimedService sends a repeated request to the service of the first one, if that service
+// deduplicates and the path still routes to it.
 func (operations *Operations) useClaimedService(j *Job, claim operation) bool {
 	routesTo := func(s spec.Share) bool { return s.Service == claim.Service && s.Weight > 0 }
 	stillRouted := slices.ContainsFunc(j.Path.To, routesTo)
@@ -227,7 +236,7 @@
 	return false
 }
 
-// isRunning reports whether the process that claimed an operation is still there.
+// ownerAlive reports whether the process that claimed an operation is still running.
 func (operations *Operations) ownerAlive(claim operation) bool {
 	for _, member := range operations.members() {
 		if member.Id == claim.Node {
@@ -237,7 +246,7 @@
 	return false
 }
 
-// run forwards an operation that this job owns, and writes down what became of it.
+// run forwards an operation that this job owns, and records its outcome.
 func (operations *Operations) run(j *Job, response *Response, next Next, owner string) Answer {
 	if j.Service.Deduplicates {
 		return next(j, response)
@@ -245,13 +254,18 @@
 	recorded := false
 	response.beforeComplete = func(r *http.Response, body []byte) {
 		recorded = true
-		operations.record(j, owner, &operationReply{Status: r.StatusCode, Header: endToEndHeaders(r.Header), Body: body})
+		operations.record(
+			j,
+			owner,
+			&operationReply{Status: r.StatusCode, Header: endToEndHeaders(r.Header), Body: body},
+		)
 	}
 	answer := next(j, response)
 	switch {
 	case recorded:
 	case answer.NotRun():
-		// Freed first, then said; where that fails, behind the answer.
+		// Releases the claim before the caller is told that the job did not run. If the stores are
+		// unreachable, the release continues in the background.
 		operations.settle(j, owner, operation{})
 	default:
 		operations.settle(j, owner, operation{State: operationUnknown, Owner: owner})
@@ -259,22 +273,22 @@
 	return answer
 }
 
-// repeatable is the head of an answer without what concerns one connection or one try.
+// endToEndHeaders copies the headers of a response without those of a single connection or attempt.
 func endToEndHeaders(header http.Header) http.Header {
 	out := http.Header{}
 	copyHeaders(out, header)
 	return out
 }
 
-// record writes an outcome down, before its caller gets it where the stores allow that. A
-// caller is not kept from its answer by stores that are away: until the outcome is recorded,
-// repeats learn that the operation is under way, and none runs.
+// record records an outcome, before the caller receives it if the stores are reachable. Unreachable
+// stores delay the caller by no more than RecordTimeout: until the outcome is recorded, repeated
+// requests are told that the operation is in progress, and none runs.
 func (operations *Operations) record(j *Job, owner string, reply *operationReply) {
 	operations.settle(j, owner, operation{State: operationDone, Owner: owner, Reply: reply})
 }
 
-// settle writes down what became of an operation, if it is the owner's still. It returns once
-// that is done or RecordTimeout has passed, and then goes on behind the answer.
+// settle replaces the claim with the outcome of an operation, if owner still owns it. It returns
+// after the write or after RecordTimeout, and then continues in the background.
 func (operations *Operations) settle(j *Job, owner string, outcome operation) {
 	key := operations.key(j)
 	ctx, stop := context.WithTimeout(context.WithoutCancel(j), operations.params.RecordTimeout)
@@ -294,10 +308,10 @@
 	})
 }
 
-// settleTries bounds the tries at writing down an outcome behind its answer.
+// settleAttempts limits the background attempts at writing an outcome.
 const settleAttempts = 60
 
-// write replaces the claim if it is the owner's.
+// write replaces the claim if owner owns it.
 func (operations *Operations) write(ctx context.Context, key, owner string, outcome operation) error {
 	err := retryAtStores(ctx, func() error {
 		_, err := operations.stores.Change(ctx, key, func(state register.State) ([]byte, bool, error) {
@@ -319,7 +333,7 @@
 	return err
 }
 
-// repeat answers with what was recorded of the operation's one run.
+// replayOutcome answers a repeated request with the recorded outcome.
 func (operations *Operations) replayOutcome(j *Job, response *Response, reply *operationReply) Answer {
 	if reply == nil {
 		return Answer{Err: code.New(code.Garbled, "an operation that is done without its answer")}
--- a/internal/dataplane/request/proxy/pass.go
+++ b/internal/dataplane/request/proxy/pass.go
@@ -7,27 +7,27 @@
 	"damsontiller/internal/transport/code"
 )
 
-// attemptResult is what became of one send.
+// attemptResult is the outcome of sending a job to one runner.
 type attemptResult struct {
 	outcome    retry.Outcome
-	success    bool // of an answered one: a success
-	sent       bool // a byte may have been sent
+	success    bool // the runner answered with a success status
+	sent       bool // at least one byte may have reached the runner
 	err        error
-	retryAfter time.Duration // when the caller may come back, of a job that did not run
-	// final: of a job that did not run, no other runner may be sent it either.
+	retryAfter time.Duration // when the caller may retry a job that did not run
+	// final: the job did not run and must not be sent to another runner.
 	final bool
-	// underWay: the runners have another request of the job's operation under way.
+	// inProgress: the runners are already running another request of the job's operation.
 	inProgress bool
 }
 
-// attempts are those of one job so far.
+// attempts is the history of the sends of one job.
 type attempts struct {
-	tried      map[string]bool // runners
-	sentCount  int             // that a byte of it may have reached
-	mayHaveRun bool            // it may have run at one of them
+	tried      map[string]bool // by runner id
+	sentCount  int             // sends of which at least one byte may have reached a runner
+	mayHaveRun bool            // a send may have run the job
 }
 
-// recordAttempt adds a send without an answer.
+// recordAttempt adds a send that was not answered.
 func (s *attempts) recordAttempt(result attemptResult) {
 	if result.sent {
 		s.sentCount++
@@ -37,15 +37,19 @@
 	}
 }
 
-// withoutNotRun takes the promise out of a refusal where an earlier send may have run.
+// downgradeRefusal replaces a refusal that promises the job did not run, if an earlier send may
+// have run it.
 func (s *attempts) downgradeRefusal(answer Answer) Answer {
 	if s.mayHaveRun && answer.NotRun() {
-		return Answer{Err: code.New(code.OutcomeUnknown, "an earlier send may have run; then: %s", code.Text(answer.Err))}
+		return Answer{
+			Err: code.New(code.OutcomeUnknown, "an earlier send may have run; then: %s", code.Text(answer.Err)),
+		}
 	}
 	return answer
 }
 
-// forward is the end of the way: pick, send, and the outcome of it.
+// forward selects a runner, sends the job and handles the outcome. It is the last step after all
+// policies.
 func (handler *Handler) forward(j *Job, response *Response) Answer {
 	history := &attempts{tried: map[string]bool{}}
 	for {
@@ -53,7 +57,7 @@
 		if runner == nil {
 			return history.downgradeRefusal(refusal)
 		}
-		admitted, ok := handler.dependencies.Cooldowns.Admit(j, cooldownKey(runner), j.TimeLeft())
+		admitted, ok := handler.deps.Cooldowns.Admit(j, cooldownKey(runner), j.TimeLeft())
 		if !ok {
 			continue
 		}
@@ -63,7 +67,7 @@
 			return Answer{Success: result.success}
 		}
 		if result.inProgress && j.waitForOperation() {
-			// It may be asked of the same runner again.
+			// The same runner may be tried again.
 			delete(history.tried, runner.ID)
 			continue
 		}
@@ -74,9 +78,9 @@
 	}
 }
 
-// mayResend is the one place that decides whether a job goes to another runner: by what
-// is known of the last send, by the table's bound on runners, by the time left, and by
-// what the caller has been handed already.
+// mayResend is the only place that decides whether a job goes to another runner: by the outcome of
+// the last send, the path's limit on attempts, the time left and what the caller has already
+// received.
 func mayResend(j *Job, response *Response, history *attempts, last retry.Outcome) bool {
 	switch {
 	case !retry.Allowed(last, j.Repeatable()):
@@ -89,7 +93,7 @@
 	return response.canResume(j.Path.Resumable)
 }
 
-// unserved is the answer to a job that is not sent again.
+// failedAnswer returns the answer to a job that is not sent again.
 func (handler *Handler) failedAnswer(j *Job, history *attempts, last attemptResult) Answer {
 	if last.outcome != retry.NotRun {
 		return Answer{Err: last.err}
--- a/internal/dataplane/request/proxy/pool.go
+++ b/internal/dataplane/request/proxy/pool.go
@@ -15,28 +15,28 @@
 	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
-// Pool keeps connections to runners. One job at a time is on a connection, and it
-// is used again only after a clean end: complete response, not a byte more.
+// Pool keeps idle connections to runners. A connection carries one job at a time and is reused only
+// after a clean end: a complete response and not a byte more.
 type Pool struct {
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
 	params PoolParams
 
 	mu     sync.Mutex
-	idle   map[string][]*conn // by runner; the latest used last
+	idle   map[string][]*conn // by runner id and address; the most recently used last
 	opened uint64
 }
 
-// PoolParams bound the pool.
+// PoolParams are the limits and timeouts of a Pool.
 type PoolParams struct {
-	MaxIdle     int           // connections kept to one runner
-	IdleTimeout time.Duration // how long an idle one is kept, where the runner says nothing
-	DialTimeout time.Duration // deadline of one dial
+	MaxIdle     int           // idle connections kept per runner
+	IdleTimeout time.Duration // how long an idle connection is kept if the runner does not state a timeout
+	DialTimeout time.Duration
 }
 
-// DefaultPool suits runners of one city.
+// DefaultPool suits runners in one metropolitan area.
 var DefaultPool = PoolParams{MaxIdle: 24, IdleTimeout: 20 * time.Second, DialTimeout: time.Second}
 
-// NewPool makes a pool over a way to dial.
+// NewPool returns a Pool that opens connections with dial.
 func NewPool(params PoolParams, dial func(ctx context.Context, addr string) (net.Conn, error)) *Pool {
 	return &Pool{dial: dial, params: params, idle: map[string][]*conn{}}
 }
@@ -44,11 +44,11 @@
 type conn struct {
 	netConn   net.Conn
 	reader    *bufio.Reader
-	idleUntil time.Time // idle no longer than this
-	unused    bool      // never answered on yet
+	idleUntil time.Time // must not be reused after this time
+	unused    bool      // no response has been received on it yet
 }
 
-// errDial: nothing was sent.
+// errDial is a failed dial: nothing was sent.
 type errDial struct{ err error }
 
 func (e errDial) Error() string { return "dial: " + e.err.Error() }
@@ -56,7 +56,8 @@
 
 func poolKey(r *endpoints.Runner) string { return r.ID + "@" + r.Addr }
 
-// get gives an idle connection that is still clean, or a new one.
+// get returns an idle connection that is still clean, or a new one. dialNew skips the idle
+// connections.
 func (p *Pool) get(ctx context.Context, r *endpoints.Runner, dialNew bool) (*conn, error) {
 	for !dialNew {
 		idle := p.popIdle(poolKey(r))
@@ -92,7 +93,7 @@
 	return c
 }
 
-// put gives a connection back after a complete response.
+// put returns a connection to the pool after a complete response.
 func (p *Pool) put(r *endpoints.Runner, c *conn, idleTime time.Duration) {
 	if idleTime <= 0 || c.reader.Buffered() > 0 || c.netConn.SetDeadline(time.Time{}) != nil {
 		c.netConn.Close()
@@ -111,8 +112,7 @@
 	}
 }
 
-// Retain lets go of connections past their rest, and of all to runners that are
-// not on the list any more.
+// Retain closes connections past their idle time and those to runners that are no longer listed.
 func (p *Pool) Retain(listed func(id string) bool) {
 	now := time.Now()
 	var closing []*conn
@@ -137,15 +137,15 @@
 	}
 }
 
-// ConnectionsOpened counts the connections opened.
+// ConnectionsOpened returns the number of connections opened so far.
 func (p *Pool) ConnectionsOpened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// clean checks, without waiting, whether the other side has closed an idle
-// connection or said something that nobody asked for.
+// isClean checks, without blocking, that the peer has neither closed an idle connection nor sent
+// unexpected bytes on it.
 func (c *conn) isClean() bool {
 	sysConn, ok := c.netConn.(syscall.Conn)
 	if !ok {
@@ -167,7 +167,8 @@
 	return n < 0 && errors.Is(readErr, syscall.EAGAIN)
 }
 
-// rest is how long a connection may be idle after an answer.
+// keepAliveTime returns how long a connection may stay idle after a response, or at most 0 if it
+// can't be reused.
 func (p *Pool) keepAliveTime(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
@@ -179,7 +180,8 @@
 			if err != nil {
 				return 0
 			}
-			// Used before the runner closes it, not at the same moment.
+			// Stops reusing the connection shortly before the runner closes it, so that a request
+			// does not race with the close.
 			return min(time.Duration(seconds)*time.Second-500*time.Millisecond, p.params.IdleTimeout)
 		}
 	}
--- a/internal/dataplane/request/proxy/proxy_test.go
+++ b/internal/dataplane/request/proxy/proxy_test.go
@@ -391,7 +391,7 @@
 // TestWrite: a target goes out as it came in.
 func TestWrite(t *testing.T) {
 	for _, uri := range []string{"/", "/a//b/?", "//", "///x//y?//z", "//h.test/x?", "/%2F%2f"} {
-		handler := &Handler{dependencies: Dependencies{Headers: noHeaders{}}}
+		handler := &Handler{deps: Dependencies{Headers: noHeaders{}}}
 		q := handler.runnerRequest(
 			&Job{
 				Context: t.Context(),
@@ -611,7 +611,7 @@
 			edges,
 			edge{
 				NewLoad(),
-				&Handler{dependencies: Dependencies{Self: all[i], Members: func() []*wire.Member { return views[i] }}},
+				&Handler{deps: Dependencies{Self: all[i], Members: func() []*wire.Member { return views[i] }}},
 			},
 		)
 	}
@@ -741,7 +741,7 @@
 			ctx, stop := context.WithTimeout(t.Context(), tc.callers)
 			defer stop()
 			arrived := time.Now()
-			handler := &Handler{params: DefaultParams, dependencies: Dependencies{Ready: ready}}
+			handler := &Handler{params: DefaultParams, deps: Dependencies{Ready: ready}}
 			if err := handler.waitUntilReady(&Job{Context: ctx, Arrived: arrived}); code.Of(err) != tc.want {
 				t.Errorf("%s: %v", tc.name, err)
 			}
--- a/internal/dataplane/request/proxy/quota.go
+++ b/internal/dataplane/request/proxy/quota.go
@@ -10,18 +10,19 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Quotas keeps each tenant within its quota over all nodes.
+// Quotas enforces each tenant's quota across all nodes.
 type Quotas struct {
 	node        *quota.Node
 	startupWait time.Duration
 }
 
-// NewQuotas makes the policy; params are those of the node.
+// NewQuotas returns the policy over the node's quota state. params are those of the node.
 func NewQuotas(node *quota.Node, params quota.Params) *Quotas {
 	return &Quotas{node: node, startupWait: params.StartupWait}
 }
 
-// Do is the policy.
+// Do admits the job against its tenant's quota. A job that did not run or was answered from a
+// record is not counted.
 func (quotas *Quotas) Do(j *Job, response *Response, next Next) Answer {
 	if j.Tenant == nil || j.Tenant.RatePerS <= 0 {
 		return next(j, response)
@@ -34,7 +35,7 @@
 		Tenant:  j.Tenant.Name,
 		Limit:   quota.Limit{RatePerS: j.Tenant.RatePerS, Burst: j.Tenant.Burst},
 		Program: j.Program,
-		// Programs begin with a turn that goes on from none.
+		// A stream that does not continue an earlier turn starts a program.
 		Begun: j.PreviousAttempt != "" || j.Path.Kind != spec.Stream,
 	})
 	if !decision.Admitted {
@@ -48,7 +49,8 @@
 	return answer
 }
 
-// waitForCounts waits a moment for a node that has just come up.
+// waitForCounts waits a limited time for a node that has just started to learn what the other nodes
+// have admitted.
 func (quotas *Quotas) waitForCounts(j *Job) bool {
 	select {
 	case <-quotas.node.Heard():
--- a/internal/dataplane/request/proxy/request.go
+++ b/internal/dataplane/request/proxy/request.go
@@ -10,8 +10,8 @@
 	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
-// request is the job as it goes to a runner: as it came, under the same name, to
-// that runner only.
+// runnerRequest builds the request to a runner: the caller's request as received, with the headers
+// that name the attempt and the runner.
 func (handler *Handler) runnerRequest(j *Job, response *Response, runner *endpoints.Runner) *http.Request {
 	target, query, hasQuery := strings.Cut(j.Req.RequestURI, "?")
 	request := &http.Request{
@@ -26,12 +26,12 @@
 	copyHeaders(request.Header, j.Req.Header)
 	delete(request.Header, "Expect")
 	if _, ok := request.Header["User-Agent"]; !ok {
-		// Without an entry the library would add its own name.
+		// Without an entry, net/http would add its own name.
 		request.Header["User-Agent"] = []string{""}
 	}
-	handler.dependencies.Headers.WriteRequest(request.Header, j, runner, j.TimeLeft(), min(j.rank(), 9))
+	handler.deps.Headers.WriteRequest(request.Header, j, runner, j.TimeLeft(), min(j.rank(), 9))
 	if response.headSent && response.lastEventID != "" {
-		handler.dependencies.Headers.WriteResume(request.Header, response.lastEventID)
+		handler.deps.Headers.WriteResume(request.Header, response.lastEventID)
 	}
 	if len(j.Body) > 0 {
 		request.ContentLength = int64(len(j.Body))
@@ -40,8 +40,8 @@
 	return request
 }
 
-// write sends a request. Where its target begins with two slashes the library would
-// put a scheme before them, so all but the last are put in afterwards.
+// writeRequest writes a request. If its target starts with two slashes, net/http would prefix it
+// with a scheme, so all slashes but the last are inserted afterwards.
 func writeRequest(w io.Writer, request *http.Request) error {
 	target := request.URL.Opaque
 	if !strings.HasPrefix(target, "//") {
--- a/internal/dataplane/request/proxy/response.go
+++ b/internal/dataplane/request/proxy/response.go
@@ -13,31 +13,32 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Answer is what becomes of a job.
+// Answer is the result of a job.
 type Answer struct {
-	Success bool  // complete, and the runner's own
-	Err     error // numbered
-	// RetryAfter is when the caller may come back, of a job that did not run.
+	Success bool  // the runner answered completely with a success status
+	Err     error // carries an error code
+	// RetryAfter is when the caller may retry a job that did not run.
 	RetryAfter time.Duration
-	// Repeated: it was recorded for an earlier job, and this one did not run.
+	// Repeated: the response was recorded for an earlier job, and this one did not run.
 	Repeated bool
 }
 
-// NotRun reports whether the job surely did not run and will not.
+// NotRun reports whether the job is known not to have run and not to run later.
 func (a Answer) NotRun() bool { return a.Err != nil && code.Of(a.Err).Ran() == "no" }
 
-// Refuse answers for a job that did not run.
+// Refuse returns the answer to a job that did not run.
 func Refuse(err error, wait time.Duration) Answer { return Answer{Err: err, RetryAfter: wait} }
 
-// Next is the rest of a job's way, Policy one decision on it.
+// Next runs the remaining steps of a job.
 type Next func(*Job, *Response) Answer
 
-// Policy may answer by itself, or call next and do something before and after.
+// Policy is one step in serving a job. It answers the job itself, or calls next and acts before and
+// after it.
 type Policy interface {
 	Do(j *Job, w *Response, next Next) Answer
 }
 
-// Chain joins policies in order before the last step.
+// Chain applies policies in order before the last step.
 func Chain(last Next, policies ...Policy) Next {
 	for i := len(policies) - 1; i >= 0; i-- {
 		policy, next := policies[i], last
@@ -46,47 +47,48 @@
 	return last
 }
 
-// Response is the way back to the caller. Once it has begun, the answer can only end
-// complete or be broken off.
+// Response forwards a runner's response to the caller. Once the head is sent, the response can only
+// be completed or aborted.
 type Response struct {
 	w              http.ResponseWriter
 	headSent       bool
 	collect        bool
 	data           bytes.Buffer
 	events         int
-	runner         string    // the runner whose answer is forwarded
+	runner         string    // the runner whose response is forwarded
 	onFirstEvent   func()    // called at the first event
-	bodySent       bool      // more than the head
-	lastProgressAt time.Time // when the job was sent or the last event came
+	bodySent       bool      // more than the head was written
+	lastProgressAt time.Time // when the job was sent or the last event was received
 	lastEventID    string    // id of the last event forwarded; empty: it has none
-	// resumption drops events that the caller has had from an earlier run, resumable tells
-	// that there may be one, and callerHas is the id up to which the caller says it has them.
+	// resumption drops events that the caller received from an earlier run, resumable reports
+	// whether the stream can be resumed, and callerLastEventID is the last event that the caller
+	// states it has received.
 	resumption        resumption
 	resumable         bool
 	callerLastEventID string
-	// beforeComplete, if set, is called with a complete answer before any of it is forwarded.
+	// beforeComplete, if set, is called with a complete response before any of it is forwarded.
 	beforeComplete func(r *http.Response, body []byte)
 }
 
-// Begun reports whether the caller has seen the head.
+// Begun reports whether the head was sent to the caller.
 func (response *Response) Begun() bool { return response.headSent }
 
-// canResume reports whether another run can go on from what the caller was handed: nothing,
-// only the head, or a resumable stream whose last event has a name.
+// canResume reports whether another run can continue what the caller has received: nothing, only
+// the head, or a resumable stream whose last event has an id.
 func (response *Response) canResume(resumable bool) bool {
 	return !response.headSent || resumable && (response.lastEventID != "" || !response.bodySent)
 }
 
-// Events counts the events forwarded.
+// Events returns the number of events forwarded.
 func (response *Response) Events() int { return response.events }
 
-// Collect keeps the data of what is forwarded; Text gives it.
+// Collect makes the response keep the event data that it forwards, for Text.
 func (response *Response) Collect() { response.collect = true }
 
-// Text is the data kept since Collect.
+// Text returns the event data kept since Collect.
 func (response *Response) Text() []byte { return response.data.Bytes() }
 
-// Headers that concern one connection only.
+// hopByHopHeaders apply to a single connection.
 var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -99,7 +101,7 @@
 	"Upgrade":             true,
 }
 
-// copyHeaders copies headers, less those of one connection.
+// copyHeaders copies all end-to-end headers, and not Content-Length.
 func copyHeaders(to, from http.Header) {
 	connectionHeaders := map[string]bool{}
 	for _, list := range from["Connection"] {
@@ -114,7 +116,7 @@
 	}
 }
 
-// head passes a runner's head on.
+// writeHead forwards the head of a runner's response.
 func (response *Response) writeHead(r *http.Response) {
 	if response.headSent {
 		return
@@ -123,17 +125,17 @@
 	header := response.w.Header()
 	copyHeaders(header, r.Header)
 	if _, ok := header["Content-Type"]; !ok {
-		// Nothing is guessed about the runner's bytes.
+		// Keeps net/http from guessing a content type.
 		header["Content-Type"] = nil
 	}
 	response.w.WriteHeader(r.StatusCode)
 }
 
-// errCaller: the caller can't be written to any more.
+// errCallerGone: the caller can't be written to anymore.
 var errCallerGone = errors.New("the caller has disconnected")
 
-// stream passes events on as they come, complete ones only, so that another run can
-// go on after the last. It ends without a failure only where the runner ended.
+// forwardStream forwards events as they arrive, complete ones only, so that another run can
+// continue after the last one. It returns nil only if the runner ended the stream.
 func (response *Response) forwardStream(r *http.Response) error {
 	reader := bufio.NewReaderSize(r.Body, 2048)
 	controller := http.NewResponseController(response.w)
@@ -157,14 +159,14 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		// What ends without a blank line is forwarded and is no event.
+		// Bytes at the end of the stream without a blank line are forwarded but are not an event.
 		complete := err == nil && isBlankLine(line) && len(event) > len(line)
 		if complete && response.resumption.isDuplicate(event) {
 			event = event[:0]
 			continue
 		}
 		if complete || err != nil && len(event) > 0 {
-			// Counted first: of a write that fails the caller may still get all.
+			// Counted before the write: the caller may receive everything even if the write fails.
 			if response.bodySent = true; complete {
 				response.recordEvent(event)
 			}
@@ -184,12 +186,12 @@
 	}
 }
 
-// maxEvent bounds one event.
+// maxEventBytes limits the size of one event.
 const maxEventBytes = 1 << 20
 
 func isBlankLine(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
-// recordEvent remembers an event's id and, if asked, its data.
+// recordEvent records an event's id and, after Collect, its data.
 func (response *Response) recordEvent(event []byte) {
 	hasData, hasID := false, false
 	for line := range bytes.Lines(event) {
@@ -220,11 +222,12 @@
 	}
 }
 
-// maxBuffered is what of an answer is held to prove that it is complete before its head
-// is forwarded; a longer one is passed as it comes and broken off if it breaks off.
+// maxBufferedBytes is how much of a response is buffered to prove that it is complete before its
+// head is forwarded. A longer response is forwarded as it arrives, and aborted if the runner's
+// response is cut off.
 const maxBufferedBytes = 256 << 10
 
-// complete passes an answer on that is no stream.
+// forwardWhole forwards a response that is not a stream.
 func (response *Response) forwardWhole(r *http.Response) error {
 	content, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBytes))
 	if err != nil {
@@ -256,7 +259,7 @@
 	return err
 }
 
-// replay hands on an answer that was recorded.
+// replay forwards a recorded response.
 func (response *Response) replay(status int, header http.Header, body []byte) error {
 	response.headSent = true
 	sent := response.w.Header()
@@ -269,7 +272,7 @@
 	return nil
 }
 
-// toCaller tells a caller that can't be written to from a runner that broke off.
+// callerWriter distinguishes a failed write to the caller from a failed read from the runner.
 type callerWriter struct{ w io.Writer }
 
 func (c callerWriter) Write(b []byte) (int, error) {
--- a/internal/dataplane/request/proxy/resumption.go
+++ b/internal/dataplane/request/proxy/resumption.go
@@ -5,30 +5,29 @@
 	"strconv"
 )
 
-// resumption keeps the events of a stream that is taken up again from reaching the caller
-// twice, whether or not the run that takes it up heeds Last-Event-Id. The zero resumption
-// repeats nothing.
+// resumption drops events of a resumed stream that the caller has already received, whether or not
+// the resuming run respects Last-Event-Id. The zero value drops nothing.
 type resumption struct {
-	after     string          // id of the last event that the caller has; empty: it has none
-	replaying bool            // this run has brought an event that the caller has
-	seen      map[string]bool // ids that the caller was handed, where they are no numbers
+	after     string          // id of the last event that the caller received; empty: none
+	replaying bool            // this run has sent an event that the caller already received
+	seen      map[string]bool // non-numeric ids that the caller received
 }
 
-// maxNamedEvents bounds the ids kept of a stream whose ids are no numbers.
+// maxNonNumericIDs limits the non-numeric ids kept per stream.
 const maxNonNumericIDs = 4096
 
-// begin is called where a run begins whose events the caller has up to an id.
+// begin starts a run after which the caller has events up to the given id.
 func (r *resumption) begin(after string) { r.after, r.replaying = after, false }
 
-// repeats reports whether the caller has an event already. Once one comes that the caller
-// has not, those that follow it are new as well.
+// isDuplicate reports whether the caller already received an event. After the first new event, all
+// later ones are new as well.
 func (r *resumption) isDuplicate(event []byte) bool {
 	if r.after == "" {
 		return false
 	}
 	id, hasID := eventID(event)
 	if !hasID {
-		// Between events that the caller has stands what it has as well.
+		// An event without an id between received events was received as well.
 		return r.replaying
 	}
 	if r.seen[id] || id == r.after || precedes(id, r.after) {
@@ -39,7 +38,7 @@
 	return false
 }
 
-// handedOn remembers an event that the caller was handed.
+// recordID records an event that was forwarded to the caller.
 func (r *resumption) recordID(id string) {
 	if _, err := strconv.ParseUint(id, 10, 64); err == nil || len(r.seen) >= maxNonNumericIDs {
 		return
@@ -50,7 +49,7 @@
 	r.seen[id] = true
 }
 
-// risesTo reports whether an id comes before another in the order of numbers.
+// precedes reports whether an id is a number below another one.
 func precedes(id, later string) bool {
 	a, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
@@ -60,7 +59,7 @@
 	return err == nil && a < b
 }
 
-// eventID is the id that an event names.
+// eventID returns the id field of an event.
 func eventID(event []byte) (id string, hasID bool) {
 	for line := range bytes.Lines(event) {
 		field, value, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -12,7 +12,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// pickByWeight is the service that a draw falls to.
+// pickByWeight selects a service by weight. The same hash always selects the same service.
 func pickByWeight(shares []spec.Share, draw uint64) string {
 	total := int64(0)
 	for _, share := range shares {
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// broadcast wakes all who wait for a free place.
+// broadcast wakes all waiters when a slot becomes free.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
@@ -51,15 +51,16 @@
 	b.ch = make(chan struct{})
 }
 
-// refillTimes remembers since when zones are in use again: their runners may have
-// lost their caches while they were not.
+// reactivationTimes records when zones that were emptied came back into use: their runners may have
+// lost their caches in between.
 type reactivationTimes struct {
 	mu            sync.Mutex
 	empty         map[string]bool
 	reactivatedAt map[string]time.Time
 }
 
-// observe compares with the zones emptied now, and gives since when one is in use.
+// observe updates the record with the zones that are empty now, and returns when the given zone
+// came back into use, or the zero time.
 func (times *reactivationTimes) observe(emptyZones []string, zone string) time.Time {
 	times.mu.Lock()
 	defer times.mu.Unlock()
@@ -79,10 +80,10 @@
 	return times.reactivatedAt[zone]
 }
 
-// pick finds a runner that may be sent this job now.
+// pick selects a runner that the job may be sent to now.
 func (handler *Handler) pick(j *Job, tried map[string]bool) (*endpoints.Runner, bool) {
-	view := handler.dependencies.View()
-	list := handler.dependencies.Endpoints.Current()
+	view := handler.deps.View()
+	list := handler.deps.Endpoints.Current()
 	key, prefix := "", ""
 	switch {
 	case j.Service.Engine != nil && j.BudgetReserved:
@@ -94,17 +95,17 @@
 	case j.Path.Affine:
 		key = j.AffinityKey
 	}
-	return handler.dependencies.Load.Pick(
+	return handler.deps.Load.Pick(
 		Selection{
 			Service:        j.Service,
 			List:           list,
-			Zone:           handler.dependencies.Self.Zone,
+			Zone:           handler.deps.Self.Zone,
 			Key:            key,
 			PreviousRunner: j.PreviousRunner,
 			Prefix:         prefix,
 			Allowed: func(r *endpoints.Runner) bool {
 				return !tried[r.ID] && !view.Spec.Empty(r.Zone) &&
-					(handler.dependencies.Cooldowns.Idle() || handler.dependencies.Cooldowns.GateOpen(cooldownKey(r)))
+					(handler.deps.Cooldowns.Idle() || handler.deps.Cooldowns.GateOpen(cooldownKey(r)))
 			},
 			WarmingUp: func(r *endpoints.Runner) bool {
 				if j.Service.WarmupRate <= 0 {
@@ -114,11 +115,13 @@
 				if time.Since(list.ReadAt) < warmingUp {
 					return true
 				}
-				// Since its zone is in use again it may be warming up, until a list read well
-				// after says that it is not.
+				// After its zone came back into use a runner may be warming up, until a list read
+				// well after that proves otherwise.
 				reactivatedAt := handler.zoneReactivations.observe(view.Spec.EmptyZones, r.Zone)
-				return !reactivatedAt.IsZero() && list.ReadAt.Before(reactivatedAt.Add(handler.params.ListMaxAge)) &&
-					time.Since(reactivatedAt) < time.Duration(j.Service.WarmupMs)*time.Millisecond+handler.params.ListMaxAge
+				return !reactivatedAt.IsZero() &&
+					list.ReadAt.Before(reactivatedAt.Add(handler.params.ListMaxAge)) &&
+					time.Since(reactivatedAt) <
+						time.Duration(j.Service.WarmupMs)*time.Millisecond+handler.params.ListMaxAge
 			},
 			WarmupShares: func(r *endpoints.Runner) int { return handler.warmupNodes(r, j.Service.WarmupRate) },
 			Repeatable:   j.Repeatable(),
@@ -128,18 +131,18 @@
 
 func cooldownKey(r *endpoints.Runner) string { return "runner/" + r.ID }
 
-// shares is among how many nodes a warming runner's rate is assigned, 0 where this one
-// has no part: the few edges that the runner's id points to.
+// warmupNodes returns how many nodes share a warming runner's rate, or 0 if this node has no share.
+// The nodes are the few edges with the highest rendezvous hash for the runner.
 func (handler *Handler) warmupNodes(r *endpoints.Runner, perS float64) int {
 	maxNodes := WarmupNodes
 	if perS < 1 {
-		// Each may send one at once, which is most of what so slow a runner bears.
+		// Each node may send one job at once, which is most of what such a slow runner can take.
 		maxNodes--
 	}
-	ownHash := rendezvousHash(handler.dependencies.Self.Id, r.ID)
-	edges, higher := 1, 0 // this one counts, whatever the others think of it
-	for _, member := range handler.dependencies.Members() {
-		if member.Role != "edge" || !member.Live || member.Id == handler.dependencies.Self.Id {
+	ownHash := rendezvousHash(handler.deps.Self.Id, r.ID)
+	edges, higher := 1, 0 // this node counts itself, even if it is not listed as live
+	for _, member := range handler.deps.Members() {
+		if member.Role != "edge" || !member.Live || member.Id == handler.deps.Self.Id {
 			continue
 		}
 		edges++
@@ -153,8 +156,8 @@
 	return min(edges, maxNodes)
 }
 
-// selectRunner waits for a runner with a free place, as long as a part of the job's latency target,
-// and then gives whichever may be sent more than its capacity.
+// selectRunner waits for a runner with a free slot, for up to a fraction of the job's latency
+// target. After that it returns a runner that may be loaded beyond its capacity.
 func (handler *Handler) selectRunner(j *Job, tried map[string]bool) (*endpoints.Runner, Answer) {
 	latencyTarget := time.Duration(j.Path.LatencyTargetMs) * time.Millisecond
 	if latencyTarget == 0 {
@@ -169,9 +172,11 @@
 		}
 		holdLeft := min(time.Until(holdUntil), j.TimeLeft())
 		if runner == nil {
-			// Where a cooldown is all that stands in the way, a job is held as long as
-			// for a place and no longer: else it receives at once when to come back.
-			if untriedWait, anyWait := handler.cooldownWaits(j, tried); anyWait > 0 && (untriedWait <= 0 || untriedWait > holdLeft) {
+			// If only cooldowns prevent a send, the job is held until the first one ends, within
+			// the time that it would wait for a slot. If that is too short, the caller is told at
+			// once when to retry.
+			if untriedWait, anyWait := handler.cooldownWaits(j, tried); anyWait > 0 &&
+				(untriedWait <= 0 || untriedWait > holdLeft) {
 				return nil, Refuse(
 					code.New(
 						code.Cooling,
@@ -187,7 +192,7 @@
 			if runner == nil {
 				return nil, noRunner(j, "none may be sent a job now")
 			}
-			if !handler.dependencies.Load.BelowCapacity(runner, j.Service, handler.params.Overload) {
+			if !handler.deps.Load.BelowCapacity(runner, j.Service, handler.params.Overload) {
 				return nil, Refuse(
 					code.New(code.BacklogFull, "all runners of %s are full", j.Service.Name),
 					200*time.Millisecond,
@@ -204,28 +209,28 @@
 	}
 }
 
-// refusedWait is when a caller may come back whom one runner refused while others
-// are clear.
+// refusalRetryAfter is when a caller may retry a job that one runner refused while others are
+// available.
 const refusalRetryAfter = 100 * time.Millisecond
 
-// cooling tells when the first of a service's runners is clear again, 0 where not
-// all are cooling down: soon of those not tried yet, all of any. Runners that leave
-// or stand in an emptied zone count for nothing.
+// cooldownWaits returns when the first of a service's runners leaves its cooldown, or 0 if one is
+// available: untriedWait among those not tried yet, anyWait among all. Runners that are draining or
+// in an emptied zone are ignored.
 func (handler *Handler) cooldownWaits(j *Job, tried map[string]bool) (untriedWait, anyWait time.Duration) {
-	if handler.dependencies.Cooldowns.Idle() {
+	if handler.deps.Cooldowns.Idle() {
 		return 0, 0
 	}
-	view := handler.dependencies.View()
-	for _, runner := range handler.dependencies.Endpoints.Current().Of(j.Service.Name) {
+	view := handler.deps.View()
+	for _, runner := range handler.deps.Endpoints.Current().Of(j.Service.Name) {
 		if runner.Draining || view.Spec.Empty(runner.Zone) {
 			continue
 		}
-		wait := handler.dependencies.Cooldowns.KnownWait(cooldownKey(runner))
+		wait := handler.deps.Cooldowns.KnownWait(cooldownKey(runner))
 		switch {
 		case wait <= 0 && !tried[runner.ID]:
 			return 0, 0
 		case wait <= 0:
-			// It was tried, and something else stands against it.
+			// It was tried, and refused for another reason than a cooldown.
 			continue
 		}
 		if anyWait == 0 || wait < anyWait {
--- a/internal/dataplane/request/proxy/send.go
+++ b/internal/dataplane/request/proxy/send.go
@@ -15,10 +15,10 @@
 	"damsontiller/internal/transport/code"
 )
 
-// unreachableWait is when a caller may come back whose runner could not be dialled.
+// dialFailureRetryAfter is when a caller may retry a job whose runner could not be dialed.
 const dialFailureRetryAfter = 150 * time.Millisecond
 
-// exchange is one send of a job to a runner, and its answer.
+// exchange is one send of a job to a runner and the runner's response.
 type exchange struct {
 	handler  *Handler
 	job      *Job
@@ -27,21 +27,34 @@
 	conn     *conn
 
 	admitted     *cooldown.Admission
-	nothingSent  bool      // the caller has seen nothing of an answer yet
-	eventsBefore int       // forwarded before it
-	sentAt       time.Time // when the request began to go out
-	firstEventAt time.Time // when its first event came; zero: none has
+	nothingSent  bool      // the caller has received nothing of a response yet
+	eventsBefore int       // events forwarded before this send
+	sentAt       time.Time // when sending the request began
+	firstEventAt time.Time // when the first event was received; zero: none yet
 
-	stopWatching func() bool   // ends the watch over the deadline; false: it has struck
-	idleTime     time.Duration // how long the connection may be kept; 0: it has no clean end
+	stopWatching func() bool   // stops enforcing the deadline; false: it has already taken effect
+	idleTime     time.Duration // how long the connection may stay idle for reuse; 0: it did not end cleanly
 }
 
-// send passes a job to one runner.
-func (handler *Handler) send(j *Job, response *Response, runner *endpoints.Runner, admitted *cooldown.Admission) attemptResult {
-	firstEvent, done := handler.dependencies.Load.Begin(runner.ID, j.PromptTokens+j.MaxOutputTokens)
+// send sends a job to one runner and forwards the response.
+func (handler *Handler) send(
+	j *Job,
+	response *Response,
+	runner *endpoints.Runner,
+	admitted *cooldown.Admission,
+) attemptResult {
+	firstEvent, done := handler.deps.Load.Begin(runner.ID, j.PromptTokens+j.MaxOutputTokens)
 	defer func() { done(); handler.freeSlots.notify() }()
 	defer admitted.End()
-	x := &exchange{handler: handler, job: j, response: response, runner: runner, admitted: admitted, nothingSent: !response.headSent, eventsBefore: response.events}
+	x := &exchange{
+		handler:      handler,
+		job:          j,
+		response:     response,
+		runner:       runner,
+		admitted:     admitted,
+		nothingSent:  !response.headSent,
+		eventsBefore: response.events,
+	}
 	response.onFirstEvent = func() {
 		x.firstEventAt = time.Now()
 		firstEvent()
@@ -49,7 +62,7 @@
 	ctx, stop := context.WithDeadline(j, j.ResponseDeadline)
 	defer stop()
 	var err error
-	if x.conn, err = handler.dependencies.Pool.get(ctx, runner, false); err != nil {
+	if x.conn, err = handler.deps.Pool.get(ctx, runner, false); err != nil {
 		return x.dialFailed(ctx, err)
 	}
 	x.watch(ctx)
@@ -57,12 +70,12 @@
 	return x.roundTrip()
 }
 
-// unreachable sorts out a failed dial: nothing went out. The runner may have departed, or have
-// too many connections.
+// dialFailed handles a failed dial: nothing was sent. The runner may be gone, or have too many
+// connections.
 func (x *exchange) dialFailed(ctx context.Context, err error) attemptResult {
 	if ctx.Err() == nil {
-		x.handler.dependencies.Load.Avoid(x.runner.ID, x.handler.params.Avoid)
-		x.handler.dependencies.Load.Watch.Failure(x.runner.ID)
+		x.handler.deps.Load.Avoid(x.runner.ID, x.handler.params.Avoid)
+		x.handler.deps.Load.Watch.Failure(x.runner.ID)
 	}
 	return attemptResult{
 		outcome:    retry.NotRun,
@@ -71,29 +84,29 @@
 	}
 }
 
-// watch lets the connection observe the deadline, and of a caller that has left.
+// watch closes the connection to further I/O at the deadline, or when the caller disconnects.
 func (x *exchange) watch(ctx context.Context) {
 	_ = x.conn.netConn.SetDeadline(x.job.ResponseDeadline)
 	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.netConn.SetDeadline(time.Unix(1, 0)) })
 }
 
-// keep marks the end of an answer as clean: the connection may serve another job.
+// markReusable allows the connection to be reused after a clean end of the response.
 func (x *exchange) markReusable(answer *reply) {
 	if !answer.skippedOthers {
-		x.idleTime = x.handler.dependencies.Pool.keepAliveTime(answer.Response)
+		x.idleTime = x.handler.deps.Pool.keepAliveTime(answer.Response)
 	}
 }
 
-// release gives the connection back after a clean end, and closes it otherwise.
+// release returns the connection to the pool after a clean end, and closes it otherwise.
 func (x *exchange) release() {
 	if !x.stopWatching() || x.idleTime <= 0 {
 		x.conn.netConn.Close()
 		return
 	}
-	x.handler.dependencies.Pool.put(x.runner, x.conn, x.idleTime)
+	x.handler.deps.Pool.put(x.runner, x.conn, x.idleTime)
 }
 
-// do writes the request and takes its answer.
+// roundTrip sends the request and handles the response.
 func (x *exchange) roundTrip() attemptResult {
 	if !x.handler.mayStillSend(x.runner) {
 		return attemptResult{
@@ -111,16 +124,16 @@
 	if err := writeRequest(x.conn.netConn, request); err != nil {
 		return x.incompleteResult(err)
 	}
-	answer, err := x.conn.readAnswer(request, x.job.Attempt, x.handler.dependencies.Headers.ReadResponse)
+	answer, err := x.conn.readAnswer(request, x.job.Attempt, x.handler.deps.Headers.ReadResponse)
 	if err != nil {
 		return x.incompleteResult(err)
 	}
 	return x.handle(answer)
 }
 
-// stillAllowed checks right before the first byte whether the job may still go out: an edge that
-// slept wakes up here, and nothing goes out past the deadline, nor to a runner that may
-// not be sent to any more.
+// stillAllowed checks right before the first byte whether the job may still be sent. The process
+// may have been suspended since the last check: nothing may be sent past the deadline, or to a
+// runner that no longer accepts jobs.
 func (x *exchange) stillAllowed() (attemptResult, bool) {
 	if x.job.TimeLeft() <= 0 || x.job.Err() != nil {
 		return attemptResult{outcome: retry.NotRun, err: code.New(code.DeadlinePassed, "no time is left")}, false
@@ -130,7 +143,7 @@
 		return attemptResult{outcome: retry.NotRun, err: err, final: true}, false
 	}
 	if !x.admitted.StillValid(x.job, x.job.TimeLeft()) {
-		wait := x.handler.dependencies.Cooldowns.KnownWait(cooldownKey(x.runner))
+		wait := x.handler.deps.Cooldowns.KnownWait(cooldownKey(x.runner))
 		return attemptResult{
 			outcome:    retry.NotRun,
 			retryAfter: wait,
@@ -140,11 +153,11 @@
 	return attemptResult{}, true
 }
 
-// handle sorts out an answer that names the job. Its body is not closed: that would read it
-// to its end, and who is done with an answer early is done with its connection.
+// handle processes a response that names the job. It does not close the body: that would read the
+// body to its end, while a response abandoned early also ends its connection.
 func (x *exchange) handle(answer *reply) attemptResult {
 	if answer.info.WarmupRemaining > 0 {
-		x.handler.dependencies.Load.MarkWarmingUp(x.runner.ID, answer.info.WarmupRemaining)
+		x.handler.deps.Load.MarkWarmingUp(x.runner.ID, answer.info.WarmupRemaining)
 	}
 	if answer.info.NotRun || answer.info.OtherRunner {
 		return x.classifyRefusal(answer)
@@ -161,12 +174,12 @@
 	}
 	x.markReusable(answer)
 	if answer.success() {
-		x.handler.dependencies.Load.Watch.Success(x.runner.ID, x.duration())
+		x.handler.deps.Load.Watch.Success(x.runner.ID, x.duration())
 	}
 	return attemptResult{outcome: retry.Answered, success: answer.success(), sent: true}
 }
 
-// handOn passes an answer to the caller, as it comes or complete.
+// forwardAnswer forwards a response to the caller, as a stream or as a whole.
 func (x *exchange) forwardAnswer(answer *reply) error {
 	if x.job.Path.Kind == spec.Stream && answer.success() {
 		return x.response.forwardStream(answer.Response)
@@ -174,11 +187,11 @@
 	return x.response.forwardWhole(answer.Response)
 }
 
-// record tells cooldowns and outlier detection what an answer says of its runner.
+// record reports a response to the cooldowns and to outlier detection.
 func (x *exchange) record(answer *reply) {
 	if x.job.View.Spec.Cooldown.Refusal(answer.StatusCode) {
-		// A rate limit all the same, where it does not say that the job did not run.
-		x.handler.dependencies.Cooldowns.RecordRefusal(x.job, cooldownKey(x.runner), cooldown.RetryAfter(answer.Header))
+		// The status counts as a rate limit even without a statement that the job did not run.
+		x.handler.deps.Cooldowns.RecordRefusal(x.job, cooldownKey(x.runner), cooldown.RetryAfter(answer.Header))
 	}
 	if answer.success() {
 		x.admitted.Succeeded()
@@ -186,13 +199,13 @@
 	}
 	switch {
 	case x.isUnhealthy(answer):
-		x.handler.dependencies.Load.Watch.Failure(x.runner.ID)
+		x.handler.deps.Load.Watch.Failure(x.runner.ID)
 	case !answer.success():
-		x.handler.dependencies.Load.Watch.Success(x.runner.ID, outlier.Duration{})
+		x.handler.deps.Load.Watch.Success(x.runner.ID, outlier.Duration{})
 	}
 }
 
-// duration is how long a success took, for outlier detection.
+// duration returns how long a successful response took, for outlier detection.
 func (x *exchange) duration() outlier.Duration {
 	took := outlier.Duration{Path: x.job.Path.Name}
 	switch events := x.response.events - x.eventsBefore; {
@@ -207,16 +220,18 @@
 	return took
 }
 
-// may reports whether a runner may still be sent to: dialling takes a while.
+// mayStillSend reports whether a runner may still be sent jobs; its state may have changed during
+// the dial.
 func (handler *Handler) mayStillSend(runner *endpoints.Runner) bool {
-	current := handler.dependencies.Endpoints.Current().Get(runner.ID)
-	return current != nil && !current.Draining && current.Addr == runner.Addr && !handler.dependencies.View().Spec.Empty(runner.Zone)
+	current := handler.deps.Endpoints.Current().Get(runner.ID)
+	return current != nil && !current.Draining && current.Addr == runner.Addr &&
+		!handler.deps.View().Spec.Empty(runner.Zone)
 }
 
-// maxRefusal bounds what is read past of a refusal, to use its connection again.
+// maxRefusalBytes limits how much of a refusal's body is read so that its connection can be reused.
 const maxRefusalBytes = 64 << 10
 
-// classifyRefusal sorts out a clear statement that the job did not run.
+// classifyRefusal handles a response that states that the job did not run.
 func (x *exchange) classifyRefusal(answer *reply) attemptResult {
 	result := x.applyRefusal(answer)
 	if n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxRefusalBytes)); err == nil && n < maxRefusalBytes {
@@ -225,26 +240,31 @@
 	return result
 }
 
-// applyRefusal is what a clear statement means for the job and for its runner.
+// applyRefusal applies a refusal to the job and to the runner's load and cooldown.
 func (x *exchange) applyRefusal(answer *reply) attemptResult {
 	result := attemptResult{outcome: retry.NotRun, sent: true, retryAfter: refusalRetryAfter}
-	load := x.handler.dependencies.Load
+	load := x.handler.deps.Load
 	switch {
 	case answer.info.OtherRunner:
-		// Somebody else has the address: the runner has departed.
+		// Another process has the address: the runner is gone.
 		load.Avoid(x.runner.ID, 10*x.handler.params.Avoid)
 		result.err = code.New(code.NoRunner, "runner %s is no longer at its address", x.runner.ID)
 	case answer.StatusCode == http.StatusConflict && x.job.deduplicated():
-		// The runners' own table has the operation under way: no word against this one.
+		// The runners' own deduplication table lists the operation as in progress, which says
+		// nothing against this runner.
 		result.inProgress, result.sent, result.retryAfter = true, false, inProgressRetryAfter
 		result.err = code.New(code.InProgress, "another request of this operation is under way")
 	case x.job.View.Spec.Cooldown.Refusal(answer.StatusCode):
-		result.retryAfter = x.handler.dependencies.Cooldowns.RecordRefusal(x.job, cooldownKey(x.runner), cooldown.RetryAfter(answer.Header))
+		result.retryAfter = x.handler.deps.Cooldowns.RecordRefusal(
+			x.job,
+			cooldownKey(x.runner),
+			cooldown.RetryAfter(answer.Header),
+		)
 		result.err = code.New(code.RunnerDrop, "runner %s refused with status %d", x.runner.ID, answer.StatusCode)
 	default:
 		if answer.info.WarmupRemaining == 0 && x.runner.WarmupRemainingMs == 0 &&
 			load.BelowCapacity(x.runner, x.job.Service, x.handler.params.Idle) {
-			// It has capacity and refuses all the same.
+			// It refuses although it has capacity.
 			load.Watch.Failure(x.runner.ID)
 		}
 		load.Avoid(x.runner.ID, x.handler.params.Avoid/20)
@@ -253,5 +273,5 @@
 	return result
 }
 
-// success reports whether an answer is one.
+// success reports whether the response has a success status.
 func (a *reply) success() bool { return a.StatusCode/100 == 2 }
--- a/internal/dataplane/request/proxy/tenant.go
+++ b/internal/dataplane/request/proxy/tenant.go
@@ -5,13 +5,13 @@
 	"damsontiller/internal/transport/code"
 )
 
-// authenticate finds the tenant of a job by the credential that its caller carries. Where the
-// table has no tenants, or the path asks for no credential, a job may have none.
+// authenticate finds a job's tenant by the request's credential. A job may have no tenant if the
+// table has none or if the path requires no credential.
 func (handler *Handler) authenticate(j *Job, index *spec.Index) error {
 	if len(j.View.Table.Tenants) == 0 {
 		return nil
 	}
-	if secret := handler.dependencies.Headers.Credential(j.Req); secret != "" {
+	if secret := handler.deps.Headers.Credential(j.Req); secret != "" {
 		j.Credential = spec.CredentialOf(secret)
 		j.Tenant = index.Tenant(j.Credential)
 	}
@@ -21,13 +21,13 @@
 	return nil
 }
 
-// stillAuthorized reports whether a job's credential is still its tenant's: a credential that
-// was withdrawn while the job waited must not let it run.
+// stillAuthorized reports whether a job's credential still belongs to its tenant. A job whose
+// credential is withdrawn while it waits must not run.
 func (handler *Handler) stillAuthorized(j *Job) bool {
 	if j.Tenant == nil {
 		return true
 	}
-	view := handler.dependencies.View()
+	view := handler.deps.View()
 	if view.Version == j.View.Version {
 		return true
 	}
@@ -35,11 +35,11 @@
 	return tenant != nil && tenant.Name == j.Tenant.Name
 }
 
-// tenantRanks is how many ranks of paths lie between two ranks of tenants.
+// pathRanksPerTenantRank is the number of path ranks within one tenant rank.
 const pathRanksPerTenantRank = 3
 
-// rank is a job's precedence, 0 first. The tenant's goes before the path's, which orders the
-// jobs of tenants of one rank.
+// rank returns a job's priority, 0 being the highest. The tenant's rank takes precedence; the
+// path's rank orders the jobs of tenants of equal rank.
 func (j *Job) rank() int {
 	if j.Tenant == nil || j.Tenant.Rank == nil {
 		return j.Path.Rank
--- a/internal/dataplane/request/proxy/verdict.go
+++ b/internal/dataplane/request/proxy/verdict.go
@@ -9,7 +9,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// notRunStatuses are the statuses by which callers learn that a job did not run.
+// notRunStatuses are the statuses that tell callers that a job did not run.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
@@ -17,8 +17,8 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// unusable tells why an answer that names the job may not be handed on, before anything
-// of it is.
+// unusable returns why a response that names the job must not be forwarded. It is called before any
+// of it is forwarded.
 func (x *exchange) unusable(answer *reply) error {
 	switch {
 	case answer.success() && !answer.info.Sealed:
@@ -26,21 +26,28 @@
 	case !hasKnownEnd(answer.Response):
 		return code.New(code.Incomplete, "an answer from %s that does not say where it ends", x.runner.ID)
 	case notRunStatuses[answer.StatusCode]:
-		// It does not say that it did not run the job, so neither may we.
+		// The runner does not state that it did not run the job, so the status must not say so to
+		// the caller.
 		return code.New(code.RunnerFailure, "runner %s answered %d", x.runner.ID, answer.StatusCode)
 	case x.response.headSent && !answer.success():
-		return code.New(code.RunnerFailure, "runner %s answered %d to what was to go on", x.runner.ID, answer.StatusCode)
+		return code.New(
+			code.RunnerFailure,
+			"runner %s answered %d to what was to go on",
+			x.runner.ID,
+			answer.StatusCode,
+		)
 	}
 	return nil
 }
 
-// hasKnownEnd reports whether an answer says where it ends; one that ends with its
-// connection can't be distinguished from one that was truncated.
+// hasKnownEnd reports whether a response states its length. A response that ends with its
+// connection can't be distinguished from a truncated one.
 func hasKnownEnd(response *http.Response) bool {
-	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || response.Request.Method == http.MethodHead
+	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 ||
+		response.Request.Method == http.MethodHead
 }
 
-// isUnhealthy reports whether an answer is one that a runner in order does not give.
+// isUnhealthy reports whether a healthy runner would not have sent this response.
 func (x *exchange) isUnhealthy(answer *reply) bool {
 	switch status := answer.StatusCode; {
 	case answer.success():
@@ -48,28 +55,28 @@
 	case x.job.View.Spec.Cooldown.Refusal(status):
 		return false
 	case status == http.StatusGatewayTimeout:
-		// The time was over: whose fault that is tells how long it took.
+		// The deadline passed: the elapsed time tells whether the runner is at fault.
 		return x.hung()
 	default:
 		return status/100 == 5 || notRunStatuses[status]
 	}
 }
 
-// hung reports whether nothing has been received of the job for far longer than is usual.
+// hung reports whether the job has received nothing for far longer than usual.
 func (x *exchange) hung() bool {
-	return x.handler.dependencies.Load.Watch.Hung(x.job.Path.Name, time.Since(x.response.lastProgressAt))
+	return x.handler.deps.Load.Watch.Hung(x.job.Path.Name, time.Since(x.response.lastProgressAt))
 }
 
-// outcomeOfLoss sorts out a send without a complete response: it may have run.
+// incompleteResult handles a send without a complete response: the job may have run.
 func (x *exchange) incompleteResult(err error) attemptResult {
-	load := x.handler.dependencies.Load
+	load := x.handler.deps.Load
 	disconnected := x.job.Err() == nil && !isTimeout(err)
 	if disconnected || x.hung() {
-		// Who receives nothing for very long receives it from a runner that hangs.
+		// Receiving nothing for very long indicates that the runner hangs.
 		load.Watch.Failure(x.runner.ID)
 	}
 	if disconnected {
-		// A reset may be a runner that goes; a timeout is the job's own.
+		// A reset may mean that the runner is terminating; a timeout is the job's own.
 		load.Avoid(x.runner.ID, x.handler.params.Avoid/4)
 		if errors.Is(err, syscall.ECONNRESET) && x.conn.unused {
 			load.Avoid(x.runner.ID, x.handler.params.Avoid)
--- a/internal/dataplane/request/proxy/warmup.go
+++ b/internal/dataplane/request/proxy/warmup.go
@@ -6,12 +6,12 @@
 	"golang.org/x/time/rate"
 )
 
-// WarmupNodes is how many nodes a warming runner's rate is assigned to. Each may send one at
-// once on top of its part of the rate, so they are few; who they are follows from
-// the runner's id, the same on every node.
+// WarmupNodes is the number of nodes that share a warming runner's rate. Each may send one job at
+// once on top of its share, so the number is small. The nodes are selected by the runner's id, so
+// that all nodes select the same ones.
 const WarmupNodes = 4
 
-// warming up reports whether this node may send a warming runner one more job now.
+// allowWarmup reports whether this node may send one more job to a warming runner now.
 func (load *runnerLoad) allowWarmup(perS float64, nodes int) bool {
 	if perS <= 0 || nodes == 0 {
 		return false
@@ -21,17 +21,17 @@
 	case load.warmupLimiter == nil:
 		load.warmupLimiter, load.warmupRate = rate.NewLimiter(rate.Limit(share), 1), share
 	case load.warmupRate != share:
-		// The same bucket goes on: a new one would be full at each change of the members.
+		// Keeps the token bucket: a new one would be full at each change of membership.
 		load.warmupLimiter.SetLimit(rate.Limit(share))
 		load.warmupRate = share
 	}
 	return load.warmupLimiter.Allow()
 }
 
-// rateShare is one node's part of a rate. A second holds as many jobs as its part rounded
-// up. Where views of the members differ by two, two more nodes take a part, so a part
-// that is hardly more than an integer is that number: six parts of a quarter each
-// then stay within half again the rate and five.
+// rateShare returns one node's share of a rate. Each node sends at most its share, rounded up, per
+// second. While the nodes' views of the membership differ by two, two more nodes take a share. A
+// share slightly above an integer is therefore rounded down to it: six shares of a quarter each
+// then stay within 1.5 times the rate plus 5.
 func rateShare(perS float64, nodes int) float64 {
 	share := perS / float64(nodes)
 	if whole := math.Floor(share); whole >= 1 && share-whole < 1.0/6 {
