--- a/internal/dataplane/request/proxy/fuzz_test.go
+++ b/internal/dataplane/request/proxy/fuzz_test.go
@@ -11,18 +11,18 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// taken is what became of bytes that were read as a runner's answer.
+// readResult is the outcome of reading bytes as a runner's response.
 type readResult struct {
-	success bool // handed on as a unit success
-	refused bool // taken for the statement that the job did not run
-	used    int  // bytes read for it
+	success bool // forwarded as a complete success
+	refused bool // accepted as a statement that the job did not run
+	used    int  // bytes consumed
 	body    string
 }
 
-// takeAnswer reads bytes as the answer to the try "a".
+// readAsAnswer reads bytes as the response to attempt "a".
 func readAsAnswer(b []byte, kind string) readResult {
-	left := bytes.NewReader(b)
-	c := &conn{reader: bufio.NewReader(left)}
+	remaining := bytes.NewReader(b)
+	c := &conn{reader: bufio.NewReader(remaining)}
 	readResponse := func(r *http.Response) ResponseInfo {
 		return ResponseInfo{
 			Attempt: r.Header.Get("Try"),
@@ -37,16 +37,16 @@
 	w := httptest.NewRecorder()
 	x := &exchange{job: &Job{Path: &spec.Path{Kind: kind}}, response: &Response{w: w}, runner: &endpoints.Runner{ID: "i-1"}, conn: c}
 	if a.info.NotRun {
-		return readResult{refused: true, used: len(b) - left.Len() - c.reader.Buffered()}
+		return readResult{refused: true, used: len(b) - remaining.Len() - c.reader.Buffered()}
 	}
 	if x.unusable(a) != nil || x.forwardAnswer(a) != nil {
 		return readResult{}
 	}
-	return readResult{success: a.success(), used: len(b) - left.Len() - c.reader.Buffered(), body: w.Body.String()}
+	return readResult{success: a.success(), used: len(b) - remaining.Len() - c.reader.Buffered(), body: w.Body.String()}
 }
 
-// FuzzAnswer: whatever a runner sends, reading it ends; and where it is taken for a complete
-// success or for a refusal, no shorter beginning of it would have been.
+// FuzzAnswer checks that reading any bytes from a runner ends, and that no proper prefix of a
+// response accepted as a complete success or a refusal would have been accepted.
 func FuzzAnswer(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nTry: a\r\nSeal: s\r\n"
 	for _, s := range []string{
@@ -79,8 +79,8 @@
 			return
 		}
 		for n := range complete.used {
-			if segment := readAsAnswer(b[:n], kind); segment.success || segment.refused {
-				t.Fatalf("%d of %d bytes are taken for %+v", n, complete.used, segment)
+			if partial := readAsAnswer(b[:n], kind); partial.success || partial.refused {
+				t.Fatalf("%d of %d bytes are accepted as %+v", n, complete.used, partial)
 			}
 		}
 	})
--- a/internal/dataplane/request/proxy/operation.go
+++ b/internal/dataplane/request/proxy/operation.go
@@ -55,8 +55,8 @@
 	RetryInterval: 500 * time.Millisecond,
 }
 
-// A request whose operation is in progress elsewhere polls for its outcome for a limited time,
-// since the other request will most likely end soon. Then the caller is told when to retry.
+// A request whose operation is in progress elsewhere polls the claim for a limited time, since the
+// other request will most likely end soon. Then the caller is told when to retry.
 const (
 	inProgressMaxWait      = time.Second
 	inProgressPollInterval = 50 * time.Millisecond
@@ -133,8 +133,8 @@
 // waitForOperation waits one poll interval before a job is retried whose operation is in progress
 // elsewhere. It returns false if the job has waited long enough or is canceled.
 func (j *Job) waitForOperation() bool {
-	patience := min(inProgressMaxWait, j.ResponseDeadline.Sub(j.Arrived)/2)
-	return time.Since(j.Arrived)+inProgressPollInterval < patience && loop.Wait(j, inProgressPollInterval)
+	maxWait := min(inProgressMaxWait, j.ResponseDeadline.Sub(j.Arrived)/2)
+	return time.Since(j.Arrived)+inProgressPollInterval < maxWait && loop.Wait(j, inProgressPollInterval)
 }
 
 // Do claims the job's operation and forwards the job, or answers it from the existing claim.
@@ -157,8 +157,8 @@
 		case claim.Deduplicates && operations.useClaimedService(j, claim):
 			return next(j, response)
 		case claim.Deduplicates:
-			const why = "the path leads no more to the service that ran the operation"
-			return Answer{Err: code.New(code.OutcomeUnknown, why)}
+			const message = "the path leads no more to the service that ran the operation"
+			return Answer{Err: code.New(code.OutcomeUnknown, message)}
 		case !operations.ownerAlive(claim):
 			return Answer{Err: code.New(code.OutcomeUnknown, "the node that ran the operation has ended")}
 		case !j.waitForOperation():
--- a/internal/dataplane/request/proxy/outlier_test.go
+++ b/internal/dataplane/request/proxy/outlier_test.go
@@ -12,96 +12,96 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// TestPickOutliers: an ejected runner is picked for its trial and where nobody
-// else is left, a doubted one where nobody else has a place; a slow one once the
-// others are so many times as loaded.
+// TestPickOutliers checks that an ejected runner is selected only for its trial or if no other is
+// left, a suspected one only if no other has capacity, and a slow one only once the others are
+// loaded several times as much.
 func TestPickOutliers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, list := NewLoad(), runners(4, 4, "a")
-		ask := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: anyRunner, WarmingUp: noRunners}
-		pick := func(ask Selection) string {
-			if r, _ := l.Pick(ask); r != nil {
+		selection := Selection{Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: anyRunner, WarmingUp: noRunners}
+		pick := func(selection Selection) string {
+			if r, _ := l.Pick(selection); r != nil {
 				return r.ID
 			}
 			return ""
 		}
-		never := func(id string, ask Selection) {
+		never := func(id string, selection Selection) {
 			t.Helper()
 			for range 50 {
-				if pick(ask) == id {
+				if pick(selection) == id {
 					t.Errorf("%s was picked", id)
 					return
 				}
 			}
 		}
-		homed, repeatable := ask, ask
-		homed.PreviousRunner, repeatable.Repeatable = "i-a0", true
+		withPrevious, repeatable := selection, selection
+		withPrevious.PreviousRunner, repeatable.Repeatable = "i-a0", true
 
 		l.Watch.Update(outlier.Verdict{Ejected: []outlier.Ejected{{ID: "i-a0"}}})
-		never("i-a0", ask)
-		never("i-a0", homed)
-		only := ask
+		never("i-a0", selection)
+		never("i-a0", withPrevious)
+		only := selection
 		only.Allowed = func(r *endpoints.Runner) bool { return r.ID == "i-a0" }
 		if pick(only) != "i-a0" {
-			t.Error("nobody rather than the ejected one")
+			t.Error("the ejected runner was not picked although no other is allowed")
 		}
 
 		l.Watch.Update(outlier.Verdict{Ejected: []outlier.Ejected{{ID: "i-a0", Trial: true}}})
-		never("i-a0", ask)
+		never("i-a0", selection)
 		if pick(repeatable) != "i-a0" {
-			t.Error("the trial was not made")
+			t.Error("the ejected runner was not picked for its trial")
 		}
 		never("i-a0", repeatable)
 
-		// One failure is no reason to leave where the prompts are held, two are.
+		// One failure is no reason to leave the runner that has the prompts cached; two are.
 		l.Watch.Update(outlier.Verdict{})
 		l.Watch.Failure("i-a0")
-		never("i-a0", ask)
-		if pick(homed) != "i-a0" {
-			t.Error("left its home after one failure")
+		never("i-a0", selection)
+		if pick(withPrevious) != "i-a0" {
+			t.Error("the previous runner was not picked after one failure")
 		}
 		l.Watch.Failure("i-a0")
-		never("i-a0", homed)
-		var done []func()
+		never("i-a0", withPrevious)
+		var release []func()
 		for _, id := range []string{"i-a1", "i-a2", "i-a3"} {
 			for range 4 {
-				_, out := l.Begin(id, 0)
-				done = append(done, out)
+				_, done := l.Begin(id, 0)
+				release = append(release, done)
 			}
 		}
-		if pick(ask) != "i-a0" {
-			t.Error("the others are full, and the doubted one was not picked")
+		if pick(selection) != "i-a0" {
+			t.Error("the others are full, and the suspected runner was not picked")
 		}
-		for _, f := range done {
+		for _, f := range release {
 			f()
 		}
-		// Who suspects many is at fault itself.
+		// A node that suspects many runners is more likely at fault itself.
 		l.Watch.Failure("i-a1")
 		seen := map[string]bool{}
 		for range 100 {
-			seen[pick(ask)] = true
+			seen[pick(selection)] = true
 		}
 		if len(seen) != 4 {
-			t.Errorf("two of four are doubted, picked %v", seen)
+			t.Errorf("two of four are suspected, picked %v", seen)
 		}
 		time.Sleep(5 * time.Second)
 
 		l.Watch.Update(outlier.Verdict{Slow: map[string]float64{"i-a0": 3}})
-		never("i-a0", ask)
+		never("i-a0", selection)
 		for _, id := range []string{"i-a1", "i-a2", "i-a3"} {
 			for range 3 {
 				l.Begin(id, 0)
 			}
 		}
-		if pick(ask) != "i-a0" {
-			t.Error("others have three each, and the slow one none")
+		if pick(selection) != "i-a0" {
+			t.Error("the slow runner was not picked although idle, with three jobs at each other one")
 		}
 	})
 }
 
-// TestPickSomebody: whatever is said of the runners, somebody is picked while
-// anybody may be.
-func TestPickSomebody(t *testing.T) {
+// TestPickAlwaysSelects checks that a runner is selected in any combination of ejections, failures
+// and slowness, as long as one is allowed.
+func TestPickAlwaysSelects(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(rt, "runners")
 		l, list := NewLoad(), runners(2, n, "a")
@@ -121,7 +121,7 @@
 			}
 		}
 		l.Watch.Update(v)
-		ask := Selection{
+		selection := Selection{
 			Service:   &spec.Service{Name: "s"},
 			List:      list,
 			Zone:      "a",
@@ -136,8 +136,8 @@
 			),
 			Repeatable: rapid.Bool().Draw(rt, "repeatable"),
 		}
-		if r, _ := l.Pick(ask); r == nil {
-			rt.Fatal("nobody was picked")
+		if r, _ := l.Pick(selection); r == nil {
+			rt.Fatal("no runner was picked")
 		}
 	})
 }
--- a/internal/dataplane/request/proxy/proxy_test.go
+++ b/internal/dataplane/request/proxy/proxy_test.go
@@ -26,35 +26,36 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestPickByWeight: every service gets its weight, one draw always the same.
+// TestPickByWeight checks that each service is selected in proportion to its weight, and that the
+// same hash always selects the same service.
 func TestPickByWeight(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var to []spec.Share
-		sum := int64(0)
+		var shares []spec.Share
+		total := int64(0)
 		for i, w := range rapid.SliceOfN(rapid.Int64Range(0, 20), 0, 5).Draw(rt, "weights") {
-			to = append(to, spec.Share{Service: fmt.Sprint(i), Weight: w})
-			sum += w
-		}
-		got := map[string]int64{}
-		for draw := range uint64(sum) {
-			s := pickByWeight(to, draw)
-			if s != pickByWeight(to, draw+uint64(sum)) {
-				rt.Fatal("not by the lot alone")
+			shares = append(shares, spec.Share{Service: fmt.Sprint(i), Weight: w})
+			total += w
+		}
+		picks := map[string]int64{}
+		for hash := range uint64(total) {
+			s := pickByWeight(shares, hash)
+			if s != pickByWeight(shares, hash+uint64(total)) {
+				rt.Fatal("the selection does not depend on the hash alone")
 			}
-			got[s]++
+			picks[s]++
 		}
-		for _, s := range to {
-			if got[s.Service] != s.Weight {
-				rt.Fatalf("%s: %d of %d", s.Service, got[s.Service], s.Weight)
+		for _, s := range shares {
+			if picks[s.Service] != s.Weight {
+				rt.Fatalf("%s: %d of %d", s.Service, picks[s.Service], s.Weight)
 			}
 		}
-		if sum == 0 && pickByWeight(to, 5) != "" {
-			rt.Fatal("somebody got a lot of nothing")
+		if total == 0 && pickByWeight(shares, 5) != "" {
+			rt.Fatal("a service was selected although all weights are zero")
 		}
 	})
 }
 
-// feed passes a stream through Out and gives what the caller saw.
+// feed passes a stream through Response and returns what the caller received.
 func feed(response *Response, body io.Reader) (string, error) {
 	w := httptest.NewRecorder()
 	response.w = w
@@ -62,7 +63,7 @@
 	return w.Body.String(), err
 }
 
-// dribble gives at most n bytes at once, and at last an error.
+// chunkReader returns at most n bytes per read, and err at the end if it is set.
 type chunkReader struct {
 	r   io.Reader
 	n   int
@@ -77,11 +78,11 @@
 	return n, err
 }
 
-// TestEvents: what passes is unchanged, and its data, ids and count are read as the
-// standard says.
+// TestEvents checks that streams are forwarded unchanged, and that data, ids and events are parsed
+// as the standard for server-sent events requires.
 func TestEvents(t *testing.T) {
 	for _, tc := range []struct {
-		what, in, text, last string
+		name, in, text, last string
 		events               int
 	}{
 		{"plain", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "a\nb\n", "2", 2},
@@ -103,33 +104,33 @@
 			response := &Response{collect: true}
 			got, err := feed(response, &chunkReader{strings.NewReader(tc.in), n, nil})
 			if err != nil || got != tc.in {
-				t.Errorf("%s: passed %q, %v", tc.what, got, err)
+				t.Errorf("%s: passed %q, %v", tc.name, got, err)
 			}
 			if string(response.Text()) != tc.text || response.lastEventID != tc.last || response.events != tc.events {
-				t.Errorf("%s: text %q, last %q, %d events", tc.what, response.Text(), response.lastEventID, response.events)
+				t.Errorf("%s: text %q, last %q, %d events", tc.name, response.Text(), response.lastEventID, response.events)
 			}
 		}
 	}
 }
 
-// TestTruncatedEvent: of an event that is cut nothing is passed, and no truncation resembles an
-// end.
+// TestTruncatedEvent checks that nothing of a truncated event is forwarded, and that a truncated
+// stream never looks complete.
 func TestTruncatedEvent(t *testing.T) {
-	complete := "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata: d\n\n"
-	for n := range len(complete) {
+	stream := "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\ndata: d\n\n"
+	for n := range len(stream) {
 		response := &Response{}
-		got, err := feed(response, &chunkReader{strings.NewReader(complete[:n]), 5, io.ErrUnexpectedEOF})
+		got, err := feed(response, &chunkReader{strings.NewReader(stream[:n]), 5, io.ErrUnexpectedEOF})
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("cut after %d: %v", n, err)
+			t.Errorf("truncated after %d: %v", n, err)
 		}
-		if !strings.HasPrefix(complete, got) || got != "" && !strings.HasSuffix(got, "\n\n") ||
+		if !strings.HasPrefix(stream, got) || got != "" && !strings.HasSuffix(got, "\n\n") ||
 			response.events != strings.Count(got, "\n\n") {
-			t.Errorf("cut after %d: passed %q, %d events", n, got, response.events)
+			t.Errorf("truncated after %d: forwarded %q, %d events", n, got, response.events)
 		}
 	}
 }
 
-// endless is a stream that never ends an event.
+// endless is a stream whose event never ends.
 type endless string
 
 func (e endless) Read(b []byte) (int, error) {
@@ -140,8 +141,8 @@
 	return n, nil
 }
 
-// TestEventHuge: an event without an end is not held without bound, be it of one
-// line or of many.
+// TestEventHuge checks that an event without an end is buffered only up to the limit, whether it
+// has one line or many.
 func TestEventHuge(t *testing.T) {
 	for _, s := range []string{"x", "data: x\n"} {
 		if got, err := feed(&Response{}, endless(s)); code.Of(err) != code.Incomplete || got != "" {
@@ -154,8 +155,8 @@
 	}
 }
 
-// TestHop: what concerns one connection stays there, all else goes on unchanged.
-func TestHop(t *testing.T) {
+// TestCopyHeaders checks that hop-by-hop headers are dropped and all others are copied unchanged.
+func TestCopyHeaders(t *testing.T) {
 	from, to := http.Header{}, http.Header{}
 	for k := range hopByHopHeaders {
 		from[k] = []string{"x"}
@@ -169,8 +170,8 @@
 	}
 }
 
-// pair is a runner's connection on loopback, as the pool sees it: real sockets, so
-// that what lies unread in one is seen.
+// newTestPool returns a pool, a runner on loopback and a function that accepts the pool's next
+// connection. Real sockets are needed to detect unread bytes.
 func newTestPool(t *testing.T) (*Pool, *endpoints.Runner, func() net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -193,14 +194,14 @@
 	}
 }
 
-// TestPoolClean: a connection is used again after a clean end, and not where the
-// runner has closed it or said something unasked meanwhile, nor past its rest.
+// TestPoolClean checks that a connection is reused after a clean end, but not if the runner has
+// closed it or sent unexpected bytes since, or if its idle time is over.
 func TestPoolClean(t *testing.T) {
 	for _, tc := range []struct {
-		what   string
-		rest   time.Duration
-		spoil  func(c *conn, r net.Conn)
-		reused bool
+		name     string
+		idleTime time.Duration
+		spoil    func(c *conn, r net.Conn)
+		reused   bool
 	}{
 		{"clean", time.Minute, func(*conn, net.Conn) {}, true},
 		{"closed", time.Minute, func(_ *conn, r net.Conn) { r.Close() }, false},
@@ -221,18 +222,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		far := accept()
+		peer := accept()
 		if tc.spoil != nil {
-			tc.spoil(c, far)
+			tc.spoil(c, peer)
 		}
-		p.put(r, c, tc.rest)
+		p.put(r, c, tc.idleTime)
 		if tc.spoil == nil {
 			p.Retain(func(id string) bool { return id != r.ID })
 		} else {
 			p.Retain(func(id string) bool { return id == r.ID })
 		}
-		// What the far side did takes a moment to arrive: the poller sees when.
-		if !tc.reused && tc.rest == time.Minute && tc.spoil != nil && c.reader.Buffered() == 0 {
+		// The peer's action takes a moment to arrive.
+		if !tc.reused && tc.idleTime == time.Minute && tc.spoil != nil && c.reader.Buffered() == 0 {
 			waitReadable(t, c.netConn)
 		}
 		second, err := p.get(t.Context(), r, false)
@@ -240,14 +241,14 @@
 			t.Fatal(err)
 		}
 		if (c == second) != tc.reused || p.ConnectionsOpened() != map[bool]uint64{true: 1, false: 2}[tc.reused] {
-			t.Errorf("%s: used again %v, %d made", tc.what, c == second, p.ConnectionsOpened())
+			t.Errorf("%s: reused %v, %d opened", tc.name, c == second, p.ConnectionsOpened())
 		}
 		second.netConn.Close()
 		c.netConn.Close()
 	}
 }
 
-// arrived waits until there is something to be read, and leaves it there.
+// waitReadable waits until bytes can be read from a connection, and leaves them unread.
 func waitReadable(t *testing.T, c net.Conn) {
 	rc, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -260,7 +261,8 @@
 	})
 }
 
-// TestPoolKeys: a connection is for one runner process at one address.
+// TestPoolKeys checks that a connection is used only for the runner process and address that it was
+// opened for.
 func TestPoolKeys(t *testing.T) {
 	p, r, accept := newTestPool(t)
 	c, err := p.get(t.Context(), r, false)
@@ -271,17 +273,17 @@
 	p.put(r, c, time.Minute)
 	second, err := p.get(t.Context(), &endpoints.Runner{ID: "i-2", Addr: r.Addr}, false)
 	if err != nil || second == c {
-		t.Errorf("another process at the address got the connection, %v", err)
+		t.Errorf("the connection was reused for another process at the address, %v", err)
 	}
 	accept()
 	second.netConn.Close()
 	if second, err = p.get(t.Context(), r, true); err != nil || second == c {
-		t.Errorf("a fresh one was asked for, %v", err)
+		t.Errorf("an idle connection was returned instead of a new one, %v", err)
 	}
 	second.netConn.Close()
 }
 
-// TestPoolBound: no more connections rest than are allowed.
+// TestPoolBound checks the limit on idle connections per runner.
 func TestPoolBound(t *testing.T) {
 	p, r, accept := newTestPool(t)
 	p.params.MaxIdle = 2
@@ -298,17 +300,17 @@
 		p.put(r, c, time.Minute)
 	}
 	if n := len(p.idle[poolKey(r)]); n != 2 {
-		t.Errorf("%d rest", n)
+		t.Errorf("%d idle connections", n)
 	}
 }
 
-// TestRest: how long a connection may be idle, by what the runner states.
+// TestRest checks how long a connection may stay idle, depending on the runner's headers.
 func TestRest(t *testing.T) {
 	p := NewPool(DefaultPool, nil)
 	for _, tc := range []struct {
-		keep string
-		shut bool
-		want time.Duration
+		keepAlive string
+		close     bool
+		want      time.Duration
 	}{
 		{"", false, DefaultPool.IdleTimeout},
 		{"timeout=5", false, 4500 * time.Millisecond},
@@ -319,35 +321,35 @@
 		{"timeout=5", true, 0},
 		{"", true, 0},
 	} {
-		r := &http.Response{Header: http.Header{}, Close: tc.shut}
-		if tc.keep != "" {
-			r.Header.Set("Keep-Alive", tc.keep)
+		r := &http.Response{Header: http.Header{}, Close: tc.close}
+		if tc.keepAlive != "" {
+			r.Header.Set("Keep-Alive", tc.keepAlive)
 		}
 		if got := p.keepAliveTime(r); got != tc.want {
-			t.Errorf("%q, close %v: %s, want %s", tc.keep, tc.shut, got, tc.want)
+			t.Errorf("%q, close %v: %s, want %s", tc.keepAlive, tc.close, got, tc.want)
 		}
 	}
 }
 
-// TestAnswer: past provisional answers and answers to other jobs, within bounds;
-// what is no answer is none.
+// TestAnswer checks that provisional responses and a limited number of responses to other jobs are
+// skipped, and that invalid responses are rejected.
 func TestAnswer(t *testing.T) {
-	mine := "HTTP/1.1 200 OK\r\nTry: a\r\nContent-Length: 2\r\n\r\nok"
+	own := "HTTP/1.1 200 OK\r\nTry: a\r\nContent-Length: 2\r\n\r\nok"
 	other := "HTTP/1.1 200 OK\r\nTry: b\r\nContent-Length: 5\r\n\r\nother"
 	for _, tc := range []struct {
-		in            string
-		good, surplus bool
+		in                  string
+		good, skippedOthers bool
 	}{
-		{mine, true, false},
-		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + mine, true, false},
-		{other + mine, true, true},
-		{other + other + other + mine, true, true},
-		{other + other + other + other + mine, false, true},
-		{"HTTP/1.1 200 OK\r\nTry: b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n" + mine, true, true},
-		{"HTTP/1.1 200 OK\r\nTry: b\r\n\r\nup to the end" + mine, false, true},
-		{"HTTP/1.1 200 OK\r\nTry: b\r\nContent-Length: 500000\r\n\r\n" + strings.Repeat("x", 500000) + mine, false, true},
+		{own, true, false},
+		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + own, true, false},
+		{other + own, true, true},
+		{other + other + other + own, true, true},
+		{other + other + other + other + own, false, true},
+		{"HTTP/1.1 200 OK\r\nTry: b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n" + own, true, true},
+		{"HTTP/1.1 200 OK\r\nTry: b\r\n\r\nup to the end" + own, false, true},
+		{"HTTP/1.1 200 OK\r\nTry: b\r\nContent-Length: 500000\r\n\r\n" + strings.Repeat("x", 500000) + own, false, true},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, false},
-		{"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno" + mine, false, false},
+		{"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno" + own, false, false},
 		{"HTTP/1.1 101 Switching Protocols\r\nTry: a\r\n\r\n", false, false},
 		{"HTTP/1.1 099 Less\r\nTry: a\r\n\r\n", false, false},
 		{"HTTP/1.1 2xx OK\r\n\r\n", false, false},
@@ -360,7 +362,7 @@
 			"a",
 			func(r *http.Response) ResponseInfo { return ResponseInfo{Attempt: r.Header.Get("Try")} },
 		)
-		if (err == nil) != tc.good || tc.good && r.skippedOthers != tc.surplus {
+		if (err == nil) != tc.good || tc.good && r.skippedOthers != tc.skippedOthers {
 			t.Errorf("%.60q: %v, %+v", tc.in, err, r)
 		}
 		if err == nil && tc.good {
@@ -371,8 +373,8 @@
 	}
 }
 
-// TestProven: only an answer that says where it ends can be known to be complete.
-func TestProven(t *testing.T) {
+// TestHasKnownEnd checks that only responses that state their length can be known to be complete.
+func TestHasKnownEnd(t *testing.T) {
 	for s, want := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                 true,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": true,
@@ -388,7 +390,7 @@
 	}
 }
 
-// TestWrite: a target goes out as it came in.
+// TestWrite checks that request targets are sent as received.
 func TestWrite(t *testing.T) {
 	for _, uri := range []string{"/", "/a//b/?", "//", "///x//y?//z", "//h.test/x?", "/%2F%2f"} {
 		handler := &Handler{deps: Dependencies{Headers: noHeaders{}}}
@@ -408,7 +410,7 @@
 		}
 		got, err := http.ReadRequest(bufio.NewReader(&b))
 		if err != nil || got.RequestURI != uri || got.Host != "h.test" || len(got.Header) != 1 {
-			t.Errorf("%s went out as %+v, %v", uri, got, err)
+			t.Errorf("%s was sent as %+v, %v", uri, got, err)
 		}
 	}
 }
@@ -425,26 +427,27 @@
 func anyRunner(*endpoints.Runner) bool { return true }
 func noRunners(*endpoints.Runner) bool { return false }
 
-// runners are n in each of the zones.
-func runners(hasCapacity, n int, zones ...string) *endpoints.List {
+// runners returns a list with perZone runners in each zone.
+func runners(capacity, perZone int, zones ...string) *endpoints.List {
 	var all []endpoints.Runner
 	for _, z := range zones {
-		for i := range n {
+		for i := range perZone {
 			all = append(
 				all,
-				endpoints.Runner{ID: fmt.Sprintf("i-%s%d", z, i), Service: "s", Zone: z, Capacity: hasCapacity},
+				endpoints.Runner{ID: fmt.Sprintf("i-%s%d", z, i), Service: "s", Zone: z, Capacity: capacity},
 			)
 		}
 	}
 	return endpoints.NewList(time.Now(), all)
 }
 
-// TestPickHome: jobs of one key go to one runner of this node's zone, elsewhere
-// only once those are much more loaded or full; jobs without a key to the least loaded.
-func TestPickHome(t *testing.T) {
+// TestPickLocalZone checks that jobs with one key go to one runner in the local zone, and to other
+// zones only once the local runners are full or loaded much more; jobs without a key go to the
+// least loaded runner.
+func TestPickLocalZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, list := NewLoad(), runners(8, 3, "a", "b")
-		ask := Selection{
+		selection := Selection{
 			Service:   &spec.Service{Name: "s"},
 			List:      list,
 			Zone:      "b",
@@ -452,50 +455,50 @@
 			Allowed:   anyRunner,
 			WarmingUp: noRunners,
 		}
-		first, hasCapacity := l.Pick(ask)
+		first, hasCapacity := l.Pick(selection)
 		if first.Zone != "b" || !hasCapacity {
 			t.Fatalf("%+v", first)
 		}
-		var done []func()
+		var release []func()
 		seen := map[string]int{}
 		for range 6 * 8 {
-			r, hasCapacity := l.Pick(ask)
+			r, hasCapacity := l.Pick(selection)
 			if !hasCapacity {
-				t.Fatal("no room")
+				t.Fatal("no runner has capacity")
 			}
 			seen[r.ID]++
-			_, out := l.Begin(r.ID, 0)
-			done = append(done, out)
+			_, done := l.Begin(r.ID, 0)
+			release = append(release, done)
 		}
 		for id, n := range seen {
 			if n > 8 {
-				t.Errorf("%s bears 8 and got %d", id, n)
+				t.Errorf("%s has a capacity of 8 and got %d", id, n)
 			}
 		}
-		if r, hasCapacity := l.Pick(ask); r == nil || hasCapacity {
+		if r, hasCapacity := l.Pick(selection); r == nil || hasCapacity {
 			t.Errorf("all are full: %v %v", r, hasCapacity)
 		}
-		for _, f := range done {
+		for _, f := range release {
 			f()
 		}
-		if r, _ := l.Pick(ask); r != first {
-			t.Errorf("the key went to %s, before to %s", r.ID, first.ID)
+		if r, _ := l.Pick(selection); r != first {
+			t.Errorf("the key was assigned to %s, previously to %s", r.ID, first.ID)
 		}
-		ask.Key = ""
+		selection.Key = ""
 		l.Begin("i-b0", 0)
 		l.Begin("i-b1", 0)
-		if r, _ := l.Pick(ask); r.ID != "i-b2" {
-			t.Errorf("least busy at home is i-b2, picked %s", r.ID)
+		if r, _ := l.Pick(selection); r.ID != "i-b2" {
+			t.Errorf("i-b2 is the least loaded in the local zone, picked %s", r.ID)
 		}
 	})
 }
 
-// TestPickNever: nobody is picked that leaves, is kept away from, or may not be.
+// TestPickNever checks that no runner is selected that is draining, avoided or not allowed.
 func TestPickNever(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := NewLoad()
 		var all []endpoints.Runner
-		not := map[string]bool{}
+		excluded := map[string]bool{}
 		for i := range rapid.IntRange(0, 8).Draw(rt, "runners") {
 			r := endpoints.Runner{
 				ID:       fmt.Sprint(i),
@@ -505,45 +508,45 @@
 			}
 			switch rapid.IntRange(0, 5).Draw(rt, "state") {
 			case 0:
-				r.Draining, not[r.ID] = true, true
+				r.Draining, excluded[r.ID] = true, true
 			case 1:
 				l.Avoid(r.ID, time.Second)
-				not[r.ID] = true
+				excluded[r.ID] = true
 			case 2:
-				not[r.ID] = true
+				excluded[r.ID] = true
 			case 3:
-				r.Service, not[r.ID] = "other", true
+				r.Service, excluded[r.ID] = "other", true
 			}
 			for range rapid.IntRange(0, 4).Draw(rt, "busy") {
 				l.Begin(r.ID, 10)
 			}
 			all = append(all, r)
 		}
-		ask := Selection{
+		selection := Selection{
 			Service:   &spec.Service{Name: "s"},
 			List:      endpoints.NewList(time.Now(), all),
 			Zone:      "a",
 			Key:       rapid.SampledFrom([]string{"", "k"}).Draw(rt, "key"),
-			Allowed:   func(r *endpoints.Runner) bool { return !not[r.ID] },
+			Allowed:   func(r *endpoints.Runner) bool { return !excluded[r.ID] },
 			WarmingUp: noRunners,
 		}
-		r, hasCapacity := l.Pick(ask)
+		r, hasCapacity := l.Pick(selection)
 		switch {
-		case r == nil && len(not) < len(all):
-			rt.Fatal("nobody was picked")
-		case r != nil && not[r.ID]:
+		case r == nil && len(excluded) < len(all):
+			rt.Fatal("no runner was picked")
+		case r != nil && excluded[r.ID]:
 			rt.Fatalf("%s was picked", r.ID)
 		case r != nil && hasCapacity && l.Local()[r.ID].Requests >= max(r.Capacity, 1):
-			rt.Fatalf("%s has no room", r.ID)
+			rt.Fatalf("%s has no capacity left", r.ID)
 		}
 	})
 }
 
-// TestWarmupRate: in no second do all nodes together send a warming runner more than half
-// again its rate and five: of six nodes and more also while their views of who is
-// there differ by two, of fewer while all see the same who come and go.
+// TestWarmupRate checks that all nodes together never send a warming runner more than 1.5 times its
+// rate plus 5 in a second. With six nodes or more this holds while their views of the membership
+// differ by two; with fewer, while all nodes have the same changing view.
 func TestWarmupRate(t *testing.T) {
-	// Of many nodes a few plans are enough: most have no part.
+	// With many nodes a few runs suffice: most nodes have no share.
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		rps := []float64{0.5, 4, 8.1, 22}[seed%4]
@@ -572,7 +575,7 @@
 	}
 }
 
-// warmupRun plays three seconds.
+// warmupRun simulates n edges for three seconds.
 func warmupRun(n int, rps float64, rnd *rand.Rand) error {
 	var all []*wire.Member
 	for i := range n {
@@ -586,7 +589,7 @@
 	}
 	var edges []edge
 	views := make([][]*wire.Member, n)
-	mix := func() {
+	changeViews := func() {
 		if n < 6 {
 			v := all[:1+rnd.IntN(n)]
 			for i := range n {
@@ -595,7 +598,7 @@
 			return
 		}
 		for i := range n {
-			// Each sees all but up to two others.
+			// Each edge's view lacks up to two others.
 			v := append([]*wire.Member(nil), all...)
 			for range rnd.IntN(3) {
 				if k := rnd.IntN(len(v)); v[k] != all[i] {
@@ -605,7 +608,7 @@
 			views[i] = v
 		}
 	}
-	mix()
+	changeViews()
 	for i := range n {
 		edges = append(
 			edges,
@@ -615,11 +618,11 @@
 			},
 		)
 	}
-	var at []time.Time
+	var sentAt []time.Time
 	for range 300 {
 		time.Sleep(10 * time.Millisecond)
 		if rnd.IntN(20) == 0 {
-			mix()
+			changeViews()
 		}
 		for i, e := range edges {
 			if n < 6 && i >= len(views[i]) {
@@ -627,29 +630,29 @@
 			}
 			for range rnd.IntN(3) {
 				if r, _ := e.l.Pick(Selection{Service: service, List: list, Zone: "a", Allowed: anyRunner, WarmingUp: anyRunner, WarmupShares: func(r *endpoints.Runner) int { return e.handler.warmupNodes(r, rps) }}); r != nil {
-					at = append(at, time.Now())
+					sentAt = append(sentAt, time.Now())
 				}
 			}
 		}
 	}
-	most := rps*1.5 + 5
-	for i := range at {
+	limit := rps*1.5 + 5
+	for i := range sentAt {
 		k := i
-		for k < len(at) && at[k].Sub(at[i]) < time.Second {
+		for k < len(sentAt) && sentAt[k].Sub(sentAt[i]) < time.Second {
 			k++
 		}
-		if float64(k-i) > most {
-			return fmt.Errorf("%d nodes sent %d in a second, %g are allowed", n, k-i, most)
+		if float64(k-i) > limit {
+			return fmt.Errorf("%d nodes sent %d in a second, %g are allowed", n, k-i, limit)
 		}
 	}
-	if want := rps * 3 * 0.4; float64(len(at)) < want && n <= 6 {
-		return fmt.Errorf("%d nodes sent %d in three seconds, the rate is %g", n, len(at), rps)
+	if want := rps * 3 * 0.4; float64(len(sentAt)) < want && n <= 6 {
+		return fmt.Errorf("%d nodes sent %d in three seconds, the rate is %g", n, len(sentAt), rps)
 	}
 	return nil
 }
 
-// TestRateShare: six nodes that each take a part, where four should, stay within the bound
-// at every rate.
+// TestRateShare checks at every rate that six nodes taking a share, where four should, stay within
+// the limit.
 func TestRateShare(t *testing.T) {
 	for r := 0.05; r < 200; r += 0.01 {
 		nodes, all := WarmupNodes, WarmupNodes+2
@@ -662,12 +665,13 @@
 	}
 }
 
-// TestRefills: a zone in use again is distinguished from one that always was.
-func TestRefills(t *testing.T) {
+// TestReactivationTimes checks that a zone that came back into use is distinguished from one that
+// was never emptied.
+func TestReactivationTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var z reactivationTimes
 		if !z.observe(nil, "a").IsZero() || !z.observe([]string{"a"}, "a").IsZero() {
-			t.Error("nobody refilled it")
+			t.Error("the zone was not reactivated")
 		}
 		time.Sleep(time.Second)
 		at := time.Now()
@@ -681,7 +685,7 @@
 	})
 }
 
-// TestBody: with a length, without, and bounds.
+// TestBody checks reading bodies with and without a stated length, and the size limit.
 func TestBody(t *testing.T) {
 	for _, tc := range []struct {
 		length int64
@@ -704,16 +708,16 @@
 	}
 }
 
-// TestOpen: a job waits at a node that has just come up until it is ready, for a bounded
-// time and while its caller is there; a node that stops refuses at once.
-func TestOpen(t *testing.T) {
+// TestWaitUntilReady checks that a job waits for a node that has just started to become ready, for
+// a limited time and while its caller is connected. A node that is stopping refuses at once.
+func TestWaitUntilReady(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		readyAt time.Duration // 0: never
-		callers time.Duration // how long the caller stays
-		err     code.Code     // while it is not ready
+		callers time.Duration // how long the caller stays connected
+		err     code.Code     // while the node is not ready
 		want    code.Code
-		took    time.Duration // at the most
+		took    time.Duration // upper limit
 	}{
 		{"ready", time.Nanosecond, time.Minute, code.NotReady, code.OK, 0},
 		{"ready soon", 300 * time.Millisecond, time.Minute, code.NotReady, code.OK, 310 * time.Millisecond},
@@ -752,36 +756,37 @@
 	}
 }
 
-// TestMayGoOn: another run may go on where the caller has nothing, only the head, or
-// events of a resumable stream the last of which has a name.
-func TestMayGoOn(t *testing.T) {
+// TestCanResume checks that another run can continue if the caller has received nothing, only the
+// head, or events of a resumable stream whose last event has an id.
+func TestCanResume(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		out        Response
-		once, goOn bool
+		name                    string
+		response                Response
+		notResumable, resumable bool
 	}{
 		{"nothing yet", Response{}, true, true},
 		{"the head", Response{headSent: true}, false, true},
 		{"a named event", Response{headSent: true, bodySent: true, lastEventID: "3"}, false, true},
 		{"an event without a name", Response{headSent: true, bodySent: true}, false, false},
 	} {
-		if got := c.out.canResume(false); got != c.once {
+		if got := c.response.canResume(false); got != c.notResumable {
 			t.Errorf("%s, not resumable: %v", c.name, got)
 		}
-		if got := c.out.canResume(true); got != c.goOn {
+		if got := c.response.canResume(true); got != c.resumable {
 			t.Errorf("%s, resumable: %v", c.name, got)
 		}
 	}
 }
 
-// TestAgain: what the stores refuse for a moment is done again, also where a try may
-// have been taken; a clear refusal is not, and the time bounds it all.
-func TestAgain(t *testing.T) {
+// TestRetryAtStores checks that transient failures at the stores are retried, including writes with
+// an unknown outcome, that clear refusals are not, and that the context's deadline ends the
+// retries.
+func TestRetryAtStores(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		fails []code.Code // of the first tries; the last goes on
-		want  code.Code
-		tries int
+		name    string
+		results []code.Code // of the first attempts; the last one repeats
+		want    code.Code
+		tries   int
 	}{
 		{"at once", nil, code.OK, 1},
 		{"away for a moment", []code.Code{code.StoresUnreachable, code.OK}, code.OK, 2},
@@ -795,10 +800,10 @@
 			tries := 0
 			err := retryAtStores(ctx, func() error {
 				tries++
-				if len(tc.fails) == 0 || tc.fails[min(tries, len(tc.fails))-1] == code.OK {
+				if len(tc.results) == 0 || tc.results[min(tries, len(tc.results))-1] == code.OK {
 					return nil
 				}
-				return code.New(tc.fails[min(tries, len(tc.fails))-1], "x")
+				return code.New(tc.results[min(tries, len(tc.results))-1], "x")
 			})
 			if code.Of(err) != tc.want || tries != tc.tries {
 				t.Errorf("%s: %v after %d tries, want %d", tc.name, err, tries, tc.tries)
@@ -807,16 +812,16 @@
 	}
 }
 
-// TestZoneShortOfRunners: a zone lost most of its model runners. Each of its edges went by loads
-// some hundred milliseconds old, found the runners of its zone only a little above the middle,
-// and sent them all of its programs: they queued there for seconds while other zones had free
-// places (programs of that zone earned 0.30 of their worth, those of others 0.72 to 0.90). A
-// zone that is loaded more than the rest gives away so large a part of its jobs that it would be
-// loaded as they are; one that is not gives none.
+// TestZoneShortOfRunners guards against overload in a zone that lost most of its runners. Its edges
+// worked with load reports some hundred milliseconds old, found the local runners only slightly
+// above the mean and sent them all of their programs. These queued for seconds while other zones
+// had free slots (programs of that zone earned 0.30 of their value, those of the others 0.72 to
+// 0.90). A zone loaded more than the rest must send just enough jobs elsewhere to bring it to the
+// mean; other zones must send none.
 func TestZoneShortOfRunners(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		home, other int // requests of 8 at each runner
+		home, other int // requests in flight at each runner, of a capacity of 8
 		least, most float64
 	}{
 		{"loaded alike", 4, 4, 1, 1},
@@ -836,17 +841,17 @@
 				remote[r.ID] = InFlight{Requests: n}
 			}
 			l.UpdateRemote(remote)
-			home := 0
+			local := 0
 			for i := range picks {
 				r, _ := l.Pick(Selection{
 					Service: &spec.Service{Name: "s"}, List: list, Zone: "a", Allowed: anyRunner, WarmingUp: noRunners,
 					Prefix: fmt.Sprintf("part-%d", i%16),
 				})
 				if r.Zone == "a" {
-					home++
+					local++
 				}
 			}
-			if share := float64(home) / picks; share < c.least || share > c.most {
+			if share := float64(local) / picks; share < c.least || share > c.most {
 				t.Errorf("%.2f of the jobs stay in the zone, want %.2f to %.2f", share, c.least, c.most)
 			}
 		})
--- a/internal/dataplane/request/proxy/resumption_test.go
+++ b/internal/dataplane/request/proxy/resumption_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestResumption: what a run that takes a stream up again repeats is dropped, whether ids are
-// numbers or names; what it adds is passed, also where it heeds what it was asked.
+// TestResumption checks that events that a resuming run repeats are dropped, with numeric and other
+// ids, and that new events are forwarded, whether or not the run starts after the requested event.
 func TestResumption(t *testing.T) {
 	event := func(id string) string { return "id: " + id + "\ndata: " + id + "\n\n" }
 	for _, tc := range []struct {
@@ -15,9 +15,9 @@
 		callerHas     string
 		want          string
 	}{
-		{"it heeds", event("1") + event("2"), event("3") + event("4"), "", event("3") + event("4")},
-		{"it begins anew", event("1") + event("2"), event("1") + event("2") + event("3"), "", event("3")},
-		{"it begins one too early", event("8") + event("9"), event("9") + event("10"), "", event("10")},
+		{"respects the requested event", event("1") + event("2"), event("3") + event("4"), "", event("3") + event("4")},
+		{"starts over", event("1") + event("2"), event("1") + event("2") + event("3"), "", event("3")},
+		{"starts one event too early", event("8") + event("9"), event("9") + event("10"), "", event("10")},
 		{"names", event("a") + event("b"), event("a") + event("b") + event("c"), "", event("c")},
 		{"other names", event("b") + event("a"), event("c") + event("a"), "", event("c") + event("a")},
 		{
@@ -31,15 +31,15 @@
 		response := &Response{resumable: true, callerLastEventID: tc.callerHas}
 		if tc.first != "" {
 			if got, err := feed(response, strings.NewReader(tc.first)); err != nil || got != tc.first {
-				t.Errorf("%s: the first run passed %q, %v", tc.name, got, err)
+				t.Errorf("%s: the first run forwarded %q, %v", tc.name, got, err)
 			}
 		}
 		if got, err := feed(response, strings.NewReader(tc.second)); err != nil || got != tc.want {
-			t.Errorf("%s: the second run passed %q, want %q, %v", tc.name, got, tc.want, err)
+			t.Errorf("%s: the second run forwarded %q, want %q, %v", tc.name, got, tc.want, err)
 		}
 	}
 	plain := &Response{callerLastEventID: "5"}
 	if got, err := feed(plain, strings.NewReader(event("1"))); err != nil || got != event("1") {
-		t.Errorf("a stream that can't be taken up again passed %q, %v", got, err)
+		t.Errorf("a stream that can't be resumed forwarded %q, %v", got, err)
 	}
 }
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -13,7 +13,7 @@
 )
 
 // pickByWeight selects a service by weight. The same hash always selects the same service.
-func pickByWeight(shares []spec.Share, draw uint64) string {
+func pickByWeight(shares []spec.Share, hash uint64) string {
 	total := int64(0)
 	for _, share := range shares {
 		total += share.Weight
@@ -21,7 +21,7 @@
 	if total <= 0 {
 		return ""
 	}
-	position := int64(draw % uint64(total))
+	position := int64(hash % uint64(total))
 	for _, share := range shares {
 		if position -= share.Weight; position < 0 {
 			return share.Service
@@ -133,9 +133,9 @@
 
 // warmupNodes returns how many nodes share a warming runner's rate, or 0 if this node has no share.
 // The nodes are the few edges with the highest rendezvous hash for the runner.
-func (handler *Handler) warmupNodes(r *endpoints.Runner, perS float64) int {
+func (handler *Handler) warmupNodes(r *endpoints.Runner, ratePerS float64) int {
 	maxNodes := WarmupNodes
-	if perS < 1 {
+	if ratePerS < 1 {
 		// Each node may send one job at once, which is most of what such a slow runner can take.
 		maxNodes--
 	}
--- a/internal/dataplane/request/proxy/verdict.go
+++ b/internal/dataplane/request/proxy/verdict.go
@@ -32,7 +32,7 @@
 	case x.response.headSent && !answer.success():
 		return code.New(
 			code.RunnerFailure,
-			"runner %s answered %d to what was to go on",
+			"runner %s answered %d to a request to resume the stream",
 			x.runner.ID,
 			answer.StatusCode,
 		)
--- a/internal/dataplane/request/proxy/warmup.go
+++ b/internal/dataplane/request/proxy/warmup.go
@@ -12,11 +12,11 @@
 const WarmupNodes = 4
 
 // allowWarmup reports whether this node may send one more job to a warming runner now.
-func (load *runnerLoad) allowWarmup(perS float64, nodes int) bool {
-	if perS <= 0 || nodes == 0 {
+func (load *runnerLoad) allowWarmup(ratePerS float64, nodes int) bool {
+	if ratePerS <= 0 || nodes == 0 {
 		return false
 	}
-	share := rateShare(perS, nodes)
+	share := rateShare(ratePerS, nodes)
 	switch {
 	case load.warmupLimiter == nil:
 		load.warmupLimiter, load.warmupRate = rate.NewLimiter(rate.Limit(share), 1), share
@@ -32,8 +32,8 @@
 // second. While the nodes' views of the membership differ by two, two more nodes take a share. A
 // share slightly above an integer is therefore rounded down to it: six shares of a quarter each
 // then stay within 1.5 times the rate plus 5.
-func rateShare(perS float64, nodes int) float64 {
-	share := perS / float64(nodes)
+func rateShare(ratePerS float64, nodes int) float64 {
+	share := ratePerS / float64(nodes)
 	if whole := math.Floor(share); whole >= 1 && share-whole < 1.0/6 {
 		return whole
 	}
