--- a/internal/dataplane/request/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -47,6 +47,12 @@
 	WriteTimeout: time.Second,
 }
 
+// Limits on the background attempts at writing settlements.
+const (
+	commitAttempts      = 60
+	commitRetryInterval = 250 * time.Millisecond
+)
+
 // NewBudgets returns the budget policy over the given stores.
 func NewBudgets(params BudgetParams, stores *storeclient.Client, background job.Background) *Budgets {
 	budgets := &Budgets{
@@ -163,11 +169,11 @@
 	budgets.pending[key][attempt] = settlement{spent, runner}
 	budgets.mu.Unlock()
 	if !first {
+		// The background write that is already scheduled for the key includes this settlement.
 		return
 	}
 	budgets.background.Go(func() {
-		// If a background write is already scheduled for the key, it includes this settlement.
-		for try := 0; try < 60; try++ {
+		for try := 0; try < commitAttempts; try++ {
 			if try == 0 {
 				loop.Wait(budgets.background.Ctx, budgets.params.CommitDelay)
 			}
@@ -180,7 +186,7 @@
 			ctx, stop := context.WithTimeout(context.WithoutCancel(budgets.background.Ctx), budgets.params.WriteTimeout)
 			_, err := budgets.change(ctx, key, func(*budget.Value) error { return nil })
 			stop()
-			if err != nil && !loop.Wait(budgets.background.Ctx, 250*time.Millisecond) {
+			if err != nil && !loop.Wait(budgets.background.Ctx, commitRetryInterval) {
 				return
 			}
 		}
@@ -209,10 +215,10 @@
 	case code.Of(err) == code.OutcomeUnknown:
 		return Refuse(
 			code.New(code.StoresUnreachable, "the budget could not be reserved: %w", err),
-			200*time.Millisecond,
+			defaultRetryAfter,
 		)
 	case err != nil:
-		return Refuse(err, 200*time.Millisecond)
+		return Refuse(err, defaultRetryAfter)
 	}
 	answer := next(j, response)
 	// The output forwarded to the caller counts as spent, even if the response was cut off.
--- a/internal/dataplane/request/proxy/conversation.go
+++ b/internal/dataplane/request/proxy/conversation.go
@@ -44,6 +44,9 @@
 	cachedBytes int
 }
 
+// turnsRetryAfter is when a caller may retry a job whose earlier turns could not be fetched.
+const turnsRetryAfter = 250 * time.Millisecond
+
 // NewTurns returns the policy that stores turns in the given stores.
 func NewTurns(params TurnParams, stores *storeclient.Client) *Turns {
 	return &Turns{stores: stores, params: params, cached: map[string]*list.Element{}, lru: list.New()}
@@ -57,7 +60,15 @@
 	*wire.Turn
 }
 
-func (t *turn) size() int { return len(t.In) + len(t.Out) + 32*len(t.Before) + 200 }
+// Estimates of the memory used by a cached turn in addition to its input and output.
+const (
+	turnIDBytes       = 32
+	turnOverheadBytes = 200
+)
+
+func (t *turn) size() int {
+	return len(t.In) + len(t.Out) + turnIDBytes*len(t.Before) + turnOverheadBytes
+}
 
 func (turns *Turns) lookup(key string) *turn {
 	turns.mu.Lock()
@@ -212,7 +223,7 @@
 		})
 		stop()
 		if err != nil {
-			return Refuse(err, 250*time.Millisecond)
+			return Refuse(err, turnsRetryAfter)
 		}
 		var prompt bytes.Buffer
 		for _, t := range chain {
@@ -239,6 +250,12 @@
 	return answer
 }
 
+// Bounds of the exponential delay between attempts at the stores.
+const (
+	storeRetryMinDelay = 10 * time.Millisecond
+	storeRetryMaxDelay = 100 * time.Millisecond
+)
+
 // retryAtStores repeats an operation at the stores until it succeeds, fails for good or ctx ends.
 // The operation must be idempotent. While the set of stores changes, stores refuse clients that use
 // the old set, possibly after other stores have accepted the write, and a new store may not know
@@ -246,7 +263,7 @@
 func retryAtStores(ctx context.Context, do func() error) error {
 	for try := 0; ; try++ {
 		err := do()
-		if !isTransient(err) || !loop.Wait(ctx, min(10*time.Millisecond<<min(try, 4), 100*time.Millisecond)) {
+		if !isTransient(err) || !loop.Wait(ctx, min(storeRetryMinDelay<<min(try, 4), storeRetryMaxDelay)) {
 			return err
 		}
 	}
--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -120,6 +120,15 @@
 	return counts
 }
 
+// When a caller may retry a job that was refused, if the reason for the refusal does not tell.
+const (
+	defaultRetryAfter  = 200 * time.Millisecond
+	noRunnerRetryAfter = 150 * time.Millisecond
+)
+
+// readyPollInterval is how often a waiting job checks whether the node is ready.
+const readyPollInterval = 10 * time.Millisecond
+
 // callerReadGrace is how long after a job's deadline its caller may still read the response.
 const callerReadGrace = 2 * time.Second
 
@@ -177,13 +186,14 @@
 	_, _ = w.Write(encoded)
 }
 
+// serve routes and authenticates a job, reads its body and runs the policies.
 func (handler *Handler) serve(j *Job, response *Response) Answer {
 	if err := handler.waitUntilReady(j); err != nil {
-		return Refuse(err, 200*time.Millisecond)
+		return Refuse(err, defaultRetryAfter)
 	}
 	j.View = handler.deps.View()
 	if j.View.Table.Revision == 0 {
-		return Refuse(code.New(code.NotReady, "no table of routes yet"), 200*time.Millisecond)
+		return Refuse(code.New(code.NotReady, "no table of routes yet"), defaultRetryAfter)
 	}
 	index := handler.index(j.View)
 	j.Path = index.Path(j.Req.Host, rawPath(j.Req))
@@ -235,7 +245,7 @@
 		if code.Of(err) != code.NotReady || time.Since(j.Arrived) > handler.params.StartupWait {
 			return err
 		}
-		if !loop.Wait(j, 10*time.Millisecond) {
+		if !loop.Wait(j, readyPollInterval) {
 			return err
 		}
 	}
@@ -312,7 +322,7 @@
 
 // noRunner refuses a job for which no runner is available.
 func noRunner(j *Job, reason string) Answer {
-	return Refuse(code.New(code.NoRunner, "no runner of %s: %s", j.Service.Name, reason), 150*time.Millisecond)
+	return Refuse(code.New(code.NoRunner, "no runner of %s: %s", j.Service.Name, reason), noRunnerRetryAfter)
 }
 
 func isTimeout(err error) bool {
--- a/internal/dataplane/request/proxy/load.go
+++ b/internal/dataplane/request/proxy/load.go
@@ -145,12 +145,15 @@
 	}
 }
 
-// Retain removes runners that are no longer listed, once they have been unused for 10 seconds.
+// unusedRetention is how long the load of an unused runner is kept after it left the list.
+const unusedRetention = 10 * time.Second
+
+// Retain removes runners that are no longer listed and have been unused for unusedRetention.
 func (l *Load) Retain(listed func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, entry := range l.byRunner {
-		if entry.requests == 0 && !listed(id) && time.Since(entry.lastUsedAt) > 10*time.Second {
+		if entry.requests == 0 && !listed(id) && time.Since(entry.lastUsedAt) > unusedRetention {
 			delete(l.byRunner, id)
 		}
 	}
--- a/internal/dataplane/request/proxy/operation.go
+++ b/internal/dataplane/request/proxy/operation.go
@@ -147,7 +147,7 @@
 		claim, err := operations.claim(j, owner)
 		switch {
 		case err != nil:
-			return Refuse(err, 200*time.Millisecond)
+			return Refuse(err, defaultRetryAfter)
 		case claim.Owner == owner && claim.State == operationStarted:
 			return operations.run(j, response, next, owner)
 		case claim.State == operationDone:
--- a/internal/dataplane/request/proxy/pool.go
+++ b/internal/dataplane/request/proxy/pool.go
@@ -167,6 +167,10 @@
 	return n < 0 && errors.Is(readErr, syscall.EAGAIN)
 }
 
+// keepAliveMargin is how long before the runner's keep-alive timeout a connection is no longer
+// reused, so that a request does not race with the runner closing it.
+const keepAliveMargin = 500 * time.Millisecond
+
 // keepAliveTime returns how long a connection may stay idle after a response, or at most 0 if it
 // can't be reused.
 func (p *Pool) keepAliveTime(r *http.Response) time.Duration {
@@ -180,9 +184,7 @@
 			if err != nil {
 				return 0
 			}
-			// Stops reusing the connection shortly before the runner closes it, so that a request
-			// does not race with the close.
-			return min(time.Duration(seconds)*time.Second-500*time.Millisecond, p.params.IdleTimeout)
+			return min(time.Duration(seconds)*time.Second-keepAliveMargin, p.params.IdleTimeout)
 		}
 	}
 	return p.params.IdleTimeout
--- a/internal/dataplane/request/proxy/quota.go
+++ b/internal/dataplane/request/proxy/quota.go
@@ -29,7 +29,7 @@
 	}
 	if !quotas.waitForCounts(j) {
 		err := code.New(code.NotReady, "this node has not heard yet what others have admitted")
-		return Refuse(err, 200*time.Millisecond)
+		return Refuse(err, defaultRetryAfter)
 	}
 	decision := quotas.node.Admit(quota.Request{
 		Tenant:  j.Tenant.Name,
--- a/internal/dataplane/request/proxy/request.go
+++ b/internal/dataplane/request/proxy/request.go
@@ -10,6 +10,9 @@
 	"damsontiller/internal/dataplane/balancing/endpoints"
 )
 
+// lowestPriority is the lowest priority that a request to a runner states; 0 is the highest.
+const lowestPriority = 9
+
 // runnerRequest builds the request to a runner: the caller's request as received, with the headers
 // that name the attempt and the runner.
 func (handler *Handler) runnerRequest(j *Job, response *Response, runner *endpoints.Runner) *http.Request {
@@ -29,7 +32,7 @@
 		// Without an entry, net/http would add its own name.
 		request.Header["User-Agent"] = []string{""}
 	}
-	handler.deps.Headers.WriteRequest(request.Header, j, runner, j.TimeLeft(), min(j.rank(), 9))
+	handler.deps.Headers.WriteRequest(request.Header, j, runner, j.TimeLeft(), min(j.rank(), lowestPriority))
 	if response.headSent && response.lastEventID != "" {
 		handler.deps.Headers.WriteResume(request.Header, response.lastEventID)
 	}
--- a/internal/dataplane/request/proxy/response.go
+++ b/internal/dataplane/request/proxy/response.go
@@ -35,14 +35,14 @@
 // Policy is one step in serving a job. It answers the job itself, or calls next and acts before and
 // after it.
 type Policy interface {
-	Do(j *Job, w *Response, next Next) Answer
+	Do(j *Job, response *Response, next Next) Answer
 }
 
 // Chain applies policies in order before the last step.
 func Chain(last Next, policies ...Policy) Next {
 	for i := len(policies) - 1; i >= 0; i-- {
 		policy, next := policies[i], last
-		last = func(j *Job, w *Response) Answer { return policy.Do(j, w, next) }
+		last = func(j *Job, response *Response) Answer { return policy.Do(j, response, next) }
 	}
 	return last
 }
--- a/internal/dataplane/request/proxy/resumption.go
+++ b/internal/dataplane/request/proxy/resumption.go
@@ -16,7 +16,7 @@
 // maxNonNumericIDs limits the non-numeric ids kept per stream.
 const maxNonNumericIDs = 4096
 
-// begin starts a run after which the caller has events up to the given id.
+// begin starts a run of which the caller already has the events up to the given id.
 func (r *resumption) begin(after string) { r.after, r.replaying = after, false }
 
 // isDuplicate reports whether the caller already received an event. After the first new event, all
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -195,12 +195,12 @@
 			if !handler.deps.Load.BelowCapacity(runner, j.Service, handler.params.Overload) {
 				return nil, Refuse(
 					code.New(code.BacklogFull, "all runners of %s are full", j.Service.Name),
-					200*time.Millisecond,
+					defaultRetryAfter,
 				)
 			}
 			return runner, Answer{}
 		}
-		ctx, stop := context.WithTimeout(j, min(holdLeft, 25*time.Millisecond))
+		ctx, stop := context.WithTimeout(j, min(holdLeft, holdPollInterval))
 		loop.Until(ctx, slotFreed)
 		stop()
 		if j.Err() != nil {
@@ -209,6 +209,9 @@
 	}
 }
 
+// holdPollInterval is how often a held job checks for a free slot if none is reported.
+const holdPollInterval = 25 * time.Millisecond
+
 // refusalRetryAfter is when a caller may retry a job that one runner refused while others are
 // available.
 const refusalRetryAfter = 100 * time.Millisecond
--- a/internal/dataplane/request/proxy/warmup.go
+++ b/internal/dataplane/request/proxy/warmup.go
@@ -30,8 +30,8 @@
 
 // rateShare returns one node's share of a rate. Each node sends at most its share, rounded up, per
 // second. While the nodes' views of the membership differ by two, two more nodes take a share. A
-// share slightly above an integer is therefore rounded down to it: six shares of a quarter each
-// then stay within 1.5 times the rate plus 5.
+// share slightly above an integer is therefore rounded down to it: six nodes with a quarter of the
+// rate each then stay within 1.5 times the rate plus 5 jobs per second.
 func rateShare(ratePerS float64, nodes int) float64 {
 	share := ratePerS / float64(nodes)
 	if whole := math.Floor(share); whole >= 1 && share-whole < 1.0/6 {
