--- a/internal/dataplane/request/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -111,7 +111,7 @@
 		for attempt, settled := range due {
 			value.Settle(attempt, settled.spent)
 			if settled.runner != "" {
-				value.Home = settled.runner
+				value.LastRunner = settled.runner
 			}
 		}
 		if err := update(&value); err != nil {
@@ -141,11 +141,11 @@
 		if _, ok := value.Open[j.Attempt]; ok {
 			return nil
 		}
-		if value.All()+j.MaxOutputTokens > j.TokenBudget {
+		if value.Used()+j.MaxOutputTokens > j.TokenBudget {
 			return code.New(
 				code.BudgetSpent,
 				"%d of %d are spent or reserved, the turn may put out %d",
-				value.All(),
+				value.Used(),
 				j.TokenBudget,
 				j.MaxOutputTokens,
 			)
@@ -153,7 +153,7 @@
 		return value.Reserve(j.Attempt, j.MaxOutputTokens, j.TokenBudget)
 	})
 	if err == nil {
-		j.PreviousRunner, j.BudgetReserved = value.Home, true
+		j.PreviousRunner, j.BudgetReserved = value.LastRunner, true
 	}
 	return err
 }
--- a/internal/dataplane/request/proxy/loadbalancer.go
+++ b/internal/dataplane/request/proxy/loadbalancer.go
@@ -74,7 +74,7 @@
 func (l *Load) candidates(selection Selection) (candidates []candidate, trial *endpoints.Runner) {
 	now := time.Now()
 	var suspected, ejected []candidate
-	for _, r := range selection.List.Of(selection.Service.Name) {
+	for _, r := range selection.List.ForService(selection.Service.Name) {
 		if r.Draining || !selection.Allowed(r) {
 			continue
 		}
@@ -91,14 +91,14 @@
 		perJob := 1 / float64(max(r.Capacity, 1))
 		c.cost = (c.utilization+perJob)*l.Watch.Slow(r.ID) - perJob
 		switch l.Watch.Suspicion(r.ID, selection.Repeatable) {
-		case outlier.Out:
+		case outlier.SuspicionEjected:
 			// A job with nothing cached at any runner suits best as the trial of an ejected runner.
 			if c.utilization < 1 && !c.warmingUp &&
 				l.Watch.Trial(r.ID, selection.Repeatable && selection.PreviousRunner == "") {
 				return nil, r
 			}
 			ejected = append(ejected, c)
-		case outlier.Once:
+		case outlier.SuspicionOnce:
 			// A single failure does not justify reading the program's prompts again on another
 			// runner.
 			if r.ID == selection.PreviousRunner {
@@ -106,7 +106,7 @@
 			} else {
 				suspected = append(suspected, c)
 			}
-		case outlier.Often:
+		case outlier.SuspicionRepeated:
 			suspected = append(suspected, c)
 		default:
 			candidates = append(candidates, c)
--- a/internal/dataplane/request/proxy/quota.go
+++ b/internal/dataplane/request/proxy/quota.go
@@ -36,7 +36,7 @@
 		Limit:   quota.Limit{RatePerS: j.Tenant.RatePerS, Burst: j.Tenant.Burst},
 		Program: j.Program,
 		// A stream that does not continue an earlier turn starts a program.
-		Begun: j.PreviousAttempt != "" || j.Path.Kind != spec.Stream,
+		ProgramStarted: j.PreviousAttempt != "" || j.Path.Kind != spec.Stream,
 	})
 	if !decision.Admitted {
 		err := code.New(code.OverQuota, "tenant %s has sent all that it may for now", j.Tenant.Name)
@@ -53,11 +53,11 @@
 // have admitted.
 func (quotas *Quotas) waitForCounts(j *Job) bool {
 	select {
-	case <-quotas.node.Heard():
+	case <-quotas.node.Ready():
 		return true
 	default:
 	}
 	ctx, stop := context.WithTimeout(j, min(quotas.startupWait, j.TimeLeft()/2))
 	defer stop()
-	return loop.Until(ctx, quotas.node.Heard())
+	return loop.Until(ctx, quotas.node.Ready())
 }
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -224,7 +224,7 @@
 		return 0, 0
 	}
 	view := handler.deps.View()
-	for _, runner := range handler.deps.Endpoints.Current().Of(j.Service.Name) {
+	for _, runner := range handler.deps.Endpoints.Current().ForService(j.Service.Name) {
 		if runner.Draining || view.Spec.Empty(runner.Zone) {
 			continue
 		}
