--- a/internal/dataplane/cooldown/gate.go
+++ b/internal/dataplane/cooldown/gate.go
@@ -4,18 +4,19 @@
 	"time"
 )
 
-// narrowGate lets one call of the key through at first, once its cooldown is over.
+// narrowGate limits a key to one concurrent call once its cooldown is over. The caller holds mu.
 func (manager *Manager) narrowGate(key string) {
 	manager.active.Store(true)
 	g := manager.gates[key]
 	if g == nil {
-		g = &gate{used: time.Now()}
+		g = &gate{usedAt: time.Now()}
 		manager.gates[key] = g
 	}
 	g.limit = 1
 }
 
-// widenGate lets twice as many through after a good answer, unless the key cools.
+// widenGate doubles the limit of a gate after a successful call, unless the key is in cooldown. The
+// caller holds mu.
 func (manager *Manager) widenGate(key string, g *gate) {
 	if manager.remaining(key) > 0 {
 		return
@@ -25,18 +26,18 @@
 	}
 }
 
-// gate bounds the calls of one key that this node has under way at once, after
-// a cooldown: one at first, twice as many with each good answer. A entire backlog
-// let loose at once would only be refused again.
+// gate limits the concurrent calls of one key from this node after a cooldown. The limit starts at
+// one and doubles with each successful call, because sending an entire backlog at once would only
+// be refused again.
 type gate struct {
 	limit, inFlight int
-	used            time.Time
+	usedAt          time.Time
 }
 
-// gateUnlimited is where a gate is wide enough to be none.
+// gateUnlimited is the limit above which a gate is removed.
 const gateUnlimited = 16
 
-// Allowed reports whether a call of the key may be made as far as this node knows.
+// Allowed reports whether the key's gate admits another call. It does not check the cooldown.
 func (manager *Manager) Allowed(key string) bool {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
@@ -44,7 +45,7 @@
 	return g == nil || g.inFlight < g.limit
 }
 
-// BeginCall counts a call in that Free let through, Leave counts it out.
+// BeginCall counts a call that Allowed has admitted. EndCall must be called when it ends.
 func (manager *Manager) BeginCall(key string) {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
@@ -53,18 +54,18 @@
 	}
 }
 
-// EndCall widens the gate after a good answer.
-func (manager *Manager) EndCall(key string, good bool) {
+// EndCall counts a call as finished, and widens the gate if it succeeded.
+func (manager *Manager) EndCall(key string, succeeded bool) {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	g := manager.gates[key]
 	if g == nil {
 		return
 	}
-	// Calls from before the gate were never counted in.
+	// Calls that began before the gate existed were not counted.
 	g.inFlight = max(g.inFlight-1, 0)
-	g.used = time.Now()
-	if good {
+	g.usedAt = time.Now()
+	if succeeded {
 		manager.widenGate(key, g)
 	}
 }
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -1,6 +1,7 @@
-// Package cooldown is the shared cooldown: one deadline for each protected call,
-// seen by every session worker, installed for all by any worker's refusal.
-// docs/cooldown.md names the source and says what was kept and what changed.
+// Package cooldown shares cooldowns after rate-limit refusals between all nodes. Each protected
+// call, identified by a key, has one deadline before which no node may make the call. Any node
+// installs it for all nodes when one of its calls is refused. docs/cooldown.md describes the
+// algorithm that the package is based on and the differences to it.
 package cooldown
 
 import (
@@ -20,18 +21,18 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params are the worker's times.
+// Params configures a Manager.
 type Params struct {
-	ReadTimeout  time.Duration // deadline of a read of the deadline
-	WriteTimeout time.Duration // deadline of installing one
-	CallTime     time.Duration // what a call itself needs after a wait
+	ReadTimeout  time.Duration // for reading a cooldown
+	WriteTimeout time.Duration // for installing a cooldown
+	CallTime     time.Duration // time that a call needs after the wait
 	Snapshot     SnapshotParams
-	// Local leaves each node to its own refusals. It is here for the measure of
-	// what sharing is worth; no program sets it.
+	// Local disables sharing: each node only uses the refusals of its own calls. It is meant for
+	// benchmarks that compare the two, and no command sets it.
 	Local bool
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the default parameters.
 var DefaultParams = Params{
 	ReadTimeout:  150 * time.Millisecond,
 	WriteTimeout: time.Second,
@@ -39,40 +40,38 @@
 	Snapshot:     DefaultSnapshot,
 }
 
-// Manager reads and installs cooldowns for the workers of this node.
+// Manager reads and installs cooldowns for the calls of this node.
 type Manager struct {
 	params Params
 	node   *node.Node
 	stores *storeclient.Client
 
 	mu sync.Mutex
-	// until is what this node has seen, on its own clock. It only ever saves
-	// a read: a deadline seen is in force, one not seen proves nothing.
-	until map[string]time.Time
-	// gates let few through first once a cooldown has ended.
+	// deadlines are the deadlines that this node has seen, on its own clock. They only save
+	// reads: a known deadline is in force, but a missing one does not mean that there is none.
+	deadlines map[string]time.Time
+	// gates limit concurrent calls after a cooldown has ended.
 	gates map[string]*gate
-	// unwritten are refusals that could not be written yet.
+	// unwritten holds the deadlines of refusals that could not be written yet.
 	unwritten map[string]time.Time
-	// snapshot is what the stores said of late; wrote is until when they have what this
-	// node wrote, and writes what it is writing.
+	// snapshot holds the recent answers of the stores.
 	snapshot     snapshot
-	writtenUntil map[string]time.Time
-	writes       map[string]*write
-	// installs counts cooldowns written.
-	installs uint64
+	writtenUntil map[string]time.Time // deadlines that are written at the stores
+	writes       map[string]*write    // writes in progress
+	installs     uint64               // number of cooldowns written
 
-	wakeup                   loop.Wakeup // asks the stores for their word
-	active                   atomic.Bool // some cooldown or gate is known
+	wakeup                   loop.Wakeup // triggers a poll of the stores
+	active                   atomic.Bool // whether any cooldown or gate is known
 	polls, reads, unverified atomic.Uint64
 }
 
-// New makes the manager and listens for what others spread.
-func New(p Params, n *node.Node, t *storeclient.Client) *Manager {
+// New returns a manager and subscribes it to the cooldowns that other nodes broadcast.
+func New(params Params, local *node.Node, stores *storeclient.Client) *Manager {
 	manager := &Manager{
-		params:       p,
-		node:         n,
-		stores:       t,
-		until:        map[string]time.Time{},
+		params:       params,
+		node:         local,
+		stores:       stores,
+		deadlines:    map[string]time.Time{},
 		gates:        map[string]*gate{},
 		unwritten:    map[string]time.Time{},
 		snapshot:     newSnapshot(),
@@ -80,91 +79,94 @@
 		writes:       map[string]*write{},
 		wakeup:       loop.NewWakeup(),
 	}
-	n.Broadcast.Handle(keys.CooldownTopic, manager.onBroadcast)
+	local.Broadcast.Handle(keys.CooldownTopic, manager.onBroadcast)
 	return manager
 }
 
-// KnownWait is the wait as far as this node knows without asking.
+// KnownWait returns the remaining wait that this node knows of, without a request to the stores.
 func (manager *Manager) KnownWait(key string) time.Duration {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	return max(manager.remaining(key), 0)
 }
 
-// remaining is the wait by the latest deadline known.
+// remaining returns the time until the latest known deadline. The caller holds mu.
 func (manager *Manager) remaining(key string) time.Duration {
-	u := manager.until[key]
-	if e := manager.snapshot.observed[key].end(); e.After(u) {
-		u = e
+	deadline := manager.deadlines[key]
+	if end := manager.snapshot.observed[key].end(); end.After(deadline) {
+		deadline = end
 	}
-	return time.Until(u)
+	return time.Until(deadline)
 }
 
-func (manager *Manager) extend(key string, w time.Duration) {
-	if w <= 0 {
+// extend moves the known deadline of a key to at least wait from now.
+func (manager *Manager) extend(key string, wait time.Duration) {
+	if wait <= 0 {
 		return
 	}
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	manager.narrowGate(key)
-	// A merge never shortens.
-	if u := time.Now().Add(w); u.After(manager.until[key]) {
-		manager.until[key] = u
+	// A deadline is never moved to an earlier time.
+	if deadline := time.Now().Add(wait); deadline.After(manager.deadlines[key]) {
+		manager.deadlines[key] = deadline
 	}
 }
 
-// Read reads the deadline at a majority. Without one there is no answer, and
-// the call must not be made. It tells under which spec it looked.
+// Read returns the remaining wait of a key from a majority of its stores, and the spec version used
+// for the read. It fails if there is no majority.
 func (manager *Manager) Read(ctx context.Context, key string) (time.Duration, uint64, error) {
-	if w := manager.KnownWait(key); w > 0 || manager.params.Local {
-		return w, manager.node.Cluster.Now().Version, nil
+	if wait := manager.KnownWait(key); wait > 0 || manager.params.Local {
+		return wait, manager.node.Cluster.Now().Version, nil
 	}
 	ctx, stop := context.WithTimeout(ctx, manager.params.ReadTimeout)
 	defer stop()
-	st, ver, err := manager.stores.ReadStrict(ctx, keys.Cooldown(key))
+	state, version, err := manager.stores.ReadStrict(ctx, keys.Cooldown(key))
 	if err != nil {
-		return 0, ver, err
+		return 0, version, err
 	}
-	w, _, err := remainingOf(st)
-	manager.extend(key, w)
-	return w, ver, err
+	wait, _, err := remainingOf(state)
+	manager.extend(key, wait)
+	return wait, version, err
 }
 
-// Install puts a refusal in force for all and gives the wait. It returns once
-// the cooldown is written, or once its writing has failed by the deadline; then
-// it is spread by the tree, kept, and written when the tier is back.
+// Install installs a cooldown for all nodes after a refusal and returns the wait. It returns when
+// the cooldown is written or the write has failed. A failed write is retried by Run. In both cases
+// the cooldown is broadcast to the other nodes.
 func (manager *Manager) Install(ctx context.Context, key string, floor time.Duration) time.Duration {
 	c := manager.node.Cluster.Now().Spec.Cooldown
-	// This node stops at once, whatever becomes of the write.
+	// The cooldown applies to this node immediately, even if the write fails.
 	manager.extend(key, max(floor, c.First()))
 	if manager.params.Local {
 		return manager.KnownWait(key)
 	}
-	w, err := manager.write(ctx, key, floor)
+	wait, err := manager.write(ctx, key, floor)
 	if err != nil {
-		w = manager.KnownWait(key)
+		wait = manager.KnownWait(key)
 		manager.mu.Lock()
-		manager.unwritten[key] = time.Now().Add(w)
+		manager.unwritten[key] = time.Now().Add(wait)
 		manager.mu.Unlock()
-		manager.node.Log.Warn("cooldown kept until the stores are back", "key", key, "wait", w, "err", err)
+		manager.node.Log.Warn("cooldown not written, retrying in the background", "key", key, "wait", wait, "err", err)
 	}
-	manager.extend(key, w)
-	manager.broadcast(key, w)
-	return w
+	manager.extend(key, wait)
+	manager.broadcast(key, wait)
+	return wait
 }
 
+// write writes a cooldown to the stores, unless one that is long enough is in force, and returns the
+// remaining wait.
 func (manager *Manager) write(ctx context.Context, key string, floor time.Duration) (time.Duration, error) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), manager.params.WriteTimeout)
 	defer stop()
 	c := manager.node.Cluster.Now().Spec.Cooldown
 	var wait time.Duration
-	st, err := manager.stores.Change(ctx, keys.Cooldown(key), func(st register.State) ([]byte, bool, error) {
-		v, changed, err := nextValue(&c, st, floor)
+	state, err := manager.stores.Change(ctx, keys.Cooldown(key), func(state register.State) ([]byte, bool, error) {
+		v, changed, err := nextValue(&c, state, floor)
 		if err != nil {
 			return nil, false, err
 		}
 		if !changed {
-			wait, _, _ = remainingOf(st)
+			wait, _, _ = remainingOf(state)
 			return nil, false, errInForce
 		}
 		b, err := json.Marshal(v)
@@ -180,90 +182,95 @@
 	manager.mu.Lock()
 	manager.installs++
 	manager.mu.Unlock()
-	wait, _, err = remainingOf(st)
+	wait, _, err = remainingOf(state)
 	manager.recordWritten(key, wait)
 	return wait, err
 }
 
-// recordWritten remembers until when the stores have a cooldown in force.
-func (manager *Manager) recordWritten(key string, w time.Duration) {
+// recordWritten records the deadline of a cooldown that is written at the stores.
+func (manager *Manager) recordWritten(key string, wait time.Duration) {
 	manager.mu.Lock()
-	manager.writtenUntil[key] = time.Now().Add(w)
+	manager.writtenUntil[key] = time.Now().Add(wait)
 	manager.mu.Unlock()
 }
 
+// announcement is the body of a cooldown broadcast.
 type announcement struct {
 	Key    string `json:"key"`
 	WaitMs int64  `json:"wait_ms"`
 }
 
-// broadcast spreads what was installed, so that others need not ask to know.
-func (manager *Manager) broadcast(key string, w time.Duration) {
-	// A brief item is heard whatever came before it: it needs neither epoch nor number, and
-	// so no clock.
-	i := &wire.Item{Topic: keys.CooldownTopic, Key: manager.node.Peer.Self.Id + "/" + key, Brief: true}
-	i.Body, _ = json.Marshal(announcement{key, WaitMs(w)})
-	go manager.node.Broadcast.Publish(context.Background(), i)
+// broadcast announces an installed cooldown to the other nodes, which saves them a read.
+func (manager *Manager) broadcast(key string, wait time.Duration) {
+	// A brief item is delivered regardless of earlier items. It needs neither an epoch nor a
+	// sequence number, and therefore no clock.
+	item := &wire.Item{Topic: keys.CooldownTopic, Key: manager.node.Peer.Self.Id + "/" + key, Brief: true}
+	item.Body, _ = json.Marshal(announcement{key, WaitMs(wait)})
+	go manager.node.Broadcast.Publish(context.Background(), item)
 }
 
-func (manager *Manager) onBroadcast(i *wire.Item) error {
-	var s announcement
-	if err := json.Unmarshal(i.Body, &s); err != nil {
+// onBroadcast applies a cooldown that another node has announced.
+func (manager *Manager) onBroadcast(item *wire.Item) error {
+	var received announcement
+	if err := json.Unmarshal(item.Body, &received); err != nil {
 		return code.New(code.Garbled, "cool: %w", err)
 	}
-	manager.extend(s.Key, time.Duration(s.WaitMs)*time.Millisecond)
+	manager.extend(received.Key, time.Duration(received.WaitMs)*time.Millisecond)
 	return nil
 }
 
-// Run writes kept refusals once the tier takes them, and forgets what is over.
+// maintenanceInterval is the time between two passes of Run.
+const maintenanceInterval = 250 * time.Millisecond
+
+// Run retries failed writes and removes expired cooldowns until ctx is done.
 func (manager *Manager) Run(ctx context.Context) {
-	loop.Every(ctx, 250*time.Millisecond, nil, func(ctx context.Context) {
+	loop.Every(ctx, maintenanceInterval, nil, func(ctx context.Context) {
 		manager.expire()
 		manager.mu.Lock()
-		todo := map[string]time.Time{}
-		for k, u := range manager.unwritten {
-			todo[k] = u
+		pending := map[string]time.Time{}
+		for key, deadline := range manager.unwritten {
+			pending[key] = deadline
 		}
 		manager.mu.Unlock()
-		for k, u := range todo {
-			left := time.Until(u)
+		for key, deadline := range pending {
+			left := time.Until(deadline)
 			if left > 0 {
-				if _, err := manager.write(ctx, k, left); err != nil {
+				if _, err := manager.write(ctx, key, left); err != nil {
 					continue
 				}
 			}
 			manager.mu.Lock()
-			if manager.unwritten[k].Equal(u) {
-				delete(manager.unwritten, k)
+			if manager.unwritten[key].Equal(deadline) {
+				delete(manager.unwritten, key)
 			}
 			manager.mu.Unlock()
 		}
 	})
 }
 
-// SpecVersion is the version in force here.
+// SpecVersion returns the spec version in force at this node.
 func (manager *Manager) SpecVersion() uint64 { return manager.node.Cluster.Now().Version }
 
-// Installs is how many cooldowns this node has written.
+// Installs returns the number of cooldowns that this node has written.
 func (manager *Manager) Installs() uint64 {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	return manager.installs
 }
 
-// Active lists the cooldowns this node knows to be in force.
+// Active returns the remaining milliseconds of each cooldown that this node knows to be in force.
 func (manager *Manager) Active() map[string]int64 {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	out := map[string]int64{}
-	for k := range manager.until {
-		if w := manager.remaining(k); w > 0 {
-			out[k] = w.Milliseconds()
+	for key := range manager.deadlines {
+		if wait := manager.remaining(key); wait > 0 {
+			out[key] = wait.Milliseconds()
 		}
 	}
-	for k := range manager.snapshot.observed {
-		if w := manager.remaining(k); w > 0 {
-			out[k] = w.Milliseconds()
+	for key := range manager.snapshot.observed {
+		if wait := manager.remaining(key); wait > 0 {
+			out[key] = wait.Milliseconds()
 		}
 	}
 	return out
--- a/internal/dataplane/cooldown/manager_test.go
+++ b/internal/dataplane/cooldown/manager_test.go
@@ -12,8 +12,8 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// TestRaised: the source's six strings, in message or type name, in any case.
-func TestRaised(t *testing.T) {
+// TestIsRateLimitError checks that the six phrases are found in the message or type name in any case.
+func TestIsRateLimitError(t *testing.T) {
 	for _, tc := range []struct {
 		typ, msg string
 		want     bool
@@ -34,12 +34,12 @@
 	}
 }
 
-// TestRetryAfter: both forms; a date counts against the server's own clock.
+// TestRetryAfter checks both forms of the header. A date must be compared with the server's clock.
 func TestRetryAfter(t *testing.T) {
-	wrong := time.Now().Add(7 * time.Hour).UTC()
+	serverTime := time.Now().Add(7 * time.Hour).UTC()
 	for _, tc := range []struct {
-		ra, date string
-		want     time.Duration
+		retryAfter, date string
+		want             time.Duration
 	}{
 		{"5", "", 5 * time.Second},
 		{" 1.5 ", "", 1500 * time.Millisecond},
@@ -48,21 +48,21 @@
 		{"soon", "", 0},
 		{"NaN", "", 0},
 		{"1e9", "", 24 * time.Hour},
-		{wrong.Add(9 * time.Second).Format(http.TimeFormat), wrong.Format(http.TimeFormat), 9 * time.Second},
-		{wrong.Add(-9 * time.Second).Format(http.TimeFormat), wrong.Format(http.TimeFormat), 0},
+		{serverTime.Add(9 * time.Second).Format(http.TimeFormat), serverTime.Format(http.TimeFormat), 9 * time.Second},
+		{serverTime.Add(-9 * time.Second).Format(http.TimeFormat), serverTime.Format(http.TimeFormat), 0},
 	} {
 		h := http.Header{}
-		h.Set("Retry-After", tc.ra)
+		h.Set("Retry-After", tc.retryAfter)
 		h.Set("Date", tc.date)
 		if got := RetryAfter(h); got != tc.want {
-			t.Errorf("%q by %q: %s, want %s", tc.ra, tc.date, got, tc.want)
+			t.Errorf("%q by %q: %s, want %s", tc.retryAfter, tc.date, got, tc.want)
 		}
 	}
 }
 
-// TestNext follows any history of refusals: no wait is ever shortened, none is
-// below its floor, none above cap and floor, simultaneous refusals are one
-// step, and a quiet spell starts again.
+// TestNext checks nextValue with random sequences of refusals: a cooldown is never shortened, a wait
+// is not below its floor and not above both the cap and the floor, refusals during one cooldown
+// count as one step, and the steps restart after a period without refusals.
 func TestNext(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := &spec.Cooldown{FirstMs: 1000, CapMs: 60000, QuietMs: 30000}
@@ -81,24 +81,24 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			was := end
+			previousEnd := end
 			if changed {
 				b, _ := json.Marshal(v)
 				st = register.State{Version: st.Version + 1, Value: b}
 				end = now + time.Duration(v.WaitMs)*time.Millisecond
 			}
 			switch {
-			case end < was:
-				rt.Fatalf("shortened from %s to %s", was, end)
+			case end < previousEnd:
+				rt.Fatalf("shortened from %s to %s", previousEnd, end)
 			case end < now+floor:
 				rt.Fatalf("floor %s, wait %s", floor, end-now)
 			case inForce && v.Step != step:
 				rt.Fatalf("a refusal within a cooldown went from step %d to %d", step, v.Step)
-			case inForce && floor <= was-now && changed:
-				rt.Fatal("changed for nothing")
-			case !inForce && step > 0 && now-was > c.Quiet() && v.Step != 1:
-				rt.Fatalf("after a quiet spell step %d", v.Step)
-			case !inForce && step > 0 && now-was <= c.Quiet() && v.Step != min(step+1, 30):
+			case inForce && floor <= previousEnd-now && changed:
+				rt.Fatal("changed although a longer cooldown is in force")
+			case !inForce && step > 0 && now-previousEnd > c.Quiet() && v.Step != 1:
+				rt.Fatalf("step %d after a period without refusals", v.Step)
+			case !inForce && step > 0 && now-previousEnd <= c.Quiet() && v.Step != min(step+1, 30):
 				rt.Fatalf("step %d after %d", v.Step, step)
 			case !inForce && end-now > max(c.Cap(), floor):
 				rt.Fatalf("wait %s above the cap", end-now)
@@ -108,14 +108,14 @@
 	})
 }
 
-// TestKey: the name of the protected call; all that share an account share its.
+// TestKey checks the cooldown keys of runners. Runners with the same account share a key.
 func TestKey(t *testing.T) {
 	s := &spec.Spec{
 		Routes: []spec.Route{{Name: "model", Model: true}, {Name: "sms", Account: "acme"}, {Name: "pics"}},
 	}
 	for _, tc := range []struct {
-		r    spec.Runner
-		want string
+		runner spec.Runner
+		want   string
 	}{
 		{spec.Runner{Name: "m1", Route: "model"}, "server/m1"},
 		{spec.Runner{Name: "m2", Route: "model", Account: "lab"}, "account/lab"},
@@ -123,88 +123,89 @@
 		{spec.Runner{Name: "p1", Route: "pics"}, "route/pics"},
 		{spec.Runner{Name: "p2", Route: "pics"}, "route/pics"},
 	} {
-		if got := Key(s, tc.r); got != tc.want {
-			t.Errorf("%s: %s, want %s", tc.r.Name, got, tc.want)
+		if got := Key(s, tc.runner); got != tc.want {
+			t.Errorf("%s: %s, want %s", tc.runner.Name, got, tc.want)
 		}
 	}
 }
 
-// TestTake: whatever stores tell of one register, in whatever order and however
-// late one of them took a value, the deadline is never before the refusal's own, and
-// never after the soonest count of the latest value.
-func TestTake(t *testing.T) {
+// TestObserve checks the deadline computed from the answers of several stores, in any order and with
+// any delay until a store accepted a value. It must not be before the end of the refusal's wait, and
+// not after the earliest end reported for the latest value.
+func TestObserve(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newSnapshot()
-		at := time.Now()
-		type val struct {
-			ver, op uint64
-			refused time.Duration
-			wait    time.Duration
-			taken   [3]time.Duration // by each store; negative: not yet
+		s := newSnapshot()
+		start := time.Now()
+		type storedValue struct {
+			version, operation uint64
+			refusedAt          time.Duration
+			wait               time.Duration
+			acceptedAt         [3]time.Duration // by store
 		}
-		var vals []*val
+		var values []*storedValue
 		now := time.Duration(0)
-		var top *val
-		soon := map[*val]time.Duration{}
+		var latest *storedValue
+		earliestEnd := map[*storedValue]time.Duration{}
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(rt, "gap ms")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(rt, "event") {
 			case 0:
-				// A later value; every store takes it some time, one at once.
-				ver := uint64(len(vals) + 1)
-				v := &val{
-					ver:     ver,
-					op:      ver * 10,
-					refused: now,
-					wait:    time.Duration(rapid.IntRange(1, 20).Draw(rt, "wait s")) * time.Second,
+				// A later value, which each store accepts after a random delay.
+				version := uint64(len(values) + 1)
+				v := &storedValue{
+					version:   version,
+					operation: version * 10,
+					refusedAt: now,
+					wait:      time.Duration(rapid.IntRange(1, 20).Draw(rt, "wait s")) * time.Second,
 				}
-				for i := range v.taken {
-					v.taken[i] = now + time.Duration(rapid.IntRange(0, 5000).Draw(rt, "late ms"))*time.Millisecond
+				for i := range v.acceptedAt {
+					v.acceptedAt[i] = now + time.Duration(rapid.IntRange(0, 5000).Draw(rt, "late ms"))*time.Millisecond
 				}
-				vals = append(vals, v)
+				values = append(values, v)
 			default:
-				s := rapid.IntRange(0, 2).Draw(rt, "store")
-				var has *val
-				for _, v := range vals {
-					if v.taken[s] <= now {
-						has = v
+				store := rapid.IntRange(0, 2).Draw(rt, "store")
+				var current *storedValue
+				for _, v := range values {
+					if v.acceptedAt[store] <= now {
+						current = v
 					}
 				}
-				if has == nil || has.taken[s]+has.wait <= now {
+				if current == nil || current.acceptedAt[store]+current.wait <= now {
 					continue
 				}
-				end := has.taken[s] + has.wait
-				w.observe("k", has.ver, has.op, at.Add(end))
-				if top == nil || has.ver > top.ver {
-					top = has
+				end := current.acceptedAt[store] + current.wait
+				s.observe("k", current.version, current.operation, start.Add(end))
+				if latest == nil || current.version > latest.version {
+					latest = current
 				}
-				if e, ok := soon[has]; !ok || end < e {
-					soon[has] = end
+				if earliest, ok := earliestEnd[current]; !ok || end < earliest {
+					earliestEnd[current] = end
 				}
 			}
-			if top == nil {
+			if latest == nil {
 				continue
 			}
-			got := w.observed["k"].end().Sub(at)
-			if got < top.refused+top.wait || got > soon[top] {
-				rt.Fatalf("ends at %s, refused until %s, soonest count %s", got, top.refused+top.wait, soon[top])
+			got := s.observed["k"].end().Sub(start)
+			if got < latest.refusedAt+latest.wait || got > earliestEnd[latest] {
+				rt.Fatalf("ends at %s, refused until %s, earliest reported end %s",
+					got, latest.refusedAt+latest.wait, earliestEnd[latest])
 			}
 		}
 	})
 }
 
-// TestTakeRivals: of two values of one version only one was chosen, and nobody here
-// knows which: the longer wait holds.
-func TestTakeRivals(t *testing.T) {
-	w, now := newSnapshot(), time.Now()
-	w.observe("k", 3, 1, now.Add(9*time.Second))
-	w.observe("k", 3, 2, now.Add(time.Second))
-	w.observe("k", 2, 7, now.Add(time.Minute))
-	if d := w.observed["k"].end().Sub(now); d != 9*time.Second {
+// TestObserveConflictingValues checks that the longest wait applies if stores report different values
+// of one version, of which only one was chosen.
+func TestObserveConflictingValues(t *testing.T) {
+	s, now := newSnapshot(), time.Now()
+	s.observe("k", 3, 1, now.Add(9*time.Second))
+	s.observe("k", 3, 2, now.Add(time.Second))
+	s.observe("k", 2, 7, now.Add(time.Minute))
+	if d := s.observed["k"].end().Sub(now); d != 9*time.Second {
 		t.Errorf("%s", d)
 	}
-	w.observe("k", 4, 3, now.Add(2*time.Second))
-	if d := w.observed["k"].end().Sub(now); d != 2*time.Second {
+	s.observe("k", 4, 3, now.Add(2*time.Second))
+	if d := s.observed["k"].end().Sub(now); d != 2*time.Second {
 		t.Errorf("after the next version: %s", d)
 	}
 }
--- a/internal/dataplane/cooldown/precheck.go
+++ b/internal/dataplane/cooldown/precheck.go
@@ -7,31 +7,31 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Precheck refuses at once, before anything is written, a job whose every runner
-// is known to be cooling for longer than the job can wait.
+// Precheck refuses a job before anything is written if all runners that could serve it are known
+// to be in cooldown for longer than the job can wait.
 type Precheck struct {
 	Manager *Manager
-	// Keys lists the cooldown keys that could serve the job.
+	// Keys returns the cooldown keys of the runners that could serve the job.
 	Keys func(*job.Ctx) []string
 }
 
-// Do is the policy.
-func (p Precheck) Do(c *job.Ctx, next job.Next) job.Answer {
-	least := time.Duration(-1)
-	for _, k := range p.Keys(c) {
-		if w := p.Manager.KnownWait(k); least < 0 || w < least {
-			least = w
+// Do implements job.Policy.
+func (precheck Precheck) Do(c *job.Ctx, next job.Next) job.Answer {
+	shortest := time.Duration(-1)
+	for _, key := range precheck.Keys(c) {
+		if wait := precheck.Manager.KnownWait(key); shortest < 0 || wait < shortest {
+			shortest = wait
 		}
 	}
-	if least > 0 && !c.Fits(least, p.Manager.params.CallTime) {
-		return CoolingAnswer(least)
+	if shortest > 0 && !c.Fits(shortest, precheck.Manager.params.CallTime) {
+		return CoolingAnswer(shortest)
 	}
 	return next(c)
 }
 
-// CoolingAnswer is the answer that tells when to come back.
-func CoolingAnswer(w time.Duration) job.Answer {
-	a := job.Bad(code.Cooling, "cooling down for %d ms", w.Milliseconds())
-	a.Wait, a.Since = w, time.Now()
-	return a
+// CoolingAnswer returns a refusal that tells the caller how long to wait before a retry.
+func CoolingAnswer(wait time.Duration) job.Answer {
+	answer := job.Bad(code.Cooling, "cooling down for %d ms", wait.Milliseconds())
+	answer.Wait, answer.Since = wait, time.Now()
+	return answer
 }
--- a/internal/dataplane/cooldown/schedule.go
+++ b/internal/dataplane/cooldown/schedule.go
@@ -9,15 +9,15 @@
 	"damsontiller/internal/transport/code"
 )
 
-// value is what the register holds: how long to wait, counted by each store
-// from when it took the value.
+// value is the content of a cooldown's register. WaitMs counts from when a store accepted the value,
+// on that store's clock.
 type value struct {
 	Step   int   `json:"step"`
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// WaitMs is a wait in full milliseconds, never shorter.
-func WaitMs(w time.Duration) int64 { return (w + time.Millisecond - 1).Milliseconds() }
+// WaitMs converts a wait to milliseconds, rounded up.
+func WaitMs(wait time.Duration) int64 { return (wait + time.Millisecond - 1).Milliseconds() }
 
 func decode(b []byte) (value, error) {
 	var v value
@@ -27,62 +27,67 @@
 	return v, nil
 }
 
-// DecodeWait is the wait that a register's value holds.
+// DecodeWait decodes the wait from a register's value.
 func DecodeWait(b []byte) (time.Duration, error) {
 	v, err := decode(b)
 	return time.Duration(v.WaitMs) * time.Millisecond, err
 }
 
-// Key is the cooldown key of a call: the account where one is named, else the
-// tool's route or the model server.
-func Key(s *spec.Spec, r spec.Runner) string {
-	acct, model := r.Account, false
-	for _, t := range s.Routes {
-		if t.Name == r.Route {
-			model = t.Model
-			if acct == "" {
-				acct = t.Account
+// Key returns the cooldown key of calls to a runner: its account if one is configured, otherwise
+// the model server or the route of the tool.
+func Key(s *spec.Spec, runner spec.Runner) string {
+	account, model := runner.Account, false
+	for _, route := range s.Routes {
+		if route.Name == runner.Route {
+			model = route.Model
+			if account == "" {
+				account = route.Account
 			}
 		}
 	}
 	switch {
-	case acct != "":
-		return "account/" + acct
+	case account != "":
+		return "account/" + account
 	case model:
-		return "server/" + r.Name
+		return "server/" + runner.Name
 	}
-	return "route/" + r.Route
+	return "route/" + runner.Route
 }
 
-func remainingOf(st register.State) (time.Duration, value, error) {
-	if len(st.Value) == 0 {
+// remainingOf returns the remaining wait of a register's state, and its value.
+func remainingOf(state register.State) (time.Duration, value, error) {
+	if len(state.Value) == 0 {
 		return 0, value{}, nil
 	}
-	v, err := decode(st.Value)
+	v, err := decode(state.Value)
 	if err != nil {
 		return 0, v, err
 	}
-	// The stores' own word on a cooldown counts from when the first of them took it; a read
-	// must too, or two edges tell callers two ends of one cooldown.
-	return max(time.Duration(v.WaitMs)*time.Millisecond-st.GreatestAge, 0), v, nil
+	// The snapshot counts a cooldown from when the first store accepted it. A read must do the
+	// same, or two edges report different ends of one cooldown to callers.
+	return max(time.Duration(v.WaitMs)*time.Millisecond-state.GreatestAge, 0), v, nil
 }
 
-// Next works out the value after one more refusal. Refusals within one
-// cooldown are one step; after a quiet spell the steps start again.
-func nextValue(c *spec.Cooldown, st register.State, floor time.Duration) (value, bool, error) {
-	left, v, err := remainingOf(st)
+// maxStep caps the stored step. The wait reaches its cap long before.
+const maxStep = 30
+
+// nextValue computes the value after another refusal, and whether it changes. The wait doubles with
+// each step. Refusals during one cooldown count as one step, and the steps restart after a period
+// without refusals.
+func nextValue(c *spec.Cooldown, state register.State, floor time.Duration) (value, bool, error) {
+	left, v, err := remainingOf(state)
 	if err != nil {
 		return v, false, err
 	}
 	if left > 0 {
-		// Retry-After is a floor: a longer one lengthens, none shortens.
+		// Retry-After is a minimum: it may extend the cooldown but never shortens it.
 		if floor <= left {
 			return v, false, nil
 		}
 		return value{v.Step, WaitMs(floor)}, true, nil
 	}
 	step := v.Step + 1
-	if len(st.Value) == 0 || st.Age-time.Duration(v.WaitMs)*time.Millisecond > c.Quiet() {
+	if len(state.Value) == 0 || state.Age-time.Duration(v.WaitMs)*time.Millisecond > c.Quiet() {
 		step = 1
 	}
 	wait := c.First()
@@ -90,7 +95,8 @@
 		wait *= 2
 	}
 	wait = max(min(wait, c.Cap()), floor)
-	return value{min(step, 30), WaitMs(wait)}, true, nil
+	return value{min(step, maxStep), WaitMs(wait)}, true, nil
 }
 
+// errInForce cancels a write if a longer cooldown is already in force.
 var errInForce = code.New(code.Cooling, "a longer cooldown is in force")
--- a/internal/dataplane/cooldown/signals.go
+++ b/internal/dataplane/cooldown/signals.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
+// refusalPhrases identify a rate limit in the lower-case message or type name of an error.
 var refusalPhrases = []string{"429", "rate limit", "ratelimit", "too many requests", "throttle", "quota exceeded"}
 
-// IsRateLimitError reports whether a raised failure is a rate limit, by its message or its
-// type's name.
-func IsRateLimitError(typ, msg string) bool {
-	for _, s := range []string{strings.ToLower(typ), strings.ToLower(msg)} {
-		for _, w := range refusalPhrases {
-			if strings.Contains(s, w) {
+// IsRateLimitError reports whether an error with this type name and message indicates a rate limit.
+func IsRateLimitError(typeName, message string) bool {
+	for _, text := range []string{strings.ToLower(typeName), strings.ToLower(message)} {
+		for _, phrase := range refusalPhrases {
+			if strings.Contains(text, phrase) {
 				return true
 			}
 		}
@@ -22,26 +22,26 @@
 	return false
 }
 
-// RetryAfter reads a Retry-After header, in seconds or as a date. A date is
-// read against the same server's own Date, so that no two clocks are compared.
-func RetryAfter(h http.Header) time.Duration {
-	s := strings.TrimSpace(h.Get("Retry-After"))
-	if s == "" {
+// RetryAfter parses the Retry-After header, in seconds or as a date, and caps it at one day. A date
+// is compared with the Date header of the same response, to be independent of clock differences.
+func RetryAfter(header http.Header) time.Duration {
+	value := strings.TrimSpace(header.Get("Retry-After"))
+	if value == "" {
 		return 0
 	}
-	if n, err := strconv.ParseFloat(s, 64); err == nil {
-		if n <= 0 || n != n {
+	if seconds, err := strconv.ParseFloat(value, 64); err == nil {
+		if seconds <= 0 || seconds != seconds { // NaN differs from itself
 			return 0
 		}
-		return time.Duration(min(n, 24*3600) * float64(time.Second))
+		return time.Duration(min(seconds, 24*3600) * float64(time.Second))
 	}
-	at, err := http.ParseTime(s)
+	retryAt, err := http.ParseTime(value)
 	if err != nil {
 		return 0
 	}
-	from, err := http.ParseTime(h.Get("Date"))
+	sentAt, err := http.ParseTime(header.Get("Date"))
 	if err != nil {
-		from = time.Now()
+		sentAt = time.Now()
 	}
-	return min(max(at.Sub(from), 0), 24*time.Hour)
+	return min(max(retryAt.Sub(sentAt), 0), 24*time.Hour)
 }
--- a/internal/dataplane/cooldown/snapshot.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -14,19 +14,19 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// SnapshotParams are the times of the stores' snapshot, on which a node that passes many
-// jobs rests in place of a majority read for each.
+// SnapshotParams configures the snapshot of the stores' cooldowns. A node that runs many jobs uses
+// the snapshot instead of a majority read for each job.
 type SnapshotParams struct {
-	Interval    time.Duration // between two askings
-	Timeout     time.Duration // deadline of one
-	MaxAge      time.Duration // an answer asked for longer ago is no word any more
-	IdleAfter   time.Duration // so long after the last job nobody is asked
-	ReadTimeout time.Duration // deadline of a read where there is no recent snapshot
-	ShareWindow time.Duration // a read begun no longer ago serves the next job as well
+	Interval    time.Duration // between two polls of the stores
+	Timeout     time.Duration // for one poll of a store
+	MaxAge      time.Duration // maximum age of an answer, counted from when the poll was sent
+	IdleAfter   time.Duration // polling stops this long after the last job
+	ReadTimeout time.Duration // for a read if there is no recent snapshot
+	ShareWindow time.Duration // a read that started within this time also serves later jobs
 	WriteWait   time.Duration // how long a refused job waits for its cooldown to be written
 }
 
-// DefaultSnapshot are the design's.
+// DefaultSnapshot are the default parameters.
 var DefaultSnapshot = SnapshotParams{
 	Interval:    250 * time.Millisecond,
 	Timeout:     350 * time.Millisecond,
@@ -37,85 +37,88 @@
 	WriteWait:   150 * time.Millisecond,
 }
 
-// snapshot is what the stores said of late. Desk.mu guards it.
+// snapshot holds the cooldowns that the stores have recently reported. It is guarded by Manager.mu.
 type snapshot struct {
-	answeredAt map[register.Replica]time.Time // when the newest answer was asked for
-	observed   map[string]*observed           // by cooldown key
+	polledAt map[register.Replica]time.Time // when the latest poll that was answered was sent
+	observed map[string]*observedCooldown   // by cooldown key
 
-	// freshStores are the stores whose answers are recent, until one of them isn't; ok is
-	// whether they are a majority of a key's holders, under one spec.
+	// freshStores are the stores with a recent answer. The set is valid until freshUntil and for
+	// one spec version. majority caches, by key, whether it contains a majority of the key's
+	// stores.
 	freshStores map[register.Replica]bool
-	until       time.Time
+	freshUntil  time.Time
 	version     uint64
 	majority    map[string]bool
 
-	lastPoll time.Time // last
-	lastUsed time.Time // by a job, last
-	reads    map[string]*sharedRead
-	// lastFailure is when a read last failed, fails how many did in a row.
-	lastFailure time.Time
-	failures    int
+	lastPoll    time.Time              // time of the last poll
+	lastUsed    time.Time              // time of the last check by a job
+	reads       map[string]*sharedRead // by cooldown key
+	lastFailure time.Time              // time of the last failed read
+	failures    int                    // number of consecutive failed reads
 }
 
-// observed is one register as the stores tell of it. Every store counts from when it
-// took the value, which is after the refusal: of one value the shortest count is
-// long enough. A store that took it late, by repair, must not make it longer.
-type observed struct {
+// observedCooldown is one cooldown register as reported by the stores. Each store counts the wait
+// from when it accepted the value, which is after the refusal. The shortest remaining wait of a
+// value is therefore long enough, and a store that received the value late, by a repair, must not
+// extend it.
+type observedCooldown struct {
 	version uint64
-	// endsByOperation is by the operation id of the change: of one version there may be
-	// several values, one of them chosen.
+	// endsByOperation maps the operation id of a change to its deadline. There may be several
+	// values of one version, of which only one is chosen.
 	endsByOperation map[uint64]time.Time
 }
 
-// retention is how long a cooldown that is over is known to be over.
+// retention is how long an expired cooldown is remembered, so that a late answer of a store
+// does not put it back in force.
 const retention = 10 * time.Minute
 
 func newSnapshot() snapshot {
 	return snapshot{
-		answeredAt: map[register.Replica]time.Time{},
-		observed:   map[string]*observed{},
-		majority:   map[string]bool{},
-		reads:      map[string]*sharedRead{},
+		polledAt: map[register.Replica]time.Time{},
+		observed: map[string]*observedCooldown{},
+		majority: map[string]bool{},
+		reads:    map[string]*sharedRead{},
 	}
 }
 
-func (t *observed) end() time.Time {
-	var end time.Time
-	if t == nil {
-		return end
+// end returns the latest deadline of the current version, or zero for a nil receiver.
+func (cooldown *observedCooldown) end() time.Time {
+	var latest time.Time
+	if cooldown == nil {
+		return latest
 	}
-	for _, e := range t.endsByOperation {
-		if e.After(end) {
-			end = e
+	for _, end := range cooldown.endsByOperation {
+		if end.After(latest) {
+			latest = end
 		}
 	}
-	return end
+	return latest
 }
 
-// observe records one register of one store's answer, and reports whether it is new.
-func (w *snapshot) observe(key string, ver, op uint64, end time.Time) bool {
-	t := w.observed[key]
+// observe records the value of one register from a store's answer, and reports whether it is new.
+func (snapshot *snapshot) observe(key string, version, operation uint64, end time.Time) bool {
+	current := snapshot.observed[key]
 	switch {
-	case t == nil || ver > t.version:
-		w.observed[key] = &observed{ver, map[uint64]time.Time{op: end}}
+	case current == nil || version > current.version:
+		snapshot.observed[key] = &observedCooldown{version, map[uint64]time.Time{operation: end}}
 		return true
-	case ver < t.version:
+	case version < current.version:
 		return false
 	}
-	old, known := t.endsByOperation[op]
+	old, known := current.endsByOperation[operation]
 	if !known || end.Before(old) {
-		t.endsByOperation[op] = end
+		current.endsByOperation[operation] = end
 	}
 	return !known
 }
 
-// recordAnswer takes a store's answer. What is left counts from when it came, which is
-// never too short.
-func (manager *Manager) recordAnswer(r register.Replica, asked time.Time, cools []*wire.Cool) {
+// recordAnswer records the answer of a store to a poll. The remaining waits count from when the
+// answer arrived, so they are never too short.
+func (manager *Manager) recordAnswer(store register.Replica, polledAt time.Time, cooldowns []*wire.Cool) {
 	now := time.Now()
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
-	for _, c := range cools {
+	for _, c := range cooldowns {
 		key, ok := strings.CutPrefix(c.Key, keys.CooldownPrefix)
 		if !ok || c.LeftMs <= 0 {
 			continue
@@ -125,52 +128,52 @@
 			manager.narrowGate(key)
 		}
 	}
-	if asked.After(manager.snapshot.answeredAt[r]) {
-		manager.snapshot.answeredAt[r] = asked
+	if polledAt.After(manager.snapshot.polledAt[store]) {
+		manager.snapshot.polledAt[store] = polledAt
 	}
-	if !manager.snapshot.freshStores[r] {
-		manager.snapshot.until = time.Time{}
+	if !manager.snapshot.freshStores[store] {
+		manager.snapshot.freshUntil = time.Time{}
 	}
 }
 
-// isFresh reports whether a majority of a key's holders have answered of late.
+// isFresh reports whether a majority of the key's stores have answered recently. The caller holds mu.
 func (manager *Manager) isFresh(key string) bool {
-	w, v, now := &manager.snapshot, manager.node.Cluster.Now(), time.Now()
-	if v.Version != w.version || !now.Before(w.until) {
-		have, until := map[register.Replica]bool{}, now.Add(manager.params.Snapshot.MaxAge)
-		for r, at := range w.answeredAt {
-			end := at.Add(manager.params.Snapshot.MaxAge)
+	snapshot, view, now := &manager.snapshot, manager.node.Cluster.Now(), time.Now()
+	if view.Version != snapshot.version || !now.Before(snapshot.freshUntil) {
+		fresh, until := map[register.Replica]bool{}, now.Add(manager.params.Snapshot.MaxAge)
+		for store, polledAt := range snapshot.polledAt {
+			end := polledAt.Add(manager.params.Snapshot.MaxAge)
 			if !now.Before(end) {
-				delete(w.answeredAt, r)
+				delete(snapshot.polledAt, store)
 				continue
 			}
-			have[r] = true
+			fresh[store] = true
 			if end.Before(until) {
 				until = end
 			}
 		}
-		same := v.Version == w.version && len(have) == len(w.freshStores)
-		for r := range have {
-			same = same && w.freshStores[r]
+		unchanged := view.Version == snapshot.version && len(fresh) == len(snapshot.freshStores)
+		for store := range fresh {
+			unchanged = unchanged && snapshot.freshStores[store]
 		}
-		if !same || len(w.majority) > maxKeys {
-			w.majority = map[string]bool{}
+		if !unchanged || len(snapshot.majority) > maxCachedKeys {
+			snapshot.majority = map[string]bool{}
 		}
-		w.freshStores, w.until, w.version = have, until, v.Version
+		snapshot.freshStores, snapshot.freshUntil, snapshot.version = fresh, until, view.Version
 	}
-	ok, known := w.majority[key]
+	ok, known := snapshot.majority[key]
 	if !known {
-		s := v.Stores(keys.Cooldown(key))
-		ok = s.Quorum(w.freshStores)
-		w.majority[key] = ok
+		stores := view.Stores(keys.Cooldown(key))
+		ok = stores.Quorum(snapshot.freshStores)
+		snapshot.majority[key] = ok
 	}
 	return ok
 }
 
-// maxKeys bounds what is remembered of keys by heart.
-const maxKeys = 4096
+// maxCachedKeys limits the size of snapshot.majority.
+const maxCachedKeys = 4096
 
-// RunSnapshot keeps the stores' snapshot recent while there are jobs, until ctx ends.
+// RunSnapshot polls the stores while there are jobs, until ctx is done.
 func (manager *Manager) RunSnapshot(ctx context.Context) {
 	loop.Every(ctx, manager.params.Snapshot.Interval, manager.wakeup, func(ctx context.Context) {
 		now := time.Now()
@@ -187,47 +190,56 @@
 	})
 }
 
-// pollAll asks every store at once and waits for none.
-func (manager *Manager) pollAll(ctx context.Context, v *cluster.View, asked time.Time) {
-	seen := map[string]bool{}
-	ctx = register.WithVersion(ctx, v.Version, false)
-	for _, m := range slices.Concat(v.Cluster.Stores, v.NextStores) {
-		if m.Ident == "" || seen[m.Ident] {
+// pollAll polls all stores concurrently and does not wait for their answers.
+func (manager *Manager) pollAll(ctx context.Context, view *cluster.View, polledAt time.Time) {
+	polled := map[string]bool{}
+	ctx = register.WithVersion(ctx, view.Version, false)
+	for _, machine := range slices.Concat(view.Cluster.Stores, view.NextStores) {
+		if machine.Ident == "" || polled[machine.Ident] {
 			continue
 		}
-		seen[m.Ident] = true
-		go manager.pollStore(ctx, m, asked)
+		polled[machine.Ident] = true
+		go manager.pollStore(ctx, machine, polledAt)
 	}
 }
 
-func (manager *Manager) pollStore(ctx context.Context, m spec.Machine, asked time.Time) {
-	q := &wire.Req{Ident: m.Ident, Op: &wire.Req_Cools{Cools: &wire.Cools{}}}
-	register.SetVersion(ctx, q)
+// pollStore requests the cooldowns in force from one store and records its answer.
+func (manager *Manager) pollStore(ctx context.Context, machine spec.Machine, polledAt time.Time) {
+	request := &wire.Req{Ident: machine.Ident, Op: &wire.Req_Cools{Cools: &wire.Cools{}}}
+	register.SetVersion(ctx, request)
 	manager.polls.Add(1)
-	a, err := manager.node.Peer.CallFor(ctx, manager.params.Snapshot.Timeout, m.Addr, q)
+	answer, err := manager.node.Peer.CallFor(ctx, manager.params.Snapshot.Timeout, machine.Addr, request)
 	if err != nil {
-		// Away, or with another spec: it has no part in the word.
+		// The store is unreachable or has another spec version, and does not count as fresh.
 		return
 	}
-	manager.recordAnswer(register.Replica{Addr: m.Addr, Ident: m.Ident}, asked, a.GetCools().GetCools())
+	manager.recordAnswer(
+		register.Replica{Addr: machine.Addr, Ident: machine.Ident},
+		polledAt,
+		answer.GetCools().GetCools(),
+	)
 }
 
+// maxBackoffDoublings limits the pause between reads while the stores are unreachable. The pause is
+// ShareWindow, doubled with each failed read.
+const maxBackoffDoublings = 2
+
 // sharedRead is one majority read that several jobs wait for.
 type sharedRead struct {
-	at   time.Time
-	done chan struct{}
+	startedAt time.Time
+	done      chan struct{}
 }
 
-// Remaining gives the wait that a call of the key must still keep to, 0 for none. It
-// rests on the stores' recent snapshot, or else on one check. A node whom the stores do
-// not answer goes by what it knows: docs/cooldown.md says why. The job has so much
-// time left.
+// Remaining returns the remaining wait of a key, or 0 if the call may be made now. It uses the
+// recent snapshot of the stores, or a majority read if there is none. If the stores do not respond,
+// it uses the deadlines known to this node; docs/cooldown.md explains why. left is the remaining
+// time of the job.
 func (manager *Manager) Remaining(ctx context.Context, key string, left time.Duration) time.Duration {
 	manager.mu.Lock()
 	manager.snapshot.lastUsed = time.Now()
-	if w := manager.remaining(key); w > 0 || manager.params.Local {
+	if wait := manager.remaining(key); wait > 0 || manager.params.Local {
 		manager.mu.Unlock()
-		return w
+		return wait
 	}
 	if manager.isFresh(key) {
 		manager.mu.Unlock()
@@ -237,31 +249,32 @@
 		manager.snapshot.lastFailure,
 	) < manager.params.Snapshot.ShareWindow<<min(
 		manager.snapshot.failures,
-		2,
+		maxBackoffDoublings,
 	) {
 		manager.mu.Unlock()
 		manager.wakeup.Notify()
 		manager.unverified.Add(1)
 		return 0
 	}
-	l := manager.snapshot.reads[key]
-	if l == nil || time.Since(l.at) > manager.params.Snapshot.ShareWindow {
-		l = &sharedRead{time.Now(), make(chan struct{})}
-		manager.snapshot.reads[key] = l
-		go manager.readShared(ctx, key, l)
+	read := manager.snapshot.reads[key]
+	if read == nil || time.Since(read.startedAt) > manager.params.Snapshot.ShareWindow {
+		read = &sharedRead{time.Now(), make(chan struct{})}
+		manager.snapshot.reads[key] = read
+		go manager.readShared(ctx, key, read)
 	}
 	manager.mu.Unlock()
 	manager.wakeup.Notify()
-	wctx, stop := context.WithTimeout(ctx, min(manager.params.Snapshot.ReadTimeout, left/10))
+	waitCtx, stop := context.WithTimeout(ctx, min(manager.params.Snapshot.ReadTimeout, left/10))
 	defer stop()
-	if !loop.Until(wctx, l.done) {
+	if !loop.Until(waitCtx, read.done) {
 		manager.unverified.Add(1)
 	}
 	return manager.KnownWait(key)
 }
 
-func (manager *Manager) readShared(ctx context.Context, key string, l *sharedRead) {
-	defer close(l.done)
+// readShared reads a key's cooldown for all jobs that wait for it, and updates the failure count.
+func (manager *Manager) readShared(ctx context.Context, key string, read *sharedRead) {
+	defer close(read.done)
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), manager.params.Snapshot.ReadTimeout)
 	defer stop()
 	manager.reads.Add(1)
@@ -272,17 +285,19 @@
 		manager.snapshot.failures, manager.snapshot.lastFailure = 0, time.Time{}
 		return
 	}
-	// While the stores are away one job in a while finds out whether they still
-	// are. What the node knew of them before it slept is no ground to skip that.
+	// While the stores are unreachable, only an occasional job attempts a read, to detect when they
+	// are reachable again. The pause between two reads is bounded, so that a node that was
+	// suspended does not skip reads because of an old failure.
 	manager.snapshot.failures++
 	manager.snapshot.lastFailure = time.Now()
-	manager.node.Log.Debug("cooldown not read", "key", key, "err", err)
+	manager.node.Log.Debug("failed to read cooldown from the stores", "key", key, "err", err)
 }
 
-// Idle tells that this node knows of no cooldown at all, nor of one just over.
+// Idle reports whether this node knows of no cooldown in force and has no gate after a recent one.
 func (manager *Manager) Idle() bool { return !manager.active.Load() }
 
-// GateOpen reports whether a call of the key may be made as far as this node knows.
+// GateOpen reports whether a call of the key is allowed by its cooldown and its gate, as known to
+// this node.
 func (manager *Manager) GateOpen(key string) bool {
 	if manager.Idle() {
 		return true
@@ -293,16 +308,16 @@
 	return manager.remaining(key) <= 0 && (g == nil || g.inFlight < g.limit)
 }
 
-// Admission is the leave for one call of a key.
+// Admission is the permission for one call of a key. End must be called when the call ends.
 type Admission struct {
-	manager *Manager
-	key     string
-	gate    *gate // nil: there was no cooldown of late
-	good    bool
+	manager   *Manager
+	key       string
+	gate      *gate // nil if the key had no recent cooldown
+	succeeded bool
 }
 
-// Admit gives the leave for a call, where its key is clear and, right after a
-// cooldown, few others are under way.
+// Admit admits a call if its key has no cooldown in force and its gate, if any, is below its limit
+// of concurrent calls.
 func (manager *Manager) Admit(ctx context.Context, key string, left time.Duration) (*Admission, bool) {
 	if manager.Remaining(ctx, key, left) > 0 {
 		return nil, false
@@ -319,123 +334,123 @@
 	return &Admission{manager: manager, key: key, gate: g}, true
 }
 
-// StillValid reports whether the leave is still good, right before the first byte: a dial
-// takes a while, and a node that slept must ask anew.
-func (p *Admission) StillValid(ctx context.Context, left time.Duration) bool {
-	return p.manager.Remaining(ctx, p.key, left) <= 0
+// StillValid reports whether the call may still be made. It must be called right before the first
+// byte is sent, because dialing takes time and the node may have been suspended since Admit.
+func (admission *Admission) StillValid(ctx context.Context, left time.Duration) bool {
+	return admission.manager.Remaining(ctx, admission.key, left) <= 0
 }
 
-// Succeeded widens the gate: the call was taken.
-func (p *Admission) Succeeded() {
-	if p.gate == nil || p.good {
+// Succeeded records that the call was not refused, and widens the gate.
+func (admission *Admission) Succeeded() {
+	if admission.gate == nil || admission.succeeded {
 		return
 	}
-	p.good = true
-	p.manager.mu.Lock()
-	defer p.manager.mu.Unlock()
-	p.manager.widenGate(p.key, p.gate)
+	admission.succeeded = true
+	admission.manager.mu.Lock()
+	defer admission.manager.mu.Unlock()
+	admission.manager.widenGate(admission.key, admission.gate)
 }
 
-// End ends the call.
-func (p *Admission) End() {
-	if p.gate == nil {
+// End releases the call's place in the gate.
+func (admission *Admission) End() {
+	if admission.gate == nil {
 		return
 	}
-	p.manager.mu.Lock()
-	defer p.manager.mu.Unlock()
-	p.gate.inFlight--
-	p.gate.used = time.Now()
+	admission.manager.mu.Lock()
+	defer admission.manager.mu.Unlock()
+	admission.gate.inFlight--
+	admission.gate.usedAt = time.Now()
 }
 
-// write is one writing of a refusal that others may join.
+// write is a write in progress of a cooldown, which several refusals of one key may share.
 type write struct {
 	floor time.Duration
 	done  chan struct{}
 }
 
-// RecordRefusal puts a refusal in force and gives the wait. This node stops at once. The
-// caller waits for the stores for a moment only; the write goes on. Refusals of
-// one key at once are one write, and none is needed while the stores have a
-// cooldown in force that is long enough.
+// RecordRefusal installs a cooldown after a refusal and returns the wait. The cooldown applies to
+// this node immediately. The caller waits for the write for at most SnapshotParams.WriteWait, and the
+// write continues in the background. Concurrent refusals of one key share a write, and there is no
+// write while the stores have a cooldown in force that is long enough.
 func (manager *Manager) RecordRefusal(ctx context.Context, key string, floor time.Duration) time.Duration {
 	c := &manager.node.Cluster.Now().Spec.Cooldown
 	manager.extend(key, max(floor, c.First()))
 	manager.mu.Lock()
-	// Near its end the stores may call it over, and this refusal the next.
+	// Near its end, the cooldown may already have expired at the stores, so that this refusal starts
+	// a new one.
 	if time.Until(manager.writtenUntil[key]) > floor+c.First()/4 {
 		manager.mu.Unlock()
 		return manager.KnownWait(key)
 	}
-	w := manager.writes[key]
-	if w == nil || w.floor < floor {
-		w = &write{floor, make(chan struct{})}
-		manager.writes[key] = w
+	pending := manager.writes[key]
+	if pending == nil || pending.floor < floor {
+		pending = &write{floor, make(chan struct{})}
+		manager.writes[key] = pending
 		go func() {
 			manager.Install(context.WithoutCancel(ctx), key, floor)
 			manager.mu.Lock()
-			if manager.writes[key] == w {
+			if manager.writes[key] == pending {
 				delete(manager.writes, key)
 			}
 			manager.mu.Unlock()
-			close(w.done)
+			close(pending.done)
 		}()
 	}
-	away := manager.snapshot.failures > 0
+	unreachable := manager.snapshot.failures > 0
 	manager.mu.Unlock()
-	if away {
-		// It has waited for them already.
+	if unreachable {
+		// The job has already waited for the stores.
 		return manager.KnownWait(key)
 	}
-	wctx, stop := context.WithTimeout(ctx, manager.params.Snapshot.WriteWait)
+	waitCtx, stop := context.WithTimeout(ctx, manager.params.Snapshot.WriteWait)
 	defer stop()
-	loop.Until(wctx, w.done)
+	loop.Until(waitCtx, pending.done)
 	return manager.KnownWait(key)
 }
 
-// expire forgets what is over, so that keys that no runner has any more leave
-// nothing behind.
+// expire removes expired state, so that keys without runners do not use memory.
 func (manager *Manager) expire() {
 	now, quiet := time.Now(), manager.node.Cluster.Now().Spec.Cooldown.Quiet()
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
-	hot := false
-	for k, u := range manager.until {
-		if !now.Before(u) {
-			delete(manager.until, k)
+	anyInForce := false
+	for key, deadline := range manager.deadlines {
+		if !now.Before(deadline) {
+			delete(manager.deadlines, key)
 		}
 	}
-	for k, t := range manager.snapshot.observed {
-		if now.Sub(t.end()) > retention {
-			delete(manager.snapshot.observed, k)
+	for key, cooldown := range manager.snapshot.observed {
+		if now.Sub(cooldown.end()) > retention {
+			delete(manager.snapshot.observed, key)
 		}
-		hot = hot || now.Before(t.end())
+		anyInForce = anyInForce || now.Before(cooldown.end())
 	}
-	for k, u := range manager.writtenUntil {
-		if !now.Before(u) {
-			delete(manager.writtenUntil, k)
+	for key, deadline := range manager.writtenUntil {
+		if !now.Before(deadline) {
+			delete(manager.writtenUntil, key)
 		}
 	}
-	for k, l := range manager.snapshot.reads {
-		if now.Sub(l.at) > time.Second {
-			delete(manager.snapshot.reads, k)
+	for key, read := range manager.snapshot.reads {
+		if now.Sub(read.startedAt) > time.Second {
+			delete(manager.snapshot.reads, key)
 		}
 	}
-	for k, g := range manager.gates {
-		if g.inFlight == 0 && manager.remaining(k) <= 0 && now.Sub(g.used) > quiet {
-			delete(manager.gates, k)
+	for key, g := range manager.gates {
+		if g.inFlight == 0 && manager.remaining(key) <= 0 && now.Sub(g.usedAt) > quiet {
+			delete(manager.gates, key)
 		}
 	}
-	manager.active.Store(hot || len(manager.until)+len(manager.gates) > 0)
+	manager.active.Store(anyInForce || len(manager.deadlines)+len(manager.gates) > 0)
 }
 
-// Stats are counts since the start, for the cost of a job.
+// Stats counts the cooldown checks since the start of the node.
 type Stats struct {
-	Polls      uint64 // askings of single stores for their word
-	Reads      uint64 // majority reads where there was no recent snapshot
-	Unverified uint64 // jobs that went on without either
+	Polls      uint64 // polls of single stores
+	Reads      uint64 // majority reads because there was no recent snapshot
+	Unverified uint64 // checks without a recent snapshot or a completed read
 }
 
-// Stats gives the counts.
+// Stats returns the counts.
 func (manager *Manager) Stats() Stats {
 	return Stats{manager.polls.Load(), manager.reads.Load(), manager.unverified.Load()}
 }
--- a/internal/dataplane/cooldown/snapshot_test.go
+++ b/internal/dataplane/cooldown/snapshot_test.go
@@ -24,17 +24,18 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// fleet is some stores and the cooldown managers of some edges, without a core.
+// fleet consists of stores and the cooldown managers of edges, without core nodes.
 type fleet struct {
 	stores   []*store.Store
 	managers []*cooldown.Manager
 	nodes    []*node.Node
 }
 
-func lay(t testing.TB, ctx context.Context, stores, edges int, host func(addr string) transport.Net) *fleet {
+// newFleet starts the stores and creates the managers. host returns the network of an address.
+func newFleet(t testing.TB, ctx context.Context, stores, edges int, host func(addr string) transport.Net) *fleet {
 	t.Helper()
 	f := &fleet{}
-	var re spec.Cluster
+	var cluster spec.Cluster
 	params := func(id, role, zone, addr string) node.Params {
 		return node.Params{
 			Self:      &wire.Member{Id: id, Role: role, Zone: zone, Addr: addr},
@@ -59,9 +60,9 @@
 			t.Fatal(err)
 		}
 		f.stores = append(f.stores, s)
-		re.Stores = append(re.Stores, spec.Machine{ID: id, Addr: addr, Zone: zone, Ident: v.Ident()})
+		cluster.Stores = append(cluster.Stores, spec.Machine{ID: id, Addr: addr, Zone: zone, Ident: v.Ident()})
 	}
-	raw, err := re.MarshalJSON()
+	raw, err := cluster.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,57 +101,57 @@
 	}
 }
 
-// reads clears many keys at a manager and tells how many its snapshot did not cover.
-func reads(ctx context.Context, manager *cooldown.Manager, keys int) int {
+// countUncovered checks many keys at a manager and returns how many its snapshot did not cover.
+func countUncovered(ctx context.Context, manager *cooldown.Manager, keys int) int {
 	n := 0
 	for i := range keys {
-		was := manager.Stats()
+		before := manager.Stats()
 		manager.Remaining(ctx, fmt.Sprint("runner/", i), 4*time.Second)
-		if a := manager.Stats(); a.Reads > was.Reads || a.Unverified > was.Unverified {
+		if after := manager.Stats(); after.Reads > before.Reads || after.Unverified > before.Unverified {
 			n++
 		}
 	}
 	return n
 }
 
-// TestSnapshotIsFresh: the word covers a key while a majority of its holders has answered,
-// so an entire zone may be away; what is not covered is looked up.
+// TestSnapshotIsFresh checks that the snapshot covers a key while a majority of its stores have
+// answered, even if all stores of a zone are down. Keys that are not covered are read.
 func TestSnapshotIsFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		net := memnet.New(1)
-		f := lay(t, ctx, 9, 1, func(addr string) transport.Net { return net.Host(addr) })
+		f := newFleet(t, ctx, 9, 1, func(addr string) transport.Net { return net.Host(addr) })
 		manager := f.managers[0]
 		go manager.RunSnapshot(ctx)
-		if n := reads(ctx, manager, 1); n != 1 {
-			t.Errorf("%d looks before any word", n)
+		if n := countUncovered(ctx, manager, 1); n != 1 {
+			t.Errorf("%d keys read before the first snapshot, want 1", n)
 		}
 		time.Sleep(300 * time.Millisecond)
-		if n := reads(ctx, manager, 50); n != 0 {
-			t.Errorf("%d looks with a fresh word", n)
+		if n := countUncovered(ctx, manager, 50); n != 0 {
+			t.Errorf("%d keys read with a fresh snapshot", n)
 		}
 		for _, i := range []int{0, 3, 6} {
 			f.stores[i].Peer.Close()
 		}
 		for range 10 {
 			time.Sleep(200 * time.Millisecond)
-			if n := reads(ctx, manager, 50); n != 0 {
-				t.Errorf("%d looks with a zone away", n)
+			if n := countUncovered(ctx, manager, 50); n != 0 {
+				t.Errorf("%d keys read with a zone down", n)
 			}
 		}
-		// One more store: its keys, and no others, have no majority.
+		// With one more store down, only its keys have no majority.
 		f.stores[1].Peer.Close()
 		time.Sleep(time.Second)
-		reads(ctx, manager, 1)
+		countUncovered(ctx, manager, 1)
 		time.Sleep(100 * time.Millisecond)
-		if n := reads(ctx, manager, 50); n == 0 || n == 50 {
-			t.Errorf("%d looks of 50 with a zone and a store away", n)
+		if n := countUncovered(ctx, manager, 50); n == 0 || n == 50 {
+			t.Errorf("%d of 50 keys read with a zone and a store down", n)
 		}
-		// Asleep for long, the word is old.
+		// The snapshot is outdated after a long suspension.
 		time.Sleep(10 * time.Second)
-		if n := reads(ctx, manager, 1); n != 1 {
-			t.Errorf("%d looks after a long sleep", n)
+		if n := countUncovered(ctx, manager, 1); n != 1 {
+			t.Errorf("%d keys read after a long suspension, want 1", n)
 		}
 		stop()
 		f.close()
@@ -158,40 +159,40 @@
 	})
 }
 
-// TestClear: what one manager writes another keeps to, by the snapshot or by a read; what
-// is left is never less than what the refusal asked for.
-func TestClear(t *testing.T) {
+// TestRemaining checks that a cooldown written by one manager applies to the others, both with a
+// snapshot and with a read, and that the remaining wait is never shorter than the refusal requires.
+func TestRemaining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		net := memnet.New(1)
-		f := lay(t, ctx, 3, 3, func(addr string) transport.Net { return net.Host(addr) })
+		f := newFleet(t, ctx, 3, 3, func(addr string) transport.Net { return net.Host(addr) })
 		a, b, c := f.managers[0], f.managers[1], f.managers[2]
 		go b.RunSnapshot(ctx)
 		b.Remaining(ctx, "runner/x", time.Second)
 		time.Sleep(300 * time.Millisecond)
-		at := time.Now()
+		refusedAt := time.Now()
 		floor := 7*time.Second + 300*time.Microsecond
 		if w := a.RecordRefusal(ctx, "runner/x", floor); w < floor {
-			t.Errorf("the refused one may come back after %s", w)
+			t.Errorf("wait after the refusal: %s", w)
 		}
-		if w := c.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(at) || w > floor+10*time.Millisecond {
-			t.Errorf("by a look: %s", w)
+		if w := c.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(refusedAt) || w > floor+10*time.Millisecond {
+			t.Errorf("wait with a read: %s", w)
 		}
 		for b.Remaining(ctx, "runner/x", time.Second) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if d := time.Since(at); d > cooldown.DefaultSnapshot.MaxAge {
-			t.Errorf("by the word after %s", d)
+		if d := time.Since(refusedAt); d > cooldown.DefaultSnapshot.MaxAge {
+			t.Errorf("cooldown in the snapshot only after %s", d)
 		}
 		time.Sleep(3 * time.Second)
 		b.Remaining(ctx, "runner/x", time.Second)
 		time.Sleep(300 * time.Millisecond)
-		if w := b.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(at) ||
-			w > floor-time.Since(at)+10*time.Millisecond {
-			t.Errorf("what is left after %s: %s", time.Since(at), w)
+		if w := b.Remaining(ctx, "runner/x", time.Second); w < floor-time.Since(refusedAt) ||
+			w > floor-time.Since(refusedAt)+10*time.Millisecond {
+			t.Errorf("remaining wait after %s: %s", time.Since(refusedAt), w)
 		}
-		// A second refusal within it writes nothing, a longer one lengthens it.
+		// A second refusal during the cooldown is not written. One with a longer wait extends it.
 		a.RecordRefusal(ctx, "runner/x", 0)
 		a.RecordRefusal(ctx, "runner/x", 20*time.Second)
 		if n := a.Installs(); n != 2 {
@@ -199,7 +200,7 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 		if w := b.Remaining(ctx, "runner/x", time.Second); w < 19*time.Second {
-			t.Errorf("lengthened: %s", w)
+			t.Errorf("wait after the extension: %s", w)
 		}
 		stop()
 		f.close()
@@ -207,67 +208,67 @@
 	})
 }
 
-// TestGateOfPass: right after a cooldown one call, then twice as many with each one
-// taken, and none is let in while it lasts; leaves may be given back in any order.
-func TestGateOfPass(t *testing.T) {
+// TestGateAfterCooldown checks that no call is admitted during a cooldown, and that afterwards one
+// concurrent call is admitted and the limit doubles with each success. Calls may end in any order.
+func TestGateAfterCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		net := memnet.New(1)
-		f := lay(t, ctx, 3, 1, func(addr string) transport.Net { return net.Host(addr) })
+		f := newFleet(t, ctx, 3, 1, func(addr string) transport.Net { return net.Host(addr) })
 		manager := f.managers[0]
 		go manager.RunSnapshot(ctx)
 		go manager.Run(ctx)
 		early, ok := manager.Admit(ctx, "k", time.Second)
 		if !ok {
-			t.Fatal("no leave without a cooldown")
+			t.Fatal("call not admitted without a cooldown")
 		}
 		manager.RecordRefusal(ctx, "k", 0)
 		if _, ok := manager.Admit(ctx, "k", time.Second); ok || manager.GateOpen("k") ||
 			early.StillValid(ctx, time.Second) {
-			t.Error("a leave while it cools")
+			t.Error("call admitted during the cooldown")
 		}
 		time.Sleep(1100 * time.Millisecond)
 		early.Succeeded()
 		early.End()
 		for _, want := range []int{1, 2, 4, 8, 16} {
-			var ps []*cooldown.Admission
+			var admissions []*cooldown.Admission
 			for {
 				p, ok := manager.Admit(ctx, "k", time.Second)
 				if !ok {
 					break
 				}
-				ps = append(ps, p)
+				admissions = append(admissions, p)
 			}
-			if len(ps) != want {
-				t.Errorf("%d at once, want %d", len(ps), want)
+			if len(admissions) != want {
+				t.Errorf("%d at once, want %d", len(admissions), want)
 			}
-			ps[0].Succeeded()
-			ps[0].Succeeded()
-			for _, p := range ps {
+			admissions[0].Succeeded()
+			admissions[0].Succeeded()
+			for _, p := range admissions {
 				p.End()
 			}
 		}
-		var ps []*cooldown.Admission
+		var admissions []*cooldown.Admission
 		for range 100 {
 			p, ok := manager.Admit(ctx, "k", time.Second)
 			if !ok {
 				t.Fatal("the gate is not open")
 			}
-			ps = append(ps, p)
+			admissions = append(admissions, p)
 		}
-		for _, p := range ps {
+		for _, p := range admissions {
 			p.End()
 		}
 		time.Sleep(time.Second)
 		if !manager.Idle() {
-			t.Error("not calm")
+			t.Error("not idle after the gate was removed")
 		}
-		// A gate that nobody goes through is forgotten.
-		manager.RecordRefusal(ctx, "gone", 0)
+		// The gate of an unused key is removed.
+		manager.RecordRefusal(ctx, "unused", 0)
 		time.Sleep(40 * time.Second)
 		if !manager.Idle() {
-			t.Error("a key that nobody uses any more is remembered")
+			t.Error("the gate of an unused key was kept")
 		}
 		stop()
 		f.close()
@@ -275,21 +276,21 @@
 	})
 }
 
-// TestSimultaneousRefusals: refusals seen by many managers in one moment are one step.
+// TestSimultaneousRefusals checks that refusals at many managers at the same time count as one step.
 func TestSimultaneousRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		net := memnet.New(1)
 		net.Delay(2 * time.Millisecond)
-		f := lay(t, ctx, 3, 64, func(addr string) transport.Net { return net.Host(addr) })
-		at := time.Now()
+		f := newFleet(t, ctx, 3, 64, func(addr string) transport.Net { return net.Host(addr) })
+		start := time.Now()
 		done := make(chan time.Duration, 64*5)
 		for _, manager := range f.managers {
 			for range 5 {
 				go func() {
 					manager.RecordRefusal(ctx, "runner/x", 0)
-					done <- time.Since(at)
+					done <- time.Since(start)
 				}()
 			}
 		}
@@ -298,12 +299,12 @@
 			last = max(last, <-done)
 		}
 		time.Sleep(time.Second)
-		n, kept, rounds := uint64(0), 0, uint64(0)
+		n, inForce, rounds := uint64(0), 0, uint64(0)
 		for i, manager := range f.managers {
 			n += manager.Installs()
 			rounds += f.nodes[i].Proposer.Rounds.Load()
 			if !manager.GateOpen("runner/x") {
-				kept++
+				inForce++
 			}
 		}
 		t.Logf("64 managers, 5 refusals each: %d written, %d rounds, the last job waited %s", n, rounds, last)
@@ -316,12 +317,12 @@
 	})
 }
 
-// BenchmarkClear is the processor's time for one job's check of the cooldown: by a
-// recent snapshot, and by a majority read at three stores, whose share is in the figure.
-func BenchmarkClear(b *testing.B) {
+// BenchmarkRemaining measures the CPU time for one job's check of the cooldown, with a recent snapshot
+// and with a majority read. The latter includes the CPU time of the three stores.
+func BenchmarkRemaining(b *testing.B) {
 	ctx, stop := context.WithCancel(b.Context())
 	defer stop()
-	f := lay(b, ctx, 3, 1, func(string) transport.Net { return transport.TCP(transport.DefaultParams, listen.Opener{}) })
+	f := newFleet(b, ctx, 3, 1, func(string) transport.Net { return transport.TCP(transport.DefaultParams, listen.Opener{}) })
 	defer f.close()
 	manager := f.managers[0]
 	go manager.RunSnapshot(ctx)
@@ -329,12 +330,12 @@
 	for manager.Stats().Polls < 6 {
 		manager.Remaining(ctx, "runner/x", time.Second)
 	}
-	b.Run("word", func(b *testing.B) {
+	b.Run("snapshot", func(b *testing.B) {
 		for b.Loop() {
 			manager.Remaining(ctx, "runner/x", time.Second)
 		}
 	})
-	b.Run("look", func(b *testing.B) {
+	b.Run("read", func(b *testing.B) {
 		for b.Loop() {
 			if _, _, err := manager.Read(ctx, "runner/x"); err != nil {
 				b.Fatal(err)
--- a/internal/dataplane/programs/budget/budget.go
+++ b/internal/dataplane/programs/budget/budget.go
@@ -1,8 +1,8 @@
-// Package budget keeps each program's one budget of output and time, complete over all
-// nodes: a turn reserves its largest output before it is passed and commits to
-// the true figure after. A reservation nobody commits counts as spent. The time a
-// program has left is the least that any node has received, counted down since by the
-// stores; a sub-agent spends from the program at the root, and does not outlive it.
+// Package budget enforces the output and time budgets of programs across all nodes. A turn reserves
+// its maximum output before it is forwarded to a runner and commits its actual output afterwards. A
+// reservation that is never committed counts as spent. The remaining time of a program is the
+// smallest value that any node has received, and is counted down by the age of the register at the
+// stores. A sub-agent uses the budget of the root program and ends with it.
 package budget
 
 import (
@@ -19,239 +19,249 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Value is a budget's register.
+// Value is the content of a program's budget register.
 type Value struct {
-	Spent int64            `json:"spent"`
-	Open  map[string]int64 `json:"open,omitempty"`
-	// LeftMs is the time that the program had left at the last write; Timed, that
-	// it has been received.
+	Spent int64 `json:"spent"`
+	// Open holds the reservations that are not committed, by job id.
+	Open map[string]int64 `json:"open,omitempty"`
+	// LeftMs is the remaining time of the program as of the last write. TimeKnown is set once it
+	// has been received.
 	LeftMs    int64 `json:"left_ms,omitempty"`
 	TimeKnown bool  `json:"timed,omitempty"`
-	// Root is set for a sub-agent, which has no budget of its own.
+	// Root is the root program of a sub-agent. A sub-agent has no separate budget.
 	Root string `json:"root,omitempty"`
-	// LastRunner is the runner that last read the program's prompts and may hold them still.
+	// LastRunner is the runner that last processed the program's prompts and may still have them
+	// in its cache.
 	LastRunner string `json:"home,omitempty"`
 }
 
-// UpdateTimeLeft counts down what was left by the age of the last write, and takes a smaller
-// word of what is left; a larger one is not taken.
-func (v *Value) UpdateTimeLeft(age, stated time.Duration) time.Duration {
+// UpdateTimeLeft subtracts the age of the last write from the remaining time, applies the stated
+// time if it is smaller, and returns the result, which may be negative.
+func (value *Value) UpdateTimeLeft(age, stated time.Duration) time.Duration {
 	left := stated
-	if v.TimeKnown {
-		left = min(time.Duration(v.LeftMs)*time.Millisecond-age, stated)
+	if value.TimeKnown {
+		left = min(time.Duration(value.LeftMs)*time.Millisecond-age, stated)
 	}
-	v.TimeKnown, v.LeftMs = true, max(left, 0).Milliseconds()
+	value.TimeKnown, value.LeftMs = true, max(left, 0).Milliseconds()
 	return left
 }
 
-// Reserve takes up to most for a job out of what is left of total.
-func (v *Value) Reserve(id string, most, total int64) error {
-	if _, ok := v.Open[id]; ok {
+// Reserve reserves up to most of the remaining budget for a job. It has no effect if the job already
+// has a reservation.
+func (value *Value) Reserve(id string, most, total int64) error {
+	if _, ok := value.Open[id]; ok {
 		return nil
 	}
-	left := total - v.Used()
+	left := total - value.Used()
 	if left <= 0 {
 		return code.New(code.BudgetSpent, "the budget of %d is spent", total)
 	}
-	if v.Open == nil {
-		v.Open = map[string]int64{}
+	if value.Open == nil {
+		value.Open = map[string]int64{}
 	}
-	v.Open[id] = min(most, left)
+	value.Open[id] = min(most, left)
 	return nil
 }
 
-// Settle turns a reservation into what was really spent.
-func (v *Value) Settle(id string, spent int64) {
-	if _, ok := v.Open[id]; ok {
-		delete(v.Open, id)
-		v.Spent += spent
+// Settle replaces a job's reservation by its actual output. It has no effect without a reservation.
+func (value *Value) Settle(id string, spent int64) {
+	if _, ok := value.Open[id]; ok {
+		delete(value.Open, id)
+		value.Spent += spent
 	}
 }
 
-// Policy reserves before a model turn and commits after it.
+// Policy reserves budget before a model turn and commits the actual output after it.
 type Policy struct {
 	Stores *storeclient.Client
-	// ReserveTimeout is the deadline of reserving, CommitTimeout of one try at settling.
+	// ReserveTimeout is the deadline of a reservation, CommitTimeout of one attempt to commit.
 	ReserveTimeout, CommitTimeout time.Duration
 	Background                    job.Background
 }
 
-// Used is what is spent or still reserved.
-func (v *Value) Used() int64 {
-	n := v.Spent
-	for _, o := range v.Open {
-		n += o
+// Used returns the sum of the spent and the reserved output.
+func (value *Value) Used() int64 {
+	used := value.Spent
+	for _, reserved := range value.Open {
+		used += reserved
 	}
-	return n
+	return used
 }
 
-// Read is a program's budget as the stores hold it.
-func Read(ctx context.Context, t *storeclient.Client, program string) (Value, error) {
-	st, err := t.Read(ctx, keys.Budget(program))
+// Read reads a program's budget from the stores.
+func Read(ctx context.Context, stores *storeclient.Client, program string) (Value, error) {
+	state, err := stores.Read(ctx, keys.Budget(program))
 	if err != nil {
 		return Value{}, err
 	}
-	return read(st)
+	return decode(state)
 }
 
-func read(st register.State) (Value, error) {
-	var v Value
-	if st.Expired {
-		return v, code.New(
+// decode returns the budget in a register's state, or an error if its retention time is over.
+func decode(state register.State) (Value, error) {
+	var value Value
+	if state.Expired {
+		return value, code.New(
 			code.Expired,
 			"the program's budget is past its keeping time; a new program needs a new name",
 		)
 	}
-	if len(st.Value) > 0 {
-		if err := json.Unmarshal(st.Value, &v); err != nil {
-			return v, code.New(code.Garbled, "budget: %w", err)
+	if len(state.Value) > 0 {
+		if err := json.Unmarshal(state.Value, &value); err != nil {
+			return value, code.New(code.Garbled, "budget: %w", err)
 		}
 	}
-	return v, nil
+	return value, nil
 }
 
-// Do is the policy.
-func (p Policy) Do(c *job.Ctx, next job.Next) job.Answer {
-	if err := p.root(c); err != nil {
+// Do implements job.Policy.
+func (policy Policy) Do(c *job.Ctx, next job.Next) job.Answer {
+	if err := policy.resolveRoot(c); err != nil {
 		return job.Answer{Err: err}
 	}
 	total, ok := c.View.Spec.Output(c.Root)
 	if !ok {
 		return job.Bad(code.BadField, "no budget is stated for program %q", c.Root)
 	}
-	ctx, stop := context.WithTimeout(c, min(p.ReserveTimeout, c.Left()))
-	st, err := p.Stores.ChangeStrict(ctx, keys.Budget(c.Root), func(st register.State) ([]byte, bool, error) {
-		v, err := read(st)
+	ctx, stop := context.WithTimeout(c, min(policy.ReserveTimeout, c.Left()))
+	state, err := policy.Stores.ChangeStrict(ctx, keys.Budget(c.Root), func(state register.State) ([]byte, bool, error) {
+		value, err := decode(state)
 		if err != nil {
 			return nil, false, err
 		}
-		if err := v.begin(c, st.Age); err != nil {
+		if err := value.checkTime(c, state.Age); err != nil {
 			return nil, false, err
 		}
-		if err := v.Reserve(c.ID, c.Most, total); err != nil {
+		if err := value.Reserve(c.ID, c.Most, total); err != nil {
 			return nil, false, err
 		}
-		b, err := json.Marshal(v)
+		b, err := json.Marshal(value)
 		return b, true, err
 	})
 	stop()
 	if code.Of(err) == code.OutcomeUnknown {
-		// Perhaps it is reserved; nothing was passed, so it is handed back.
-		p.Background.Go(func() { p.commit(c, 0) })
+		// The reservation may have been written. The job is not forwarded, so it is released.
+		policy.Background.Go(func() { policy.commit(c, 0) })
 		return job.Bad(code.StoresUnreachable, "the budget could not be reserved: %w", err)
 	}
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	v, err := read(st)
+	value, err := decode(state)
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	c.Most = v.Open[c.ID]
-	p.bound(c, v)
+	c.Most = value.Open[c.ID]
+	policy.limitDeadline(c, value)
 	c.At(job.Reserved)
-	a := next(c)
-	switch a.Ran() {
+	answer := next(c)
+	switch answer.Ran() {
 	case "no":
-		p.Background.Go(func() { p.commit(c, 0) })
+		policy.Background.Go(func() { policy.commit(c, 0) })
 	case "yes":
-		// The next turn of the program may come at once and should find what
-		// this one left; but the caller does not wait for a slow tier.
-		done := make(chan struct{})
+		// The program's next turn may follow immediately and should see this commit. The caller
+		// does not wait longer than CommitTimeout if the stores are slow.
+		committed := make(chan struct{})
 		spent := c.Spent
-		p.Background.Go(func() { defer close(done); p.commit(c, spent) })
-		ctx, stop := context.WithTimeout(c, p.CommitTimeout)
+		policy.Background.Go(func() { defer close(committed); policy.commit(c, spent) })
+		ctx, stop := context.WithTimeout(c, policy.CommitTimeout)
 		defer stop()
 		select {
-		case <-done:
+		case <-committed:
 		case <-ctx.Done():
 		}
 	}
-	// With the outcome unknown the reservation stays, and counts as spent.
-	return a
+	// If the outcome is unknown, the reservation stays and counts as spent.
+	return answer
 }
 
-// commit tries for a minute; what stays reserved counts as spent.
-func (p Policy) commit(c *job.Ctx, spent int64) {
-	for try := 0; try < 60; try++ {
-		ctx, stop := context.WithTimeout(p.Background.Ctx, p.CommitTimeout)
-		_, err := p.Stores.Change(ctx, keys.Budget(c.Root), func(st register.State) ([]byte, bool, error) {
-			v, err := read(st)
+// Retries of a commit, for about a minute.
+const (
+	commitAttempts      = 60
+	commitRetryInterval = time.Second
+)
+
+// commit settles a job's reservation. If all attempts fail, the reservation counts as spent.
+func (policy Policy) commit(c *job.Ctx, spent int64) {
+	for attempt := 0; attempt < commitAttempts; attempt++ {
+		ctx, stop := context.WithTimeout(policy.Background.Ctx, policy.CommitTimeout)
+		_, err := policy.Stores.Change(ctx, keys.Budget(c.Root), func(state register.State) ([]byte, bool, error) {
+			value, err := decode(state)
 			if err != nil {
 				return nil, false, err
 			}
-			v.UpdateTimeLeft(st.Age, time.Until(c.Ends))
-			v.Settle(c.ID, spent)
-			b, err := json.Marshal(v)
+			value.UpdateTimeLeft(state.Age, time.Until(c.Ends))
+			value.Settle(c.ID, spent)
+			b, err := json.Marshal(value)
 			return b, true, err
 		})
 		stop()
-		if err == nil || !loop.Wait(p.Background.Ctx, time.Second) {
+		if err == nil || !loop.Wait(policy.Background.Ctx, commitRetryInterval) {
 			return
 		}
 	}
 	c.Log.Warn("reservation not committed, it counts as spent", "program", c.Root)
 }
 
-// begin takes a job's word of the time its program has left.
-func (v *Value) begin(c *job.Ctx, age time.Duration) error {
-	if v.Root != "" {
-		return code.New(code.BadProgram, "%q was started by another program, of %q: name it", c.Root, v.Root)
+// checkTime updates the remaining time of a job's program and checks that the job may run.
+func (value *Value) checkTime(c *job.Ctx, age time.Duration) error {
+	if value.Root != "" {
+		return code.New(code.BadProgram, "%q was started by another program, of %q: name it", c.Root, value.Root)
 	}
 	subagent := c.Root != c.Program
-	if subagent && !v.TimeKnown {
+	if subagent && !value.TimeKnown {
 		return code.New(code.BadProgram, "program %q is not known", c.Root)
 	}
-	if v.UpdateTimeLeft(age, time.Until(c.Ends)) > 0 {
+	if value.UpdateTimeLeft(age, time.Until(c.Ends)) > 0 {
 		return nil
 	}
 	if subagent {
 		return code.New(code.BadProgram, "program %q has ended", c.Root)
 	}
-	// The time that was received is over and the program asks again: it has more than
-	// it said, as one that goes on with a kept conversation after days. Its output
-	// budget goes on; its time starts anew.
-	v.TimeKnown = false
-	v.UpdateTimeLeft(0, time.Until(c.Ends))
+	// The time has run out, but the program has sent another request with remaining time, for
+	// example to continue a conversation after several days. The output budget is kept, and the
+	// time restarts with the stated value.
+	value.TimeKnown = false
+	value.UpdateTimeLeft(0, time.Until(c.Ends))
 	return nil
 }
 
-// bound ends a job with its program, by the least that was seen its time.
-func (p Policy) bound(c *job.Ctx, v Value) {
-	if end := time.Now().Add(time.Duration(v.LeftMs) * time.Millisecond); end.Before(c.AnswerBy) {
+// limitDeadline limits a job's deadline to the remaining time of its program.
+func (policy Policy) limitDeadline(c *job.Ctx, value Value) {
+	if end := time.Now().Add(time.Duration(value.LeftMs) * time.Millisecond); end.Before(c.AnswerBy) {
 		c.AnswerBy = end
 	}
 }
 
-// root finds the program whose budget a job spends from. A sub-agent's is written down
-// with its first turn, so that helpers of its own find it too.
-func (p Policy) root(c *job.Ctx) error {
+// resolveRoot sets c.Root to the program whose budget the job uses. It records the root program of a
+// sub-agent in the sub-agent's register, so that sub-agents of the sub-agent find it too.
+func (policy Policy) resolveRoot(c *job.Ctx) error {
 	if c.Root = c.Program; c.StartedBy == "" {
 		return nil
 	}
-	ctx, stop := context.WithTimeout(c, min(2*p.ReserveTimeout, c.Left()))
+	ctx, stop := context.WithTimeout(c, min(2*policy.ReserveTimeout, c.Left()))
 	defer stop()
-	by, err := Read(ctx, p.Stores, c.StartedBy)
+	parent, err := Read(ctx, policy.Stores, c.StartedBy)
 	if err != nil {
 		return err
 	}
-	if c.Root = by.Root; c.Root == "" {
+	if c.Root = parent.Root; c.Root == "" {
 		c.Root = c.StartedBy
 	}
-	if by.Root == "" && !by.TimeKnown {
+	if parent.Root == "" && !parent.TimeKnown {
 		return code.New(code.BadProgram, "program %q is not known", c.StartedBy)
 	}
 	if c.Root == c.Program {
 		return code.New(code.BadProgram, "%q is the root of %q", c.Program, c.StartedBy)
 	}
-	_, err = p.Stores.Change(ctx, keys.Budget(c.Program), func(st register.State) ([]byte, bool, error) {
-		v, err := read(st)
+	_, err = policy.Stores.Change(ctx, keys.Budget(c.Program), func(state register.State) ([]byte, bool, error) {
+		value, err := decode(state)
 		switch {
 		case err != nil:
 			return nil, false, err
-		case v.Root == c.Root:
-			return nil, false, errKnown
-		case len(st.Value) > 0:
+		case value.Root == c.Root:
+			return nil, false, errAlreadyRecorded
+		case len(state.Value) > 0:
 			return nil, false, code.New(
 				code.BadProgram,
 				"%q runs already, and not as a sub-agent of %q",
@@ -262,7 +272,7 @@
 		b, err := json.Marshal(Value{Root: c.Root})
 		return b, false, err
 	})
-	if errors.Is(err, errKnown) {
+	if errors.Is(err, errAlreadyRecorded) {
 		err = nil
 	}
 	if code.Of(err) == code.OutcomeUnknown {
@@ -271,32 +281,33 @@
 	return err
 }
 
-var errKnown = errors.New("the sub-agent is known")
+// errAlreadyRecorded cancels a write if the sub-agent's root is already recorded.
+var errAlreadyRecorded = errors.New("the sub-agent is already recorded")
 
-// SubagentPolicy bounds a sub-agent's tool calls by the program at the root.
+// SubagentPolicy limits the tool calls of a sub-agent to the remaining time of its root program.
 type SubagentPolicy struct{ Policy }
 
-// Do is the policy.
-func (p SubagentPolicy) Do(c *job.Ctx, next job.Next) job.Answer {
+// Do implements job.Policy.
+func (policy SubagentPolicy) Do(c *job.Ctx, next job.Next) job.Answer {
 	if c.StartedBy == "" {
 		return next(c)
 	}
-	if err := p.root(c); err != nil {
+	if err := policy.resolveRoot(c); err != nil {
 		return job.Answer{Err: err}
 	}
-	ctx, stop := context.WithTimeout(c, min(p.ReserveTimeout, c.Left()))
-	st, err := p.Stores.Read(ctx, keys.Budget(c.Root))
+	ctx, stop := context.WithTimeout(c, min(policy.ReserveTimeout, c.Left()))
+	state, err := policy.Stores.Read(ctx, keys.Budget(c.Root))
 	stop()
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	v, err := read(st)
+	value, err := decode(state)
 	if err == nil {
-		err = v.begin(c, st.Age)
+		err = value.checkTime(c, state.Age)
 	}
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	p.bound(c, v)
+	policy.limitDeadline(c, value)
 	return next(c)
 }
--- a/internal/dataplane/programs/conversation/conversation.go
+++ b/internal/dataplane/programs/conversation/conversation.go
@@ -1,7 +1,7 @@
-// Package conversation keeps conversations. A turn is immutable, carries the turns
-// before it, and is at a majority of its stores before its answer leaves. That
-// it carries them makes its promise its own: as long as the last turn is kept,
-// so is all that led to it, for one read and one write a turn.
+// Package conversation stores the turns of conversations. A turn is immutable, contains all previous
+// turns of its conversation, and is written to a majority of its stores before its answer is sent.
+// The history is therefore kept as long as the latest turn, and each turn needs only one read and
+// one write.
 package conversation
 
 import (
@@ -15,89 +15,89 @@
 	"damsontiller/internal/transport/code"
 )
 
-// MaxBytes bounds one turn with its history.
+// MaxBytes is the maximum size of a turn with its history.
 const MaxBytes = 2 << 20
 
-// turn is what is kept.
+// turn is the stored form of a turn with its history.
 type turn struct {
 	Program string     `json:"program"`
 	Conv    string     `json:"conv"`
 	Lines   []job.Line `json:"lines"`
 }
 
-// Policy fetches the history before a turn and keeps the turn after it.
+// Policy reads the history before a turn runs and stores the turn afterwards.
 type Policy struct {
 	Stores *storeclient.Client
-	// ReadTimeout is the deadline of fetching a history, LateWriteTimeout of keeping a turn whose own
-	// deadline has passed.
+	// ReadTimeout is the deadline of reading a history, LateWriteTimeout of storing a turn whose
+	// own deadline has passed.
 	ReadTimeout, LateWriteTimeout time.Duration
 	Background                    job.Background
 }
 
-// Do is the policy.
-func (p Policy) Do(c *job.Ctx, next job.Next) job.Answer {
-	keep, ok := c.View.Spec.Keep(c.Conv)
+// Do implements job.Policy.
+func (policy Policy) Do(c *job.Ctx, next job.Next) job.Answer {
+	retention, ok := c.View.Spec.Keep(c.Conv)
 	if !ok {
 		return job.Bad(code.BadField, "conversation: no keeping time is stated for class %q", c.Conv)
 	}
-	if err := p.history(c); err != nil {
+	if err := policy.readHistory(c); err != nil {
 		return job.Answer{Err: err}
 	}
 	c.At(job.Read)
-	a := next(c)
-	if a.Err != nil {
-		return a
+	answer := next(c)
+	if answer.Err != nil {
+		return answer
 	}
-	var got struct {
+	var result struct {
 		Text string `json:"text"`
 	}
-	if err := json.Unmarshal(a.Body, &got); err != nil {
+	if err := json.Unmarshal(answer.Body, &result); err != nil {
 		return job.Bad(code.Incomplete, "answer can't be read: %w", err)
 	}
-	b, err := json.Marshal(
+	body, err := json.Marshal(
 		turn{
 			c.Program,
 			c.Conv,
-			append(c.History[:len(c.History):len(c.History)], job.Line{Words: c.Prompt, Answer: got.Text}),
+			append(c.History[:len(c.History):len(c.History)], job.Line{Words: c.Prompt, Answer: result.Text}),
 		},
 	)
 	if err != nil {
 		return job.Bad(code.NotKept, "%w", err)
 	}
-	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.LateWriteTimeout))
+	ctx, stop := context.WithTimeout(policy.Background.Ctx, max(c.Left(), policy.LateWriteTimeout))
 	defer stop()
-	// The keeping time is the intent's in force when the turn was accepted.
-	if err := p.Stores.PutBlob(ctx, keys.Turn(c.ID), b, keep); err != nil {
+	// The retention time is the one that was configured when the turn was accepted.
+	if err := policy.Stores.PutBlob(ctx, keys.Turn(c.ID), body, retention); err != nil {
 		return job.Bad(code.NotKept, "the turn ran but could not be kept: %w", err)
 	}
-	return a
+	return answer
 }
 
-// history fetches the turns before this one.
-func (p Policy) history(c *job.Ctx) error {
+// readHistory reads the previous turns of the conversation.
+func (policy Policy) readHistory(c *job.Ctx) error {
 	if c.Follows == "" {
 		return nil
 	}
-	// Stores that don't answer by then are out of reach: the caller is notified,
-	// and not held until its own deadline.
-	ctx, stop := context.WithTimeout(c, min(p.ReadTimeout, c.Left()))
+	// Stores that do not answer within ReadTimeout count as unreachable. The caller gets an error
+	// and does not wait until its own deadline.
+	ctx, stop := context.WithTimeout(c, min(policy.ReadTimeout, c.Left()))
 	defer stop()
-	b, err := p.Stores.GetBlob(ctx, keys.Turn(c.Follows))
+	body, err := policy.Stores.GetBlob(ctx, keys.Turn(c.Follows))
 	if err != nil {
 		return err
 	}
-	var t turn
-	if err := json.Unmarshal(b, &t); err != nil {
+	var previous turn
+	if err := json.Unmarshal(body, &previous); err != nil {
 		return code.New(code.Garbled, "turn %s: %w", c.Follows, err)
 	}
-	// Another program's turn is as unknown as one that never was.
-	if t.Program != c.Program {
+	// The turn of another program is reported as if it did not exist.
+	if previous.Program != c.Program {
 		return code.New(code.NoTurn, "turn %s was never kept", c.Follows)
 	}
-	// Refused before it runs: afterwards it could not be kept.
-	if len(b)+len(c.Prompt) > MaxBytes {
-		return code.New(code.TooLarge, "follows: the conversation has %d bytes, limit %d", len(b), MaxBytes)
+	// A turn above the limit could not be stored, so it is refused before it runs.
+	if len(body)+len(c.Prompt) > MaxBytes {
+		return code.New(code.TooLarge, "follows: the conversation has %d bytes, limit %d", len(body), MaxBytes)
 	}
-	c.History = t.Lines
+	c.History = previous.Lines
 	return nil
 }
--- a/internal/dataplane/programs/idempotency/idempotency.go
+++ b/internal/dataplane/programs/idempotency/idempotency.go
@@ -1,8 +1,9 @@
-// Package idempotency runs a job with an idempotency key at most once. Its claim is read
-// on arrival; right before it is forwarded one register write records 'started',
-// conditional on the claim as it was read; its result is stored before its caller gets
-// it. A job that is never forwarded records that by a write as well, which every earlier
-// request of the same key conflicts with: only then is 'not run' true of the work.
+// Package idempotency runs a job with an idempotency key at most once. The claim of the key is read
+// when the job arrives. Right before the job is forwarded, a conditional register write sets the
+// claim to 'started' if it has not changed since it was read. The result is stored before it is
+// returned to the caller. A job that is not forwarded releases the claim by a write too, which
+// conflicts with all concurrent requests that have read the claim before. Only after this write is
+// it certain that the job did not run.
 package idempotency
 
 import (
@@ -19,16 +20,17 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// State of a claim.
+// State is the state of a claim.
 type State string
 
-// A free claim may be taken again: what held it was never passed.
+// States of a claim.
 const (
-	Free    State = "free"
-	Started State = "started"
-	Done    State = "done"
+	Free    State = "free"    // may be claimed again, because the previous job was not forwarded
+	Started State = "started" // the job is about to be forwarded or has been forwarded
+	Done    State = "done"    // the result of the job is stored
 )
 
+// value is the content of a claim's register.
 type value struct {
 	State State           `json:"state"`
 	Hash  string          `json:"hash"`
@@ -38,104 +40,110 @@
 	Body  json.RawMessage `json:"body,omitempty"`
 }
 
-// Policy stands around a keyed job's way.
+// Policy answers a duplicate request from its claim, and stores the result of a job or releases its
+// claim.
 type Policy struct {
 	Stores *storeclient.Client
-	// ReadTimeout is the deadline of reading the claim, Write of one write after the pass,
-	// Late of writing down what is known of a job whose own deadline has passed.
+	// ReadTimeout is the deadline of reading the claim, WriteTimeout of one write after the job
+	// was forwarded, and LateWriteTimeout of storing the result of a job whose own deadline has
+	// passed.
 	ReadTimeout, WriteTimeout, LateWriteTimeout time.Duration
-	// Background carries what goes on after the answer.
+	// Background runs the work that continues after the answer.
 	Background job.Background
 }
 
+// claimKey returns the key of the register that holds the job's claim.
 func claimKey(c *job.Ctx) string { return keys.Claim(c.Program, c.Key) }
 
-// errTaken ends a change that found the claim another's.
-var errTaken = errors.New("claim is another's")
+// errClaimChanged cancels a write if another request has changed the claim.
+var errClaimChanged = errors.New("claim was changed by another request")
 
-func read(st register.State) (v value, err error) {
-	if st.Expired {
-		return v, code.New(code.ClaimPast, "the key was used, and its claim is past its keeping time")
+// decode returns the claim in a register's state, or an error if its retention time is over.
+func decode(state register.State) (claim value, err error) {
+	if state.Expired {
+		return claim, code.New(code.ClaimPast, "the key was used, and its claim is past its keeping time")
 	}
-	if len(st.Value) > 0 {
-		if err = json.Unmarshal(st.Value, &v); err != nil {
+	if len(state.Value) > 0 {
+		if err = json.Unmarshal(state.Value, &claim); err != nil {
 			err = code.New(code.Garbled, "claim: %w", err)
 		}
 	}
-	return v, err
+	return claim, err
 }
 
-func (v value) taken() bool { return v.State == Started || v.State == Done }
+// claimed reports whether the job of the claim has started or is done.
+func (claim value) claimed() bool { return claim.State == Started || claim.State == Done }
 
-// Do is the policy.
-func (p Policy) Do(c *job.Ctx, next job.Next) job.Answer {
+// Do implements job.Policy.
+func (policy Policy) Do(c *job.Ctx, next job.Next) job.Answer {
 	if c.Key == "" {
 		return next(c)
 	}
-	ctx, stop := context.WithTimeout(c, min(p.ReadTimeout, c.Left()))
-	st, err := p.Stores.Read(ctx, claimKey(c))
+	ctx, stop := context.WithTimeout(c, min(policy.ReadTimeout, c.Left()))
+	state, err := policy.Stores.Read(ctx, claimKey(c))
 	stop()
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	v, err := read(st)
+	claim, err := decode(state)
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	if v.taken() {
-		return inProgress(c, v)
+	if claim.claimed() {
+		return duplicateAnswer(c, claim)
 	}
-	c.ClaimVer = st.Version
+	c.ClaimVer = state.Version
 	c.At(job.Claimed)
-	a := next(c)
-	switch ran := a.Ran(); {
+	answer := next(c)
+	switch ran := answer.Ran(); {
 	case ran == "yes":
-		if err := p.done(c, a); err != nil {
+		if err := policy.storeResult(c, answer); err != nil {
 			return job.Bad(code.NotKept, "the job ran, its result could not be kept: %w", err)
 		}
 	case ran == "no":
-		// Never passed, or clearly refused: freed first, then said.
-		if c.Sure = p.release(c, false); !c.Sure && c.Started {
-			p.Background.Go(func() { p.release(c, true) })
+		// The job was not forwarded or was refused. The claim must be released before the
+		// caller is told that the job did not run.
+		if c.Sure = policy.release(c, false); !c.Sure && c.Started {
+			policy.Background.Go(func() { policy.release(c, true) })
 		}
 	}
-	return a
+	return answer
 }
 
-// Start is the step right before the pass.
+// Start sets the claim to started. It is the last step before a job is forwarded.
 type Start struct {
 	Stores      *storeclient.Client
 	ReadTimeout time.Duration
 }
 
-// Do is the policy.
-func (p Start) Do(c *job.Ctx, next job.Next) job.Answer {
-	// A job that fell back after this step has started already.
+// Do implements job.Policy.
+func (start Start) Do(c *job.Ctx, next job.Next) job.Answer {
+	// A job that returned to the backlog after this step has already set its claim.
 	if c.Key == "" || c.Started {
 		return next(c)
 	}
-	var now value
-	ctx, stop := context.WithTimeout(c, min(p.ReadTimeout, c.Left()))
-	_, err := p.Stores.ChangeStrict(ctx, claimKey(c), func(st register.State) ([]byte, bool, error) {
+	var current value
+	ctx, stop := context.WithTimeout(c, min(start.ReadTimeout, c.Left()))
+	_, err := start.Stores.ChangeStrict(ctx, claimKey(c), func(state register.State) ([]byte, bool, error) {
 		var err error
-		if now, err = read(st); err != nil {
+		if current, err = decode(state); err != nil {
 			return nil, false, err
 		}
-		if st.Version != c.ClaimVer {
-			return nil, false, errTaken
+		if state.Version != c.ClaimVer {
+			return nil, false, errClaimChanged
 		}
 		b, err := json.Marshal(value{State: Started, Hash: c.Hash, Job: c.ID})
 		return b, false, err
 	})
 	stop()
 	switch {
-	case errors.Is(err, errTaken) && now.taken():
-		return inProgress(c, now)
-	case errors.Is(err, errTaken):
+	case errors.Is(err, errClaimChanged) && current.claimed():
+		return duplicateAnswer(c, current)
+	case errors.Is(err, errClaimChanged):
 		return job.Bad(code.Overtaken, "another request with this key was answered that it did not run")
 	case code.Of(err) == code.OutcomeUnknown:
-		// Perhaps it says 'started'. Nothing was passed and nothing will be under
-		// it; it is freed when the tier lets us.
+		// The claim may be set to 'started', but the job is not forwarded. The claim is released
+		// once the stores are reachable.
 		c.Started = true
 		return job.Bad(code.StoresUnreachable, "the claim could not be written: %w", err)
 	case err != nil:
@@ -146,58 +154,64 @@
 	return next(c)
 }
 
-// inProgress answers a second asking.
-func inProgress(c *job.Ctx, v value) job.Answer {
+// duplicateAnswer returns the answer to a request whose key is already claimed.
+func duplicateAnswer(c *job.Ctx, claim value) job.Answer {
 	switch {
-	case v.Hash != c.Hash:
+	case claim.Hash != c.Hash:
 		return job.Bad(code.KeyReused, "the key was used for another job")
-	case v.State == Done && v.Code == 0:
-		return job.Good(v.Body)
-	case v.State == Done:
-		return job.Bad(code.Code(v.Code), "%s", v.Text)
+	case claim.State == Done && claim.Code == 0:
+		return job.Good(claim.Body)
+	case claim.State == Done:
+		return job.Bad(code.Code(claim.Code), "%s", claim.Text)
 	}
 	return job.Bad(code.InProgress, "started by an earlier request, its outcome is not known here")
 }
 
-// changeOwned changes the claim as long as this job holds it, or nobody has touched it
-// since it was read.
-func (p Policy) changeOwned(ctx context.Context, c *job.Ctx, to value) error {
-	_, err := p.Stores.Change(ctx, claimKey(c), func(st register.State) ([]byte, bool, error) {
-		v, err := read(st)
+// changeOwned writes the claim if this job holds it or it has not changed since it was read.
+func (policy Policy) changeOwned(ctx context.Context, c *job.Ctx, next value) error {
+	_, err := policy.Stores.Change(ctx, claimKey(c), func(state register.State) ([]byte, bool, error) {
+		claim, err := decode(state)
 		if err != nil {
 			return nil, false, err
 		}
-		if st.Version != c.ClaimVer && (v.State != Started || v.Job != c.ID) {
-			return nil, false, errTaken
+		if state.Version != c.ClaimVer && (claim.State != Started || claim.Job != c.ID) {
+			return nil, false, errClaimChanged
 		}
-		b, err := json.Marshal(to)
+		b, err := json.Marshal(next)
 		return b, false, err
 	})
 	return err
 }
 
-// release lets the claim go and says whether it surely did. Its write trips every
-// request of the key that read the claim before, and buries a start of this
-// job's own that is still uncertain. stubborn keeps on trying.
-func (p Policy) release(c *job.Ctx, stubborn bool) bool {
-	to := value{State: Free, Hash: c.Hash, Job: c.ID}
-	for try := 0; try < 60; try++ {
-		ctx, stop := context.WithTimeout(p.Background.Ctx, p.ReadTimeout/2)
-		err := p.changeOwned(ctx, c, to)
+// Retries of a release, for about a minute.
+const (
+	releaseAttempts      = 60
+	releaseRetryInterval = time.Second
+)
+
+// release sets the claim to free and reports whether that is certain. The write conflicts with all
+// requests of the key that have read the claim before, and overrides a write of 'started' by this
+// job whose outcome is unknown. If retry is set, failed writes are retried.
+func (policy Policy) release(c *job.Ctx, retry bool) bool {
+	free := value{State: Free, Hash: c.Hash, Job: c.ID}
+	for attempt := 0; attempt < releaseAttempts; attempt++ {
+		ctx, stop := context.WithTimeout(policy.Background.Ctx, policy.ReadTimeout/2)
+		err := policy.changeOwned(ctx, c, free)
 		stop()
-		if err == nil || errors.Is(err, errTaken) {
+		if err == nil || errors.Is(err, errClaimChanged) {
 			return err == nil
 		}
-		if !stubborn || !loop.Wait(p.Background.Ctx, time.Second) {
+		if !retry || !loop.Wait(policy.Background.Ctx, releaseRetryInterval) {
 			return false
 		}
 	}
 	return false
 }
 
-func (p Policy) done(c *job.Ctx, a job.Answer) error {
-	// The job has run: even past its deadline its result is worth keeping.
-	ctx, stop := context.WithTimeout(p.Background.Ctx, max(c.Left(), p.LateWriteTimeout))
+// storeResult stores the result of a job in its claim.
+func (policy Policy) storeResult(c *job.Ctx, answer job.Answer) error {
+	// The result of a job that has run is stored even after the job's deadline.
+	ctx, stop := context.WithTimeout(policy.Background.Ctx, max(c.Left(), policy.LateWriteTimeout))
 	defer stop()
-	return p.changeOwned(ctx, c, value{State: Done, Hash: c.Hash, Job: c.ID, Body: a.Body})
+	return policy.changeOwned(ctx, c, value{State: Done, Hash: c.Hash, Job: c.ID, Body: answer.Body})
 }
--- a/internal/dataplane/quota/collector.go
+++ b/internal/dataplane/quota/collector.go
@@ -47,9 +47,9 @@
 type tenantTotal struct{ admitted, requested float64 }
 
 // NewCollector returns a collector without any counts.
-func NewCollector(p Params) *Collector {
+func NewCollector(params Params) *Collector {
 	return &Collector{
-		params:  p,
+		params:  params,
 		tableID: rand.Uint64() | 1,
 		nodes:   map[string]*reporter{},
 		totals:  map[string]*tenantTotal{},
@@ -105,7 +105,7 @@
 const checkInterval = 100 * time.Millisecond
 
 // findConstrained updates the list of tenants near their limits. Their counts are sent to all nodes.
-func (collector *Collector) findConstrained(v fleetView, limit func(string) Limit, now time.Time) {
+func (collector *Collector) findConstrained(view fleetView, limit func(string) Limit, now time.Time) {
 	if now.Sub(collector.checkedAt) < checkInterval {
 		return
 	}
@@ -113,7 +113,7 @@
 	noReporter := &reporter{}
 	for tenant := range collector.totals {
 		tenantLimit := limit(tenant)
-		if !tenantLimit.Unlimited() && collector.tenantNews(noReporter, tenant, tenantLimit, v).Constrained {
+		if !tenantLimit.Unlimited() && collector.tenantNews(noReporter, tenant, tenantLimit, view).Constrained {
 			collector.constrained = append(collector.constrained, tenant)
 		}
 	}
@@ -214,38 +214,38 @@
 }
 
 func (collector *Collector) view(fleet Fleet, now time.Time) fleetView {
-	v := fleetView{nodeCount: float64(max(len(fleet), len(collector.nodes), 1))}
+	view := fleetView{nodeCount: float64(max(len(fleet), len(collector.nodes), 1))}
 	for _, id := range fleet {
 		if collector.nodes[id] == nil {
-			v.unknownNodes++
+			view.unknownNodes++
 		}
 	}
 	for _, node := range collector.nodes {
 		if now.Sub(node.reportedAt) > collector.params.MaxAge {
-			v.silent = append(v.silent, node)
+			view.silent = append(view.silent, node)
 		}
 		if uptime := now.Sub(node.startedAt); uptime < collector.params.Window && !node.previousKnown {
-			v.unknownNodes += 1 - float64(uptime)/float64(collector.params.Window)
+			view.unknownNodes += 1 - float64(uptime)/float64(collector.params.Window)
 		}
 	}
-	v.unknownNodes = min(v.unknownNodes, v.nodeCount)
-	return v
+	view.unknownNodes = min(view.unknownNodes, view.nodeCount)
+	return view
 }
 
 // tenantNews returns the counts of one tenant at all nodes other than the given one.
-func (collector *Collector) tenantNews(node *reporter, tenant string, limit Limit, v fleetView) *wire.TenantNews {
+func (collector *Collector) tenantNews(node *reporter, tenant string, limit Limit, view fleetView) *wire.TenantNews {
 	budget := collector.params.budget(limit)
-	equalShare := budget / v.nodeCount
+	equalShare := budget / view.nodeCount
 	sum := tenantTotal{}
 	if t := collector.totals[tenant]; t != nil {
 		sum = *t
 	}
-	for _, silent := range v.silent {
+	for _, silent := range view.silent {
 		use := silent.use[tenant]
 		sum.admitted += max(0, equalShare-float64(use.admitted))
 		sum.requested -= float64(use.requested)
 	}
-	fleetCap := budget - equalShare*v.unknownNodes + min(equalShare*v.unknownNodes, collector.params.Slack/4)
+	fleetCap := budget - equalShare*view.unknownNodes + min(equalShare*view.unknownNodes, collector.params.Slack/4)
 	own := node.use[tenant]
 	requestRate := collector.params.ratePerS(toCount(sum.requested))
 	return &wire.TenantNews{
--- a/internal/dataplane/quota/exchange.go
+++ b/internal/dataplane/quota/exchange.go
@@ -46,14 +46,16 @@
 
 // NewExchange returns the exchange of a node's counts with the other edges, and registers the
 // handler for reports.
-func NewExchange(p ExchangeParams, local *node.Node, counts *Node, collector *Collector) *Exchange {
-	x := &Exchange{params: p, local: local, counts: counts, collector: collector}
-	local.Peer.Handle(&wire.Req_QuotaReport{}, x.handleReport)
-	return x
+func NewExchange(params ExchangeParams, local *node.Node, counts *Node, collector *Collector) *Exchange {
+	exchange := &Exchange{params: params, local: local, counts: counts, collector: collector}
+	local.Peer.Handle(&wire.Req_QuotaReport{}, exchange.handleReport)
+	return exchange
 }
 
 // Run sends reports periodically until ctx is done.
-func (x *Exchange) Run(ctx context.Context) { loop.Every(ctx, x.params.Interval, nil, x.step) }
+func (exchange *Exchange) Run(ctx context.Context) {
+	loop.Every(ctx, exchange.params.Interval, nil, exchange.step)
+}
 
 // maxCandidates is the maximum number of edges in the local zone that are tried in one step when
 // the primary edge does not respond. The local edge is always a candidate.
@@ -62,90 +64,90 @@
 // step reports to the primary edge, the first in the agreed order. If that edge has not responded
 // for FailoverAfter, it reports to the first edge of the local zone that responds, so that the
 // edges of a partitioned zone share a collector.
-func (x *Exchange) step(ctx context.Context) {
-	if !x.refreshLimits() {
+func (exchange *Exchange) step(ctx context.Context) {
+	if !exchange.refreshLimits() {
 		return
 	}
-	order := singleton.Order(x.local.Cluster.Now(), x.local.Lease.Members())
+	order := singleton.Order(exchange.local.Cluster.Now(), exchange.local.Lease.Members())
 	if len(order) == 0 {
 		return
 	}
-	if x.report(ctx, order[0]) {
-		x.primaryAnsweredAt = time.Now()
+	if exchange.report(ctx, order[0]) {
+		exchange.primaryAnsweredAt = time.Now()
 		return
 	}
-	if time.Since(x.primaryAnsweredAt) < x.params.FailoverAfter {
+	if time.Since(exchange.primaryAnsweredAt) < exchange.params.FailoverAfter {
 		return
 	}
 	attempts := 0
 	for _, m := range order[1:] {
-		if m.Zone != x.local.Peer.Self.Zone || attempts == maxCandidates && m.Id != x.local.Peer.Self.Id {
+		if m.Zone != exchange.local.Peer.Self.Zone || attempts == maxCandidates && m.Id != exchange.local.Peer.Self.Id {
 			continue
 		}
-		if attempts++; x.report(ctx, m) {
+		if attempts++; exchange.report(ctx, m) {
 			return
 		}
 	}
 }
 
 // report sends the counts to one edge, possibly the local one, and merges its response.
-func (x *Exchange) report(ctx context.Context, to *wire.Member) bool {
-	report, sentAt := x.counts.Report(), time.Now()
-	if to.Id == x.local.Peer.Self.Id {
-		x.counts.Merge(report, sentAt, x.collect(to.Id, to.Inc, report))
+func (exchange *Exchange) report(ctx context.Context, to *wire.Member) bool {
+	report, sentAt := exchange.counts.Report(), time.Now()
+	if to.Id == exchange.local.Peer.Self.Id {
+		exchange.counts.Merge(report, sentAt, exchange.collect(to.Id, to.Inc, report))
 		return true
 	}
 	request := &wire.Req{Op: &wire.Req_QuotaReport{QuotaReport: report}}
-	response, err := x.local.Peer.CallFor(ctx, x.params.Timeout, to.Addr, request)
+	response, err := exchange.local.Peer.CallFor(ctx, exchange.params.Timeout, to.Addr, request)
 	if err != nil || response.GetQuotaNews() == nil {
 		return false
 	}
-	x.counts.Merge(report, sentAt, response.GetQuotaNews())
+	exchange.counts.Merge(report, sentAt, response.GetQuotaNews())
 	return true
 }
 
 // handleReport handles the report of another edge.
-func (x *Exchange) handleReport(_ context.Context, request *wire.Req) (*wire.Resp, error) {
+func (exchange *Exchange) handleReport(_ context.Context, request *wire.Req) (*wire.Resp, error) {
 	if request.Id == "" {
 		return nil, code.New(code.Garbled, "quota report without a node id")
 	}
 	return &wire.Resp{Op: &wire.Resp_QuotaNews{
-		QuotaNews: x.collect(request.Id, request.Inc, request.GetQuotaReport()),
+		QuotaNews: exchange.collect(request.Id, request.Inc, request.GetQuotaReport()),
 	}}, nil
 }
 
 // collect passes a report to the local collector.
-func (x *Exchange) collect(id string, incarnation uint64, report *wire.QuotaReport) *wire.QuotaNews {
+func (exchange *Exchange) collect(id string, incarnation uint64, report *wire.QuotaReport) *wire.QuotaNews {
 	var fleet Fleet
-	for _, m := range x.local.Lease.Members() {
+	for _, m := range exchange.local.Lease.Members() {
 		if m.Role == "edge" {
 			fleet = append(fleet, m.Id)
 		}
 	}
-	return x.collector.Collect(id, incarnation, report, fleet, x.limit)
+	return exchange.collector.Collect(id, incarnation, report, fleet, exchange.limit)
 }
 
 // refreshLimits updates the limits from the current configuration and reports whether any tenant has
 // a quota.
-func (x *Exchange) refreshLimits() bool {
-	view := x.local.Cluster.Now()
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.limits == nil || x.limitsVersion != view.Version {
-		x.limits, x.limitsVersion = map[string]Limit{}, view.Version
+func (exchange *Exchange) refreshLimits() bool {
+	view := exchange.local.Cluster.Now()
+	exchange.mu.Lock()
+	defer exchange.mu.Unlock()
+	if exchange.limits == nil || exchange.limitsVersion != view.Version {
+		exchange.limits, exchange.limitsVersion = map[string]Limit{}, view.Version
 		for _, t := range view.Table.Tenants {
 			if limit := (Limit{RatePerS: t.RatePerS, Burst: t.Burst}); !limit.Unlimited() {
-				x.limits[t.Name] = limit
+				exchange.limits[t.Name] = limit
 			}
 		}
 	}
-	return len(x.limits) > 0
+	return len(exchange.limits) > 0
 }
 
 // limit returns the quota of a tenant in the current configuration.
-func (x *Exchange) limit(tenant string) Limit {
-	x.refreshLimits()
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.limits[tenant]
+func (exchange *Exchange) limit(tenant string) Limit {
+	exchange.refreshLimits()
+	exchange.mu.Lock()
+	defer exchange.mu.Unlock()
+	return exchange.limits[tenant]
 }
--- a/internal/dataplane/quota/node.go
+++ b/internal/dataplane/quota/node.go
@@ -29,10 +29,9 @@
 type account struct {
 	admitted, requested counter
 	// The merged counts of all other nodes: requests admitted in a window, and the rate of
-	// requests per second.
-	othersAdmitted, othersRate float64
-	fleetCap                   float64 // maximum that all nodes together may admit in a window
-	mergedAt                   time.Time
+	// requests per second. fleetCap is the maximum that all nodes together may admit in a window.
+	othersAdmitted, othersRate, fleetCap float64
+	mergedAt                             time.Time
 	// admittedAtSync is the number of requests that this node had admitted in a window as of
 	// the last exchange.
 	admittedAtSync uint32
@@ -47,8 +46,8 @@
 }
 
 // NewNode returns a node that has not exchanged counts yet.
-func NewNode(p Params) *Node {
-	return &Node{params: p, start: time.Now(), accounts: map[string]*account{}, ready: make(chan struct{})}
+func NewNode(params Params) *Node {
+	return &Node{params: params, start: time.Now(), accounts: map[string]*account{}, ready: make(chan struct{})}
 }
 
 // Ready returns a channel that is closed after the first exchange of counts.
--- a/internal/dataplane/quota/node_test.go
+++ b/internal/dataplane/quota/node_test.go
@@ -108,7 +108,7 @@
 			return news
 		}
 		if !collect().Resend {
-			t.Error("the collector accepted a partial report without having the collector counts")
+			t.Error("the collector accepted a partial report without the earlier counts")
 		}
 		if news := collect(); news.Resend || collector.totals[tenantName].admitted != 7 {
 			t.Errorf("after the second report: %v", news)
