--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -114,7 +114,7 @@
 }
 
 // Read returns the remaining wait of a key from a majority of its stores, and the spec version used
-// for the read. It fails if there is no majority.
+// for the read. It fails if there is no majority; the call must not be made then.
 func (manager *Manager) Read(ctx context.Context, key string) (time.Duration, uint64, error) {
 	if wait := manager.KnownWait(key); wait > 0 || manager.params.Local {
 		return wait, manager.node.Cluster.Now().Version, nil
--- a/internal/dataplane/quota/collector.go
+++ b/internal/dataplane/quota/collector.go
@@ -152,7 +152,7 @@
 	return node
 }
 
-// startOf returns the start time of the reporting node.
+// startOf returns the start time of the reporting node, from its uptime.
 func startOf(report *wire.QuotaReport, now time.Time) time.Time {
 	return now.Add(-time.Duration(report.UpMs) * time.Millisecond)
 }
@@ -213,6 +213,7 @@
 	unknownNodes float64
 }
 
+// view returns the state of the fleet at a time.
 func (collector *Collector) view(fleet Fleet, now time.Time) fleetView {
 	view := fleetView{nodeCount: float64(max(len(fleet), len(collector.nodes), 1))}
 	for _, id := range fleet {
