--- a/internal/dataplane/cooldown/precheck.go
+++ b/internal/dataplane/cooldown/precheck.go
@@ -31,7 +31,7 @@
 
 // CoolingAnswer returns a refusal that tells the caller how long to wait before a retry.
 func CoolingAnswer(wait time.Duration) job.Answer {
-	answer := job.Bad(code.Cooling, "cooling down for %d ms", wait.Milliseconds())
+	answer := job.Failure(code.Cooling, "cooling down for %d ms", wait.Milliseconds())
 	answer.Wait, answer.Since = wait, time.Now()
 	return answer
 }
--- a/internal/dataplane/programs/budget/budget.go
+++ b/internal/dataplane/programs/budget/budget.go
@@ -121,7 +121,7 @@
 	}
 	total, ok := c.View.Spec.Output(c.Root)
 	if !ok {
-		return job.Bad(code.BadField, "no budget is stated for program %q", c.Root)
+		return job.Failure(code.BadField, "no budget is stated for program %q", c.Root)
 	}
 	ctx, stop := context.WithTimeout(c, min(policy.ReserveTimeout, c.Left()))
 	state, err := policy.Stores.ChangeStrict(ctx, keys.Budget(c.Root), func(state register.State) ([]byte, bool, error) {
@@ -132,7 +132,7 @@
 		if err := value.checkTime(c, state.Age); err != nil {
 			return nil, false, err
 		}
-		if err := value.Reserve(c.ID, c.Most, total); err != nil {
+		if err := value.Reserve(c.ID, c.MaxOutput, total); err != nil {
 			return nil, false, err
 		}
 		b, err := json.Marshal(value)
@@ -142,7 +142,7 @@
 	if code.Of(err) == code.OutcomeUnknown {
 		// The reservation may have been written. The job is not forwarded, so it is released.
 		policy.Background.Go(func() { policy.commit(c, 0) })
-		return job.Bad(code.StoresUnreachable, "the budget could not be reserved: %w", err)
+		return job.Failure(code.StoresUnreachable, "the budget could not be reserved: %w", err)
 	}
 	if err != nil {
 		return job.Answer{Err: err}
@@ -151,7 +151,7 @@
 	if err != nil {
 		return job.Answer{Err: err}
 	}
-	c.Most = value.Open[c.ID]
+	c.MaxOutput = value.Open[c.ID]
 	policy.limitDeadline(c, value)
 	c.At(job.Reserved)
 	answer := next(c)
@@ -190,7 +190,7 @@
 			if err != nil {
 				return nil, false, err
 			}
-			value.UpdateTimeLeft(state.Age, time.Until(c.Ends))
+			value.UpdateTimeLeft(state.Age, time.Until(c.ProgramEnd))
 			value.Settle(c.ID, spent)
 			b, err := json.Marshal(value)
 			return b, true, err
@@ -212,7 +212,7 @@
 	if subagent && !value.TimeKnown {
 		return code.New(code.BadProgram, "program %q is not known", c.Root)
 	}
-	if value.UpdateTimeLeft(age, time.Until(c.Ends)) > 0 {
+	if value.UpdateTimeLeft(age, time.Until(c.ProgramEnd)) > 0 {
 		return nil
 	}
 	if subagent {
@@ -222,7 +222,7 @@
 	// example to continue a conversation after several days. The output budget is kept, and the
 	// time restarts with the stated value.
 	value.TimeKnown = false
-	value.UpdateTimeLeft(0, time.Until(c.Ends))
+	value.UpdateTimeLeft(0, time.Until(c.ProgramEnd))
 	return nil
 }
 
--- a/internal/dataplane/programs/conversation/conversation.go
+++ b/internal/dataplane/programs/conversation/conversation.go
@@ -38,12 +38,12 @@
 func (policy Policy) Do(c *job.Ctx, next job.Next) job.Answer {
 	retention, ok := c.View.Spec.Keep(c.Conv)
 	if !ok {
-		return job.Bad(code.BadField, "conversation: no keeping time is stated for class %q", c.Conv)
+		return job.Failure(code.BadField, "conversation: no keeping time is stated for class %q", c.Conv)
 	}
 	if err := policy.readHistory(c); err != nil {
 		return job.Answer{Err: err}
 	}
-	c.At(job.Read)
+	c.At(job.HistoryRead)
 	answer := next(c)
 	if answer.Err != nil {
 		return answer
@@ -52,7 +52,7 @@
 		Text string `json:"text"`
 	}
 	if err := json.Unmarshal(answer.Body, &result); err != nil {
-		return job.Bad(code.Incomplete, "answer can't be read: %w", err)
+		return job.Failure(code.Incomplete, "answer can't be read: %w", err)
 	}
 	body, err := json.Marshal(
 		turn{
@@ -62,13 +62,13 @@
 		},
 	)
 	if err != nil {
-		return job.Bad(code.NotKept, "%w", err)
+		return job.Failure(code.NotKept, "%w", err)
 	}
 	ctx, stop := context.WithTimeout(policy.Background.Ctx, max(c.Left(), policy.LateWriteTimeout))
 	defer stop()
 	// The retention time is the one that was configured when the turn was accepted.
 	if err := policy.Stores.PutBlob(ctx, keys.Turn(c.ID), body, retention); err != nil {
-		return job.Bad(code.NotKept, "the turn ran but could not be kept: %w", err)
+		return job.Failure(code.NotKept, "the turn ran but could not be kept: %w", err)
 	}
 	return answer
 }
--- a/internal/dataplane/programs/idempotency/idempotency.go
+++ b/internal/dataplane/programs/idempotency/idempotency.go
@@ -98,12 +98,12 @@
 	switch ran := answer.Ran(); {
 	case ran == "yes":
 		if err := policy.storeResult(c, answer); err != nil {
-			return job.Bad(code.NotKept, "the job ran, its result could not be kept: %w", err)
+			return job.Failure(code.NotKept, "the job ran, its result could not be kept: %w", err)
 		}
 	case ran == "no":
 		// The job was not forwarded or was refused. The claim must be released before the
 		// caller is told that the job did not run.
-		if c.Sure = policy.release(c, false); !c.Sure && c.Started {
+		if c.NoOtherAttempt = policy.release(c, false); !c.NoOtherAttempt && c.Started {
 			policy.Background.Go(func() { policy.release(c, true) })
 		}
 	}
@@ -140,17 +140,17 @@
 	case errors.Is(err, errClaimChanged) && current.claimed():
 		return duplicateAnswer(c, current)
 	case errors.Is(err, errClaimChanged):
-		return job.Bad(code.Overtaken, "another request with this key was answered that it did not run")
+		return job.Failure(code.Overtaken, "another request with this key was answered that it did not run")
 	case code.Of(err) == code.OutcomeUnknown:
 		// The claim may be set to 'started', but the job is not forwarded. The claim is released
 		// once the stores are reachable.
 		c.Started = true
-		return job.Bad(code.StoresUnreachable, "the claim could not be written: %w", err)
+		return job.Failure(code.StoresUnreachable, "the claim could not be written: %w", err)
 	case err != nil:
 		return job.Answer{Err: err}
 	}
 	c.Started = true
-	c.At(job.Begun)
+	c.At(job.Started)
 	return next(c)
 }
 
@@ -158,13 +158,13 @@
 func duplicateAnswer(c *job.Ctx, claim value) job.Answer {
 	switch {
 	case claim.Hash != c.Hash:
-		return job.Bad(code.KeyReused, "the key was used for another job")
+		return job.Failure(code.KeyReused, "the key was used for another job")
 	case claim.State == Done && claim.Code == 0:
-		return job.Good(claim.Body)
+		return job.Success(claim.Body)
 	case claim.State == Done:
-		return job.Bad(code.Code(claim.Code), "%s", claim.Text)
+		return job.Failure(code.Code(claim.Code), "%s", claim.Text)
 	}
-	return job.Bad(code.InProgress, "started by an earlier request, its outcome is not known here")
+	return job.Failure(code.InProgress, "started by an earlier request, its outcome is not known here")
 }
 
 // changeOwned writes the claim if this job holds it or it has not changed since it was read.
