--- a/internal/dataplane/programs/budget/budget.go
+++ b/internal/dataplane/programs/budget/budget.go
@@ -124,23 +124,27 @@
 		return job.Failure(code.BadField, "no budget is stated for program %q", c.Root)
 	}
 	ctx, stop := context.WithTimeout(c, min(policy.ReserveTimeout, c.Left()))
-	state, err := policy.Stores.ChangeStrict(ctx, keys.Budget(c.Root), func(state register.State) ([]byte, bool, error) {
-		value, err := decode(state)
-		if err != nil {
-			return nil, false, err
-		}
-		if err := value.checkTime(c, state.Age); err != nil {
-			return nil, false, err
-		}
-		if err := value.Reserve(c.ID, c.MaxOutput, total); err != nil {
-			return nil, false, err
-		}
-		b, err := json.Marshal(value)
-		return b, true, err
-	})
+	state, err := policy.Stores.ChangeStrict(
+		ctx,
+		keys.Budget(c.Root),
+		func(state register.State) ([]byte, bool, error) {
+			value, err := decode(state)
+			if err != nil {
+				return nil, false, err
+			}
+			if err := value.checkTime(c, state.Age); err != nil {
+				return nil, false, err
+			}
+			if err := value.Reserve(c.ID, c.MaxOutput, total); err != nil {
+				return nil, false, err
+			}
+			b, err := json.Marshal(value)
+			return b, true, err
+		},
+	)
 	stop()
 	if code.Of(err) == code.OutcomeUnknown {
-		// The reservation may have been written. The job is not forwarded, so it is released.
+		// The reservation may have been written. It is released because the job is not forwarded.
 		policy.Background.Go(func() { policy.commit(c, 0) })
 		return job.Failure(code.StoresUnreachable, "the budget could not be reserved: %w", err)
 	}
--- a/internal/dataplane/quota/fleet_test.go
+++ b/internal/dataplane/quota/fleet_test.go
@@ -205,7 +205,7 @@
 		f.run(10*time.Second, f.usualRate())
 		before := len(f.admitted)
 		f.run(15*time.Second, 7.5*f.usualRate())
-		f.check("hot", f.limit)
+		f.check("overload", f.limit)
 		if got, want := float64(len(f.admitted)-before), 0.85*f.limit.RatePerS*15; got < want {
 			t.Errorf("%.0f requests admitted in 15 s, want %.0f", got, want)
 		}
