--- a/internal/dataplane/programs/budget/budget.go
+++ b/internal/dataplane/programs/budget/budget.go
@@ -46,9 +46,9 @@
 	return left
 }
 
-// Reserve reserves up to most of the remaining budget for a job. It has no effect if the job already
-// has a reservation.
-func (value *Value) Reserve(id string, most, total int64) error {
+// Reserve reserves up to maxOutput of the remaining budget for a job. It has no effect if the job
+// already has a reservation.
+func (value *Value) Reserve(id string, maxOutput, total int64) error {
 	if _, ok := value.Open[id]; ok {
 		return nil
 	}
@@ -59,7 +59,7 @@
 	if value.Open == nil {
 		value.Open = map[string]int64{}
 	}
-	value.Open[id] = min(most, left)
+	value.Open[id] = min(maxOutput, left)
 	return nil
 }
 
