--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge is the data plane's edge role: it joins the parts of a job's
-// way, in one fixed order, and runs their background tasks.
+// Package edge is the data plane's edge role: it assembles the request path of jobs and runs
+// its background tasks.
 package edge
 
 import (
@@ -45,20 +45,20 @@
 	Cooldown     cooldown.Params
 	Assignment   assignment.Params
 	Backlog      backlog.Params
-	SlotInterval time.Duration // between two requests for slots
-	ReadTimeout  time.Duration // deadline of one request to the tier before a pass
-	WriteTimeout time.Duration // deadline of one write to the tier after it
-	// Point is called at each numbered point of a job's way, for tests.
+	SlotInterval time.Duration // interval between requests for slots
+	ReadTimeout  time.Duration // timeout of one read from the stores before a job is forwarded
+	WriteTimeout time.Duration // timeout of one write to the stores after its answer
+	// Point is called at each numbered point of a job's request path, for tests.
 	Point            func(job.Point, *job.Ctx)
-	LateWriteTimeout time.Duration // for writing down what is known past a deadline
-	OpenTimeout      time.Duration // until ingress opens even without slots
-	RecordedJobs     int           // answered jobs remembered for records of the traffic
-	// ProxyOnly leaves out what named turns and tools need: no slots are assigned, and no
-	// runner of the spec is asked.
+	LateWriteTimeout time.Duration // timeout of writes that follow a missed deadline
+	OpenTimeout      time.Duration // time until ingress opens even with too few slots
+	RecordedJobs     int           // capacity of the recorder and of the trace journal
+	// ProxyOnly disables the background tasks of named turns and calls: no slots are
+	// requested or assigned, and the spec's runners are not polled.
 	ProxyOnly bool
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the default settings.
 var DefaultParams = Params{
 	API:              turnapi.DefaultParams,
 	Cooldown:         cooldown.DefaultParams,
@@ -90,17 +90,17 @@
 	selector   *policy.Selector
 	background job.Background
 	ready      atomic.Bool
-	// joined: a member with the spec as a majority has it.
+	// joined reports that the edge is a member and has the spec that a majority holds.
 	joined atomic.Bool
-	// When slots were last assigned to this node, and first in this spell; the asking
-	// goroutine's own.
+	// lastGrant is when slots were last assigned to this edge, firstGrant when the current
+	// uninterrupted series of grants began. Only the goroutine that requests slots uses them.
 	lastGrant, firstGrant time.Time
 	stopping              atomic.Bool
-	// proxy, if set, is the part that passes proxied requests.
+	// proxy forwards proxied requests; nil if the edge serves none.
 	proxy *Proxy
 }
 
-// New makes an edge. ctx carries what goes on behind an answer.
+// New returns an edge. ctx bounds the background work that outlives an answer.
 func New(ctx context.Context, params Params, np node.Params) *Edge {
 	e := &Edge{
 		Node:       node.New(np),
@@ -109,11 +109,11 @@
 		wakeup:     loop.NewWakeup(),
 		background: job.NewBackground(ctx),
 	}
-	t := storeclient.New(e.Peer, e.Cluster, e.Proposer)
+	stores := storeclient.New(e.Peer, e.Cluster, e.Proposer)
 	runners := &intern.Table{}
-	e.stores = t
+	e.stores = stores
 	e.slots = slots.New(runners)
-	e.Cooldowns = cooldown.New(params.Cooldown, e.Node, t)
+	e.Cooldowns = cooldown.New(params.Cooldown, e.Node, stores)
 	e.selector = policy.New(e.Cluster, e.Log.Named("policy"))
 	e.directory = balancer.New(e.Node, runners, e.slots, e.Cooldowns, e.selector)
 	e.backlog = backlog.New(params.Backlog, e.directory, e.slots, e.selector)
@@ -123,7 +123,7 @@
 		Peer:         e.Peer,
 		Cluster:      e.Cluster,
 		Lease:        e.Lease,
-		Stores:       t,
+		Stores:       stores,
 		Epochs:       e.Epochs,
 		SuspectAfter: time.Second,
 	}
@@ -138,36 +138,41 @@
 		Avoid:       2 * time.Second,
 	}
 
-	// The way of a job, in the one place where it is fixed. What stands
-	// further out is written down first and committed last.
-	rest := []job.Policy{
+	// The order of the policies on the request path. An outer policy records its state before
+	// the inner ones run and commits it after them.
+	innerPolicies := []job.Policy{
 		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.Keys},
 		call.Retry{CallTime: params.Cooldown.CallTime},
 		e.backlog,
 		call.CooldownCheck{Cooldowns: e.Cooldowns},
-		idempotency.Start{Stores: t, ReadTimeout: params.ReadTimeout},
+		idempotency.Start{Stores: stores, ReadTimeout: params.ReadTimeout},
 	}
-	keyed := idempotency.Policy{
-		Stores:           t,
+	idempotencyPolicy := idempotency.Policy{
+		Stores:           stores,
 		ReadTimeout:      params.ReadTimeout,
 		WriteTimeout:     params.WriteTimeout,
 		LateWriteTimeout: params.LateWriteTimeout,
 		Background:       e.background,
 	}
-	spend := budget.Policy{Stores: t, Pre: params.ReadTimeout, Write: params.WriteTimeout, Background: e.background}
+	budgetPolicy := budget.Policy{
+		Stores:     stores,
+		Pre:        params.ReadTimeout,
+		Write:      params.WriteTimeout,
+		Background: e.background,
+	}
 	turns := append(
 		[]job.Policy{
-			keyed,
+			idempotencyPolicy,
 			conversation.Policy{
-				Stores:     t,
+				Stores:     stores,
 				Read:       params.ReadTimeout,
 				Late:       params.LateWriteTimeout,
 				Background: e.background,
 			},
-			spend,
+			budgetPolicy,
 		},
-		rest...)
-	calls := append([]job.Policy{keyed, budget.Tree{Policy: spend}}, rest...)
+		innerPolicies...)
+	calls := append([]job.Policy{idempotencyPolicy, budget.Tree{Policy: budgetPolicy}}, innerPolicies...)
 	e.API = &turnapi.Handler{
 		Params: params.API,
 		ID:     np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36),
@@ -199,7 +204,7 @@
 	return nil
 }
 
-// Routes puts the callers' interface on x.
+// Routes registers the edge's HTTP API on x.
 func (e *Edge) Routes(x *echo.Echo) {
 	e.API.Routes(x)
 	x.GET("/v1/traffic", func(c echo.Context) error {
@@ -209,18 +214,18 @@
 		}
 		return c.JSON(http.StatusOK, e.recorder.After(after))
 	})
-	metrics.Routes(x, e.rows)
-	x.GET("/v1/trace/:job", e.trace)
+	metrics.Routes(x, e.metricRows)
+	x.GET("/v1/trace/:job", e.handleTrace)
 	x.GET("/v1/status", func(c echo.Context) error { return c.JSON(http.StatusOK, e.status()) })
 }
 
-// trace tells how a job was decided. A job's name begins with its edge's, so any
-// edge can say where to ask.
-func (e *Edge) trace(x echo.Context) error {
+// handleTrace returns how a job's runners were picked. A job's ID begins with the ID of its
+// edge, so every edge can redirect to the one that holds the trace.
+func (e *Edge) handleTrace(x echo.Context) error {
 	id := x.Param("job")
-	if at, _, _ := strings.Cut(id, "-"); at != e.Peer.Self.Id {
+	if edgeID, _, _ := strings.Cut(id, "-"); edgeID != e.Peer.Self.Id {
 		for _, m := range e.Lease.Members() {
-			if m.Role == "edge" && m.Id == at {
+			if m.Role == "edge" && m.Id == edgeID {
 				return x.Redirect(http.StatusTemporaryRedirect, "http://"+m.Http+x.Request().URL.RequestURI())
 			}
 		}
@@ -232,8 +237,8 @@
 	return x.JSON(http.StatusOK, r)
 }
 
-// rows are the edge's metrics.
-func (e *Edge) rows() []metrics.Row {
+// metricRows returns the edge's metrics.
+func (e *Edge) metricRows() []metrics.Row {
 	s := e.status()
 	out := append(
 		metrics.Node(s.Spec, s.Sent),
@@ -271,7 +276,7 @@
 		)
 	}
 	if e.proxy != nil {
-		out = append(out, e.proxy.rows()...)
+		out = append(out, e.proxy.metricRows()...)
 	}
 	for k, n := range s.Slots {
 		const help = "Slots that this edge has of a runner."
@@ -292,10 +297,10 @@
 	return out
 }
 
-// Fallbacks counts decisions in which a policy program failed.
+// Fallbacks returns the number of decisions in which a policy program failed.
 func (e *Edge) Fallbacks() int64 { return e.selector.Fallbacks.Load() }
 
-// Status is what an edge says of itself.
+// Status is the edge's status as served by GET /v1/status.
 type Status struct {
 	ID              string           `json:"id"`
 	Ready           bool             `json:"ready"`
@@ -311,11 +316,11 @@
 	Policy          string           `json:"policy"`
 	Share           int              `json:"policy_share"`
 	PolicyFallbacks int64            `json:"policy_fallbacks"`
-	// Proxied counts the proxied requests by the name of the code that they were answered
-	// with; Quotas has what this edge knows of the tenants that asked it lately.
+	// Proxied counts the proxied requests by the name of the code of their answer. Quotas is
+	// this edge's quota state of the tenants that sent requests to it recently.
 	Proxied map[string]int64       `json:"proxied,omitempty"`
 	Quotas  map[string]quota.State `json:"quotas,omitempty"`
-	// Reporters is how many edges report their load to this one.
+	// Reporters is the number of edges that report their load to this one.
 	Reporters int `json:"load_reporters"`
 }
 
@@ -348,8 +353,8 @@
 	return s
 }
 
-// Start listens, joins, and opens ingress. ctx ends the background tasks; jobs under
-// way are given their time by the HTTP server.
+// Start listens, joins the cluster and starts the background tasks, which end with ctx.
+// Ingress opens once there are slots. The HTTP server lets jobs in progress finish.
 func (e *Edge) Start(ctx context.Context) error {
 	if err := e.Peer.Serve(ctx); err != nil {
 		return err
@@ -373,42 +378,42 @@
 	return nil
 }
 
-// Stop closes ingress and answers what waits; what runs is left to end.
+// Stop closes ingress and answers the waiting jobs. Running jobs continue.
 func (e *Edge) Stop() {
 	e.stopping.Store(true)
 	e.backlog.Stop()
 }
 
-// WaitBackground waits for what goes on behind the answers, up to d.
+// WaitBackground waits up to d for the background work of answered jobs.
 func (e *Edge) WaitBackground(d time.Duration) {
 	done := make(chan struct{})
 	go func() { defer close(done); e.background.WG.Wait() }()
 	select {
 	case <-done:
 	case <-time.After(d):
-		e.Log.Warn("stopped with writes unfinished")
+		e.Log.Warn("stopped before all background writes finished")
 	}
 }
 
-// updateOpen opens ingress with the first slots of every route after a start, and after a spell in
-// which this node had none because it was frozen or partitioned: whoever came before
-// would only wait here for what other edges have. Where there are hardly any
-// slots it opens all the same, for those who wait make some come.
-func (e *Edge) updateOpen(at time.Time, some bool) {
+// updateOpen opens ingress once this edge has sufficient slots, after a start and after a
+// period without slots because it was frozen or partitioned. Before that, jobs would only wait
+// here for slots that other edges have. If slots are scarce it opens after OpenTimeout anyway,
+// since slots are assigned where jobs wait.
+func (e *Edge) updateOpen(at time.Time, sufficient bool) {
 	if at.Sub(e.lastGrant) > e.params.Assignment.Term {
 		e.firstGrant = at
 		e.ready.Store(false)
 	}
 	e.lastGrant = at
-	if some || at.Sub(e.firstGrant) > e.params.OpenTimeout {
+	if sufficient || at.Sub(e.firstGrant) > e.params.OpenTimeout {
 		e.ready.Store(true)
 	}
 }
 
-// requestSlots fetches slots from whoever deals.
+// requestSlots requests slots from the current assigner.
 func (e *Edge) requestSlots(ctx context.Context) {
 	for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
-		asked := time.Now()
+		requestedAt := time.Now()
 		r, err := e.Peer.CallFor(
 			ctx,
 			e.params.Assignment.Term/4,
@@ -417,7 +422,7 @@
 				Epoch: e.Epochs.Highest(), Held: e.slots.Report(), Waiting: e.backlog.Waiting()}}},
 		)
 		if err != nil {
-			// Not the assigner, or not there: the next in order may be.
+			// Not the assigner, or unreachable: the next candidate may be it.
 			if a := r.GetDeal(); a != nil && m.Id != e.Peer.Self.Id {
 				e.Epochs.ObserveContact(time.Duration(a.QuietMs) * time.Millisecond)
 			}
@@ -425,19 +430,19 @@
 		}
 		a := r.GetDeal()
 		if err := e.Epochs.Admit(a.Epoch); err != nil {
-			e.Log.Warn("assigner refused", "id", m.Id, "err", err)
+			e.Log.Warn("rejected slots of an outdated assigner", "id", m.Id, "err", err)
 			continue
 		}
-		e.slots.Update(asked, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
-		e.updateOpen(asked, e.directory.Sufficient(a.Slots))
+		e.slots.Update(requestedAt, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
+		e.updateOpen(requestedAt, e.directory.Sufficient(a.Slots))
 		e.backlog.Notify()
 		return
 	}
 }
 
-// reportDeparture tells the assigner; it checks for itself at once.
+// reportDeparture notifies the assigner, which polls the runner itself at once.
 func (e *Edge) reportDeparture(runner, why string) {
-	e.Log.Info("runner seems to leave", "runner", runner, "why", why)
+	e.Log.Info("runner appears to be shutting down", "runner", runner, "why", why)
 	go func() {
 		for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
 			request := &wire.Req{Op: &wire.Req_Tell{Tell: &wire.Tell{Runner: runner, Why: why}}}
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -13,7 +13,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Proxy is the part of an edge that passes proxied requests.
+// Proxy is the part of an edge that forwards proxied requests.
 type Proxy struct {
 	*proxy.Handler
 	Endpoints  *endpoints.Store
@@ -26,7 +26,7 @@
 	params     ProxyParams
 }
 
-// ProxyParams are its settings.
+// ProxyParams are the settings of a Proxy.
 type ProxyParams struct {
 	proxy.Params
 	LoadReport loadreport.Params
@@ -34,7 +34,7 @@
 	Exchange   quota.ExchangeParams
 }
 
-// DefaultProxy are the design's.
+// DefaultProxy are the default settings.
 var DefaultProxy = ProxyParams{
 	Params:     proxy.DefaultParams,
 	LoadReport: loadreport.DefaultParams,
@@ -42,9 +42,9 @@
 	Exchange:   quota.DefaultExchange,
 }
 
-// NewProxy joins the parts of a proxied request's way, in one fixed order. It is called before
-// Start.
-func (e *Edge) NewProxy(params ProxyParams, dialect proxy.Headers) *Proxy {
+// NewProxy assembles the request path of proxied requests and adds it to the edge. It must be
+// called before Start.
+func (e *Edge) NewProxy(params ProxyParams, headers proxy.Headers) *Proxy {
 	r := &Proxy{
 		Endpoints: endpoints.New(),
 		load:      proxy.NewLoad(),
@@ -64,11 +64,11 @@
 			Load:      r.load,
 			Pool:      r.pool,
 			Cooldowns: e.Cooldowns,
-			Headers:   dialect,
+			Headers:   headers,
 			Log:       e.Log.Named("proxy"),
 			Policies: []proxy.Policy{
 				proxy.NewQuotas(r.quotas, params.Quota),
-				proxy.NewOperations(params.Operations, e.stores, e.Lease.Members, e.Params.Self, dialect, e.background),
+				proxy.NewOperations(params.Operations, e.stores, e.Lease.Members, e.Params.Self, headers, e.background),
 				proxy.NewTurns(params.Turns, e.stores),
 				proxy.NewBudgets(params.Budgets, e.stores, e.background),
 			},
@@ -80,9 +80,9 @@
 	return r
 }
 
-// rows are the metrics of proxied requests. Tenants are named only while they are near their
-// quotas, which bounds the number of rows.
-func (r *Proxy) rows() []metrics.Row {
+// metricRows returns the metrics of proxied requests. Tenants are listed only while they are
+// near their quotas, which bounds the number of rows.
+func (r *Proxy) metricRows() []metrics.Row {
 	var out []metrics.Row
 	for name, n := range r.Counts() {
 		const help = "Proxied requests answered, by the code's name."
@@ -99,18 +99,18 @@
 	return out
 }
 
-// noTableLogInterval is the time between two lines about a table that does not come.
+// noTableLogInterval is the interval between warnings about a missing route table.
 const noTableLogInterval = 10 * time.Second
 
-// logNoTable says so while there is no table of routes: nothing is served until then.
+// logNoTable warns while there is no route table, since no request is served without one.
 func (r *Proxy) logNoTable(context.Context) {
 	if r.edge.joined.Load() && r.edge.Cluster.Now().Table.Revision == 0 {
-		const line = "no configuration is in force yet: no request is served; see the cores' logs for orders refused"
+		const line = "no configuration is in force yet: no request is served; see the cores' logs for rejected updates"
 		r.edge.Log.Warn(line)
 	}
 }
 
-// Ready reports whether proxied requests are taken.
+// Ready returns an error while proxied requests are not accepted.
 func (r *Proxy) Ready() error {
 	switch {
 	case r.edge.stopping.Load():
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// Run keeps the endpoint list, the load of its runners and the stores' snapshot on cooldowns
-// until ctx ends.
+// Run keeps the endpoint list, the load of its runners, the quotas and the snapshot of the
+// cooldowns up to date until ctx ends.
 func (r *Proxy) Run(ctx context.Context, list loadreport.List) {
 	r.edge.Go(ctx, func(ctx context.Context) { r.loadReport.Run(ctx, list) })
 	r.edge.Go(ctx, r.exchange.Run)
@@ -133,9 +133,9 @@
 		}
 	})
 	loop.Every(ctx, time.Second, nil, func(context.Context) {
-		on := func(id string) bool { return r.Endpoints.Current().Get(id) != nil }
-		r.load.Retain(on)
-		r.load.Watch.Retain(on)
-		r.pool.Retain(on)
+		listed := func(id string) bool { return r.Endpoints.Current().Get(id) != nil }
+		r.load.Retain(listed)
+		r.load.Watch.Retain(listed)
+		r.pool.Retain(listed)
 	})
 }
--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -1,4 +1,4 @@
-// Package call passes a job to its runner and judges what comes back.
+// Package call forwards a job to its runner and classifies the runner's answer.
 package call
 
 import (
@@ -25,27 +25,33 @@
 	"damsontiller/internal/transport/code"
 )
 
-// MaxResponseBytes bounds a runner's answer.
+// MaxResponseBytes is the largest size of a runner's answer.
 const MaxResponseBytes = 1 << 20
 
-// MaxAttempts bounds how often one job is passed.
+// MaxAttempts is the largest number of attempts to forward one job.
 const MaxAttempts = 4
 
-// Caller is the end of the way.
+// refusalAvoidDivisor shortens Caller.Avoid for a runner that refused a job, as it may only be
+// busy for a moment.
+const refusalAvoidDivisor = 10
+
+// Caller is the last step of the request path: it sends the job to its picked runner.
 type Caller struct {
 	Cooldowns *cooldown.Manager
 	Directory *balancer.Directory
 	Slots     *slots.Table
-	// OnDeparture tells the assigner that a runner seems to leave.
+	// OnDeparture is called with a runner that appears to be shutting down, to notify the
+	// assigner.
 	OnDeparture func(runner, why string)
 	Web         *http.Client
-	// Avoid is how long a runner seen draining is not picked here.
+	// Avoid is how long this edge excludes a draining or unreachable runner from picks.
 	Avoid time.Duration
 
-	naming namingRunners
+	naming namingRunners // the runners whose connections may be reused
 }
 
-// NewWeb makes the client for runners over t; nil means the ordinary way.
+// NewWeb returns the HTTP client for runners, over t or, if that is nil, over a default
+// transport.
 func NewWeb(t http.RoundTripper) *http.Client {
 	if t == nil {
 		d := &net.Dialer{Timeout: time.Second}
@@ -58,15 +64,16 @@
 	}
 	return &http.Client{
 		Transport: t,
-		// A redirect would pass the job to somebody who was not picked.
+		// A redirect would send the job to a server that was not picked.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// Retry passes a job once more where nothing stands against it.
+// Retry is the policy that forwards a job again if its answer allows a retry and the wait fits
+// its deadline.
 type Retry struct{ CallTime time.Duration }
 
-// Do is the policy.
+// Do applies the policy.
 func (p Retry) Do(c *job.Ctx, next job.Next) job.Answer {
 	for try := 1; ; try++ {
 		a := next(c)
@@ -76,41 +83,43 @@
 	}
 }
 
-// CooldownCheck reads the deadline of the picked runner's key right before the call.
+// CooldownCheck is the policy that reads the cooldown of the picked runner right before the
+// call.
 type CooldownCheck struct{ Cooldowns *cooldown.Manager }
 
-// Do is the policy. Where the wait fits, the job goes back to the backlog and
-// waits there; where it does not, the caller is notified at once.
+// Do applies the policy. A job whose runner is cooling down returns to the backlog if the wait
+// fits its deadline; otherwise its caller is answered at once.
 func (p CooldownCheck) Do(c *job.Ctx, next job.Next) job.Answer {
 	c.At(job.Picked)
 	c.CooldownReadAt = clock.Now(time.Now)
-	w, ver, err := p.Cooldowns.Read(c, c.Runner.CooldownKey)
+	w, version, err := p.Cooldowns.Read(c, c.Runner.CooldownKey)
 	if err != nil {
-		// Calling early must never happen; not calling is allowed.
+		// A call during a cooldown must never happen, so without the read there is no call.
 		a := job.Failure(code.StoresUnreachable, "the cooldown could not be read: %w", err)
 		a.Wait = time.Second
 		return a
 	}
 	if w > 0 {
-		return waits(w)
+		return waitForCooldown(w)
 	}
-	c.CooldownVersion = ver
+	c.CooldownVersion = version
 	c.At(job.CooldownRead)
 	return next(c)
 }
 
-// waits sends a job back to wait out a cooldown, if that fits.
-func waits(w time.Duration) job.Answer {
+// waitForCooldown returns the answer that sends a job back to wait until a cooldown ends, if
+// that fits its deadline.
+func waitForCooldown(w time.Duration) job.Answer {
 	a := cooldown.Cooling(w)
 	a.Retryable = true
 	return a
 }
 
-// stands checks, in one place and right before the first byte, all that the pass
-// rests on. A process that was frozen or slow at any step wakes up here, and the
-// job goes back to the backlog.
-func (p *Caller) stands(c *job.Ctx) (job.Answer, bool) {
-	back := func(why string) (job.Answer, bool) {
+// checkPreconditions checks, in one place and right before the first byte is sent, every
+// precondition of the call. If the process was frozen or slow at any earlier step, the outdated
+// precondition fails here and the job returns to the backlog.
+func (p *Caller) checkPreconditions(c *job.Ctx) (job.Answer, bool) {
+	requeue := func(why string) (job.Answer, bool) {
 		a := job.Failure(code.FellBack, "%s", why)
 		a.Retryable = true
 		return a, false
@@ -120,20 +129,20 @@
 	case c.Err() != nil, c.Left() <= 0:
 		return job.Failure(code.DeadlinePassed, "no time is left, or the caller has disconnected"), false
 	case clock.Since(c.CooldownReadAt, time.Now) > storeclient.ReadWindow:
-		return back("the read of the cooldown is too old")
+		return requeue("the read of the cooldown is too old")
 	case p.Cooldowns.Spec() != c.CooldownVersion:
-		return back("the spec has changed since the read")
+		return requeue("the spec has changed since the read")
 	case w > 0:
-		return waits(w), false
+		return waitForCooldown(w), false
 	case !p.Slots.Valid(r.Index, r.Incarnation):
-		return back("the slot's term is over")
+		return requeue("the slot's term is over")
 	case !p.Directory.Eligible(r.Index, r.Incarnation):
-		return back("the runner is draining, its zone is emptied, or it is another process")
+		return requeue("the runner is draining, its zone is emptied, or it is another process")
 	}
 	return job.Answer{}, true
 }
 
-// Do passes the job.
+// Do sends the job to its runner and returns its answer.
 func (p *Caller) Do(c *job.Ctx) job.Answer {
 	body, err := json.Marshal(
 		runnerapi.Request{
@@ -152,49 +161,49 @@
 	if err != nil {
 		return job.Failure(code.BadField, "%w", err)
 	}
-	// What has been passed is received to its end, whether or not its caller is
-	// still there: its result is worth keeping.
+	// The answer is read to its end even if the caller has disconnected, since the result can
+	// still be stored.
 	ctx, stop := context.WithDeadline(context.WithoutCancel(c), c.AnswerBy)
 	defer stop()
 	var reused atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) { reused.Store(i.Reused) },
 	})
-	q, err := newRequest(ctx, c.Runner.Addr, c.ID, body, p.naming.keeps(c.Runner.Addr))
+	q, err := newRequest(ctx, c.Runner.Addr, c.ID, body, p.naming.reusable(c.Runner.Addr))
 	if err != nil {
 		return job.Failure(code.RunnerFailure, "%w", err)
 	}
 	c.At(job.Passing)
-	if a, ok := p.stands(c); !ok {
+	if a, ok := p.checkPreconditions(c); !ok {
 		return a
 	}
 	c.Passed = time.Now()
 	r, err := p.Web.Do(q)
 	c.At(job.ResponseReceived)
 	if err != nil {
-		return p.lost(c, err)
+		return p.handleNoResponse(c, err)
 	}
 	defer r.Body.Close()
 	p.naming.observe(c.Runner.Addr, r.Header)
 	b, err := io.ReadAll(io.LimitReader(r.Body, MaxResponseBytes+1))
 	if err != nil || len(b) > MaxResponseBytes {
 		if r.StatusCode == http.StatusOK {
-			return p.uncertain(c, code.Incomplete, "the answer broke off", err)
+			return p.outcomeUnknown(c, code.Incomplete, "the answer broke off", err)
 		}
-		// A refusal's status stands even if its words are cut.
+		// The status of a refusal counts even if its body is truncated.
 		b = nil
 	}
 	if r.StatusCode == http.StatusOK {
-		return p.complete(c, b)
+		return p.handleResponse(c, b)
 	}
 	if !answersJob(r.Header, c.ID, reused.Load()) {
-		return p.uncertain(c, code.Incomplete, "an answer that names another job or none", nil)
+		return p.outcomeUnknown(c, code.Incomplete, "an answer that names another job or none", nil)
 	}
-	return p.refused(c, r, b)
+	return p.handleRefusal(c, r, b)
 }
 
-// newRequest makes the request that passes a job. With no way to rewind its body,
-// net/http never sends it twice. keep tells that its connection may serve other jobs.
+// newRequest returns the request that sends a job to a runner. Its body can't be rewound, so
+// net/http never sends it twice. keep means that its connection may serve other jobs.
 func newRequest(ctx context.Context, addr, id string, body []byte, keep bool) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(
 		ctx,
@@ -212,17 +221,18 @@
 	return q, nil
 }
 
-// repeatable reports whether a job may run more than once: it has no key, and is no turn. A
-// lost turn's output is spent unseen, and one budget can't cover a second.
+// repeatable reports whether a job may run more than once: it has no key and is not a turn.
+// The output of a lost turn is spent but not reported, and the reserved budget doesn't cover a
+// second run.
 func repeatable(c *job.Ctx) bool { return c.Key == "" && c.Conv == "" }
 
-// lost sorts out a call without an answer.
-func (p *Caller) lost(c *job.Ctx, err error) job.Answer {
+// handleNoResponse classifies a call that failed without an answer.
+func (p *Caller) handleNoResponse(c *job.Ctx, err error) job.Answer {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		// No byte was sent: surely not run.
+		// No byte was sent, so the job certainly did not run.
 		if assignment.PortRefused(err) {
-			p.departs(c, "port refused")
+			p.reportDeparture(c, "port refused")
 		} else {
 			p.Directory.Avoid(c.Runner.Index, p.Avoid)
 		}
@@ -233,42 +243,44 @@
 	if cooldown.Raised("", err.Error()) {
 		p.Cooldowns.Install(c, c.Runner.CooldownKey, 0)
 	}
-	return p.uncertain(c, code.OutcomeUnknown, "no answer came", err)
+	return p.outcomeUnknown(c, code.OutcomeUnknown, "no answer came", err)
 }
 
-// uncertain answers for a job that may have run. Only one that may be repeated is
-// passed again.
-func (p *Caller) uncertain(c *job.Ctx, n code.Code, what string, err error) job.Answer {
+// outcomeUnknown returns the answer of a job that may have run. Only a repeatable one is
+// retried.
+func (p *Caller) outcomeUnknown(c *job.Ctx, n code.Code, description string, err error) job.Answer {
 	if err != nil {
-		c.Log.Debug("answer lost", "job", c.ID, "runner", c.Runner.Name, "err", err)
+		c.Log.Debug("no valid answer from runner", "job", c.ID, "runner", c.Runner.Name, "err", err)
 	}
-	a := job.Failure(n, "%s from runner %s", what, c.Runner.Name)
+	a := job.Failure(n, "%s from runner %s", description, c.Runner.Name)
 	a.Retryable = retry.Allowed(retry.Unknown, repeatable(c))
 	return a
 }
 
-func (p *Caller) departs(c *job.Ctx, why string) {
+// reportDeparture notifies the assigner that the job's runner appears to be shutting down, and
+// excludes it from picks here for the duration Avoid.
+func (p *Caller) reportDeparture(c *job.Ctx, why string) {
 	p.Directory.Avoid(c.Runner.Index, p.Avoid)
 	p.OnDeparture(c.Runner.Name, why)
 }
 
-// complete takes an answer only if it is all there and answers this job.
-func (p *Caller) complete(c *job.Ctx, b []byte) job.Answer {
+// handleResponse accepts a success only if it is complete and answers this job.
+func (p *Caller) handleResponse(c *job.Ctx, b []byte) job.Answer {
 	var r struct {
 		runnerapi.Response
 		Text *string `json:"text"`
 	}
 	if err := json.Unmarshal(b, &r); err != nil {
-		return p.uncertain(c, code.Incomplete, "an answer that can't be read", err)
+		return p.outcomeUnknown(c, code.Incomplete, "an answer that can't be read", err)
 	}
 	if r.Text == nil {
-		return p.uncertain(c, code.Incomplete, "an answer without text", nil)
+		return p.outcomeUnknown(c, code.Incomplete, "an answer without text", nil)
 	}
 	if r.Job != c.ID {
-		return p.uncertain(c, code.Incomplete, "another job's answer", nil)
+		return p.outcomeUnknown(c, code.Incomplete, "another job's answer", nil)
 	}
 	if r.Output < 0 {
-		return p.uncertain(c, code.Incomplete, "a negative output", nil)
+		return p.outcomeUnknown(c, code.Incomplete, "a negative output", nil)
 	}
 	c.Spent, c.PrefixHit = r.Output, r.PrefixHit
 	p.Directory.SetPrefixes(c.Runner.Index, r.Prefixes)
@@ -284,54 +296,56 @@
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
-		return p.uncertain(c, code.Incomplete, "an answer that can't be passed on", err)
+		return p.outcomeUnknown(c, code.Incomplete, "an answer that can't be passed on", err)
 	}
 	return job.Success(body)
 }
 
-// refused sorts out an answer that is no success. By the runners' contract a
-// 4xx or 503 means that nothing ran.
-func (p *Caller) refused(c *job.Ctx, r *http.Response, b []byte) job.Answer {
-	var pr runnerapi.Failure
-	_ = json.Unmarshal(b, &pr) // words are a bonus; the status decides
-	clear := r.StatusCode/100 == 4 || r.StatusCode == http.StatusServiceUnavailable
+// handleRefusal classifies an answer that is not a success. By the contract with runners, a
+// status of 4xx or 503 means that nothing ran.
+func (p *Caller) handleRefusal(c *job.Ctx, r *http.Response, b []byte) job.Answer {
+	var failure runnerapi.Failure
+	_ = json.Unmarshal(b, &failure) // the body is optional; the status decides
+	notExecuted := r.StatusCode/100 == 4 || r.StatusCode == http.StatusServiceUnavailable
 	if c.View.Spec.Cooldown.Refusal(r.StatusCode) {
-		// A returned refusal: installed for all, and handed back unretried.
+		// A refusal with one of the spec's statuses: the cooldown is installed for all edges,
+		// and the failure is returned without a retry.
 		a := job.Failure(code.RunnerDrop, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
 		a.Wait = p.Cooldowns.Install(c, c.Runner.CooldownKey, cooldown.RetryAfter(r.Header))
 		a.Since = time.Now()
 		return a
 	}
-	if pr.State == runnerapi.Other {
-		// Its successor answered: nothing ran, and the assigner should know.
-		p.departs(c, "another process answers")
+	if failure.State == runnerapi.Other {
+		// A newer process at the same address answered: nothing ran, and the assigner must
+		// be notified.
+		p.reportDeparture(c, "another process answers")
 		a := job.Failure(code.NoRunner, "runner %s is another process by now", c.Runner.Name)
 		a.Retryable = true
 		return a
 	}
-	if pr.State == runnerapi.Draining {
-		p.departs(c, "it is draining")
+	if failure.State == runnerapi.Draining {
+		p.reportDeparture(c, "it is draining")
 		a := job.Failure(code.NoRunner, "runner %s is draining", c.Runner.Name)
 		a.Retryable = true
 		return a
 	}
-	if cooldown.Raised(pr.Error.Type, pr.Error.Message) {
-		// A raised one: installed for all, and tried again after the cooldown
-		// if it surely did not run or may run twice.
+	if cooldown.Raised(failure.Error.Type, failure.Error.Message) {
+		// A rate limit error: the cooldown is installed for all edges, and the job is retried
+		// after it if the job certainly did not run or is repeatable.
 		w := p.Cooldowns.Install(c, c.Runner.CooldownKey, cooldown.RetryAfter(r.Header))
-		if clear {
-			return waits(w)
+		if notExecuted {
+			return waitForCooldown(w)
 		}
-		a := p.uncertain(c, code.OutcomeUnknown, "a rate limit raised halfway", nil)
+		a := p.outcomeUnknown(c, code.OutcomeUnknown, "a rate limit raised halfway", nil)
 		a.Wait, a.Since = w, time.Now()
 		return a
 	}
-	if clear {
+	if notExecuted {
 		a := job.Failure(code.NoRunner, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
-		// It would refuse again at once; another may not.
-		p.Directory.Avoid(c.Runner.Index, p.Avoid/10)
+		// The same runner would refuse again at once; another may not.
+		p.Directory.Avoid(c.Runner.Index, p.Avoid/refusalAvoidDivisor)
 		a.Retryable, a.Wait = r.StatusCode == http.StatusServiceUnavailable, 0
 		return a
 	}
-	return p.uncertain(c, code.RunnerFailure, "status "+http.StatusText(r.StatusCode), nil)
+	return p.outcomeUnknown(c, code.RunnerFailure, "status "+http.StatusText(r.StatusCode), nil)
 }
--- a/internal/dataplane/request/call/call_test.go
+++ b/internal/dataplane/request/call/call_test.go
@@ -15,7 +15,7 @@
 	"damsontiller/internal/dataplane/request/runnerapi"
 )
 
-// pipeListener hands out the runner's ends of connections in memory.
+// pipeListener serves the runner's ends of in-memory connections.
 type pipeListener struct {
 	mu    sync.Mutex
 	serve func(n int, c net.Conn)
@@ -52,7 +52,7 @@
 	return string(b), err
 }
 
-// requestSize is how many bytes the request of a job has on the wire.
+// requestSize returns the size of a job's request on the wire, in bytes.
 func requestSize(t *testing.T, id string) int {
 	t.Helper()
 	q, err := newRequest(t.Context(), "10.0.0.1:80", id, []byte("the body"), true)
@@ -66,7 +66,7 @@
 	return b.Len()
 }
 
-// truncateSecond answers one job, and ends its connection once some bytes of the next came.
+// truncateSecond answers one job, and closes the connection after some bytes of the next.
 func truncateSecond(c net.Conn, at int) {
 	r := bufio.NewReader(c)
 	q, err := http.ReadRequest(r)
@@ -78,8 +78,9 @@
 	_, _ = io.ReadFull(r, make([]byte, at))
 }
 
-// TestSentOnce: a connection that was used before ends as a job goes out on it, at any
-// byte of the request, or once it has come complete: the library never sends it again.
+// TestSentOnce checks that net/http never sends a job a second time. A reused connection is
+// closed after each possible number of bytes of the request, up to the entire request; a
+// request that could be rewound would then be resent on a new connection.
 func TestSentOnce(t *testing.T) {
 	for at := 1; at <= requestSize(t, "second"); at++ {
 		l := &pipeListener{}
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestUnnamedAnswers: a connection to a runner whose answers name no job serves one job
-// only; one to a runner that names them serves many, until it stops doing so.
+// TestUnnamedAnswers checks that a connection serves only one job if the runner's answers
+// don't name their job, and many if they do, until an answer without a name arrives.
 func TestUnnamedAnswers(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -112,8 +113,8 @@
 		dials int
 	}{
 		{"never", func(int) bool { return false }, 5},
-		{"always", func(int) bool { return true }, 2}, // the first answer shows it
-		// The connection on which it came serves one more job, and counts as used.
+		{"always", func(int) bool { return true }, 2}, // kept only once an answer has named its job
+		// The connection of the unnamed answer still serves the next job, as a reused one.
 		{"not the third", func(job int) bool { return job != 3 }, 3},
 	} {
 		l, jobs := &pipeListener{}, 0
@@ -139,7 +140,7 @@
 		web := NewWeb(&http.Transport{DialContext: l.dial, DisableCompression: true})
 		naming := &namingRunners{}
 		for i := range 5 {
-			q, err := newRequest(t.Context(), "10.0.0.1:80", fmt.Sprint("j", i), nil, naming.keeps("10.0.0.1:80"))
+			q, err := newRequest(t.Context(), "10.0.0.1:80", fmt.Sprint("j", i), nil, naming.reusable("10.0.0.1:80"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -159,7 +160,7 @@
 	}
 }
 
-// TestAnswersJob: what a refusal proves about a job.
+// TestAnswersJob checks which refusals certainly belong to a job.
 func TestAnswersJob(t *testing.T) {
 	for _, tc := range []struct {
 		named        string
@@ -175,7 +176,7 @@
 	}
 }
 
-// TestRepeatable: turns and jobs with a key run once.
+// TestRepeatable checks that turns and jobs with a key run at most once.
 func TestRepeatable(t *testing.T) {
 	for _, c := range []struct {
 		key, conversation string
--- a/internal/dataplane/request/job/job.go
+++ b/internal/dataplane/request/job/job.go
@@ -1,5 +1,5 @@
-// Package job holds the project's one context type, which goes with a job all
-// the way, and the answer that comes back.
+// Package job defines the context that accompanies a job through the request path, the
+// policies of that path, and the job's answer.
 package job
 
 import (
@@ -15,87 +15,87 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Ctx is a job under way.
+// Ctx is the context of one job: its request, its deadline and what policies record on it.
 type Ctx struct {
 	context.Context
 	ID      string
-	Origin  string // who asked: the remote address
+	Origin  string // remote address of the caller
 	Program string
-	// StartedBy is the program that started this one, a sub-agent; Root is the one at
-	// the beginning, whose budget both spend. Ends is when the program ends by its
-	// caller's word, on the local clock.
+	// StartedBy is the program that started this one, a sub-agent. Root is the program at the
+	// root of that tree, whose budget all of them spend. ProgramEnd is when the program ends
+	// according to its caller, on the local clock.
 	StartedBy       string
 	Root            string
 	ProgramEnd      time.Time
 	Class           string
 	Urgent          bool
-	Priority        int // place of the class in the spec's order
+	Priority        int // index of the class in the spec's order
 	Route           string
 	Key             string // Idempotency-Key; empty: the job may be repeated
-	Hash            string // of the body, to know a key used for another job
+	Hash            string // of the path and body, to detect a key that was used for another job
 	Parts           []string
-	RequestedOutput int64 // largest output asked for
-	MaxOutput       int64 // largest output allowed
+	RequestedOutput int64 // output limit requested
+	MaxOutput       int64 // output limit granted
 	Prompt          string
 	Follows         string
 	Conv            string // conversation class
 	History         []Line
-	// AnswerBy is the earlier of the caller's wait and the program's end, on the
-	// local clock, counted from arrival.
+	// AnswerBy is the deadline of the answer on the local clock: the earlier of the end of the
+	// caller's wait and the program's end, counted from arrival.
 	AnswerBy time.Time
 	View     *cluster.View // the spec in force at ingress
 	Log      hclog.Logger
-	// Runner is set once picked.
+	// Runner is the picked runner; empty before the first pick.
 	Runner Runner
-	// Passed is when it was last forwarded to a runner.
+	// Passed is when the job was last forwarded to a runner.
 	Passed time.Time
-	// Order is its place within its class, by the policy; Whys tell how each of its
-	// choices came to be.
+	// Order is the job's position within its class, set by the policy. Decisions records how
+	// each of its runners was picked.
 	Order     float64
 	Decisions []Decision
-	// CooldownReadAt is when the read at its cooldown was asked for, Ver the spec it was
-	// answered under: what the pass rests on.
+	// CooldownReadAt is when the read of the runner's cooldown was requested, CooldownVersion
+	// the spec version that it was answered under. Forwarding the job depends on both.
 	CooldownReadAt  clock.Moment
 	CooldownVersion uint64
-	// ClaimVer is the claim's version as read at ingress; Started tells that it
-	// says 'started' for this job, Sure that no request with its key that came
-	// before this one's answer can run any more.
+	// ClaimVer is the version of the claim on the key as read at ingress. Started reports that
+	// the claim says 'started' for this job. NoOtherAttempt reports that no request with its
+	// key that arrived before this one's answer can still run.
 	ClaimVer       uint64
 	Started        bool
 	NoOtherAttempt bool
-	// Point is called at each numbered point of the way; nil outside tests.
+	// Point is called at each numbered point of the request path; nil outside tests.
 	Point func(Point, *Ctx)
-	// Spent is the output that the runner reports, PrefixHit whether the prefix was cached.
+	// Spent is the output that the runner reported, PrefixHit whether the prefix was cached.
 	Spent     int64
 	PrefixHit bool
 }
 
-// Point is a numbered point of a job's way, where a test may bring a fault about.
+// Point is a numbered point of the request path at which a test can inject a fault.
 type Point int
 
 // The points, in order.
 const (
 	Parsed           Point = iota + 1 // parsed at ingress
-	Claimed                           // its claim is read
-	HistoryRead                       // its history is there
+	Claimed                           // the claim on its key is read
+	HistoryRead                       // its history is read
 	Reserved                          // its budget is reserved
 	Picked                            // it has a runner and a slot
 	CooldownRead                      // its runner's cooldown is read
 	Started                           // its claim says 'started'
-	Passing                           // right before what is checked before the first byte
-	ResponseReceived                  // the runner has answered, nothing is written yet
+	Passing                           // right before the checks that precede the first byte sent
+	ResponseReceived                  // the runner has answered; nothing is written to the stores yet
 	Points           = int(ResponseReceived)
 )
 
-// At is where a test's fault comes in.
+// At calls the test hook for a point of the request path, if there is one.
 func (c *Ctx) At(p Point) {
 	if c.Point != nil {
 		c.Point(p, c)
 	}
 }
 
-// Ran is "no", "yes" or "unknown", of the work: of a keyed job, 'no' is said
-// only by who can be sure that no earlier request with its key ran or will.
+// Ran reports whether the job ran: "no", "yes" or "unknown". For a job with a key, "no" is
+// certain only if no earlier request with its key ran or will run; otherwise it is "unknown".
 func (c *Ctx) Ran(a Answer) string {
 	w := a.Ran()
 	if w == "no" && c.Key != "" && !c.NoOtherAttempt && code.Of(a.Err).Drop() {
@@ -104,15 +104,15 @@
 	return w
 }
 
-// Decision is how an choice came to be: the policy, and each candidate's rank.
+// Decision is how a runner was picked: the policy, and the rank of each candidate.
 type Decision struct {
 	Policy string `json:"policy"`
 	Picked string `json:"elected"`
-	Spec   uint64 `json:"spec"` // version it was made under
+	Spec   uint64 `json:"spec"` // spec version in force
 	Ranks  []Rank `json:"ranks"`
 }
 
-// Rank is one candidate.
+// Rank is one candidate runner and its rank.
 type Rank struct {
 	Runner string  `json:"runner"`
 	Zone   string  `json:"zone"`
@@ -121,49 +121,49 @@
 	Rank   float64 `json:"rank"`
 }
 
-// Line is one turn of a history.
+// Line is one turn of a conversation's history.
 type Line struct {
 	Words  string `json:"words"`
 	Answer string `json:"answer"`
 }
 
-// Runner is an picked back end.
+// Runner is a picked runner.
 type Runner struct {
 	Index       int
 	Name        string
 	Addr        string
-	CooldownKey string // its cooldown key
-	Incarnation string // of the process that the slot is for
+	CooldownKey string // key of its cooldown
+	Incarnation string // of the process that the slot was granted for
 }
 
-// Left is the time until the deadline.
+// Left returns the time until the deadline.
 func (c *Ctx) Left() time.Duration { return time.Until(c.AnswerBy) }
 
-// Fits reports whether a wait leaves capacity for the call itself.
+// Fits reports whether the deadline leaves time for the call after a wait.
 func (c *Ctx) Fits(wait, callTime time.Duration) bool { return wait+callTime <= c.Left() }
 
-// Answer is what becomes of a job.
+// Answer is the outcome of a job.
 type Answer struct {
 	Err  error
 	Body json.RawMessage
-	// Wait is how long the caller should stay away, counted from Since, or from the moment at
-	// which the answer is written where that is zero.
+	// Wait is how long the caller should wait before a retry, counted from Since or, if that is
+	// zero, from the moment the answer is written.
 	Wait  time.Duration
 	Since time.Time
-	// Retryable: nothing stands against passing the job once more.
+	// Retryable means that the job may be forwarded to a runner again.
 	Retryable bool
 }
 
-// Success is a complete response.
+// Success returns the answer of a complete response.
 func Success(body json.RawMessage) Answer { return Answer{Body: body} }
 
-// Failure is a numbered failure.
+// Failure returns the answer of a failure with a code.
 func Failure(c code.Code, format string, a ...any) Answer {
 	return Answer{Err: code.New(c, format, a...)}
 }
 
-// RemainingWait is what is left of the wait now. Where a cooldown is over by now the least is
-// left, as coming back helps.
+// RemainingWait returns what is left of the wait. If it has passed, the minimum of 1 ms is
+// returned instead of zero, as a retry would succeed.
 func (a Answer) RemainingWait() time.Duration {
 	if a.Wait <= 0 || a.Since.IsZero() {
 		return a.Wait
@@ -171,31 +171,31 @@
 	return max(a.Wait-time.Since(a.Since), time.Millisecond)
 }
 
-// Ran is "no", "yes" or "unknown".
+// Ran reports whether the job ran: "no", "yes" or "unknown".
 func (a Answer) Ran() string { return code.Of(a.Err).Ran() }
 
-// Background is what goes on behind an answer: writes that must still be tried.
+// Background runs work that outlives an answer: writes that must still be attempted.
 type Background struct {
 	Ctx context.Context
 	WG  *sync.WaitGroup
 }
 
-// NewBackground makes a Background that ends with ctx.
+// NewBackground returns a Background whose work is bounded by ctx.
 func NewBackground(ctx context.Context) Background { return Background{ctx, &sync.WaitGroup{}} }
 
-// Go runs f behind the answer.
+// Go runs f in the background.
 func (b Background) Go(f func()) { b.WG.Go(f) }
 
-// Next is the rest of the way.
+// Next is the remainder of the request path.
 type Next func(*Ctx) Answer
 
-// Policy is one decision on a job's way: it may answer by itself, or call next
-// and do something before and after.
+// Policy is one step of the request path: it may answer by itself, or call next and act
+// before and after it.
 type Policy interface {
 	Do(c *Ctx, next Next) Answer
 }
 
-// Chain joins policies in order before the last step.
+// Chain returns the request path of the policies in order, followed by the last step.
 func Chain(last Next, ps ...Policy) Next {
 	for i := len(ps) - 1; i >= 0; i-- {
 		p, next := ps[i], last
--- a/internal/dataplane/request/retry/retry.go
+++ b/internal/dataplane/request/retry/retry.go
@@ -1,24 +1,24 @@
-// Package retry decides whether a request that was sent to a runner may be sent again.
-// Both request paths, named turns and calls as well as proxied requests, ask here, so
-// that at-most-once execution is guarded in one place.
+// Package retry decides whether a request that was sent to a runner may be sent again. Both
+// request paths, named turns and calls as well as proxied requests, use it, so that
+// at-most-once execution is enforced in one place.
 package retry
 
-// Outcome is what is known of a request after one send.
+// Outcome is what is known about a request after one attempt.
 type Outcome int
 
 const (
-	// Unknown means that it may have run. A reset, a time without contact, a truncated
-	// answer and an answer that does not name the request leave it so.
+	// Unknown means that the request may have run: the connection was reset, contact was lost,
+	// or the answer was truncated or did not name the request.
 	Unknown Outcome = iota
-	// NotRun means that it did not run and will not. No byte of it went out, or the runner
-	// said so in an answer that names it.
+	// NotRun means that the request did not run and will not: no byte of it was sent, or the
+	// runner said so in an answer that names the request.
 	NotRun
-	// Answered means that it ran, and the runner's complete response was handed on.
+	// Answered means that the request ran and the runner's complete response was passed on.
 	Answered
 )
 
-// Allowed reports whether a request may be sent once more after an outcome. One that may
-// run only once is not, as soon as it may have run.
+// Allowed reports whether a request may be sent again after an outcome. A request that is not
+// repeatable may be only if it certainly did not run.
 func Allowed(o Outcome, repeatable bool) bool {
 	switch o {
 	case NotRun:
--- a/internal/dataplane/request/retry/retry_test.go
+++ b/internal/dataplane/request/retry/retry_test.go
@@ -6,7 +6,8 @@
 	"damsontiller/internal/dataplane/request/retry"
 )
 
-// TestAllowed: the entire table.
+// TestAllowed checks every outcome, with an unknown one, for requests that may run once and
+// for repeatable ones.
 func TestAllowed(t *testing.T) {
 	for _, c := range []struct {
 		outcome          retry.Outcome
@@ -18,10 +19,10 @@
 		{retry.Outcome(99), false, false},
 	} {
 		if got := retry.Allowed(c.outcome, false); got != c.once {
-			t.Errorf("outcome %d of what may run once: %v", c.outcome, got)
+			t.Errorf("outcome %d of a request that may run once: %v", c.outcome, got)
 		}
 		if got := retry.Allowed(c.outcome, true); got != c.repeatable {
-			t.Errorf("outcome %d of what may be repeated: %v", c.outcome, got)
+			t.Errorf("outcome %d of a repeatable request: %v", c.outcome, got)
 		}
 	}
 }
--- a/internal/dataplane/request/runnerapi/runnerapi.go
+++ b/internal/dataplane/request/runnerapi/runnerapi.go
@@ -1,15 +1,15 @@
 // Package runnerapi is the HTTP contract between edges and runners: the requests sent to
-// a runner and its reports. docs/runners.md describes it for their authors.
+// a runner, its responses and its reports. docs/runners.md documents it for authors of runners.
 package runnerapi
 
 // JobHeader names the job in a request of POST /v1/run, and in each answer to it.
 const JobHeader = "X-Damsontiller-Job"
 
-// Runner states.
+// States that a runner reports.
 const (
 	Ready    = "ready"
 	Draining = "draining"
-	Other    = "other" // refused: meant for another process
+	Other    = "other" // refused: the request was for another process
 	Departed = "gone"
 )
 
@@ -18,10 +18,10 @@
 	Name        string   `json:"name"`
 	State       string   `json:"state"`
 	Incarnation string   `json:"mark,omitempty"` // of this start of the process
-	Concurrency int      `json:"bears"`          // jobs at once, at present
+	Concurrency int      `json:"bears"`          // current limit of parallel jobs
 	Load        int      `json:"busy"`
 	UpMs        int64    `json:"up_ms"`
-	Refused     int64    `json:"refused"` // jobs refused since it came up
+	Refused     int64    `json:"refused"` // jobs refused since the process started
 	Prefixes    []string `json:"prefixes,omitempty"`
 }
 
@@ -29,7 +29,7 @@
 type Request struct {
 	Job         string   `json:"job"`
 	Route       string   `json:"route"`
-	Incarnation string   `json:"mark,omitempty"` // of the process it is meant for
+	Incarnation string   `json:"mark,omitempty"` // of the process that the job is for
 	Program     string   `json:"program"`
 	Class       string   `json:"class"`
 	Parts       []string `json:"parts,omitempty"`
@@ -44,11 +44,11 @@
 	Job       string   `json:"job"`
 	Text      string   `json:"text"`
 	Output    int64    `json:"output"`
-	PrefixHit bool     `json:"held"` // the prefix was held, prefill was skipped
+	PrefixHit bool     `json:"held"` // the prefix was cached and prefill was skipped
 	Prefixes  []string `json:"prefixes,omitempty"`
 }
 
-// Failure is the body of a runner's refusal or failure.
+// Failure is the body of a runner's answer that refuses a job or reports its failure.
 type Failure struct {
 	Error struct {
 		Type    string `json:"type"`
@@ -57,7 +57,7 @@
 	State string `json:"state,omitempty"`
 }
 
-// ListedRunner is one entry of the platform's list, GET /v1/runners.
+// ListedRunner is one entry of the platform's list of runners.
 type ListedRunner struct {
 	Name  string `json:"name"`
 	Addr  string `json:"addr"`
@@ -65,7 +65,7 @@
 	Route string `json:"route"`
 }
 
-// RunnerList is the platform's list.
+// RunnerList is the platform's answer to GET /v1/runners.
 type RunnerList struct {
 	Runners []ListedRunner `json:"runners"`
 }
--- a/internal/dataplane/request/turnapi/handler.go
+++ b/internal/dataplane/request/turnapi/handler.go
@@ -1,5 +1,5 @@
-// Package turnapi is the HTTP API for named turns and calls: it parses and checks
-// requests, fixes their deadline, and turns results into responses.
+// Package turnapi is the HTTP API for named turns and calls: it parses and validates
+// requests, sets their deadline, and writes their responses.
 package turnapi
 
 import (
@@ -34,17 +34,17 @@
 	HeaderStartedBy      = "X-Damsontiller-Started-By"
 )
 
-// Params bound what is taken.
+// Params are the limits of accepted requests.
 type Params struct {
 	MaxBody int64
-	Wait    time.Duration // where the caller names none
-	// Margin is kept back so that the answer is there before the wait is over.
+	Wait    time.Duration // default if the caller states no wait
+	// Margin is subtracted from the wait, so that the answer arrives before the wait is over.
 	Margin    time.Duration
 	MaxParts  int
 	MaxOutput int64
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the default limits.
 var DefaultParams = Params{
 	MaxBody:   1 << 20,
 	Wait:      30 * time.Second,
@@ -71,18 +71,18 @@
 	Parts []string        `json:"parts"`
 }
 
-// Handler makes jobs of requests.
+// Handler turns requests into jobs and serves their answers.
 type Handler struct {
 	Params Params
-	ID     string // of this node and start; job ids begin with it
+	ID     string // of this node and its incarnation; the prefix of job IDs
 	Log    hclog.Logger
 	View   func() *cluster.View
 	Ready  func() error
 	Turn   job.Next
 	Call   job.Next
-	// Point goes with each job; see job.Point.
+	// Point is set on each job; see job.Point.
 	Point func(job.Point, *job.Ctx)
-	// OnAnswer is notified of every job answered, for records of the traffic.
+	// OnAnswer is called for every answered job, to record the traffic.
 	OnAnswer func(c *job.Ctx, a job.Answer, took time.Duration)
 
 	jobs   atomic.Uint64
@@ -90,14 +90,14 @@
 	counts map[string]int64
 }
 
-// Routes puts the callers' interface on e.
+// Routes registers the API on e.
 func (handler *Handler) Routes(e *echo.Echo) {
 	handler.counts = map[string]int64{}
 	e.POST("/v1/turns", func(x echo.Context) error { return handler.serve(x, "") })
 	e.POST("/v1/calls/:route", func(x echo.Context) error { return handler.serve(x, x.Param("route")) })
 }
 
-// Counts is how many jobs ended with each code.
+// Counts returns the number of requests answered with each code, by the code's name.
 func (handler *Handler) Counts() map[string]int64 {
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
@@ -110,7 +110,7 @@
 
 func (handler *Handler) serve(x echo.Context, route string) error {
 	at := time.Now()
-	c, err := handler.job(x, at, route)
+	c, err := handler.parseJob(x, at, route)
 	var a job.Answer
 	switch {
 	case err != nil:
@@ -128,7 +128,7 @@
 	if c != nil && handler.OnAnswer != nil {
 		handler.OnAnswer(c, a, time.Since(at))
 	}
-	return handler.answer(x, c, a)
+	return handler.writeAnswer(x, c, a)
 }
 
 func (handler *Handler) execute(c *job.Ctx) job.Answer {
@@ -138,29 +138,28 @@
 	return handler.Call(c)
 }
 
-// answer writes the one final answer.
-func (handler *Handler) answer(x echo.Context, c *job.Ctx, a job.Answer) error {
+// writeAnswer writes the response, with the time of a retry if the answer has one.
+func (handler *Handler) writeAnswer(x echo.Context, c *job.Ctx, a job.Answer) error {
 	if a.Err == nil {
 		return x.JSONBlob(http.StatusOK, a.Body)
 	}
 	p := web.Of(a.Err)
 	if c == nil {
-		// Refused before it was read: of a keyed one nothing is known here.
+		// Rejected before it was parsed: for a request with a key, the outcome is unknown here.
 		c = &job.Ctx{Key: x.Request().Header.Get(HeaderIdempotencyKey)}
 	}
 	p.Job, p.Ran = c.ID, c.Ran(a)
 	if code.Code(p.Code) == code.Unknown {
-		handler.Log.Error("failure without a number", "err", a.Err)
+		handler.Log.Error("failure without a code", "err", a.Err)
 	}
 	status := code.Code(p.Code).Status()
 	if a.Wait == 0 && status == http.StatusServiceUnavailable {
-		// Whoever is sent away is given when to come back.
+		// Every 503 states when to retry.
 		a.Wait = time.Second
 	}
-	// Other policies may have held the answer since the wait was worked out.
+	// Policies may have delayed the answer since the wait was determined.
 	if wait := a.RemainingWait(); wait > 0 {
-		// Callers read full seconds and nothing finer: round up, so that
-		// nobody is back too soon.
+		// The header only has whole seconds: round up, so that no caller retries too early.
 		x.Response().Header().Set("Retry-After", strconv.FormatInt(int64(math.Ceil(wait.Seconds())), 10))
 		p.WaitMs = wait.Milliseconds()
 		p.NotBefore = time.Now().Add(wait).UTC().Format("2006-01-02T15:04:05.000Z")
@@ -168,8 +167,8 @@
 	return x.JSON(status, p)
 }
 
-// job checks a request and makes a job of it.
-func (handler *Handler) job(x echo.Context, at time.Time, route string) (*job.Ctx, error) {
+// parseJob validates a request and returns its job.
+func (handler *Handler) parseJob(x echo.Context, at time.Time, route string) (*job.Ctx, error) {
 	if err := handler.Ready(); err != nil {
 		return nil, err
 	}
@@ -184,7 +183,7 @@
 		Point:   handler.Point,
 		Log:     handler.Log,
 	}
-	if err := handler.headers(q.Header, c, at); err != nil {
+	if err := handler.parseHeaders(q.Header, c, at); err != nil {
 		return nil, err
 	}
 	b, err := web.Body(x, handler.Params.MaxBody)
@@ -194,17 +193,18 @@
 	sum := sha256.Sum256(append([]byte(q.URL.Path+"\n"), b...))
 	c.Hash = hex.EncodeToString(sum[:16])
 	if route == "" {
-		err = handler.turn(c, b)
+		err = handler.parseTurn(c, b)
 	} else {
-		err = handler.call(c, b)
+		err = handler.parseCall(c, b)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return c, handler.class(c)
+	return c, handler.setClass(c)
 }
 
-func (handler *Handler) headers(h http.Header, c *job.Ctx, at time.Time) error {
+// parseHeaders reads the job's program, key and deadline from the request headers.
+func (handler *Handler) parseHeaders(h http.Header, c *job.Ctx, at time.Time) error {
 	c.Program = h.Get(HeaderProgram)
 	if c.Program == "" {
 		return code.New(code.NoHeader, "%s is missing", HeaderProgram)
@@ -223,20 +223,20 @@
 	if h.Get(HeaderTimeRemaining) == "" {
 		return code.New(code.NoHeader, "%s is missing", HeaderTimeRemaining)
 	}
-	left, err := handler.seconds(h, HeaderTimeRemaining)
+	left, err := handler.parseSeconds(h, HeaderTimeRemaining)
 	if err != nil {
 		return err
 	}
 	wait := handler.Params.Wait
 	if h.Get(HeaderWait) != "" {
-		if wait, err = handler.seconds(h, HeaderWait); err != nil {
+		if wait, err = handler.parseSeconds(h, HeaderWait); err != nil {
 			return err
 		}
 	}
 	c.ProgramEnd = at.Add(left)
 	c.AnswerBy = at.Add(min(left, wait) - handler.Params.Margin)
 	if c.Key = h.Get(HeaderIdempotencyKey); c.Key == "" {
-		// An empty key is no key, and must not be taken for 'may be repeated'.
+		// A header with an empty key must not make the job repeatable.
 		if _, ok := h[HeaderIdempotencyKey]; ok {
 			return code.New(code.BadHeader, "%s is empty", HeaderIdempotencyKey)
 		}
@@ -248,18 +248,20 @@
 	return nil
 }
 
-func (handler *Handler) seconds(h http.Header, name string) (time.Duration, error) {
+// parseSeconds reads a header with a number of seconds, up to the spec's longest wait.
+func (handler *Handler) parseSeconds(h http.Header, name string) (time.Duration, error) {
 	f, err := strconv.ParseFloat(h.Get(name), 64)
 	if err != nil || math.IsNaN(f) {
 		return 0, code.New(code.BadTime, "%s: %q is not a number of seconds", name, h.Get(name))
 	}
-	if most := handler.View().Spec.LongestWait().Seconds(); f < 0 || f > most {
-		return 0, code.New(code.BadTime, "%s: %v is not within 0 and %v", name, f, most)
+	if limit := handler.View().Spec.LongestWait().Seconds(); f < 0 || f > limit {
+		return 0, code.New(code.BadTime, "%s: %v is not within 0 and %v", name, f, limit)
 	}
 	return time.Duration(f * float64(time.Second)), nil
 }
 
-func (handler *Handler) turn(c *job.Ctx, b []byte) error {
+// parseTurn reads the body of a turn.
+func (handler *Handler) parseTurn(c *job.Ctx, b []byte) error {
 	var t Turn
 	if err := web.Strict(b, &t); err != nil {
 		return err
@@ -282,13 +284,14 @@
 	for _, r := range c.View.Spec.Routes {
 		if r.Model && (t.Model == "" || t.Model == r.Name) {
 			c.Route = r.Name
-			return handler.parts(c, t.Parts)
+			return handler.setParts(c, t.Parts)
 		}
 	}
 	return code.New(code.NoRoute, "model: %q is not a model route", t.Model)
 }
 
-func (handler *Handler) call(c *job.Ctx, b []byte) error {
+// parseCall reads the body of a call.
+func (handler *Handler) parseCall(c *job.Ctx, b []byte) error {
 	var t Call
 	if err := web.Strict(b, &t); err != nil {
 		return err
@@ -296,13 +299,14 @@
 	c.Prompt, c.Class = string(t.Args), t.Class
 	for _, r := range c.View.Spec.Routes {
 		if !r.Model && r.Name == c.Route {
-			return handler.parts(c, t.Parts)
+			return handler.setParts(c, t.Parts)
 		}
 	}
 	return code.New(code.NoRoute, "%q is not a tool's route", c.Route)
 }
 
-func (handler *Handler) parts(c *job.Ctx, parts []string) error {
+// setParts validates and sets the names of the prompt's parts.
+func (handler *Handler) setParts(c *job.Ctx, parts []string) error {
 	if len(parts) > handler.Params.MaxParts {
 		return code.New(code.BadField, "parts: %d, limit %d", len(parts), handler.Params.MaxParts)
 	}
@@ -315,8 +319,8 @@
 	return nil
 }
 
-// class finds the job's place in the order; a class not named goes last.
-func (handler *Handler) class(c *job.Ctx) error {
+// setClass sets the priority of the job's class; jobs without a class come last.
+func (handler *Handler) setClass(c *job.Ctx) error {
 	cs := c.View.Spec.Classes
 	if c.Class == "" {
 		c.Priority = len(cs)
--- a/internal/dataplane/request/turnapi/handler_test.go
+++ b/internal/dataplane/request/turnapi/handler_test.go
@@ -20,13 +20,13 @@
 	"damsontiller/internal/transport/code"
 )
 
-type ask struct {
+type request struct {
 	path, body string
 	head       map[string]string
 }
 
-func good() ask {
-	return ask{"/v1/turns", `{"conversation":"reel","class":"live","words":"w","parts":["a","b"],"max_output":5}`,
+func validRequest() request {
+	return request{"/v1/turns", `{"conversation":"reel","class":"live","words":"w","parts":["a","b"],"max_output":5}`,
 		map[string]string{
 			turnapi.HeaderProgram:        "reel/1",
 			turnapi.HeaderTimeRemaining:  "60",
@@ -35,7 +35,7 @@
 		}}
 }
 
-func serve(t *testing.T, q ask, do job.Next) (*httptest.ResponseRecorder, web.Failure) {
+func serve(t *testing.T, q request, do job.Next) (*httptest.ResponseRecorder, web.Failure) {
 	t.Helper()
 	view := &cluster.View{Version: 1}
 	view.Spec = spec.Spec{
@@ -66,64 +66,64 @@
 	return w, p
 }
 
-// TestBadInput: each gets its own number and a plain message, and no job is
-// made of it.
+// TestBadInput checks that each kind of invalid request is answered with its own code and a
+// message, and that no job is run for it.
 func TestBadInput(t *testing.T) {
 	for _, tc := range []struct {
 		what string
 		want code.Code
-		do   func(*ask)
+		do   func(*request)
 	}{
-		{"garbled JSON", code.BadJSON, func(q *ask) { q.body = "{" }},
-		{"no body", code.BadJSON, func(q *ask) { q.body = "" }},
-		{"something after the body", code.BadJSON, func(q *ask) { q.body += "{}" }},
-		{"wrong type", code.BadJSON, func(q *ask) { q.body = `{"words":1}` }},
-		{"oversized", code.TooLarge, func(q *ask) { q.body = `{"words":"` + strings.Repeat("x", 1<<20) + `"}` }},
-		{"unknown field", code.UnknownField, func(q *ask) { q.body = `{"words":"w","wurds":""}` }},
-		{"no program", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HeaderProgram) }},
-		{"bad program", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderProgram] = "a b" }},
-		{"bad program class", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderProgram] = "/x" }},
-		{"no time", code.NoHeader, func(q *ask) { delete(q.head, turnapi.HeaderTimeRemaining) }},
-		{"negative time", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "-1" }},
-		{"huge time", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "1e300" }},
-		{"time that is no number", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "soon" }},
-		{"time NaN", code.BadTime, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "NaN" }},
-		{"negative wait", code.BadTime, func(q *ask) { q.head[turnapi.HeaderWait] = "-0.1" }},
-		{"no time left", code.DeadlinePassed, func(q *ask) { q.head[turnapi.HeaderTimeRemaining] = "0" }},
-		{"empty key", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderIdempotencyKey] = "" }},
-		{"key with spaces", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderIdempotencyKey] = "a b" }},
-		{"long key", code.BadHeader, func(q *ask) { q.head[turnapi.HeaderIdempotencyKey] = strings.Repeat("k", 129) }},
-		{"unknown route", code.NoRoute, func(q *ask) { q.path = "/v1/calls/nope"; q.body = "{}" }},
-		{"the model as a tool", code.NoRoute, func(q *ask) { q.path = "/v1/calls/model"; q.body = "{}" }},
+		{"garbled JSON", code.BadJSON, func(q *request) { q.body = "{" }},
+		{"no body", code.BadJSON, func(q *request) { q.body = "" }},
+		{"something after the body", code.BadJSON, func(q *request) { q.body += "{}" }},
+		{"wrong type", code.BadJSON, func(q *request) { q.body = `{"words":1}` }},
+		{"oversized", code.TooLarge, func(q *request) { q.body = `{"words":"` + strings.Repeat("x", 1<<20) + `"}` }},
+		{"unknown field", code.UnknownField, func(q *request) { q.body = `{"words":"w","wurds":""}` }},
+		{"no program", code.NoHeader, func(q *request) { delete(q.head, turnapi.HeaderProgram) }},
+		{"bad program", code.BadHeader, func(q *request) { q.head[turnapi.HeaderProgram] = "a b" }},
+		{"bad program class", code.BadHeader, func(q *request) { q.head[turnapi.HeaderProgram] = "/x" }},
+		{"no time", code.NoHeader, func(q *request) { delete(q.head, turnapi.HeaderTimeRemaining) }},
+		{"negative time", code.BadTime, func(q *request) { q.head[turnapi.HeaderTimeRemaining] = "-1" }},
+		{"huge time", code.BadTime, func(q *request) { q.head[turnapi.HeaderTimeRemaining] = "1e300" }},
+		{"time that is no number", code.BadTime, func(q *request) { q.head[turnapi.HeaderTimeRemaining] = "soon" }},
+		{"time NaN", code.BadTime, func(q *request) { q.head[turnapi.HeaderTimeRemaining] = "NaN" }},
+		{"negative wait", code.BadTime, func(q *request) { q.head[turnapi.HeaderWait] = "-0.1" }},
+		{"no time left", code.DeadlinePassed, func(q *request) { q.head[turnapi.HeaderTimeRemaining] = "0" }},
+		{"empty key", code.BadHeader, func(q *request) { q.head[turnapi.HeaderIdempotencyKey] = "" }},
+		{"key with spaces", code.BadHeader, func(q *request) { q.head[turnapi.HeaderIdempotencyKey] = "a b" }},
+		{"long key", code.BadHeader, func(q *request) { q.head[turnapi.HeaderIdempotencyKey] = strings.Repeat("k", 129) }},
+		{"unknown route", code.NoRoute, func(q *request) { q.path = "/v1/calls/nope"; q.body = "{}" }},
+		{"the model as a tool", code.NoRoute, func(q *request) { q.path = "/v1/calls/model"; q.body = "{}" }},
 		{
 			"a tool as a model",
 			code.NoRoute,
-			func(q *ask) { q.body = strings.Replace(q.body, "{", `{"model":"assets",`, 1) },
+			func(q *request) { q.body = strings.Replace(q.body, "{", `{"model":"assets",`, 1) },
 		},
-		{"unknown class", code.BadField, func(q *ask) { q.body = strings.Replace(q.body, "live", "dead", 1) }},
-		{"bad part", code.BadField, func(q *ask) { q.body = strings.Replace(q.body, `"a"`, `"a+b"`, 1) }},
-		{"no words", code.BadField, func(q *ask) { q.body = strings.Replace(q.body, `"w"`, `""`, 1) }},
-		{"no output", code.BadField, func(q *ask) { q.body = strings.Replace(q.body, `:5`, `:0`, 1) }},
-		{"no conversation", code.BadField, func(q *ask) { q.body = strings.Replace(q.body, `"reel"`, `""`, 1) }},
-		{"unknown path", code.NoPath, func(q *ask) { q.path = "/v2/turns" }},
+		{"unknown class", code.BadField, func(q *request) { q.body = strings.Replace(q.body, "live", "dead", 1) }},
+		{"bad part", code.BadField, func(q *request) { q.body = strings.Replace(q.body, `"a"`, `"a+b"`, 1) }},
+		{"no words", code.BadField, func(q *request) { q.body = strings.Replace(q.body, `"w"`, `""`, 1) }},
+		{"no output", code.BadField, func(q *request) { q.body = strings.Replace(q.body, `:5`, `:0`, 1) }},
+		{"no conversation", code.BadField, func(q *request) { q.body = strings.Replace(q.body, `"reel"`, `""`, 1) }},
+		{"unknown path", code.NoPath, func(q *request) { q.path = "/v2/turns" }},
 	} {
-		q := good()
+		q := validRequest()
 		tc.do(&q)
-		made := false
-		w, p := serve(t, q, func(*job.Ctx) job.Answer { made = true; return job.Success([]byte("{}")) })
+		ran := false
+		w, p := serve(t, q, func(*job.Ctx) job.Answer { ran = true; return job.Success([]byte("{}")) })
 		if code.Code(p.Code) != tc.want || w.Code != tc.want.Status() || p.Failure == "" || p.Name != tc.want.Name() {
 			t.Errorf("%s: status %d, %+v, want %d", tc.what, w.Code, p, tc.want)
 		}
-		if made {
-			t.Errorf("%s: a job was made of it", tc.what)
+		if ran {
+			t.Errorf("%s: a job was run for it", tc.what)
 		}
 	}
 }
 
-// TestJob: what a good request says reaches the job.
+// TestJob checks that the fields of a valid request are set on its job.
 func TestJob(t *testing.T) {
 	var got *job.Ctx
-	w, _ := serve(t, good(), func(c *job.Ctx) job.Answer { got = c; return job.Success([]byte(`{"job":"x"}`)) })
+	w, _ := serve(t, validRequest(), func(c *job.Ctx) job.Answer { got = c; return job.Success([]byte(`{"job":"x"}`)) })
 	if w.Code != http.StatusOK || got == nil {
 		t.Fatalf("status %d", w.Code)
 	}
@@ -133,16 +133,16 @@
 		got.Hash == "" {
 		t.Errorf("%+v", got)
 	}
-	// The earlier of the caller's wait and the program's end counts.
+	// The deadline is the earlier of the end of the caller's wait and the program's end.
 	if l := got.Left(); l > 5*time.Second || l < 3*time.Second {
 		t.Errorf("left %s", l)
 	}
 }
 
-// TestWhenToComeBack: full seconds rounded up for those who read only the
-// header, and the finer truth in the body.
-func TestWhenToComeBack(t *testing.T) {
-	w, p := serve(t, good(), func(c *job.Ctx) job.Answer {
+// TestRetryAfter checks the time of a retry: whole seconds, rounded up, in the header, and the
+// exact time in the body.
+func TestRetryAfter(t *testing.T) {
+	w, p := serve(t, validRequest(), func(c *job.Ctx) job.Answer {
 		c.NoOtherAttempt = true
 		a := job.Failure(code.Cooling, "x")
 		a.Wait = 2300 * time.Millisecond
@@ -152,9 +152,9 @@
 		p.Ran != "no" {
 		t.Errorf("%d %v %+v", w.Code, w.Header(), p)
 	}
-	// Of a key whose claim nobody could free, 'not run' is not ours to say.
-	if _, p := serve(t, good(), func(*job.Ctx) job.Answer { return job.Failure(code.Cooling, "x") }); p.Ran != "unknown" {
-		t.Errorf("unsure, and told %q", p.Ran)
+	// While the claim on the key was not released, an earlier request may still run.
+	if _, p := serve(t, validRequest(), func(*job.Ctx) job.Answer { return job.Failure(code.Cooling, "x") }); p.Ran != "unknown" {
+		t.Errorf("the claim is not released, and ran is %q", p.Ran)
 	}
 	at, err := time.Parse(time.RFC3339Nano, p.NotBefore)
 	if d := time.Until(at); err != nil || d < time.Second || d > 2400*time.Millisecond {
@@ -162,27 +162,27 @@
 	}
 }
 
-// TestCooldownToldLate: a caller was told how long runners cool by an answer that took 0.4 s to
-// come, since its claim on a key was let go first, at stores that had many to let go at that
-// moment. It was told the whole wait as worked out before, so it was held past the end, and
-// what others were told then disagreed with it (TestNever11Tier, 2 of 100 runs beside load).
-func TestCooldownToldLate(t *testing.T) {
+// TestRetryAfterDelayedAnswer checks that the time by which an answer is delayed is subtracted
+// from the wait it states. The release of a claim on a key can delay an answer (0.4 s was seen
+// on busy stores). The whole cooldown was stated then, so the caller waited past its end, and
+// answers to other callers disagreed (TestNever11Tier failed so in 2 of 100 runs under load).
+func TestRetryAfterDelayedAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, tc := range []struct{ cooldown, took, told time.Duration }{
+		for _, tc := range []struct{ cooldown, delay, want time.Duration }{
 			{300 * time.Millisecond, 0, 300 * time.Millisecond},
 			{300 * time.Millisecond, 200 * time.Millisecond, 100 * time.Millisecond},
 			{300 * time.Millisecond, time.Second, time.Millisecond},
 		} {
-			w, p := serve(t, good(), func(*job.Ctx) job.Answer {
+			w, p := serve(t, validRequest(), func(*job.Ctx) job.Answer {
 				a := cooldown.Cooling(tc.cooldown)
-				time.Sleep(tc.took)
+				time.Sleep(tc.delay)
 				return a
 			})
-			if w.Code != http.StatusTooManyRequests || p.WaitMs != tc.told.Milliseconds() {
-				t.Errorf("%s after %s: %d, told %d ms, want %s", tc.cooldown, tc.took, w.Code, p.WaitMs, tc.told)
+			if w.Code != http.StatusTooManyRequests || p.WaitMs != tc.want.Milliseconds() {
+				t.Errorf("%s after %s: status %d, wait %d ms, want %s", tc.cooldown, tc.delay, w.Code, p.WaitMs, tc.want)
 			}
-			if want := time.Now().Add(tc.told).UTC().Format("2006-01-02T15:04:05.000Z"); p.NotBefore != want {
-				t.Errorf("%s after %s: not before %s, want %s", tc.cooldown, tc.took, p.NotBefore, want)
+			if want := time.Now().Add(tc.want).UTC().Format("2006-01-02T15:04:05.000Z"); p.NotBefore != want {
+				t.Errorf("%s after %s: not before %s, want %s", tc.cooldown, tc.delay, p.NotBefore, want)
 			}
 		}
 	})
--- a/internal/dataplane/store/bulk.go
+++ b/internal/dataplane/store/bulk.go
@@ -14,75 +14,84 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// askBulk asks again where the answer was lost or the other is a version behind.
-func (s *Store) askBulk(ctx context.Context, m spec.Machine, q *wire.Bulk) (*wire.Copies, error) {
-	for try := 0; ; try++ {
-		r, err := s.Peer.CallFor(ctx, pageWait, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}})
+const (
+	// maxBulkRetries is how often a failed request for copies is retried.
+	maxBulkRetries = 3
+	// bulkRetryDelay is the delay between two attempts.
+	bulkRetryDelay = 50 * time.Millisecond
+)
+
+// requestBulk requests copies from another store. It retries if the answer was lost or the
+// other store does not have the requested version yet.
+func (s *Store) requestBulk(ctx context.Context, m spec.Machine, q *wire.Bulk) (*wire.Copies, error) {
+	for attempt := 0; ; attempt++ {
+		r, err := s.Peer.CallFor(ctx, pageTimeout, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}})
 		if err == nil {
 			return r.GetCopies(), nil
 		}
-		if try == 3 || code.Of(err) == code.WrongIdentity || !loop.Wait(ctx, 50*time.Millisecond) {
+		if attempt == maxBulkRetries || code.Of(err) == code.WrongIdentity || !loop.Wait(ctx, bulkRetryDelay) {
 			return nil, fmt.Errorf("%s: %w", m.ID, err)
 		}
 	}
 }
 
-// bulk answers for what falls to another store.
-func (s *Store) bulk(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+// handleBulk returns copies of the records that another store will hold under the next set,
+// by name or page by page.
+func (s *Store) handleBulk(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	b := q.GetBulk()
 	v := s.Cluster.Now()
 	if !membership.SameStores(v, b.Spec, b.Sets) {
 		return nil, code.New(code.StaleSpec, "version %d of %d, or of other sets", v.Version, b.Spec)
 	}
 	if b.After == "" {
-		// What was let in under the set before is on the disk from here on.
+		// Writes admitted under the previous set must be on disk before the first page is read.
 		s.Gate.Drain()
 	}
-	a := &wire.Copies{}
+	answer := &wire.Copies{}
 	if len(b.Keys) > 0 {
 		size := 0
 		for i, k := range b.Keys {
-			c, err := s.v.Copy(b.Kind, k)
+			c, err := s.engine.Copy(b.Kind, k)
 			if err != nil {
 				return nil, err
 			}
 			if c != nil {
-				a.Copies = append(a.Copies, c)
+				answer.Copies = append(answer.Copies, c)
 				size += len(c.Rec.GetCell().GetVal()) + len(c.Got.GetVal()) + len(k)
 			}
 			if size >= pageBytes && i+1 < len(b.Keys) {
-				a.Last = k
+				answer.Last = k
 				break
 			}
 		}
-		return &wire.Resp{Op: &wire.Resp_Copies{Copies: a}}, nil
+		return &wire.Resp{Op: &wire.Resp_Copies{Copies: answer}}, nil
 	}
 	sender := membership.Sender{View: v, Self: s.Peer.Ident(), To: b.Ident, Absent: b.Absent}
 	var err error
-	a.Copies, a.Last, err = s.v.Copies(b.Kind, b.After, pageBytes, sender.Sends)
+	answer.Copies, answer.Last, err = s.engine.Copies(b.Kind, b.After, pageBytes, sender.Sends)
 	if err != nil {
 		return nil, err
 	}
-	return &wire.Resp{Op: &wire.Resp_Copies{Copies: a}}, nil
+	return &wire.Resp{Op: &wire.Resp_Copies{Copies: answer}}, nil
 }
 
-// SaveAll is Save for many records.
+// SaveAll saves many records at once. It returns once they are synced.
 func (c *cooldowns) SaveAll(recs map[string]*wire.Rec) error {
 	if err := c.Engine.SaveAll(recs); err != nil {
 		return err
 	}
 	for k, r := range recs {
 		if strings.HasPrefix(k, keys.CooldownPrefix) {
-			c.remember(k, r, time.Now())
+			c.track(k, r, time.Now())
 		}
 	}
 	return nil
 }
 
-// forget is for when the disk has been changed for an empty one.
-func (c *cooldowns) forget() {
+// reset drops all entries, after the data directory was replaced by an empty one.
+func (c *cooldowns) reset() {
 	c.mu.Lock()
 	clear(c.all)
-	clear(c.force)
+	clear(c.active)
 	c.mu.Unlock()
 }
--- a/internal/dataplane/store/cooldowns_test.go
+++ b/internal/dataplane/store/cooldowns_test.go
@@ -14,9 +14,10 @@
 	"damsontiller/internal/state/storage"
 )
 
-// TestCooldowns: a store counts a wait from when it took it. Promises, write-backs
-// under a higher ballot and other keys change nothing; a later value does; after a
-// crash no wait is shorter than it was, and none that was over for long is back.
+// TestCooldowns checks that a store counts a wait from the moment it accepted the value.
+// Promises, write-backs under a higher ballot and writes of other keys don't change the
+// remaining time; a later value does. After a crash no wait is shorter than before, and
+// waits that expired long ago don't return.
 func TestCooldowns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := vfs.NewCrashableMem()
@@ -49,11 +50,11 @@
 				t.Fatal(err)
 			}
 		}
-		// want checks what is in force, in milliseconds.
+		// want checks the remaining cooldowns, in milliseconds.
 		want := func(what string, want map[string]int64) {
 			t.Helper()
 			got := map[string]int64{}
-			for _, x := range c.left() {
+			for _, x := range c.remaining() {
 				got[x.Key] = x.LeftMs
 			}
 			if len(got) != len(want) {
@@ -88,14 +89,14 @@
 		}
 		time.Sleep(3 * time.Second)
 		want("after 23 s", map[string]int64{k: 37000})
-		// The three seconds since the last tick are lost with the crash.
+		// The three seconds since the last tick of the uptime clock are lost in the crash.
 		fs = fs.CrashClone(vfs.CrashCloneCfg{})
 		v.Close()
 		time.Sleep(time.Minute)
 		v, a, c = open()
 		want("after a crash and a minute", map[string]int64{k: 40000})
-		c.forget()
-		want("forgotten", nil)
+		c.reset()
+		want("after a reset", nil)
 		v.Close()
 	})
 }
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -14,48 +14,49 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Copies are compared by digests over ranges and repaired from the newer. A range
-// is a bucket of keys by hash, of those that both stores hold. Each store asks
-// one other at a time, and only for what it lacks itself.
+// Anti-entropy between replicas: two stores compare digests of the keys that both hold,
+// grouped by hash into buckets. Each store polls one peer at a time and pulls only the
+// records that it is missing or holds in an older version.
 
-// Buckets is the number of ranges.
+// Buckets is the number of key buckets that are compared by digest.
 const Buckets = 256
 
-// MaxRepairKeys bounds what one comparison brings, so that traffic goes first.
+// MaxRepairKeys bounds the keys pulled per comparison, so that repair doesn't delay traffic.
 const MaxRepairKeys = 2000
 
+// bucket returns the bucket of a key.
 func bucket(key string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(key))
 	return h.Sum32() % Buckets
 }
 
-// machines are the stores of the set, and of the one it changes to.
-func (s *Store) machines() []spec.Machine {
+// allStores returns the stores of the current set and of the next one, if the set is changing.
+func (s *Store) allStores() []spec.Machine {
 	v := s.Cluster.Now()
 	return slices.Concat(v.Cluster.Stores, v.NextStores)
 }
 
-// shared tells for each key whether the store at addr holds it as well as we.
-func (s *Store) shared(addr string) func(key string) bool {
+// heldByBoth returns a predicate for the keys that both this store and the store at addr hold.
+func (s *Store) heldByBoth(addr string) func(key string) bool {
 	v := s.Cluster.Now()
 	return func(key string) bool {
-		me, other := false, false
+		here, there := false, false
 		for _, r := range v.Stores(key).All() {
-			me = me || r.Ident == s.Peer.Ident()
-			other = other || r.Addr == addr
+			here = here || r.Ident == s.Peer.Ident()
+			there = there || r.Addr == addr
 		}
-		return me && other
+		return here && there
 	}
 }
 
-// sums digests all buckets of the keys shared with the store at addr.
-func (s *Store) sums(kind wire.List_Kind, addr string) ([]uint64, error) {
+// bucketDigests returns one digest per bucket over the keys shared with the store at addr.
+func (s *Store) bucketDigests(kind wire.List_Kind, addr string) ([]uint64, error) {
 	out := make([]uint64, Buckets)
-	want := s.shared(addr)
+	include := s.heldByBoth(addr)
 	after := ""
 	for {
-		rows, err := s.v.Keys(kind, after, core.MaxPage, want)
+		rows, err := s.engine.Keys(kind, after, core.MaxPage, include)
 		if err != nil {
 			return nil, err
 		}
@@ -63,7 +64,7 @@
 			h := fnv.New64a()
 			h.Write([]byte(r.Key))
 			h.Write(wire.MustEncode(&wire.Ballot{N: r.Ballot.GetN(), Node: r.Ballot.GetNode()}))
-			// Sums do not hang on the order, and do not cancel out as XOR would.
+			// A sum is independent of the order, and equal hashes don't cancel out as with XOR.
 			out[bucket(r.Key)] += h.Sum64()
 		}
 		if len(rows) < core.MaxPage {
@@ -73,33 +74,36 @@
 	}
 }
 
-func (s *Store) answerSums(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	sums, err := s.sums(q.GetSum().GetKind(), q.From)
+// handleSum returns the digests of the keys shared with the requesting store.
+func (s *Store) handleSum(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+	sums, err := s.bucketDigests(q.GetSum().GetKind(), q.From)
 	if err != nil {
 		return nil, err
 	}
 	return &wire.Resp{Op: &wire.Resp_Sums{Sums: &wire.Sums{Sums: sums}}}, nil
 }
 
-func (s *Store) answerList(_ context.Context, q *wire.Req) (*wire.Resp, error) {
+// handleList lists keys; if the request names buckets, only their keys shared with the
+// requesting store.
+func (s *Store) handleList(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	l := q.GetList()
 	if len(l.Buckets) == 0 {
-		return core.List(s.v, l, nil)
+		return core.List(s.engine, l, nil)
 	}
-	var in [Buckets]bool
+	var requested [Buckets]bool
 	for _, b := range l.Buckets {
 		if b < Buckets {
-			in[b] = true
+			requested[b] = true
 		}
 	}
-	shared := s.shared(q.From)
-	return core.List(s.v, l, func(k string) bool { return in[bucket(k)] && shared(k) })
+	shared := s.heldByBoth(q.From)
+	return core.List(s.engine, l, func(k string) bool { return requested[bucket(k)] && shared(k) })
 }
 
-// repair compares with one other store and pulls what is newer there.
+// repair compares this store with one other, chosen at random, and pulls the newer records.
 func (s *Store) repair(ctx context.Context) {
 	var others []spec.Machine
-	for _, m := range s.machines() {
+	for _, m := range s.allStores() {
 		if m.Ident != "" && m.Ident != s.Peer.Ident() {
 			others = append(others, m)
 		}
@@ -114,97 +118,101 @@
 			s.Log.Info("replicas repaired", "from", m.ID, "kind", kind, "keys", n)
 		}
 		if err != nil {
-			s.Log.Debug("replicas not compared", "with", m.ID, "err", err)
+			s.Log.Debug("comparison with replica failed", "with", m.ID, "err", err)
 			return
 		}
 	}
 }
 
+// pull compares one kind of records with another store, pulls the newer ones and returns
+// how many keys it updated.
 func (s *Store) pull(ctx context.Context, m spec.Machine, kind wire.List_Kind) (int, error) {
-	ask := func(q *wire.Req) (*wire.Resp, error) {
+	call := func(q *wire.Req) (*wire.Resp, error) {
 		q.Ident = m.Ident
 		return s.Peer.CallFor(ctx, 2*time.Second, m.Addr, q)
 	}
-	r, err := ask(&wire.Req{Op: &wire.Req_Sum{Sum: &wire.Sum{Kind: kind}}})
+	r, err := call(&wire.Req{Op: &wire.Req_Sum{Sum: &wire.Sum{Kind: kind}}})
 	if err != nil {
 		return 0, err
 	}
 	theirs := r.GetSums().GetSums()
-	mine, err := s.sums(kind, m.Addr)
+	mine, err := s.bucketDigests(kind, m.Addr)
 	if err != nil {
 		return 0, err
 	}
 	if len(theirs) != len(mine) {
 		return 0, code.New(code.Garbled, "%d digests, want %d", len(theirs), len(mine))
 	}
-	l := &wire.List{Kind: kind, Limit: core.MaxPage}
+	list := &wire.List{Kind: kind, Limit: core.MaxPage}
 	for i := range mine {
 		if mine[i] != theirs[i] {
-			l.Buckets = append(l.Buckets, uint32(i))
+			list.Buckets = append(list.Buckets, uint32(i))
 		}
 	}
 	n := 0
-	for len(l.Buckets) > 0 && n < MaxRepairKeys {
-		r, err := ask(&wire.Req{Op: &wire.Req_List{List: l}})
+	for len(list.Buckets) > 0 && n < MaxRepairKeys {
+		r, err := call(&wire.Req{Op: &wire.Req_List{List: list}})
 		if err != nil {
 			return n, err
 		}
 		rows := r.GetRows().GetRows()
 		for _, row := range rows {
-			did, err := s.pullOne(ctx, ask, kind, row)
+			pulled, err := s.pullOne(ctx, call, kind, row)
 			if err != nil {
 				return n, err
 			}
-			if did {
+			if pulled {
 				n++
 			}
 		}
 		if len(rows) < core.MaxPage {
 			break
 		}
-		l.After = rows[len(rows)-1].Key
+		list.After = rows[len(rows)-1].Key
 	}
 	s.repaired.Add(int64(n))
 	return n, nil
 }
 
-// pullOne takes one key from another store, if it is newer there.
+// pullOne copies one key from another store if that store has a newer version. It reports
+// whether the key was updated.
 func (s *Store) pullOne(
 	ctx context.Context,
-	ask func(*wire.Req) (*wire.Resp, error),
+	call func(*wire.Req) (*wire.Resp, error),
 	kind wire.List_Kind,
 	row *wire.Row,
 ) (bool, error) {
 	if kind == wire.List_BLOBS {
-		g, err := s.v.GetBlob(row.Key)
+		g, err := s.engine.GetBlob(row.Key)
 		if err != nil || g.State != wire.Got_NONE {
 			return false, err
 		}
-		r, err := ask(&wire.Req{Op: &wire.Req_Get{Get: &wire.Get{Key: row.Key}}})
+		r, err := call(&wire.Req{Op: &wire.Req_Get{Get: &wire.Get{Key: row.Key}}})
 		if err != nil {
 			return false, err
 		}
 		got := r.GetGot()
-		if left := got.GetKeepMs() - got.GetAgeMs(); got.GetState() == wire.Got_HERE && left > 0 {
-			return true, s.v.PutBlob(row.Key, got.Val, time.Duration(left)*time.Millisecond)
+		if remainingMs := got.GetKeepMs() - got.GetAgeMs(); got.GetState() == wire.Got_HERE && remainingMs > 0 {
+			return true, s.engine.PutBlob(row.Key, got.Val, time.Duration(remainingMs)*time.Millisecond)
 		}
 		return false, nil
 	}
-	rec, err := s.v.Load(row.Key)
+	rec, err := s.engine.Load(row.Key)
 	if err != nil || wire.CompareBallots(row.Ballot, rec.Accepted) <= 0 {
 		return false, err
 	}
-	r, err := ask(&wire.Req{Op: &wire.Req_Look{Look: &wire.Look{Key: row.Key}}})
+	r, err := call(&wire.Req{Op: &wire.Req_Look{Look: &wire.Look{Key: row.Key}}})
 	if err != nil {
 		return false, err
 	}
-	err = s.acc.Adopt(row.Key, r.GetView())
+	err = s.acceptor.Adopt(row.Key, r.GetView())
 	if code.Of(err) == code.OldBallot {
-		// Something higher was promised here since; only a new round may go
-		// over that.
+		// A higher ballot was promised here since, so only a new round of the protocol
+		// may write the value.
 		cctx, stop := context.WithTimeout(ctx, 2*time.Second)
 		defer stop()
-		// Under sets that are no more it would go over what the new ones hold.
+		// The version is pinned: a round under a replaced store set could overwrite
+		// newer values of the present one.
 		v := s.Cluster.Now()
 		_, err = s.Proposer.Change(register.WithVersion(cctx, v.Version, false), v.Stores(row.Key), row.Key, nil)
 	}
--- a/internal/dataplane/store/transfer.go
+++ b/internal/dataplane/store/transfer.go
@@ -16,35 +16,37 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// While the set of stores changes, each store of the next set brings the keys that
-// will fall to it. It asks the stores of the present one, which answer only once
-// they have that version in force and so take nothing more from anybody who acts
-// under the present set alone. With what a majority of a key's present holders have,
-// a store then has the key's value, if it has one: what is written meanwhile is
-// written to majorities of both sets.
+// State transfer: while the set of stores changes, each store of the next set fetches the
+// keys it will hold from the stores of the present set. Those answer only once the version
+// with the change is in force on them, after which they reject writes made under the present
+// set alone. The copies of a majority of a key's present holders include its value, if it
+// has one, since writes made during the change go to majorities of both sets.
 
 const (
-	// pageBytes is about how much one answer carries.
+	// pageBytes is the approximate size of one answer.
 	pageBytes = 512 << 10
-	// pageKeys is how many keys are asked for by name at once.
+	// pageKeys is the largest number of keys in one request by name.
 	pageKeys = 500
-	// pageWait is how long one of them may take.
-	pageWait = 2 * time.Second
-	// stragglerWait is how long a store is waited for once the others are enough.
-	stragglerWait = 500 * time.Millisecond
-	// transferHold is how long an order is held before it is given how far it is.
-	transferHold = 2 * time.Second
+	// pageTimeout is the timeout of one request.
+	pageTimeout = 2 * time.Second
+	// stragglerTimeout is how long the remaining stores have to finish once those that have
+	// finished form a quorum for every key.
+	stragglerTimeout = 500 * time.Millisecond
+	// maxFillWait is how long a fill request is held open before it is answered with the
+	// progress so far.
+	maxFillWait = 2 * time.Second
 )
 
-// fills is the filling under way, or the last.
-type fills struct {
-	ready chan struct{} // closed once ctx is set
-	ctx   context.Context
-	mu    sync.Mutex
-	now   *filling
+// transfers holds the state transfer in progress, or the last one.
+type transfers struct {
+	ready   chan struct{} // closed once ctx is set
+	ctx     context.Context
+	mu      sync.Mutex
+	current *transfer
 }
 
-type filling struct {
+// transfer is one state transfer to this store.
+type transfer struct {
 	spec, sets uint64
 	done       chan struct{}
 	stop       context.CancelFunc
@@ -53,37 +55,38 @@
 	mu         sync.Mutex
 }
 
-func (f *filling) add(n int) {
-	f.mu.Lock()
-	f.keys += int64(n)
-	f.mu.Unlock()
+func (t *transfer) add(n int) {
+	t.mu.Lock()
+	t.keys += int64(n)
+	t.mu.Unlock()
 }
 
-func (f *filling) count() int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.keys
+func (t *transfer) count() int64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.keys
 }
 
-// forget is for when the disk has been changed for an empty one.
-func (s *Store) forget() {
-	s.acc.Reset()
-	s.cool.forget()
-	s.fills.mu.Lock()
-	s.fills.now = nil
-	s.fills.mu.Unlock()
+// resetState drops all in-memory state, after the data directory was replaced by an empty one.
+func (s *Store) resetState() {
+	s.acceptor.Reset()
+	s.cooldowns.reset()
+	s.transfers.mu.Lock()
+	s.transfers.current = nil
+	s.transfers.mu.Unlock()
 }
 
-// fill begins to bring what falls to this store, and tells once it has it.
-func (s *Store) fill(ctx context.Context, q *wire.Req) (*wire.Resp, error) {
+// handleFill starts a transfer of the keys that this store will hold, unless one for the same
+// change is in progress or has succeeded, and reports its progress.
+func (s *Store) handleFill(ctx context.Context, q *wire.Req) (*wire.Resp, error) {
 	select {
-	case <-s.fills.ready:
+	case <-s.transfers.ready:
 	default:
 		return nil, code.New(code.NotVoting, "%s has not joined yet", s.Peer.Self.Id)
 	}
-	f := q.GetFill()
-	if s.Cluster.Now().Version < f.Spec {
-		// The update of it has not come here yet.
+	request := q.GetFill()
+	if s.Cluster.Now().Version < request.Spec {
+		// The update with that version has not arrived here yet.
 		rctx, stop := context.WithTimeout(ctx, time.Second)
 		defer stop()
 		if err := s.Cluster.Read(rctx); err != nil {
@@ -91,92 +94,97 @@
 		}
 	}
 	v := s.Cluster.Now()
-	if !membership.SameStores(v, f.Spec, f.Sets) || len(v.NextStores) == 0 {
+	if !membership.SameStores(v, request.Spec, request.Sets) || len(v.NextStores) == 0 {
 		return nil, code.New(
 			code.StaleSpec,
 			"version %d of %d or of another change, %d stores to come",
 			v.Version,
-			f.Spec,
+			request.Spec,
 			len(v.NextStores),
 		)
 	}
-	s.fills.mu.Lock()
-	w := s.fills.now
-	again := w == nil || w.spec != f.Spec || w.sets != v.StoresDigest()
-	if !again {
+	s.transfers.mu.Lock()
+	active := s.transfers.current
+	restart := active == nil || active.spec != request.Spec || active.sets != v.StoresDigest()
+	if !restart {
 		select {
-		case <-w.done:
-			again = w.err != nil
+		case <-active.done:
+			restart = active.err != nil
 		default:
 		}
 	}
-	if again {
-		if s.fills.now != nil {
-			s.fills.now.stop()
+	if restart {
+		if s.transfers.current != nil {
+			s.transfers.current.stop()
 		}
-		fctx, stop := context.WithCancel(s.fills.ctx)
-		w = &filling{spec: f.Spec, sets: v.StoresDigest(), done: make(chan struct{}), stop: stop}
-		s.fills.now = w
-		s.Go(fctx, func(ctx context.Context) {
-			defer close(w.done)
+		transferCtx, stop := context.WithCancel(s.transfers.ctx)
+		active = &transfer{spec: request.Spec, sets: v.StoresDigest(), done: make(chan struct{}), stop: stop}
+		s.transfers.current = active
+		s.Go(transferCtx, func(ctx context.Context) {
+			defer close(active.done)
 			defer stop()
-			// What an earlier filling was let in to write is on the disk from here on.
+			// Writes admitted for an earlier transfer must be on disk before this one starts.
 			s.Gate.Drain()
-			at := time.Now()
-			w.err = s.bring(ctx, v, w, int(f.Rate))
+			started := time.Now()
+			active.err = s.fetchKeys(ctx, v, active, int(request.Rate))
 			s.Log.Info(
-				"keys brought",
+				"state transfer finished",
 				"keys",
-				w.count(),
+				active.count(),
 				"took",
-				time.Since(at).Round(time.Millisecond),
+				time.Since(started).Round(time.Millisecond),
 				"err",
-				w.err,
+				active.err,
 			)
 		})
 	}
-	s.fills.mu.Unlock()
-	t := time.NewTimer(transferHold)
+	s.transfers.mu.Unlock()
+	t := time.NewTimer(maxFillWait)
 	defer t.Stop()
-	a := &wire.FillAck{}
+	answer := &wire.FillAck{}
 	select {
-	case <-w.done:
-		if w.err != nil {
-			return nil, w.err
+	case <-active.done:
+		if active.err != nil {
+			return nil, active.err
 		}
-		a.Whole = true
+		answer.Whole = true
 	case <-t.C:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	a.Keys = w.count()
-	return &wire.Resp{Op: &wire.Resp_Fill{Fill: a}}, nil
+	answer.Keys = active.count()
+	return &wire.Resp{Op: &wire.Resp_Fill{Fill: answer}}, nil
 }
 
-// lacking are the keys that an answer named without a copy, and who has each.
-type lacking struct {
+// missingCopies collects the keys that answers named without a copy, and for each the store
+// that reported the highest ballot.
+type missingCopies struct {
 	mu  sync.Mutex
-	all map[wire.List_Kind]map[string]lack
+	all map[wire.List_Kind]map[string]missingCopy
 }
 
-type lack struct {
+// missingCopy is the highest ballot reported for a key, and the store that reported it.
+type missingCopy struct {
 	ballot *wire.Ballot
 	from   spec.Machine
 }
 
-func (l *lacking) add(kind wire.List_Kind, c *wire.Copy, from spec.Machine) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if o, ok := l.all[kind][c.Key]; !ok || wire.CompareBallots(c.Ballot, o.ballot) > 0 {
-		l.all[kind][c.Key] = lack{c.Ballot, from}
+func (missing *missingCopies) add(kind wire.List_Kind, c *wire.Copy, from spec.Machine) {
+	missing.mu.Lock()
+	defer missing.mu.Unlock()
+	if known, ok := missing.all[kind][c.Key]; !ok || wire.CompareBallots(c.Ballot, known.ballot) > 0 {
+		missing.all[kind][c.Key] = missingCopy{c.Ballot, from}
 	}
 }
 
-// bring asks every store of the present set, all at once, for what falls to us.
-func (s *Store) bring(ctx context.Context, v *cluster.View, f *filling, rate int) error {
+// fetchKeys requests the keys that this store will hold from every store of the present set
+// in parallel.
+func (s *Store) fetchKeys(ctx context.Context, v *cluster.View, t *transfer, rate int) error {
 	from, absent := s.sources(v)
-	lacks := &lacking{all: map[wire.List_Kind]map[string]lack{wire.List_REGISTERS: {}, wire.List_BLOBS: {}}}
-	failed, last := s.collect(ctx, v, f, from, absent, lacks, rate)
+	missing := &missingCopies{
+		all: map[wire.List_Kind]map[string]missingCopy{wire.List_REGISTERS: {}, wire.List_BLOBS: {}},
+	}
+	failed, last := s.collect(ctx, v, t, from, absent, missing, rate)
 	absent = append(absent, failed...)
 	if !membership.Readable(v.Cluster.Stores, absent, v.Copies()) {
 		return code.New(
@@ -187,19 +195,19 @@
 			last,
 		)
 	}
-	// What only its name has come of, since whoever was to send it has departed or has
-	// an older one.
-	for kind, all := range lacks.all {
-		if err := s.rest(ctx, f, kind, all); err != nil {
+	// Keys that were only named: the store due to send the copy has departed or has an older
+	// version.
+	for kind, all := range missing.all {
+		if err := s.fetchMissing(ctx, t, kind, all); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// sources are the other stores of the present set that live, and the identities of those
-// that don't. Where too few seem to live all are asked: the cores have just come back
-// and know of few.
+// sources returns the live stores of the present set, apart from this one, and the identities
+// of the others. If too few of them appear live for a quorum of every key, it returns all of
+// them as live: cores that have just restarted don't know most members yet.
 func (s *Store) sources(v *cluster.View) (from []spec.Machine, absent []string) {
 	live := map[string]bool{}
 	for _, m := range s.Lease.Members() {
@@ -223,18 +231,19 @@
 	return from, absent
 }
 
-// collect takes what some stores have for us. Once those that have sent all they have
-// are enough, the others are given a moment more: one that is frozen holds up nothing.
-// It tells which have failed, and the last reason.
+// collect fetches this store's keys from several stores in parallel. Once those that have
+// finished form a quorum for every key, the others have stragglerTimeout left, so that a
+// frozen store doesn't block the transfer. It returns the stores that failed, and the last
+// error.
 func (s *Store) collect(
 	ctx context.Context,
 	v *cluster.View,
-	f *filling,
+	t *transfer,
 	from []spec.Machine,
 	absent []string,
-	lacks *lacking,
+	missing *missingCopies,
 	rate int,
-) (failed []string, last error) {
+) (failed []string, lastErr error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	type answer struct {
@@ -242,39 +251,39 @@
 		err   error
 	}
 	answers := make(chan answer, len(from))
-	missing := slices.Clone(absent)
+	unfinished := slices.Clone(absent)
 	for _, m := range from {
-		missing = append(missing, m.Ident)
+		unfinished = append(unfinished, m.Ident)
 		s.Go(
 			ctx,
-			func(ctx context.Context) { answers <- answer{m.Ident, s.takeFrom(ctx, f, m, absent, lacks, rate)} },
+			func(ctx context.Context) { answers <- answer{m.Ident, s.fetchFrom(ctx, t, m, absent, missing, rate)} },
 		)
 	}
 	for range from {
 		a := <-answers
 		if a.err != nil {
-			failed, last = append(failed, a.ident), a.err
+			failed, lastErr = append(failed, a.ident), a.err
 			continue
 		}
-		missing = slices.DeleteFunc(missing, func(ident string) bool { return ident == a.ident })
-		if membership.Readable(v.Cluster.Stores, missing, v.Copies()) {
-			time.AfterFunc(stragglerWait, stop)
+		unfinished = slices.DeleteFunc(unfinished, func(ident string) bool { return ident == a.ident })
+		if membership.Readable(v.Cluster.Stores, unfinished, v.Copies()) {
+			time.AfterFunc(stragglerTimeout, stop)
 		}
 	}
-	return failed, last
+	return failed, lastErr
 }
 
-// takeFrom takes all that one store has for us, of both kinds.
-func (s *Store) takeFrom(
+// fetchFrom fetches this store's registers and blobs from one store.
+func (s *Store) fetchFrom(
 	ctx context.Context,
-	f *filling,
+	t *transfer,
 	m spec.Machine,
 	absent []string,
-	lacks *lacking,
+	missing *missingCopies,
 	rate int,
 ) error {
 	for _, kind := range []wire.List_Kind{wire.List_REGISTERS, wire.List_BLOBS} {
-		if err := s.pages(ctx, f, m, kind, absent, lacks, rate); err != nil {
+		if err := s.fetchPages(ctx, t, m, kind, absent, missing, rate); err != nil {
 			s.Log.Info("keys not transferred", "from", m.ID, "err", err)
 			return err
 		}
@@ -282,31 +291,32 @@
 	return nil
 }
 
-// pages takes all that one store has for us.
-func (s *Store) pages(
+// fetchPages fetches this store's keys of one kind from one store, page by page, at up to
+// rate keys per second if rate is positive.
+func (s *Store) fetchPages(
 	ctx context.Context,
-	f *filling,
+	t *transfer,
 	m spec.Machine,
 	kind wire.List_Kind,
 	absent []string,
-	lacks *lacking,
+	missing *missingCopies,
 	rate int,
 ) error {
-	q := &wire.Bulk{Kind: kind, Ident: s.Peer.Ident(), Spec: f.spec, Sets: f.sets, Absent: absent}
+	q := &wire.Bulk{Kind: kind, Ident: s.Peer.Ident(), Spec: t.spec, Sets: t.sets, Absent: absent}
 	for {
-		cs, err := s.askBulk(ctx, m, q)
+		cs, err := s.requestBulk(ctx, m, q)
 		if err != nil {
 			return err
 		}
 		withValue := cs.Copies[:0:0]
 		for _, c := range cs.Copies {
 			if c.Rec == nil && c.Got == nil {
-				lacks.add(kind, c, m)
+				missing.add(kind, c, m)
 			} else {
 				withValue = append(withValue, c)
 			}
 		}
-		if err := s.takeAll(f, kind, withValue); err != nil {
+		if err := s.saveCopies(t, kind, withValue); err != nil {
 			return err
 		}
 		if rate > 0 && !loop.Wait(ctx, time.Duration(len(withValue))*time.Second/time.Duration(rate)) {
@@ -318,71 +328,75 @@
 	}
 }
 
-// takeAll keeps what has come, as long as the change it was asked for goes on: a value
-// below what was promised may be taken no longer than that.
-func (s *Store) takeAll(f *filling, kind wire.List_Kind, cs []*wire.Copy) error {
+// saveCopies saves fetched copies while the change that they were requested for is in
+// progress. After it they must be rejected: they may have a lower ballot than was promised
+// since.
+func (s *Store) saveCopies(t *transfer, kind wire.List_Kind, cs []*wire.Copy) error {
 	if len(cs) == 0 {
 		return nil
 	}
 	defer s.Gate.Begin()()
-	if v := s.Cluster.Now(); !membership.SameStores(v, f.spec, f.sets) {
-		return code.New(code.StaleSpec, "version %d, keys were brought for %d", v.Version, f.spec)
+	if v := s.Cluster.Now(); !membership.SameStores(v, t.spec, t.sets) {
+		return code.New(code.StaleSpec, "version %d, keys were brought for %d", v.Version, t.spec)
 	}
 	var n int
 	var err error
 	if kind == wire.List_BLOBS {
-		n, err = s.v.PutBlobs(cs)
+		n, err = s.engine.PutBlobs(cs)
 	} else {
-		n, err = s.acc.Import(cs, s.cool.SaveAll)
+		n, err = s.acceptor.Import(cs, s.cooldowns.SaveAll)
 	}
-	f.add(n)
+	t.add(n)
 	return err
 }
 
-// rest asks for keys by name, each where it is newest.
-func (s *Store) rest(ctx context.Context, f *filling, kind wire.List_Kind, all map[string]lack) error {
-	by := map[spec.Machine][]string{}
+// fetchMissing requests keys by name, each from the store that reported its highest ballot.
+func (s *Store) fetchMissing(ctx context.Context, t *transfer, kind wire.List_Kind, all map[string]missingCopy) error {
+	missingByStore := map[spec.Machine][]string{}
 	for k, l := range all {
-		var here bool
+		var present bool
 		var err error
 		if kind == wire.List_BLOBS {
-			here, _, err = s.v.BlobTimeLeft(k)
+			present, _, err = s.engine.BlobTimeLeft(k)
 		} else {
 			var r *wire.Rec
-			if r, err = s.v.Load(k); err == nil {
-				here = wire.CompareBallots(r.Accepted, l.ballot) >= 0
+			if r, err = s.engine.Load(k); err == nil {
+				present = wire.CompareBallots(r.Accepted, l.ballot) >= 0
 			}
 		}
 		if err != nil {
 			return err
 		}
-		if !here {
-			by[l.from] = append(by[l.from], k)
+		if !present {
+			missingByStore[l.from] = append(missingByStore[l.from], k)
 		}
 	}
-	for _, m := range slices.SortedFunc(maps.Keys(by), func(a, b spec.Machine) int { return cmp.Compare(a.ID, b.ID) }) {
-		keys := by[m]
-		for len(keys) > 0 {
+	for _, m := range slices.SortedFunc(
+		maps.Keys(missingByStore),
+		func(a, b spec.Machine) int { return cmp.Compare(a.ID, b.ID) },
+	) {
+		pending := missingByStore[m]
+		for len(pending) > 0 {
 			q := &wire.Bulk{
 				Kind:  kind,
 				Ident: s.Peer.Ident(),
-				Spec:  f.spec,
-				Sets:  f.sets,
-				Keys:  keys[:min(pageKeys, len(keys))],
+				Spec:  t.spec,
+				Sets:  t.sets,
+				Keys:  pending[:min(pageKeys, len(pending))],
 			}
-			cs, err := s.askBulk(ctx, m, q)
+			cs, err := s.requestBulk(ctx, m, q)
 			if err != nil {
 				return err
 			}
-			if err := s.takeAll(f, kind, cs.Copies); err != nil {
+			if err := s.saveCopies(t, kind, cs.Copies); err != nil {
 				return err
 			}
-			// The answer ends early where it is full.
+			// A full answer ends before the last requested key.
 			n := len(q.Keys)
 			if cs.Last != "" {
 				n = slices.Index(q.Keys, cs.Last) + 1
 			}
-			keys = keys[max(n, 1):]
+			pending = pending[max(n, 1):]
 		}
 	}
 	return nil
--- a/internal/dataplane/store/transfer_test.go
+++ b/internal/dataplane/store/transfer_test.go
@@ -18,8 +18,8 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// changing is a store alone, whose set is changing since version 5.
-func changing(t *testing.T) *Store {
+// newChangingStore returns a single store whose set has been changing since version 5.
+func newChangingStore(t *testing.T) *Store {
 	t.Helper()
 	v, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: vfs.NewCrashableMem()})
 	if err != nil {
@@ -41,12 +41,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	turnTo(t, s, 5, "i4")
+	applyStoreChange(t, s, 5, "i4")
 	return s
 }
 
-// turnTo puts a version in force that changes the set to one with another newcomer.
-func turnTo(t *testing.T, s *Store, ver uint64, newcomer string) {
+// applyStoreChange applies a version that begins a change to a set with the given new store.
+func applyStoreChange(t *testing.T, s *Store, ver uint64, newcomer string) {
 	t.Helper()
 	me := spec.Machine{ID: "s1", Addr: "10.0.0.1:7100", Zone: "a", Ident: s.Peer.Ident()}
 	now := []spec.Machine{
@@ -65,16 +65,16 @@
 	}
 }
 
-// TestBulkWaits: what was let in under the set before must be on the disk before the
-// first page of what this store holds is read.
+// TestBulkWaits checks that requests admitted under the previous set are on disk before the
+// first page of this store's records is read. Otherwise the page would miss their writes.
 func TestBulkWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := changing(t)
-		// A request that was judged and is not written yet.
-		leave := s.Gate.Begin()
+		s := newChangingStore(t)
+		// A request that was admitted and is not written yet.
+		finish := s.Gate.Begin()
 		done := make(chan error, 1)
 		go func() {
-			_, err := s.bulk(
+			_, err := s.handleBulk(
 				t.Context(),
 				&wire.Req{
 					Op: &wire.Req_Bulk{Bulk: &wire.Bulk{Ident: "i4", Spec: 5, Sets: s.Cluster.Now().StoresDigest()}},
@@ -88,19 +88,20 @@
 			t.Fatalf("answered while a request was not on the disk: %v", err)
 		default:
 		}
-		leave()
+		finish()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestBulkOtherChange: a store answers only for the very change that is asked for.
+// TestBulkOtherChange checks that a store answers only for the change named in the request,
+// and rejects it once a later change between the same sets is in force.
 func TestBulkOtherChange(t *testing.T) {
-	s := changing(t)
+	s := newChangingStore(t)
 	sets := s.Cluster.Now().StoresDigest()
 	ask := func() error {
-		_, err := s.bulk(
+		_, err := s.handleBulk(
 			t.Context(),
 			&wire.Req{Op: &wire.Req_Bulk{Bulk: &wire.Bulk{Ident: "i4", Spec: 5, Sets: sets}}},
 		)
@@ -109,20 +110,20 @@
 	if err := ask(); err != nil {
 		t.Error(err)
 	}
-	turnTo(t, s, 7, "i4")
+	applyStoreChange(t, s, 7, "i4")
 	if err := ask(); code.Of(err) != code.StaleSpec {
-		t.Errorf("the same sets, begun anew: %v", err)
+		t.Errorf("a later change between the same sets: %v", err)
 	}
 }
 
-// TestTakeAllAfterChange: what was brought for a change that is over is not kept: it
-// may go below what was promised since.
-func TestTakeAllAfterChange(t *testing.T) {
-	s := changing(t)
-	f := &filling{spec: 5, sets: s.Cluster.Now().StoresDigest()}
+// TestSaveCopiesAfterChange checks that copies fetched for a change that has ended are not
+// saved: they may have a lower ballot than was promised since.
+func TestSaveCopiesAfterChange(t *testing.T) {
+	s := newChangingStore(t)
+	f := &transfer{spec: 5, sets: s.Cluster.Now().StoresDigest()}
 	take := func(key string) error {
 		ballot := &wire.Ballot{N: 3, Node: 1}
-		return s.takeAll(
+		return s.saveCopies(
 			f,
 			wire.List_REGISTERS,
 			[]*wire.Copy{{Key: key, Ballot: ballot, Rec: &wire.Rec{Accepted: ballot, Cell: &wire.Cell{Ver: 1}}}},
@@ -131,11 +132,11 @@
 	if err := take("claim/a"); err != nil {
 		t.Error(err)
 	}
-	turnTo(t, s, 7, "i4")
+	applyStoreChange(t, s, 7, "i4")
 	if err := take("claim/b"); code.Of(err) != code.StaleSpec {
 		t.Errorf("after the change: %v", err)
 	}
-	if r, err := s.v.Load("claim/b"); err != nil || r.Accepted != nil {
-		t.Errorf("kept all the same: %v, %v", r, err)
+	if r, err := s.engine.Load("claim/b"); err != nil || r.Accepted != nil {
+		t.Errorf("saved after the change: %v, %v", r, err)
 	}
 }
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace remembers, of the last jobs of an edge, how each was decided, for
-// operators who ask why a job went where it did. It holds no words of a caller.
+// Package trace keeps how the runners of an edge's last jobs were picked, so that operators
+// can see why a job was sent where it was. It holds no text of callers.
 package trace
 
 import (
@@ -10,15 +10,15 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Row is one job.
+// Row is the trace of one job.
 type Row struct {
 	Job     string         `json:"job"`
 	Program string         `json:"program"`
 	Class   string         `json:"class,omitempty"`
 	Route   string         `json:"route"`
-	Spec    uint64         `json:"spec"` // version at the door
+	Spec    uint64         `json:"spec"` // version in force at ingress
 	Order   float64        `json:"order"`
-	Tries   []job.Decision `json:"tries"` // each choice, in order
+	Tries   []job.Decision `json:"tries"` // each pick of a runner, in order
 	Queued  int64          `json:"queued_ms"`
 	Took    int64          `json:"took_ms"`
 	Code    int            `json:"code"`
@@ -26,7 +26,7 @@
 	Failure string         `json:"problem,omitempty"`
 }
 
-// Journal is the memory of the last rows.
+// Journal is a bounded in-memory store of the last rows.
 type Journal struct {
 	mu   sync.Mutex
 	rows map[string]Row
@@ -34,11 +34,13 @@
 	next int
 }
 
-// New remembers so many rows.
-func New(most int) *Journal { return &Journal{rows: map[string]Row{}, ids: make([]string, most)} }
+// New returns a Journal of the given capacity in rows.
+func New(capacity int) *Journal {
+	return &Journal{rows: map[string]Row{}, ids: make([]string, capacity)}
+}
 
-// Add remembers an answered job.
-func (b *Journal) Add(c *job.Ctx, a job.Answer, took time.Duration) {
+// Add records an answered job.
+func (journal *Journal) Add(c *job.Ctx, a job.Answer, took time.Duration) {
 	n := code.Of(a.Err)
 	r := Row{
 		Job:     c.ID,
@@ -58,19 +60,19 @@
 	if !c.Passed.IsZero() {
 		r.Queued = (took - time.Since(c.Passed)).Milliseconds()
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.rows, b.ids[b.next])
-	b.ids[b.next], b.rows[c.ID] = c.ID, r
-	b.next = (b.next + 1) % len(b.ids)
+	journal.mu.Lock()
+	defer journal.mu.Unlock()
+	delete(journal.rows, journal.ids[journal.next])
+	journal.ids[journal.next], journal.rows[c.ID] = c.ID, r
+	journal.next = (journal.next + 1) % len(journal.ids)
 }
 
-// Get finds a job.
-func (b *Journal) Get(id string) (Row, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r, ok := b.rows[id]; ok {
+// Get returns the trace of a job.
+func (journal *Journal) Get(id string) (Row, error) {
+	journal.mu.Lock()
+	defer journal.mu.Unlock()
+	if r, ok := journal.rows[id]; ok {
 		return r, nil
 	}
-	return Row{}, code.New(code.NoJob, "job %q is not among the last %d of this edge", id, len(b.ids))
+	return Row{}, code.New(code.NoJob, "job %q is not among the last %d of this edge", id, len(journal.ids))
 }
--- a/internal/dataplane/traffic/client.go
+++ b/internal/dataplane/traffic/client.go
@@ -17,31 +17,31 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Ask is one request and its answer.
+// Ask is one request and its outcome.
 type Ask struct {
 	Program, Work, Key, Route, Class, Zone, Edge string
 	Urgent                                       bool
 	Turn, Follows                                bool
 	Sent, Done                                   time.Time
-	Wait                                         time.Duration // the caller's, or what the program had left
+	Wait                                         time.Duration // the caller's wait, or less if the program ends sooner
 	Status, Code                                 int
 	Name, Ran, Job, Failure                      string
 	RetryAfter                                   time.Duration
-	Lost                                         bool // no answer came
-	Refused                                      bool // nobody listened: the request was never taken
+	Lost                                         bool // no answer was received
+	Refused                                      bool // the connection was refused, so the request was not received
 	Wrong                                        string
 	Forgot                                       bool
 	PrefixHit                                    bool
 	Runner                                       string
 	Output                                       int64
-	BodyRetryAfter                               time.Duration // when to come back, as the body says it
+	BodyRetryAfter                               time.Duration // wait before a retry, as stated in the body
 	TurnID                                       string
-	Hist                                         string // digest of the conversation up to and with this turn
+	Hist                                         string // digest of the conversation up to and including this turn
 	Path                                         string
 	Body                                         []byte
 }
 
-// Answer is what an edge answered.
+// Answer is the body of an edge's answer, of a success or a failure.
 type Answer struct {
 	Job    string `json:"job"`
 	Turn   string `json:"turn"`
@@ -58,11 +58,18 @@
 	WaitMillis int64  `json:"wait_ms"`
 }
 
-// Check checks a success; it may find it wrong, or see that something was
-// forgotten.
+const (
+	// maxAttempts is the largest number of attempts of one request.
+	maxAttempts = 5
+	// answerGrace is how much longer a caller waits for an answer than it states.
+	answerGrace = 500 * time.Millisecond
+)
+
+// Check validates a successful answer. It may mark the request's answer as wrong, or mark that
+// state was lost.
 type Check func(*Ask, Answer)
 
-// Client asks as the users' programs do, and keeps a log.
+// Client sends requests as callers' programs do, and keeps a log of them.
 type Client struct {
 	Web *http.Client
 
@@ -70,7 +77,7 @@
 	log []Ask
 }
 
-// NewClient makes a client over web; nil means the ordinary way.
+// NewClient returns a client over web or, if that is nil, over a default transport.
 func NewClient(web http.RoundTripper) *Client {
 	if web == nil {
 		web = &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second}
@@ -78,16 +85,17 @@
 	return &Client{Web: &http.Client{Transport: web}}
 }
 
-// Log is a copy of all that was asked.
+// Log returns a copy of the log of requests.
 func (c *Client) Log() []Ask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Ask(nil), c.log...)
 }
 
-// Ask asks, and asks again as such callers do: another edge where nobody
-// answers, and later where it is given to come back within a third of the time.
-// The first two edges are of the caller's own zone.
+// Ask sends a request and retries it as such callers do: at another edge if there is no answer
+// or the edge is unavailable, and later if the answer states a wait of up to a third of the
+// time left. The first two edges are of the caller's own zone. It reports whether the request
+// succeeded.
 func (c *Client) Ask(
 	ctx context.Context,
 	a Ask,
@@ -102,34 +110,37 @@
 	if err != nil {
 		return Answer{}, false
 	}
-	stop := time.Now().Add(a.Wait)
-	for try := range 5 {
-		left := time.Until(stop)
+	deadline := time.Now().Add(a.Wait)
+	for try := range maxAttempts {
+		left := time.Until(deadline)
 		if len(edges) == 0 || left < 100*time.Millisecond || ctx.Err() != nil {
 			return Answer{}, false
 		}
-		// The two of its own zone first, then the others.
+		// The two edges of the caller's own zone first, then the others.
 		i := try
 		if try < 2 && len(edges) > 1 {
 			i = (first + try) % 2
 		}
-		one := a
-		one.Edge, one.Wait = edges[i%len(edges)], left
-		ans := c.Once(ctx, &one, path, b, end, check)
+		attempt := a
+		attempt.Edge, attempt.Wait = edges[i%len(edges)], left
+		ans := c.Once(ctx, &attempt, path, b, end, check)
 		c.mu.Lock()
-		c.log = append(c.log, one)
+		c.log = append(c.log, attempt)
 		c.mu.Unlock()
 		switch {
-		case one.Status == http.StatusOK:
-			return ans, one.Wrong == ""
-		case one.Lost, one.Refused, one.Status == http.StatusServiceUnavailable, one.Status == http.StatusBadGateway:
+		case attempt.Status == http.StatusOK:
+			return ans, attempt.Wrong == ""
+		case attempt.Lost,
+			attempt.Refused,
+			attempt.Status == http.StatusServiceUnavailable,
+			attempt.Status == http.StatusBadGateway:
 			pause := 50 * time.Millisecond
-			if one.RetryAfter > 0 && one.RetryAfter <= left/3 && try >= 2 {
-				pause = one.RetryAfter
+			if attempt.RetryAfter > 0 && attempt.RetryAfter <= left/3 && try >= 2 {
+				pause = attempt.RetryAfter
 			}
 			loop.Wait(ctx, pause)
-		case one.Status == http.StatusTooManyRequests && one.RetryAfter > 0 && one.RetryAfter <= left/3:
-			loop.Wait(ctx, one.RetryAfter)
+		case attempt.Status == http.StatusTooManyRequests && attempt.RetryAfter > 0 && attempt.RetryAfter <= left/3:
+			loop.Wait(ctx, attempt.RetryAfter)
 		default:
 			return ans, false
 		}
@@ -137,11 +148,11 @@
 	return Answer{}, false
 }
 
-// Once asks one edge once; a says how it went.
+// Once sends a request to one edge once, and records its outcome in a.
 func (c *Client) Once(ctx context.Context, a *Ask, path string, b []byte, end time.Time, check Check) Answer {
 	var ans Answer
-	// A caller waits a little longer than it says, to receive the last report.
-	rctx, cancel := context.WithTimeout(ctx, a.Wait+500*time.Millisecond)
+	// A caller waits a little longer than it states, to receive a late answer.
+	rctx, cancel := context.WithTimeout(ctx, a.Wait+answerGrace)
 	defer cancel()
 	q, err := http.NewRequestWithContext(
 		rctx,
@@ -166,9 +177,9 @@
 	r, err := c.Web.Do(q)
 	if err == nil {
 		defer r.Body.Close()
-		var got []byte
-		if got, err = io.ReadAll(r.Body); err == nil {
-			err = json.Unmarshal(got, &ans)
+		var responseBody []byte
+		if responseBody, err = io.ReadAll(r.Body); err == nil {
+			err = json.Unmarshal(responseBody, &ans)
 		}
 	}
 	a.Done = time.Now()
--- a/internal/dataplane/traffic/play.go
+++ b/internal/dataplane/traffic/play.go
@@ -14,38 +14,39 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Player replays a day against a fleet.
+// Player replays a day file against a fleet.
 type Player struct {
 	Day   *Day
 	Speed float64
-	// Run keeps keys and programs apart from those of other replays.
+	// Run is a prefix that separates keys and programs from those of other replays.
 	Run string
-	// Edges gives the edges that the platform would hand to a client of a zone.
+	// Edges returns the edges that the platform would list for a client of a zone.
 	Edges  func(zone string) []string
 	Client *Client
-	// Prompt makes the words of a row; nil makes filler of the same length.
+	// Prompt returns the prompt of a row; if nil, it is filler text of the same length.
 	Prompt func(r Row, work string) string
-	// Inspect sees each success, and the words that led to it; it may be nil.
-	Inspect func(a *Ask, ans Answer, past []Line)
+	// Inspect, if not nil, is called with each success and the history of its conversation.
+	Inspect func(a *Ask, ans Answer, history []Line)
 
-	done map[string]*turn
+	turns map[string]*turn
 }
 
 // Line is one turn of a replayed conversation.
 type Line struct{ Words, Answer string }
 
+// turn is the state of one replayed turn.
 type turn struct {
-	over chan struct{}
-	id   string // of the replayed turn; empty if it was not answered
-	past []Line
+	finished chan struct{}
+	id       string // ID of the replayed turn; empty if it failed
+	history  []Line
 }
 
-// Play sends every row at its time and returns once all are answered.
+// Play sends every row at its time, scaled by Speed, and returns once all are answered.
 func (p *Player) Play(ctx context.Context) {
-	p.done = map[string]*turn{}
+	p.turns = map[string]*turn{}
 	for _, r := range p.Day.Rows {
 		if r.Turn {
-			p.done[r.Job] = &turn{over: make(chan struct{})}
+			p.turns[r.Job] = &turn{finished: make(chan struct{})}
 		}
 	}
 	start := time.Now()
@@ -55,15 +56,16 @@
 		if !loop.Wait(ctx, time.Until(at)) {
 			break
 		}
-		wg.Go(func() { p.one(ctx, i, r) })
+		wg.Go(func() { p.playRow(ctx, i, r) })
 	}
 	wg.Wait()
 }
 
-func (p *Player) one(ctx context.Context, i int, r Row) {
+// playRow sends row i and records its turn.
+func (p *Player) playRow(ctx context.Context, i int, r Row) {
 	work := fmt.Sprintf("%s-%d", p.Run, i)
 	if r.Key != "" {
-		// A key asked again in the day is asked again with the same body.
+		// Rows with the same key must have the same body.
 		work = p.Run + "-" + r.Key
 	}
 	words := strings.Repeat("w", max(r.Words, 1))
@@ -86,24 +88,24 @@
 	}
 	body := map[string]any{"class": r.Class, "parts": r.Parts}
 	path := "/v1/calls/" + r.Route
-	var past []Line
-	mine := p.done[r.Job]
+	var history []Line
+	current := p.turns[r.Job]
 	if r.Turn {
-		defer close(mine.over)
+		defer close(current.finished)
 		path = "/v1/turns"
 		body["conversation"], body["words"], body["max_output"], body["model"] = r.Conv, words, max(
 			r.Most,
 			1,
 		), r.Route
 		if r.Follows != "" {
-			// A caller can't go on before it has the answer.
-			t := p.done[r.Follows]
+			// A caller can't send the next turn before it has the answer to this one.
+			t := p.turns[r.Follows]
 			if t == nil {
 				p.skip(a, "it follows a turn from before the day")
 				return
 			}
 			select {
-			case <-t.over:
+			case <-t.finished:
 			case <-ctx.Done():
 				return
 			}
@@ -111,7 +113,7 @@
 				p.skip(a, "it follows a turn that was not answered")
 				return
 			}
-			a.Follows, past = true, t.past
+			a.Follows, history = true, t.history
 			body["follows"] = t.id
 		}
 	} else {
@@ -127,16 +129,16 @@
 		i%2,
 		func(a *Ask, ans Answer) {
 			if p.Inspect != nil {
-				p.Inspect(a, ans, past)
+				p.Inspect(a, ans, history)
 			}
 		},
 	)
 	if r.Turn && ok {
-		mine.id, mine.past = ans.Turn, append(past[:len(past):len(past)], Line{words, ans.Text})
+		current.id, current.history = ans.Turn, append(history[:len(history):len(history)], Line{words, ans.Text})
 	}
 }
 
-// skip writes down a row that could not be asked.
+// skip logs a row that could not be sent.
 func (p *Player) skip(a Ask, why string) {
 	a.Name, a.Failure = "skipped", why
 	a.Sent = time.Now()
@@ -146,22 +148,22 @@
 	p.Client.mu.Unlock()
 }
 
-// Class is what a report says of one class.
+// Class is a report's summary of one class.
 type Class struct {
 	Asks, OK           int
 	Median, P99        time.Duration
-	PrefixHits, Parted int // prefixes held, of good turns that named parts
+	PrefixHits, Parted int // turns with a cached prefix, of all successful turns
 	Late, Cooldown     int
 }
 
-// Report sums a log up.
+// Report summarizes a log of requests.
 type Report struct {
 	Asks    int
 	Codes   map[string]int
 	Classes map[string]Class
 }
 
-// Sum makes the report of a replay.
+// Sum returns the report of a log.
 func Sum(asks []Ask) Report {
 	r := Report{Codes: map[string]int{}, Classes: map[string]Class{}}
 	took := map[string][]time.Duration{}
@@ -193,10 +195,10 @@
 		r.Codes[name]++
 		r.Classes[a.Class] = c
 	}
-	for k, ds := range took {
-		slices.Sort(ds)
+	for k, durations := range took {
+		slices.Sort(durations)
 		c := r.Classes[k]
-		c.Median, c.P99 = ds[len(ds)/2], ds[len(ds)*99/100]
+		c.Median, c.P99 = durations[len(durations)/2], durations[len(durations)*99/100]
 		r.Classes[k] = c
 	}
 	return r
--- a/internal/dataplane/traffic/record.go
+++ b/internal/dataplane/traffic/record.go
@@ -13,7 +13,14 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Edge is one edge as the operators' list of members tells it.
+const (
+	// getTimeout is the timeout of one request to a core or an edge.
+	getTimeout = 3 * time.Second
+	// pollInterval is the interval between requests for the rows of all edges.
+	pollInterval = 500 * time.Millisecond
+)
+
+// Edge is one edge in the list of members, GET /v1/members.
 type Edge struct {
 	ID   string `json:"id"`
 	Role string `json:"role"`
@@ -22,9 +29,9 @@
 	Live bool   `json:"live"`
 }
 
-// Get asks for JSON.
+// Get requests a URL and decodes its JSON body.
 func Get(ctx context.Context, web *http.Client, url string, into any) error {
-	ctx, stop := context.WithTimeout(ctx, 3*time.Second)
+	ctx, stop := context.WithTimeout(ctx, getTimeout)
 	defer stop()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -41,28 +48,28 @@
 	return json.NewDecoder(io.LimitReader(r.Body, 64<<20)).Decode(into)
 }
 
-// Edges asks the core machines, one after another, who the edges are.
+// Edges requests the list of edges from the core machines, one after another until one answers.
 func Edges(ctx context.Context, web *http.Client, cores []string) ([]Edge, error) {
-	var last error
+	var lastErr error
 	for _, c := range cores {
-		var got struct {
+		var list struct {
 			Members []Edge `json:"members"`
 		}
-		if last = Get(ctx, web, "http://"+c+"/v1/members", &got); last != nil {
+		if lastErr = Get(ctx, web, "http://"+c+"/v1/members", &list); lastErr != nil {
 			continue
 		}
 		var out []Edge
-		for _, m := range got.Members {
+		for _, m := range list.Members {
 			if m.Role == "edge" {
 				out = append(out, m)
 			}
 		}
 		return out, nil
 	}
-	return nil, code.New(code.CoreUnreachable, "no core machine answers: %w", last)
+	return nil, code.New(code.CoreUnreachable, "no core machine answers: %w", lastErr)
 }
 
-// Record gathers what all edges answer until ctx ends, and writes the day in
+// Record collects the answered jobs of all edges until ctx ends, and writes the day file in
 // order of arrival.
 func Record(ctx context.Context, web *http.Client, cores []string, h Head, w io.Writer) (rows, lost int, err error) {
 	start := time.Now()
@@ -72,21 +79,26 @@
 	poll := func(ctx context.Context, first bool) {
 		edges, err := Edges(ctx, web, cores)
 		if err != nil {
-			// The next check may find one; what is missed is counted.
+			// The next poll may find a core; rows missed until then are counted as lost.
 			return
 		}
 		for _, e := range edges {
-			var p Chunk
-			if err := Get(ctx, web, fmt.Sprintf("http://%s/v1/traffic?after=%d", e.HTTP, next[e.ID]), &p); err != nil {
+			var chunk Chunk
+			if err := Get(
+				ctx,
+				web,
+				fmt.Sprintf("http://%s/v1/traffic?after=%d", e.HTTP, next[e.ID]),
+				&chunk,
+			); err != nil {
 				continue
 			}
 			at := time.Now()
-			next[e.ID] = p.Next
+			next[e.ID] = chunk.Next
 			if first {
 				continue
 			}
-			lost += p.Lost
-			for _, r := range p.Rows {
+			lost += chunk.Lost
+			for _, r := range chunk.Rows {
 				r.T = at.Sub(start).Milliseconds() - r.AgeMs
 				r.AgeMs = 0
 				if r.T >= 0 {
@@ -96,7 +108,7 @@
 		}
 	}
 	poll(ctx, true)
-	loop.Every(ctx, 500*time.Millisecond, nil, func(ctx context.Context) { poll(ctx, false) })
+	loop.Every(ctx, pollInterval, nil, func(ctx context.Context) { poll(ctx, false) })
 	poll(context.WithoutCancel(ctx), false)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].T < all[j].T })
 	d, err := NewWriter(w, h)
@@ -111,20 +123,20 @@
 	return len(all), lost, d.Close(lost)
 }
 
-// Near lists the HTTP addresses of edges, those of the zone first.
+// Near returns the HTTP addresses of edges, those of the zone first.
 func Near(edges []Edge, zone string) []string {
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, e := range edges {
 		if e.Zone == zone {
-			near = append(near, e.HTTP)
+			sameZone = append(sameZone, e.HTTP)
 		} else {
-			far = append(far, e.HTTP)
+			otherZones = append(otherZones, e.HTTP)
 		}
 	}
-	return append(near, far...)
+	return append(sameZone, otherZones...)
 }
 
-// Asks is the day as a log, for the same report that a replay gets.
+// Asks returns the day as a log, so that it can be reported like a replay.
 func (d *Day) Asks() []Ask {
 	var out []Ask
 	for _, r := range d.Rows {
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic records and replays traffic: what an edge remembers of the jobs it
-// answered, the day file, and the replay of one against a fleet. A row holds no text of
-// any caller, only its length.
+// Package traffic records and replays traffic: the in-memory record of an edge's answered
+// jobs, the day file that collects those of all edges, and the replay of a day file against a
+// fleet. A row holds the length of a caller's text, never the text.
 package traffic
 
 import (
@@ -20,18 +20,22 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Format is the day file's version.
+// Format is the version of the day file format.
 const Format = 1
 
-// Row is one job. Times are milliseconds; T is from the start of the day.
+// maxLineBytes is the largest length of a line of a day file.
+const maxLineBytes = 1 << 20
+
+// Row is the record of one job. Times are in milliseconds; T is its arrival, counted from the
+// start of the day.
 type Row struct {
 	T         int64    `json:"t"`
-	AgeMs     int64    `json:"age,omitempty"` // since its arrival, where an edge hands it out
+	AgeMs     int64    `json:"age,omitempty"` // time since arrival, in an edge's answer only
 	Edge      string   `json:"edge"`
 	Zone      string   `json:"zone"`
 	Job       string   `json:"job"`
 	Turn      bool     `json:"turn,omitempty"`
-	Follows   string   `json:"follows,omitempty"` // job of the turn followed
+	Follows   string   `json:"follows,omitempty"` // job ID of the preceding turn
 	Route     string   `json:"route"`
 	Program   string   `json:"program"`
 	Class     string   `json:"class,omitempty"`
@@ -43,25 +47,25 @@
 	Wait      int64    `json:"wait"` // time allowed at arrival
 	Code      int      `json:"code"`
 	Took      int64    `json:"took"`
-	Queued    int64    `json:"queued"` // until it was passed
+	Queued    int64    `json:"queued"` // time until it was forwarded to a runner
 	Output    int64    `json:"output,omitempty"`
 	PrefixHit bool     `json:"held,omitempty"`
 	Runner    string   `json:"runner,omitempty"`
 }
 
-// Recorder is an edge's bounded memory of its last rows.
+// Recorder is the bounded in-memory record of an edge's last jobs.
 type Recorder struct {
 	mu       sync.Mutex
 	rows     []Row
-	at       []time.Time // arrival of each
-	next     int         // number of the next row
+	arrivals []time.Time // arrival time of each row
+	next     int         // sequence number of the next row
 	capacity int
 }
 
-// NewRecorder remembers up to most rows.
-func NewRecorder(most int) *Recorder { return &Recorder{capacity: most} }
+// NewRecorder returns a Recorder of the given capacity in rows.
+func NewRecorder(capacity int) *Recorder { return &Recorder{capacity: capacity} }
 
-// Add remembers one answered job.
+// Add records an answered job.
 func (recorder *Recorder) Add(edge, zone string, c *job.Ctx, a job.Answer, took time.Duration) {
 	now := time.Now()
 	r := Row{
@@ -93,47 +97,47 @@
 	}
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	recorder.rows, recorder.at = append(recorder.rows, r), append(recorder.at, now.Add(-took))
+	recorder.rows, recorder.arrivals = append(recorder.rows, r), append(recorder.arrivals, now.Add(-took))
 	recorder.next++
 	if n := len(recorder.rows) - recorder.capacity; n > 0 {
-		recorder.rows, recorder.at = append(
+		recorder.rows, recorder.arrivals = append(
 			[]Row(nil),
 			recorder.rows[n:]...), append(
 			[]time.Time(nil),
-			recorder.at[n:]...)
+			recorder.arrivals[n:]...)
 	}
 }
 
-// Chunk is what an edge hands out of its recorder.
+// Chunk is a range of a recorder's rows.
 type Chunk struct {
 	Next int   `json:"next"`
-	Lost int   `json:"lost"` // rows that were forgotten before they were asked for
+	Lost int   `json:"lost"` // rows that were dropped before they were requested
 	Rows []Row `json:"rows"`
 }
 
-// After gives the rows from number n on, with their ages: no clock of one
-// machine is compared with another's.
+// After returns the rows from sequence number n on, with their ages instead of times, so that
+// the clocks of two machines are never compared.
 func (recorder *Recorder) After(n int) Chunk {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	first := recorder.next - len(recorder.rows)
-	p := Chunk{Next: recorder.next}
-	// A number from an earlier start of the edge means all there is.
+	chunk := Chunk{Next: recorder.next}
+	// A sequence number from before a restart of the edge returns all rows.
 	if n > recorder.next {
 		n = first
 	}
 	if n < first {
-		p.Lost, n = first-n, first
+		chunk.Lost, n = first-n, first
 	}
 	for i := n - first; i < len(recorder.rows); i++ {
 		r := recorder.rows[i]
-		r.AgeMs = time.Since(recorder.at[i]).Milliseconds()
-		p.Rows = append(p.Rows, r)
+		r.AgeMs = time.Since(recorder.arrivals[i]).Milliseconds()
+		chunk.Rows = append(chunk.Rows, r)
 	}
-	return p
+	return chunk
 }
 
-// Head is a day file's first line, Tail its last.
+// Head is the first line of a day file.
 type Head struct {
 	Format int    `json:"format"`
 	Name   string `json:"name"`
@@ -141,7 +145,7 @@
 	Start  string `json:"start"`
 }
 
-// Tail tells an entire file from a truncated one.
+// Tail is the last line of a day file. It distinguishes a complete file from a truncated one.
 type Tail struct {
 	End  bool   `json:"end"`
 	Rows int    `json:"rows"`
@@ -156,7 +160,7 @@
 	rows int
 }
 
-// NewWriter begins a day file.
+// NewWriter starts a day file by writing its head.
 func NewWriter(w io.Writer, h Head) (*Writer, error) {
 	d := &Writer{w: bufio.NewWriter(w), sum: sha256.New()}
 	h.Format = Format
@@ -180,7 +184,7 @@
 	return d.writeLine(r)
 }
 
-// Close ends the file.
+// Close completes the file by writing its tail.
 func (d *Writer) Close(lost int) error {
 	b, err := json.Marshal(Tail{true, d.rows, hex.EncodeToString(d.sum.Sum(nil)), lost})
 	if err != nil {
@@ -192,23 +196,24 @@
 	return d.w.Flush()
 }
 
-// Day is a day file as read.
+// Day is the content of a day file.
 type Day struct {
 	Head
 	Rows []Row
-	Sum  string // names the day
+	Sum  string // digest of the lines before the tail; identifies the day
 	Lost int
 }
 
-func bad(line int, format string, a ...any) error {
+// badDay returns the error for an invalid line.
+func badDay(line int, format string, a ...any) error {
 	return code.New(code.BadDay, "line %d: %s", line, fmt.Sprintf(format, a...))
 }
 
-// Read reads an entire day file. One that is truncated or changed is refused,
-// and the line is named.
+// Read reads a day file, plain or gzipped. If the file is truncated or was modified, the error
+// names the line.
 func Read(r io.Reader) (*Day, error) {
 	in := bufio.NewReader(r)
-	// A day may be kept gzipped.
+	// The magic number of gzip.
 	if b, err := in.Peek(2); err == nil && b[0] == 0x1f && b[1] == 0x8b {
 		z, err := gzip.NewReader(in)
 		if err != nil {
@@ -217,7 +222,7 @@
 		in = bufio.NewReader(z)
 	}
 	sc := bufio.NewScanner(in)
-	sc.Buffer(nil, 1<<20)
+	sc.Buffer(nil, maxLineBytes)
 	d := &Day{}
 	sum := sha256.New()
 	n := 0
@@ -226,10 +231,10 @@
 		b := sc.Bytes()
 		if n == 1 {
 			if err := json.Unmarshal(b, &d.Head); err != nil || d.Format == 0 {
-				return nil, bad(n, "not the head of a day file")
+				return nil, badDay(n, "not the head of a day file")
 			}
 			if d.Format != Format {
-				return nil, bad(n, "format %d, this program reads %d", d.Format, Format)
+				return nil, badDay(n, "format %d, this program reads %d", d.Format, Format)
 			}
 		} else {
 			var t Tail
@@ -237,19 +242,19 @@
 				d.Sum, d.Lost = hex.EncodeToString(sum.Sum(nil)), t.Lost
 				if t.Rows != len(d.Rows) || t.Sum != d.Sum {
 					const text = "%d rows and digest %.8s, the file holds %d and %.8s"
-					return nil, bad(n, text, t.Rows, t.Sum, len(d.Rows), d.Sum)
+					return nil, badDay(n, text, t.Rows, t.Sum, len(d.Rows), d.Sum)
 				}
 				if sc.Scan() {
-					return nil, bad(n+1, "something follows the end")
+					return nil, badDay(n+1, "something follows the end")
 				}
 				return d, nil
 			}
 			var r Row
 			if err := json.Unmarshal(b, &r); err != nil {
-				return nil, bad(n, "%v", err)
+				return nil, badDay(n, "%v", err)
 			}
 			if r.Job == "" || r.Route == "" || r.Program == "" || r.T < 0 {
-				return nil, bad(n, "a row without job, route, program or time")
+				return nil, badDay(n, "a row without job, route, program or time")
 			}
 			d.Rows = append(d.Rows, r)
 		}
@@ -258,9 +263,9 @@
 	}
 	if err := sc.Err(); err != nil {
 		if errors.Is(err, bufio.ErrTooLong) {
-			return nil, bad(n+1, "longer than %d bytes", 1<<20)
+			return nil, badDay(n+1, "longer than %d bytes", maxLineBytes)
 		}
 		return nil, code.New(code.BadDay, "%w", err)
 	}
-	return nil, bad(n, "the file ends without its last line")
+	return nil, badDay(n, "the file ends without its last line")
 }
--- a/internal/dataplane/traffic/traffic_test.go
+++ b/internal/dataplane/traffic/traffic_test.go
@@ -17,7 +17,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-func file(t *testing.T, rows int) []byte {
+func dayFile(t *testing.T, rows int) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w, err := traffic.NewWriter(&b, traffic.Head{Name: "d"})
@@ -35,17 +35,17 @@
 	return b.Bytes()
 }
 
-// TestFile: what is written is read; a file cut anywhere, changed anywhere or
-// of another format is refused, and the line is named.
+// TestFile checks that a written day file can be read, and that a file that is truncated,
+// modified or of another format is rejected with an error that names the line.
 func TestFile(t *testing.T) {
-	good := file(t, 3)
+	good := dayFile(t, 3)
 	d, err := traffic.Read(bytes.NewReader(good))
 	if err != nil || len(d.Rows) != 3 || d.Lost != 1 || d.Name != "d" || d.Sum == "" {
 		t.Fatalf("%+v %v", d, err)
 	}
 	for n := range len(good) - 1 {
 		if _, err := traffic.Read(bytes.NewReader(good[:n])); code.Of(err) != code.BadDay {
-			t.Fatalf("cut at byte %d: %v", n, err)
+			t.Fatalf("truncated at byte %d: %v", n, err)
 		}
 	}
 	for _, tc := range [][3]string{
@@ -62,14 +62,15 @@
 		}
 	}
 	if _, err := traffic.Read(strings.NewReader(string(good) + "{}\n")); code.Of(err) != code.BadDay {
-		t.Errorf("something after the end: %v", err)
+		t.Errorf("a line after the tail: %v", err)
 	}
 	if r := traffic.Sum(d.Asks()); r.Asks != 3 || r.Codes["cooling"] != 3 || r.Classes[""].Cooldown != 3 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// TestRecorder: bounded, says what it has forgotten, and holds no words.
+// TestRecorder checks that a recorder is bounded, reports how many rows it has dropped, and
+// holds no text of callers.
 func TestRecorder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := traffic.NewRecorder(5)
@@ -102,7 +103,7 @@
 			t.Errorf("next %d, lost %d, rows %d", p.Next, p.Lost, len(p.Rows))
 		}
 		if p = recorder.After(10); len(p.Rows) != 0 {
-			t.Errorf("%d rows where none is new", len(p.Rows))
+			t.Errorf("%d rows although none is new", len(p.Rows))
 		}
 		if p = recorder.After(500); len(p.Rows) != 5 {
 			t.Errorf("after a restart %d rows", len(p.Rows))
@@ -119,13 +120,13 @@
 			t.Fatal(err)
 		}
 		if strings.Contains(b.String(), "secret") {
-			t.Errorf("words of a caller in the day: %s", b.String())
+			t.Errorf("text of a caller in the day file: %s", b.String())
 		}
 	})
 }
 
-// TestSameKeySameBody: a key that the day holds twice is replayed with one and
-// the same body; it used to be refused as used for another job.
+// TestSameKeySameBody checks that rows with the same key are replayed with the same body. With
+// different bodies, the second request was refused as a key used for another job.
 func TestSameKeySameBody(t *testing.T) {
 	var mu sync.Mutex
 	bodies := map[string]map[string]bool{}
@@ -162,7 +163,7 @@
 	}
 	for k, b := range bodies {
 		if len(b) != 1 {
-			t.Errorf("key %s came with %d bodies", k, len(b))
+			t.Errorf("key %s was sent with %d bodies", k, len(b))
 		}
 	}
 }
