--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -141,7 +141,7 @@
 	// The order of the policies on the request path. An outer policy records its state before
 	// the inner ones run and commits it after them.
 	innerPolicies := []job.Policy{
-		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.Keys},
+		cooldown.Precheck{Manager: e.Cooldowns, Keys: e.directory.CooldownKeys},
 		call.Retry{CallTime: params.Cooldown.CallTime},
 		e.backlog,
 		call.CooldownCheck{Cooldowns: e.Cooldowns},
@@ -155,24 +155,24 @@
 		Background:       e.background,
 	}
 	budgetPolicy := budget.Policy{
-		Stores:     stores,
-		Pre:        params.ReadTimeout,
-		Write:      params.WriteTimeout,
-		Background: e.background,
+		Stores:         stores,
+		ReserveTimeout: params.ReadTimeout,
+		CommitTimeout:  params.WriteTimeout,
+		Background:     e.background,
 	}
 	turns := append(
 		[]job.Policy{
 			idempotencyPolicy,
 			conversation.Policy{
-				Stores:     stores,
-				Read:       params.ReadTimeout,
-				Late:       params.LateWriteTimeout,
-				Background: e.background,
+				Stores:           stores,
+				ReadTimeout:      params.ReadTimeout,
+				LateWriteTimeout: params.LateWriteTimeout,
+				Background:       e.background,
 			},
 			budgetPolicy,
 		},
 		innerPolicies...)
-	calls := append([]job.Policy{idempotencyPolicy, budget.Tree{Policy: budgetPolicy}}, innerPolicies...)
+	calls := append([]job.Policy{idempotencyPolicy, budget.SubagentPolicy{Policy: budgetPolicy}}, innerPolicies...)
 	e.API = &turnapi.Handler{
 		Params: params.API,
 		ID:     np.Self.Id + "-" + strconv.FormatUint(e.Peer.Self.Inc, 36),
@@ -395,17 +395,17 @@
 	}
 }
 
-// updateOpen opens ingress once this edge has sufficient slots, after a start and after a
+// updateOpen opens ingress once this edge has slots for every route, after a start and after a
 // period without slots because it was frozen or partitioned. Before that, jobs would only wait
 // here for slots that other edges have. If slots are scarce it opens after OpenTimeout anyway,
 // since slots are assigned where jobs wait.
-func (e *Edge) updateOpen(at time.Time, sufficient bool) {
+func (e *Edge) updateOpen(at time.Time, coversAllRoutes bool) {
 	if at.Sub(e.lastGrant) > e.params.Assignment.Term {
 		e.firstGrant = at
 		e.ready.Store(false)
 	}
 	e.lastGrant = at
-	if sufficient || at.Sub(e.firstGrant) > e.params.OpenTimeout {
+	if coversAllRoutes || at.Sub(e.firstGrant) > e.params.OpenTimeout {
 		e.ready.Store(true)
 	}
 }
@@ -434,7 +434,7 @@
 			continue
 		}
 		e.slots.Update(requestedAt, time.Duration(a.TermMs)*time.Millisecond, a.Slots)
-		e.updateOpen(requestedAt, e.directory.Sufficient(a.Slots))
+		e.updateOpen(requestedAt, e.directory.CoversAllRoutes(a.Slots))
 		e.backlog.Notify()
 		return
 	}
--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -110,7 +110,7 @@
 // waitForCooldown returns the answer that sends a job back to wait until a cooldown ends, if
 // that fits its deadline.
 func waitForCooldown(w time.Duration) job.Answer {
-	a := cooldown.Cooling(w)
+	a := cooldown.CoolingAnswer(w)
 	a.Retryable = true
 	return a
 }
@@ -130,7 +130,7 @@
 		return job.Failure(code.DeadlinePassed, "no time is left, or the caller has disconnected"), false
 	case clock.Since(c.CooldownReadAt, time.Now) > storeclient.ReadWindow:
 		return requeue("the read of the cooldown is too old")
-	case p.Cooldowns.Spec() != c.CooldownVersion:
+	case p.Cooldowns.SpecVersion() != c.CooldownVersion:
 		return requeue("the spec has changed since the read")
 	case w > 0:
 		return waitForCooldown(w), false
@@ -240,7 +240,7 @@
 		a.Retryable, a.Wait = retry.Allowed(retry.NotRun, repeatable(c)), 0
 		return a
 	}
-	if cooldown.Raised("", err.Error()) {
+	if cooldown.IsRateLimitError("", err.Error()) {
 		p.Cooldowns.Install(c, c.Runner.CooldownKey, 0)
 	}
 	return p.outcomeUnknown(c, code.OutcomeUnknown, "no answer came", err)
@@ -329,7 +329,7 @@
 		a.Retryable = true
 		return a
 	}
-	if cooldown.Raised(failure.Error.Type, failure.Error.Message) {
+	if cooldown.IsRateLimitError(failure.Error.Type, failure.Error.Message) {
 		// A rate limit error: the cooldown is installed for all edges, and the job is retried
 		// after it if the job certainly did not run or is repeatable.
 		w := p.Cooldowns.Install(c, c.Runner.CooldownKey, cooldown.RetryAfter(r.Header))
--- a/internal/dataplane/request/turnapi/handler_test.go
+++ b/internal/dataplane/request/turnapi/handler_test.go
@@ -174,7 +174,7 @@
 			{300 * time.Millisecond, time.Second, time.Millisecond},
 		} {
 			w, p := serve(t, validRequest(), func(*job.Ctx) job.Answer {
-				a := cooldown.Cooling(tc.cooldown)
+				a := cooldown.CoolingAnswer(tc.cooldown)
 				time.Sleep(tc.delay)
 				return a
 			})
--- a/internal/dataplane/store/cooldowns.go
+++ b/internal/dataplane/store/cooldowns.go
@@ -75,7 +75,7 @@
 	if existing := c.all[key]; existing != nil && existing.ver == r.Cell.Ver && existing.op == op {
 		return
 	}
-	wait, err := cooldown.WaitOf(r.Cell.Val)
+	wait, err := cooldown.DecodeWait(r.Cell.Val)
 	if err != nil {
 		// The next change of the register fails on the same value and reports the error.
 		return
