--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -213,7 +213,7 @@
 		go func() {
 			for len(subtree) > 0 {
 				child, rest := subtree[0], subtree[1:]
-				r, err := broadcaster.peer.CallFor(
+				r, err := broadcaster.peer.CallWithTimeout(
 					bg,
 					wait,
 					child.Addr,
@@ -307,7 +307,7 @@
 // grow with the differences and not with the items held: first the sum of all heads; if
 // that differs, the sums of buckets; then the heads in the buckets that differ.
 func (broadcaster *Broadcaster) repair(ctx context.Context, addr string) {
-	r, err := broadcaster.peer.CallFor(
+	r, err := broadcaster.peer.CallWithTimeout(
 		ctx,
 		broadcaster.params.DigestInterval,
 		addr,
@@ -332,7 +332,7 @@
 	}
 	q.Heads = broadcaster.headsIn(q)
 	request := &wire.Req{Op: &wire.Req_Digest{Digest: q}}
-	if r, err = broadcaster.peer.CallFor(ctx, broadcaster.params.DigestInterval, addr, request); err != nil {
+	if r, err = broadcaster.peer.CallWithTimeout(ctx, broadcaster.params.DigestInterval, addr, request); err != nil {
 		return
 	}
 	broadcaster.Apply(r.GetDigest().GetItems())
@@ -343,7 +343,7 @@
 		}
 	}
 	if len(lack) > 0 {
-		_, _ = broadcaster.peer.CallFor(
+		_, _ = broadcaster.peer.CallWithTimeout(
 			ctx,
 			broadcaster.params.DigestInterval,
 			addr,
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -195,7 +195,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w, end := newTown(t, n, 0)
 			defer end()
-			w.net.Delay(2 * time.Millisecond)
+			w.net.SetMaxDelay(2 * time.Millisecond)
 			sent := func() (s uint64) {
 				for _, pr := range w.peers {
 					s += pr.Sent()
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -175,7 +175,7 @@
 		}
 		asked++
 		go func() {
-			r, err := c.Peer.CallFor(
+			r, err := c.Peer.CallWithTimeout(
 				ctx,
 				presenceTimeout,
 				m.Addr,
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -87,7 +87,7 @@
 	for _, m := range gainers {
 		go func() {
 			order := &wire.Fill{Spec: v.StoresVersion, Sets: v.StoresDigest(), Rate: int32(rate)}
-			r, err := c.Peer.CallFor(
+			r, err := c.Peer.CallWithTimeout(
 				ctx,
 				transferTimeout+time.Second,
 				m.Addr,
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -30,7 +30,7 @@
 	Partitions        *transport.Partitions
 	Log               hclog.Logger
 
-	hub      *transport.Hub
+	hub      *transport.Client
 	net      transport.Net
 	params   transport.Params
 	handlers map[reflect.Type]Handler
@@ -83,7 +83,7 @@
 	peer := &Peer{
 		Partitions: c,
 		Log:        log,
-		hub:        transport.NewHub(n, p, c),
+		hub:        transport.NewClient(n, p, c),
 		net:        n,
 		params:     p,
 		handlers:   map[reflect.Type]Handler{},
@@ -259,8 +259,8 @@
 	return r, r.Err()
 }
 
-// CallFor is Call with a deadline of its own.
-func (peer *Peer) CallFor(ctx context.Context, d time.Duration, addr string, q *wire.Req) (*wire.Resp, error) {
+// CallWithTimeout is Call with a deadline of its own.
+func (peer *Peer) CallWithTimeout(ctx context.Context, d time.Duration, addr string, q *wire.Req) (*wire.Resp, error) {
 	ctx, stop := context.WithTimeout(ctx, d)
 	defer stop()
 	return peer.Call(ctx, addr, q)
--- a/internal/coordination/peer/peer_test.go
+++ b/internal/coordination/peer/peer_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		h := transport.NewHub(n.Host("b"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("b"), transport.DefaultParams, nil)
 		defer h.Close()
 		send := func(q *wire.Req, tail []byte) code.Code {
 			b, err := h.Call(t.Context(), "a", append(wire.MustEncode(q), tail...))
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -196,7 +196,7 @@
 }
 
 func ping(ctx context.Context, p *peer.Peer, addr string) error {
-	_, err := p.CallFor(ctx, 200*time.Millisecond, addr, &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{}}})
+	_, err := p.CallWithTimeout(ctx, 200*time.Millisecond, addr, &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{}}})
 	return err
 }
 
--- a/internal/dataplane/balancing/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -130,7 +130,7 @@
 
 // Run dispatches jobs until ctx ends, then rejects all that still wait.
 func (b *Backlog) Run(ctx context.Context) {
-	loop.Take(ctx, b.incoming, b.params.Tick, b.match, func(w *waiter) {
+	loop.Consume(ctx, b.incoming, b.params.Tick, b.match, func(w *waiter) {
 		if w != nil {
 			i, _ := slices.BinarySearchFunc(b.list, w, order)
 			b.list = slices.Insert(b.list, i, w)
--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -236,7 +236,7 @@
 // report sends this edge's load to a collector and applies the answer.
 func (report *LoadReport) report(ctx context.Context, addr string, own []*wire.Busy) bool {
 	sum, requestedAt := report.listDigest(), time.Now()
-	r, err := report.node.Peer.CallFor(
+	r, err := report.node.Peer.CallWithTimeout(
 		ctx,
 		report.params.Timeout,
 		addr,
--- a/internal/dataplane/balancing/loadreport/zones.go
+++ b/internal/dataplane/balancing/loadreport/zones.go
@@ -79,7 +79,7 @@
 		Roll: report.listDigest(),
 		Zone: report.node.Peer.Self.Zone,
 	}
-	r, err := report.node.Peer.CallFor(
+	r, err := report.node.Peer.CallWithTimeout(
 		ctx,
 		report.params.Timeout,
 		to.Addr,
--- a/internal/dataplane/cooldown/snapshot.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -208,7 +208,7 @@
 	request := &wire.Req{Ident: machine.Ident, Op: &wire.Req_Cools{Cools: &wire.Cools{}}}
 	register.SetVersion(ctx, request)
 	manager.polls.Add(1)
-	answer, err := manager.node.Peer.CallFor(ctx, manager.params.Snapshot.Timeout, machine.Addr, request)
+	answer, err := manager.node.Peer.CallWithTimeout(ctx, manager.params.Snapshot.Timeout, machine.Addr, request)
 	if err != nil {
 		// The store is unreachable or has another spec version, and does not count as fresh.
 		return
@@ -266,7 +266,7 @@
 	manager.wakeup.Notify()
 	waitCtx, stop := context.WithTimeout(ctx, min(manager.params.Snapshot.ReadTimeout, left/10))
 	defer stop()
-	if !loop.Until(waitCtx, read.done) {
+	if !loop.WaitFor(waitCtx, read.done) {
 		manager.unverified.Add(1)
 	}
 	return manager.KnownWait(key)
@@ -404,7 +404,7 @@
 	}
 	waitCtx, stop := context.WithTimeout(ctx, manager.params.Snapshot.WriteWait)
 	defer stop()
-	loop.Until(waitCtx, pending.done)
+	loop.WaitFor(waitCtx, pending.done)
 	return manager.KnownWait(key)
 }
 
--- a/internal/dataplane/cooldown/snapshot_test.go
+++ b/internal/dataplane/cooldown/snapshot_test.go
@@ -282,7 +282,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		net := memnet.New(1)
-		net.Delay(2 * time.Millisecond)
+		net.SetMaxDelay(2 * time.Millisecond)
 		f := newFleet(t, ctx, 3, 64, func(addr string) transport.Net { return net.Host(addr) })
 		start := time.Now()
 		done := make(chan time.Duration, 64*5)
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -414,7 +414,7 @@
 func (e *Edge) requestSlots(ctx context.Context) {
 	for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
 		requestedAt := time.Now()
-		r, err := e.Peer.CallFor(
+		r, err := e.Peer.CallWithTimeout(
 			ctx,
 			e.params.Assignment.Term/4,
 			m.Addr,
@@ -446,7 +446,7 @@
 	go func() {
 		for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
 			request := &wire.Req{Op: &wire.Req_Tell{Tell: &wire.Tell{Runner: runner, Why: why}}}
-			_, err := e.Peer.CallFor(context.Background(), 500*time.Millisecond, m.Addr, request)
+			_, err := e.Peer.CallWithTimeout(context.Background(), 500*time.Millisecond, m.Addr, request)
 			if err == nil {
 				e.wakeup.Notify()
 				return
--- a/internal/dataplane/quota/exchange.go
+++ b/internal/dataplane/quota/exchange.go
@@ -98,7 +98,7 @@
 		return true
 	}
 	request := &wire.Req{Op: &wire.Req_QuotaReport{QuotaReport: report}}
-	response, err := exchange.local.Peer.CallFor(ctx, exchange.params.Timeout, to.Addr, request)
+	response, err := exchange.local.Peer.CallWithTimeout(ctx, exchange.params.Timeout, to.Addr, request)
 	if err != nil || response.GetQuotaNews() == nil {
 		return false
 	}
--- a/internal/dataplane/request/job/job.go
+++ b/internal/dataplane/request/job/job.go
@@ -98,7 +98,7 @@
 // certain only if no earlier request with its key ran or will run; otherwise it is "unknown".
 func (c *Ctx) Ran(a Answer) string {
 	w := a.Ran()
-	if w == "no" && c.Key != "" && !c.NoOtherAttempt && code.Of(a.Err).Drop() {
+	if w == "no" && c.Key != "" && !c.NoOtherAttempt && code.Of(a.Err).IsRejection() {
 		return "unknown"
 	}
 	return w
--- a/internal/dataplane/request/proxy/budget.go
+++ b/internal/dataplane/request/proxy/budget.go
@@ -89,7 +89,7 @@
 ) (budget.Value, error) {
 	// The wait for the lock counts toward the timeout of the change itself.
 	lock := budgets.locks[rendezvousHash(key, "")%uint64(len(budgets.locks))]
-	if !loop.Until(ctx, lock) {
+	if !loop.WaitFor(ctx, lock) {
 		return budget.Value{}, code.New(
 			code.StoresUnreachable,
 			"other changes of budgets are under way: %w",
--- a/internal/dataplane/request/proxy/quota.go
+++ b/internal/dataplane/request/proxy/quota.go
@@ -59,5 +59,5 @@
 	}
 	ctx, stop := context.WithTimeout(j, min(quotas.startupWait, j.TimeLeft()/2))
 	defer stop()
-	return loop.Until(ctx, quotas.node.Ready())
+	return loop.WaitFor(ctx, quotas.node.Ready())
 }
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -201,7 +201,7 @@
 			return runner, Answer{}
 		}
 		ctx, stop := context.WithTimeout(j, min(holdLeft, holdPollInterval))
-		loop.Until(ctx, slotFreed)
+		loop.WaitFor(ctx, slotFreed)
 		stop()
 		if j.Err() != nil {
 			return nil, Refuse(code.New(code.DeadlinePassed, "the caller has disconnected"), 0)
--- a/internal/dataplane/store/bulk.go
+++ b/internal/dataplane/store/bulk.go
@@ -25,7 +25,7 @@
 // other store does not have the requested version yet.
 func (s *Store) requestBulk(ctx context.Context, m spec.Machine, q *wire.Bulk) (*wire.Copies, error) {
 	for attempt := 0; ; attempt++ {
-		r, err := s.Peer.CallFor(ctx, pageTimeout, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}})
+		r, err := s.Peer.CallWithTimeout(ctx, pageTimeout, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}})
 		if err == nil {
 			return r.GetCopies(), nil
 		}
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -129,7 +129,7 @@
 func (s *Store) pull(ctx context.Context, m spec.Machine, kind wire.List_Kind) (int, error) {
 	call := func(q *wire.Req) (*wire.Resp, error) {
 		q.Ident = m.Ident
-		return s.Peer.CallFor(ctx, 2*time.Second, m.Addr, q)
+		return s.Peer.CallWithTimeout(ctx, 2*time.Second, m.Addr, q)
 	}
 	r, err := call(&wire.Req{Op: &wire.Req_Sum{Sum: &wire.Sum{Kind: kind}}})
 	if err != nil {
--- a/internal/kit/sim/brief_test.go
+++ b/internal/kit/sim/brief_test.go
@@ -710,11 +710,11 @@
 			}
 			time.Sleep(6 * time.Second)
 		}
-		s.Net.Lossy(2)
-		s.Net.Delay(8 * time.Millisecond)
+		s.Net.SetRetransmissionPercent(2)
+		s.Net.SetMaxDelay(8 * time.Millisecond)
 		time.Sleep(6 * time.Second)
-		s.Net.Lossy(0)
-		s.Net.Delay(0)
+		s.Net.SetRetransmissionPercent(0)
+		s.Net.SetMaxDelay(0)
 	})
 }
 
--- a/internal/kit/sim/herd_test.go
+++ b/internal/kit/sim/herd_test.go
@@ -91,8 +91,8 @@
 	time.Sleep(2 * time.Second)
 	carried := map[string]int64{}
 	for id, bytesPerSecond := range links {
-		s.Net.Bandwidth(s.Get(id).Addr, bytesPerSecond)
-		carried[id] = s.Net.Carried(s.Get(id).Addr)
+		s.Net.SetBandwidth(s.Get(id).Addr, bytesPerSecond)
+		carried[id] = s.Net.BytesCarried(s.Get(id).Addr)
 	}
 	began := time.Now()
 	for _, m := range machines {
@@ -114,7 +114,7 @@
 		t.Errorf("%d of %d machines are back after %s", n, len(machines), time.Since(began))
 	}
 	for id, before := range carried {
-		n := s.Net.Carried(s.Get(id).Addr) - before
+		n := s.Net.BytesCarried(s.Get(id).Addr) - before
 		if n > herdBytes*int64(len(machines)) {
 			t.Errorf("the link of %s carried %d bytes", id, n)
 		}
--- a/internal/kit/sim/http.go
+++ b/internal/kit/sim/http.go
@@ -36,13 +36,13 @@
 
 // RoundTrip carries a call from a machine that may be frozen.
 func (f *from) RoundTrip(q *http.Request) (*http.Response, error) {
-	f.s.Net.Stand(f.m.Addr)
+	f.s.Net.WaitWhileFrozen(f.m.Addr)
 	if f.s.isPartitionedHTTP(f.m.ID, q.URL.Host) {
 		<-q.Context().Done()
 		return nil, q.Context().Err()
 	}
 	r, err := f.s.RoundTrip(q)
-	f.s.Net.Stand(f.m.Addr)
+	f.s.Net.WaitWhileFrozen(f.m.Addr)
 	return r, err
 }
 
@@ -89,9 +89,9 @@
 				w.broken = true
 			}
 		}()
-		s.Net.Stand(at)
+		s.Net.WaitWhileFrozen(at)
 		h.ServeHTTP(w, in)
-		s.Net.Stand(at)
+		s.Net.WaitWhileFrozen(at)
 	}()
 	select {
 	case <-w.done:
--- a/internal/kit/sim/machine.go
+++ b/internal/kit/sim/machine.go
@@ -170,7 +170,7 @@
 		if d := s.pending(m.ID, pt); d > 0 {
 			time.Sleep(d)
 		}
-		s.Net.Stand(m.Addr)
+		s.Net.WaitWhileFrozen(m.Addr)
 	}
 	e := edge.New(ctx, p, np)
 	l.edge, l.node, l.start = e, e.Node, e.Start
@@ -245,7 +245,7 @@
 	m.fs = m.fs.CrashClone(loss)
 	m.unmount()
 	l.node.Peer.Close()
-	s.Net.Thaw(m.Addr)
+	s.Net.Unfreeze(m.Addr)
 	s.Reset(id, 1, rand.New(rand.NewPCG(1, 2)))
 	l.stop()
 	s.wg.Go(l.end)
@@ -300,7 +300,7 @@
 	s.mu.Lock()
 	s.isolated[id], s.away[id] = false, time.Now()
 	s.mu.Unlock()
-	s.Net.Thaw(m.Addr)
+	s.Net.Unfreeze(m.Addr)
 	s.Record(checker.Thawed, m.HTTP, 0)
 }
 
@@ -347,7 +347,7 @@
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		s.Net.Freeze(m.Addr)
 		time.Sleep(slowRound - runs)
-		s.Net.Thaw(m.Addr)
+		s.Net.Unfreeze(m.Addr)
 		time.Sleep(runs)
 	}
 	s.mu.Lock()
--- a/internal/kit/sim/orders_test.go
+++ b/internal/kit/sim/orders_test.go
@@ -59,10 +59,10 @@
 	maps.Copy(q.Header, header)
 	go func() {
 		time.Sleep(time.Millisecond)
-		s.Net.Stand(s.Get(core).Addr)
+		s.Net.WaitWhileFrozen(s.Get(core).Addr)
 		w := httptest.NewRecorder()
 		e.ServeHTTP(w, q)
-		s.Net.Stand(s.Get(core).Addr)
+		s.Net.WaitWhileFrozen(s.Get(core).Addr)
 		var f web.Failure
 		if w.Code >= 300 {
 			_ = json.Unmarshal(w.Body.Bytes(), &f)
--- a/internal/kit/sim/proxy.go
+++ b/internal/kit/sim/proxy.go
@@ -82,18 +82,18 @@
 
 func (c *standingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.s.Net.Stand(c.host)
+	c.s.Net.WaitWhileFrozen(c.host)
 	return n, err
 }
 
 func (c *standingConn) Write(b []byte) (int, error) {
-	c.s.Net.Stand(c.host)
+	c.s.Net.WaitWhileFrozen(c.host)
 	return c.Conn.Write(b)
 }
 
 // dialBackend connects a machine to a stand-in.
 func (s *Sim) dialBackend(ctx context.Context, m *Machine, b *proxytest.Backend) (net.Conn, error) {
-	s.Net.Stand(m.Addr)
+	s.Net.WaitWhileFrozen(m.Addr)
 	if s.isPartitionedHTTP(m.ID, b.P.Addr) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -181,7 +181,7 @@
 	if m.stop == nil {
 		return
 	}
-	l.net.Thaw(m.addr)
+	l.net.Unfreeze(m.addr)
 	m.fs = m.fs.CrashClone(vfs.CrashCloneCfg{})
 	l.mu.Lock()
 	close(m.dead)
@@ -215,14 +215,14 @@
 	l.wg.Go(func() {
 		defer handlers.Done()
 		time.Sleep(time.Millisecond)
-		l.net.Stand(m.addr)
+		l.net.WaitWhileFrozen(m.addr)
 		q := httptest.NewRequest(method, path, strings.NewReader(body))
 		if on != "" {
 			q.Header.Set(hBase, on)
 		}
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, q)
-		l.net.Stand(m.addr)
+		l.net.WaitWhileFrozen(m.addr)
 		select {
 		case <-dead:
 			return
@@ -428,7 +428,7 @@
 			return
 		}
 		l.net.Freeze(m.addr)
-		time.AfterFunc(a.lasts, func() { l.net.Thaw(m.addr) })
+		time.AfterFunc(a.lasts, func() { l.net.Unfreeze(m.addr) })
 	case restartCore:
 		if !l.free(time.Second + stableAfter) {
 			return
--- a/internal/platform/params.go
+++ b/internal/platform/params.go
@@ -263,7 +263,7 @@
 // takes it, it ends the process.
 func (p *Params) Watch(ctx context.Context, reloads <-chan os.Signal, changed func(*Params), wrong func(error)) {
 	w := p.watcher(changed, wrong)
-	loop.Take(ctx, reloads, time.Second, func() { w.poll(false) }, func(os.Signal) { w.poll(true) })
+	loop.Consume(ctx, reloads, time.Second, func() { w.poll(false) }, func(os.Signal) { w.poll(true) })
 }
 
 // poll reads the file if it has changed; signal says that it has.
--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -102,7 +102,7 @@
 		})
 		g = append(g, register.Replica{Addr: ln.Addr().String(), Ident: engine.Ident()})
 	}
-	h := transport.NewHub(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	h := transport.NewClient(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := tcp.Dial(ctx, addr)
 		if err != nil {
 			return nil, err
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -46,7 +46,7 @@
 			func(_ context.Context, call *transport.Call) []byte { return call.Body }, func(error) { told++ })
 		defer server.Close()
 		time.Sleep(4 * time.Second)
-		hub := transport.NewHub(network.Host("c"), transport.DefaultParams, nil)
+		hub := transport.NewClient(network.Host("c"), transport.DefaultParams, nil)
 		defer hub.Close()
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -122,14 +122,14 @@
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			n := memnet.New(seed)
-			n.Delay(time.Millisecond)
+			n.SetMaxDelay(time.Millisecond)
 			ln, err := n.Host("s").Listen("s")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer ln.Close()
 			peer := newOddPeer(ln, seed)
-			h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+			h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 			defer h.Close()
 			good, lost := oddCalls(t, h, 12, 25)
 			h.Close()
@@ -151,7 +151,7 @@
 }
 
 // oddCalls makes rows of calls at once and checks whose answer each got.
-func oddCalls(t *testing.T, h *transport.Hub, rows, each int) (good, lost int) {
+func oddCalls(t *testing.T, h *transport.Client, rows, each int) (good, lost int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for row := range rows {
@@ -212,7 +212,7 @@
 						c.Close()
 					}
 				}()
-				h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+				h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 				defer h.Close()
 				a, err := h.Call(t.Context(), "s", body)
 				if err == nil || !errors.Is(err, transport.ErrLost) {
@@ -246,7 +246,7 @@
 			_, _ = c.Write(wireFrame(wireCall, id, []byte("a call")))
 			_, _ = io.Copy(io.Discard, c)
 		}()
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 		defer h.Close()
 		if b, err := h.Call(t.Context(), "s", []byte("x")); !errors.Is(err, transport.ErrLost) ||
 			code.Of(err) != code.Garbled {
--- a/internal/transport/batch_test.go
+++ b/internal/transport/batch_test.go
@@ -63,7 +63,7 @@
 		c, err := tcp.Dial(ctx, addr)
 		return writes{c, &n}, err
 	}}} {
-		h := transport.NewHub(net, transport.DefaultParams, nil)
+		h := transport.NewClient(net, transport.DefaultParams, nil)
 		flood(t, func(ctx context.Context, b []byte) ([]byte, error) { return h.Call(ctx, ln.Addr().String(), b) })
 		h.Close()
 	}
@@ -72,13 +72,13 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		n.Delay(3 * time.Millisecond)
+		n.SetMaxDelay(3 * time.Millisecond)
 		ln, err := n.Host("s").Listen("s")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := transport.Serve(t.Context(), ln, transport.DefaultParams, echo, func(err error) { t.Error(err) })
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 		flood(t, func(ctx context.Context, b []byte) ([]byte, error) { return h.Call(ctx, "s", b) })
 		h.Close()
 		s.Close()
@@ -109,7 +109,7 @@
 			c, err := dial(ctx, addr)
 			return writes{c, &sent}, err
 		}
-		h := transport.NewHub(host, transport.DefaultParams, nil)
+		h := transport.NewClient(host, transport.DefaultParams, nil)
 		n.Freeze("c")
 		var wg sync.WaitGroup
 		call := func() {
@@ -119,7 +119,7 @@
 				}
 			})
 		}
-		n.Thaw("c")
+		n.Unfreeze("c")
 		call()
 		wg.Wait()
 		n.Freeze("c")
@@ -128,7 +128,7 @@
 			call()
 		}
 		synctest.Wait()
-		n.Thaw("c")
+		n.Unfreeze("c")
 		wg.Wait()
 		if sent.Load() > 2 {
 			t.Errorf("20 calls took %d writes", sent.Load())
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -46,7 +46,7 @@
 	defer s.Close()
 	var n atomic.Int64
 	tcp := transport.TCP(transport.DefaultParams, listen.Opener{})
-	h := transport.NewHub(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	h := transport.NewClient(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := tcp.Dial(ctx, addr)
 		return writes{c, &n}, err
 	}}, transport.DefaultParams, nil)
--- a/internal/transport/code/code.go
+++ b/internal/transport/code/code.go
@@ -213,9 +213,9 @@
 // Status is the HTTP status that goes with the code.
 func (c Code) Status() int { return c.row().Status }
 
-// Drop reports whether the code is one of those that come once a request is
+// IsRejection reports whether the code is one of those that come once a request is
 // understood: another request like it may have run.
-func (c Code) Drop() bool { return c >= 200 && c < 300 }
+func (c Code) IsRejection() bool { return c >= 200 && c < 300 }
 
 // Ran is "no", "yes", "unknown" or empty.
 func (c Code) Ran() string { return c.row().Ran }
--- a/internal/transport/hub.go
+++ b/internal/transport/hub.go
@@ -17,24 +17,24 @@
 
 // Params are the transport's settings.
 type Params struct {
-	MaxFrame     int           // largest body taken, bytes
-	DialDeadline time.Duration // for one dial
-	// Unacknowledged is for how long the peer's machine may leave sent bytes
+	MaxBodyBytes     int           // largest body taken, bytes
+	DialTimeout time.Duration // for one dial
+	// UserTimeout is for how long the peer's machine may leave sent bytes
 	// unacknowledged before the connection is given up; 0 leaves that to the system.
-	Unacknowledged time.Duration
+	UserTimeout time.Duration
 	Backlog        int           // frames waiting to be written on one connection
-	Inflight       int           // calls served at once, all connections together
-	Idle           time.Duration // after which a connection without calls is closed; 0 means never
+	MaxConcurrentCalls       int           // calls served at once, all connections together
+	IdleTimeout           time.Duration // after which a connection without calls is closed; 0 means never
 }
 
 // DefaultParams suit machines of one city.
 var DefaultParams = Params{
-	MaxFrame:       8 << 20,
-	DialDeadline:   500 * time.Millisecond,
-	Unacknowledged: 1500 * time.Millisecond,
+	MaxBodyBytes:       8 << 20,
+	DialTimeout:   500 * time.Millisecond,
+	UserTimeout: 1500 * time.Millisecond,
 	Backlog:        64,
-	Inflight:       4096,
-	Idle:           30 * time.Second,
+	MaxConcurrentCalls:       4096,
+	IdleTimeout:           30 * time.Second,
 }
 
 // Net is the way to the network; tests put a simulated one here.
@@ -45,8 +45,8 @@
 
 // TCP is the real network; open opens the addresses at which a process listens.
 func TCP(p Params, open listen.Opener) Net {
-	control := func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, p.Unacknowledged) }
-	d := &net.Dialer{Timeout: p.DialDeadline, Control: control}
+	control := func(_, _ string, c syscall.RawConn) error { return setUserTimeout(c, p.UserTimeout) }
+	d := &net.Dialer{Timeout: p.DialTimeout, Control: control}
 	l := net.ListenConfig{Control: control}
 	return Net{
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
@@ -65,8 +65,8 @@
 // ErrLost means the call may or may not have been taken.
 var ErrLost = errors.New("connection lost")
 
-// Hub calls peers, one connection to each, dialled when first needed.
-type Hub struct {
+// Client calls peers, one connection to each, dialled when first needed.
+type Client struct {
 	net        Net
 	p          Params
 	partitions *Partitions
@@ -78,9 +78,9 @@
 	Sent atomic.Uint64
 }
 
-// NewHub makes a hub over the network n.
-func NewHub(n Net, p Params, partitions *Partitions) *Hub {
-	return &Hub{net: n, p: p, partitions: partitions, all: map[string]*link{}}
+// NewClient makes a hub over the network n.
+func NewClient(n Net, p Params, partitions *Partitions) *Client {
+	return &Client{net: n, p: p, partitions: partitions, all: map[string]*link{}}
 }
 
 type link struct {
@@ -102,7 +102,7 @@
 const maxSpare = 64
 
 // Call sends body to addr and waits for the answer until ctx ends.
-func (h *Hub) Call(ctx context.Context, addr string, body []byte) ([]byte, error) {
+func (h *Client) Call(ctx context.Context, addr string, body []byte) ([]byte, error) {
 	// A partition swallows the call, as a lost packet would.
 	if h.partitions.Has(addr) {
 		<-ctx.Done()
@@ -146,7 +146,7 @@
 // Drop ends a connection on which nothing has been received for a while: its other end
 // is known to have started anew, and what is sent would only wait for the network to
 // notice.
-func (h *Hub) Drop(addr string, quiet time.Duration) {
+func (h *Client) Drop(addr string, quiet time.Duration) {
 	h.mu.Lock()
 	l := h.all[addr]
 	h.mu.Unlock()
@@ -162,7 +162,7 @@
 }
 
 // Close ends every connection.
-func (h *Hub) Close() {
+func (h *Client) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, l := range h.all {
@@ -218,19 +218,19 @@
 
 // closeIdle lets idle connections go: a node talks to all others in time, and would
 // keep one to each of them. Whenever one is added is often enough.
-func (h *Hub) closeIdle(now time.Time) {
-	if h.p.Idle <= 0 || now.Sub(h.lastSwept) < time.Second {
+func (h *Client) closeIdle(now time.Time) {
+	if h.p.IdleTimeout <= 0 || now.Sub(h.lastSwept) < time.Second {
 		return
 	}
 	h.lastSwept = now
 	for a, l := range h.all {
-		if l.ended() || l.close(now.Add(-h.p.Idle)) {
+		if l.ended() || l.close(now.Add(-h.p.IdleTimeout)) {
 			delete(h.all, a)
 		}
 	}
 }
 
-func (h *Hub) link(ctx context.Context, addr string) (*link, error) {
+func (h *Client) link(ctx context.Context, addr string) (*link, error) {
 	h.mu.Lock()
 	l := h.all[addr]
 	h.mu.Unlock()
@@ -263,7 +263,7 @@
 	h.all[addr] = n
 	h.mu.Unlock()
 	go (&writer{conn: c, out: n.out, done: n.done, end: n.end}).run()
-	go n.read(h.p.MaxFrame)
+	go n.read(h.p.MaxBodyBytes)
 	return n, nil
 }
 
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -32,7 +32,7 @@
 		}
 		slow := transport.Serve(t.Context(), ln, transport.DefaultParams, func(_ context.Context, call *transport.Call) []byte {
 			b := call.Body
-			time.Sleep(3 * transport.DefaultParams.Idle)
+			time.Sleep(3 * transport.DefaultParams.IdleTimeout)
 			return b
 		}, func(error) { bad.Add(1) })
 		defer slow.Close()
@@ -64,7 +64,7 @@
 			}
 			return n
 		}
-		h := transport.NewHub(host, transport.DefaultParams, nil)
+		h := transport.NewClient(host, transport.DefaultParams, nil)
 		defer h.Close()
 		ask := func(addr string) {
 			t.Helper()
@@ -80,9 +80,9 @@
 		if count() != 3 {
 			t.Fatalf("%d connections, want 3", count())
 		}
-		time.Sleep(transport.DefaultParams.Idle * 2 / 3)
+		time.Sleep(transport.DefaultParams.IdleTimeout * 2 / 3)
 		ask("s1")
-		time.Sleep(transport.DefaultParams.Idle * 2 / 3)
+		time.Sleep(transport.DefaultParams.IdleTimeout * 2 / 3)
 		ask("s2")
 		synctest.Wait()
 		if count() != 3 || open["s0"] != 0 {
@@ -122,8 +122,8 @@
 			defer s.Close()
 		}
 		p := transport.DefaultParams
-		p.Idle = time.Second
-		h := transport.NewHub(n.Host("c"), p, nil)
+		p.IdleTimeout = time.Second
+		h := transport.NewClient(n.Host("c"), p, nil)
 		defer h.Close()
 		var wg sync.WaitGroup
 		for i := range peers {
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -24,11 +24,11 @@
 // Every runs step at once, then at each period and each wake-up, until ctx ends.
 func Every(ctx context.Context, period time.Duration, wakeup Wakeup, step func(context.Context)) {
 	step(ctx)
-	Take(ctx, wakeup, period, func() { step(ctx) }, func(struct{}) { step(ctx) })
+	Consume(ctx, wakeup, period, func() { step(ctx) }, func(struct{}) { step(ctx) })
 }
 
-// Take hands each input to on and calls tick at each period until ctx ends.
-func Take[T any](ctx context.Context, in <-chan T, period time.Duration, tick func(), on func(T)) {
+// Consume hands each input to on and calls tick at each period until ctx ends.
+func Consume[T any](ctx context.Context, in <-chan T, period time.Duration, tick func(), on func(T)) {
 	t := time.NewTicker(period)
 	defer t.Stop()
 	for {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Until waits for ch or the end of ctx; it reports whether ch came.
-func Until(ctx context.Context, ch <-chan struct{}) bool {
+// WaitFor waits for ch or the end of ctx; it reports whether ch came.
+func WaitFor(ctx context.Context, ch <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/transport/memnet/memnet.go
+++ b/internal/transport/memnet/memnet.go
@@ -45,16 +45,16 @@
 	}
 }
 
-// Bandwidth bounds what a host's own link carries a second, sent and received together;
+// SetBandwidth bounds what a host's own link carries a second, sent and received together;
 // what is more waits its turn. 0 lifts the bound.
-func (n *Net) Bandwidth(host string, bytesPerSecond int) {
+func (n *Net) SetBandwidth(host string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.link(host).bytesPerSecond = bytesPerSecond
 }
 
-// Carried is how many bytes a host's own link has carried.
-func (n *Net) Carried(host string) int64 {
+// BytesCarried is how many bytes a host's own link has carried.
+func (n *Net) BytesCarried(host string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.link(host).carried
@@ -94,15 +94,15 @@
 	return done.Sub(now)
 }
 
-// Delay makes every write take up to d.
-func (n *Net) Delay(d time.Duration) {
+// SetMaxDelay makes every write take up to d.
+func (n *Net) SetMaxDelay(d time.Duration) {
 	n.mu.Lock()
 	n.delay = d
 	n.mu.Unlock()
 }
 
-// Lossy makes so many of a hundred writes come late by a resending.
-func (n *Net) Lossy(percent int) {
+// SetRetransmissionPercent makes so many of a hundred writes come late by a resending.
+func (n *Net) SetRetransmissionPercent(percent int) {
 	n.mu.Lock()
 	n.lossy = percent
 	n.mu.Unlock()
@@ -118,8 +118,8 @@
 	}
 }
 
-// Thaw ends a freeze.
-func (n *Net) Thaw(host string) {
+// Unfreeze ends a freeze.
+func (n *Net) Unfreeze(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.ice[host]; c != nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Stand waits while a host is frozen.
-func (n *Net) Stand(host string) {
+// WaitWhileFrozen waits while a host is frozen.
+func (n *Net) WaitWhileFrozen(host string) {
 	for {
 		n.mu.Lock()
 		c := n.ice[host]
@@ -178,7 +178,7 @@
 func (n *Net) Host(host string) transport.Net {
 	return transport.Net{
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
-			n.Stand(host)
+			n.WaitWhileFrozen(host)
 			// Through a partition nothing comes back, not even a refusal.
 			if n.isPartitioned(host, addr) || n.isPartitioned(addr, host) {
 				<-ctx.Done()
@@ -221,12 +221,12 @@
 
 func (c *conn) Read(b []byte) (int, error) {
 	k, err := c.Conn.Read(b)
-	c.n.Stand(c.from)
+	c.n.WaitWhileFrozen(c.from)
 	return k, err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	c.n.Stand(c.from)
+	c.n.WaitWhileFrozen(c.from)
 	if d := c.n.pause() + c.n.transmit(c.from, c.to, len(b)); d > 0 {
 		loop.Wait(context.Background(), d)
 	}
@@ -248,7 +248,7 @@
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.in:
-		l.n.Stand(l.addr)
+		l.n.WaitWhileFrozen(l.addr)
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -67,7 +67,7 @@
 		ln:       ln,
 		p:        p,
 		h:        h,
-		capacity: make(chan struct{}, p.Inflight),
+		capacity: make(chan struct{}, p.MaxConcurrentCalls),
 		open:     map[net.Conn]func(error){},
 		bad:      bad,
 		crew:     make(chan task),
@@ -180,7 +180,7 @@
 	go w.run()
 	r := bufio.NewReaderSize(c, readBuffer)
 	for {
-		f, err := readFrame(r, s.p.MaxFrame)
+		f, err := readFrame(r, s.p.MaxBodyBytes)
 		if err != nil {
 			if n := code.Of(err); n != code.Unknown {
 				s.bad(err)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -73,7 +73,7 @@
 			if bad.Load() != 1 || last.Load() != tc.want {
 				t.Errorf("%s: %d failures, code %v, want %v", tc.what, bad.Load(), last.Load(), tc.want)
 			}
-			h := transport.NewHub(n.Host("d"), transport.DefaultParams, nil)
+			h := transport.NewClient(n.Host("d"), transport.DefaultParams, nil)
 			defer h.Close()
 			if b, err := h.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
 				t.Errorf("%s: the next call got %q, %v", tc.what, b, err)
@@ -102,7 +102,7 @@
 			b[2] = 2
 			_, _ = c.Write(b)
 		}()
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 		defer h.Close()
 		if _, err := h.Call(t.Context(), "s", nil); code.Of(err) != code.WireVersion {
 			t.Errorf("got %v", err)
@@ -116,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
 		partitions := &transport.Partitions{}
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, partitions)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, partitions)
 		defer h.Close()
 		if _, err := h.Call(t.Context(), "s", nil); !errors.Is(err, transport.ErrRefused) {
 			t.Errorf("nobody there: %v", err)
@@ -159,7 +159,7 @@
 		func(_ context.Context, call *transport.Call) []byte { return call.Body },
 		func(error) {},
 	)
-	h := transport.NewHub(transport.TCP(transport.DefaultParams, listen.Opener{}), transport.DefaultParams, nil)
+	h := transport.NewClient(transport.TCP(transport.DefaultParams, listen.Opener{}), transport.DefaultParams, nil)
 	defer h.Close()
 	big := make([]byte, 1<<20)
 	if b, err := h.Call(t.Context(), addr, big); err != nil || len(b) != len(big) {
@@ -193,7 +193,7 @@
 			time.Sleep(time.Second)
 			return b
 		}, func(error) {})
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 		defer h.Close()
 		for range 3 {
 			go func() { _, _ = h.Call(t.Context(), "s", nil) }()
@@ -224,7 +224,7 @@
 			dials++
 			return dial(ctx, addr)
 		}
-		h := transport.NewHub(host, transport.DefaultParams, &transport.Partitions{})
+		h := transport.NewClient(host, transport.DefaultParams, &transport.Partitions{})
 		defer h.Close()
 		call := func() {
 			if b, err := h.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
--- a/internal/transport/usertimeout_test.go
+++ b/internal/transport/usertimeout_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	want := int(DefaultParams.Unacknowledged.Milliseconds())
+	want := int(DefaultParams.UserTimeout.Milliseconds())
 	for name, c := range map[string]net.Conn{"dialled": dialled, "accepted": accepted} {
 		if got := userTimeout(t, c); got != want || want <= 0 {
 			t.Errorf("%s: TCP_USER_TIMEOUT is %d ms, want %d", name, got, want)
