--- a/internal/coordination/node/discover_test.go
+++ b/internal/coordination/node/discover_test.go
@@ -24,9 +24,9 @@
 
 // seeds are processes that have a cluster or none.
 type seeds struct {
-	addrs   []string
-	full    atomic.Int64 // answers that contained the cluster
-	entered atomic.Int64 // all answers
+	addrs          []string
+	clusterAnswers atomic.Int64 // answers that contained the cluster
+	answers        atomic.Int64 // all answers
 }
 
 // largeCluster returns a cluster with as many routes as a real deployment.
@@ -59,10 +59,10 @@
 		}
 		// Replaces the node's own handler to count the answers.
 		n.Peer.Handle(&wire.Req_Hello{}, func(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-			s.entered.Add(1)
+			s.answers.Add(1)
 			ack := n.Cluster.Now().HelloAck(n.Peer.Member(version), q.GetHello())
 			if len(ack.Cluster)+len(ack.CompressedCluster) > 0 {
-				s.full.Add(1)
+				s.clusterAnswers.Add(1)
 			}
 			return &wire.Resp{Op: &wire.Resp_Hello{Hello: ack}}, nil
 		})
@@ -102,13 +102,13 @@
 		if v := n.Cluster.Now(); v.Version != 3 || !bytes.Equal(v.Raw(), largeCluster(t, 3)) {
 			t.Fatalf("version %d, %d bytes", v.Version, len(v.Raw()))
 		}
-		if full := s.full.Swap(0); full != 1 {
+		if full := s.clusterAnswers.Swap(0); full != 1 {
 			t.Errorf("%d seeds sent the cluster", full)
 		}
 		if !n.Cluster.Discover(t.Context()) {
 			t.Error("no seed knew a cluster")
 		}
-		if full, all := s.full.Load(), s.entered.Load(); full != 0 || all < 2*seedCount {
+		if full, all := s.clusterAnswers.Load(), s.answers.Load(); full != 0 || all < 2*seedCount {
 			t.Errorf("%d seeds sent the cluster again, %d answers in all", full, all)
 		}
 	})
@@ -127,7 +127,7 @@
 		if !n.Cluster.Discover(t.Context()) || n.Cluster.Now().Version != 9 {
 			t.Errorf("version %d", n.Cluster.Now().Version)
 		}
-		if full := s.full.Load(); full != 1 {
+		if full := s.clusterAnswers.Load(); full != 1 {
 			t.Errorf("%d seeds sent the cluster", full)
 		}
 	})
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -83,9 +83,9 @@
 	return n
 }
 
-func (n *Node) hello(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	v := n.Cluster.Now()
-	return &wire.Resp{Op: &wire.Resp_Hello{Hello: v.HelloAck(n.Lease.Self(v.Version), q.GetHello())}}, nil
+func (n *Node) hello(_ context.Context, request *wire.Req) (*wire.Resp, error) {
+	view := n.Cluster.Now()
+	return &wire.Resp{Op: &wire.Resp_Hello{Hello: view.HelloAck(n.Lease.Self(view.Version), request.GetHello())}}, nil
 }
 
 // helloTimeout bounds the wait for the response to a Hello.
@@ -96,10 +96,10 @@
 	return n.sendHello(ctx, addr, &wire.Hello{AcceptsCompressed: true})
 }
 
-func (n *Node) sendHello(ctx context.Context, addr string, q *wire.Hello) (*wire.HelloAck, error) {
+func (n *Node) sendHello(ctx context.Context, addr string, request *wire.Hello) (*wire.HelloAck, error) {
 	ctx, stop := context.WithTimeout(ctx, helloTimeout)
 	defer stop()
-	return cluster.Hello(ctx, n.Peer.Call, register.Replica{Addr: addr}, q)
+	return cluster.Hello(ctx, n.Peer.Call, register.Replica{Addr: addr}, request)
 }
 
 // Go starts a background task, which must return when ctx ends. Wait waits for it.
@@ -139,35 +139,35 @@
 // cluster, fetches the newest from one of them and applies it. It reports whether any of them
 // has a cluster.
 func (n *Node) discoverFromSeeds(ctx context.Context) bool {
-	v := n.Cluster.Now()
+	view := n.Cluster.Now()
 	found := false
 	var newer []seedVersion
-	for h := range n.seedVersions(ctx) {
-		found = found || h.version > 0
-		if h.version <= v.Version {
+	for seed := range n.seedVersions(ctx) {
+		found = found || seed.version > 0
+		if seed.version <= view.Version {
 			continue
 		}
-		if v.Version == 0 && n.fetchCluster(ctx, h) {
+		if view.Version == 0 && n.fetchCluster(ctx, seed) {
 			// Any version suffices to join: Join reads the cluster at a majority.
 			return true
 		}
-		newer = append(newer, h)
+		newer = append(newer, seed)
 	}
 	slices.SortStableFunc(newer, func(a, b seedVersion) int { return cmp.Compare(b.version, a.version) })
-	for _, h := range newer {
-		if h.version <= n.Cluster.Now().Version || n.fetchCluster(ctx, h) {
+	for _, seed := range newer {
+		if seed.version <= n.Cluster.Now().Version || n.fetchCluster(ctx, seed) {
 			return true
 		}
 	}
-	return found && v.Version > 0
+	return found && view.Version > 0
 }
 
 // seedVersions asks all seeds and known cores, and yields one entry per address in the order of
 // completion; the version is 0 if the request failed or the process has no cluster.
 func (n *Node) seedVersions(ctx context.Context) iter.Seq[seedVersion] {
 	addrs := slices.Clone(n.Seeds())
-	v := n.Cluster.Now()
-	for _, m := range slices.Concat(v.Cluster.Cores, v.NextCores) {
+	view := n.Cluster.Now()
+	for _, m := range slices.Concat(view.Cluster.Cores, view.NextCores) {
 		addrs = append(addrs, m.Addr)
 	}
 	slices.Sort(addrs)
--- a/internal/coordination/peer/admission.go
+++ b/internal/coordination/peer/admission.go
@@ -10,14 +10,14 @@
 )
 
 // classOf returns the admission class of a request.
-func classOf(q *wire.Req) admission.Class {
-	switch op := q.Op.(type) {
+func classOf(request *wire.Req) admission.Class {
+	switch op := request.Op.(type) {
 	case *wire.Req_Renew:
 		return admission.Control
 	case *wire.Req_Prep:
 		return voteClass(op.Prep.GetKey())
 	case *wire.Req_Acc, *wire.Req_AccCompressed:
-		return voteClass(q.Accept().GetKey())
+		return voteClass(request.Accept().GetKey())
 	case *wire.Req_News, *wire.Req_Digest, *wire.Req_Members, *wire.Req_Deal, *wire.Req_Tell, *wire.Req_Fill:
 		return admission.Acknowledgements
 	case *wire.Req_Hello:
@@ -40,8 +40,8 @@
 
 // mayWait reports whether the handler of a request may wait for other processes. Such a handler
 // has to end at the caller's deadline.
-func mayWait(q *wire.Req) bool {
-	switch q.Op.(type) {
+func mayWait(request *wire.Req) bool {
+	switch request.Op.(type) {
 	case *wire.Req_News, *wire.Req_Fill:
 		return true
 	}
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -21,7 +21,7 @@
 
 // Handler answers one kind of request. A nil response with a nil error stands for a successful
 // response without content.
-type Handler func(ctx context.Context, q *wire.Req) (*wire.Resp, error)
+type Handler func(ctx context.Context, request *wire.Req) (*wire.Resp, error)
 
 // Peer sends calls to other processes and serves theirs.
 type Peer struct {
@@ -79,14 +79,14 @@
 }
 
 // New returns a peer with a new incarnation. Handlers are set before Serve.
-func New(self *wire.Member, n transport.Net, p transport.Params, log hclog.Logger) *Peer {
+func New(self *wire.Member, network transport.Net, params transport.Params, log hclog.Logger) *Peer {
 	partitions := &transport.Partitions{}
 	peer := &Peer{
 		Partitions: partitions,
 		Log:        log,
-		client:     transport.NewClient(n, p, partitions),
-		net:        n,
-		params:     p,
+		client:     transport.NewClient(network, params, partitions),
+		net:        network,
+		params:     params,
 		handlers:   map[reflect.Type]Handler{},
 		Admission:  admission.New(admission.DefaultParams),
 	}
@@ -106,14 +106,14 @@
 // Member returns an entry for this process in the list of members, with the spec version that
 // it confirms.
 func (peer *Peer) Member(specVer uint64) *wire.Member {
-	s := &peer.Self
+	self := &peer.Self
 	id := peer.ident.Load()
 	return &wire.Member{
-		Id:              s.Id,
-		Role:            s.Role,
-		Addr:            s.Addr,
-		Http:            s.Http,
-		Zone:            s.Zone,
+		Id:              self.Id,
+		Role:            self.Role,
+		Addr:            self.Addr,
+		Http:            self.Http,
+		Zone:            self.Zone,
 		Ident:           id.name,
 		IdentityVersion: id.version,
 		Inc:             peer.Incarnation(),
@@ -122,17 +122,17 @@
 }
 
 // Handle sets the handler for requests whose Op has the same type as op.
-func (peer *Peer) Handle(op any, h Handler) { peer.handlers[reflect.TypeOf(op)] = h }
+func (peer *Peer) Handle(op any, handler Handler) { peer.handlers[reflect.TypeOf(op)] = handler }
 
 // Serve listens at the peer's address until Close.
 func (peer *Peer) Serve(ctx context.Context) error {
-	ln, err := peer.net.Listen(peer.Self.Addr)
+	listener, err := peer.net.Listen(peer.Self.Addr)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	peer.server = transport.Serve(
 		ctx,
-		ln,
+		listener,
 		peer.params,
 		peer.answer,
 		func(err error) { peer.Log.Warn("connection closed", "code", int(code.Of(err)), "why", code.Text(err)) },
@@ -153,59 +153,59 @@
 
 // answer runs admission control on a call and serves it.
 func (peer *Peer) answer(ctx context.Context, call *transport.Call) []byte {
-	q := &wire.Req{}
-	if err := wire.Decode(call.Body, q); err != nil {
+	request := &wire.Req{}
+	if err := wire.Decode(call.Body, request); err != nil {
 		return wire.MustEncode(wire.ErrorResponse(err))
 	}
-	if peer.Partitions.Has(q.From) {
+	if peer.Partitions.Has(request.From) {
 		return nil
 	}
-	peer.observeStart(q)
+	peer.observeStart(request)
 	peer.process(ctx, readCost(call))
 	heldBytes := int64(len(call.Body))
 	waited := time.Since(call.ReadAt)
-	if err := peer.Admission.Admit(classOf(q), heldBytes, waited, time.Now()); err != nil {
+	if err := peer.Admission.Admit(classOf(request), heldBytes, waited, time.Now()); err != nil {
 		return wire.MustEncode(wire.ErrorResponse(err))
 	}
 	call.OnDone = func() { peer.Admission.Release(heldBytes) }
-	if remaining := time.Duration(q.RemainingMs)*time.Millisecond - waited; q.RemainingMs > 0 {
+	if remaining := time.Duration(request.RemainingMs)*time.Millisecond - waited; request.RemainingMs > 0 {
 		if remaining <= 0 {
 			// The deadline of the caller has passed.
 			peer.Admission.Expired()
 			return nil
 		}
-		if mayWait(q) {
+		if mayWait(request) {
 			var stop context.CancelFunc
 			ctx, stop = context.WithTimeout(ctx, remaining)
 			defer stop()
 		}
 	}
 	peer.process(ctx, serveCost(call))
-	b := peer.serve(ctx, q)
-	peer.Admission.Hold(int64(len(b)))
-	heldBytes += int64(len(b))
-	return b
+	answer := peer.serve(ctx, request)
+	peer.Admission.Hold(int64(len(answer)))
+	heldBytes += int64(len(answer))
+	return answer
 }
 
 // serve answers an admitted call.
-func (peer *Peer) serve(ctx context.Context, q *wire.Req) []byte {
-	r, err := peer.dispatch(ctx, q)
+func (peer *Peer) serve(ctx context.Context, request *wire.Req) []byte {
+	response, err := peer.dispatch(ctx, request)
 	if err != nil {
 		failure := wire.ErrorResponse(err)
 		// An error response may carry data that the caller needs for its next attempt.
-		if r != nil {
-			failure.Op = r.Op
+		if response != nil {
+			failure.Op = response.Op
 		}
-		r = failure
-	} else if r == nil {
-		r = wire.OKResponse()
+		response = failure
+	} else if response == nil {
+		response = wire.OKResponse()
 	}
-	r.Ver = wire.Version
-	b, err := wire.Encode(r)
+	response.Ver = wire.Version
+	answer, err := wire.Encode(response)
 	if err != nil {
 		return wire.MustEncode(wire.ErrorResponse(err))
 	}
-	return b
+	return answer
 }
 
 // staleReadTimeout is the time without received data after which a connection to a process that
@@ -215,57 +215,68 @@
 // observeStart records the incarnation of a caller. If the caller has restarted, a connection
 // to its earlier incarnation may stay open until TCP detects the failure, because a machine
 // without power sends no reset; observeStart closes it.
-func (peer *Peer) observeStart(q *wire.Req) {
-	if q.From == "" || q.Inc == 0 {
+func (peer *Peer) observeStart(request *wire.Req) {
+	if request.From == "" || request.Inc == 0 {
 		return
 	}
-	if latest, ok := peer.latestStarts.Load(q.From); !ok || latest.(uint64) < q.Inc {
-		peer.latestStarts.Store(q.From, q.Inc)
+	if latest, ok := peer.latestStarts.Load(request.From); !ok || latest.(uint64) < request.Inc {
+		peer.latestStarts.Store(request.From, request.Inc)
 		if ok {
-			peer.client.Drop(q.From, staleReadTimeout)
+			peer.client.Drop(request.From, staleReadTimeout)
 		}
 	}
 }
 
-func (peer *Peer) dispatch(ctx context.Context, q *wire.Req) (*wire.Resp, error) {
-	if q.Ver < wire.OldestVersion {
-		return nil, code.New(code.WireVersion, "message version %d, oldest understood %d", q.Ver, wire.OldestVersion)
+// dispatch checks the version and the addressee of a request and calls its handler.
+func (peer *Peer) dispatch(ctx context.Context, request *wire.Req) (*wire.Resp, error) {
+	if request.Ver < wire.OldestVersion {
+		return nil, code.New(
+			code.WireVersion,
+			"message version %d, oldest understood %d",
+			request.Ver,
+			wire.OldestVersion,
+		)
 	}
-	if id := peer.Ident(); q.Ident != "" && q.Ident != id {
+	if id := peer.Ident(); request.Ident != "" && request.Ident != id {
 		return nil, code.New(code.WrongIdentity, "%s has identity %s", peer.Self.Id, id)
 	}
-	h := peer.handlers[reflect.TypeOf(q.Op)]
-	if h == nil {
-		return nil, code.New(code.UnknownMessage, "%s does not serve %T", peer.Self.Role, q.Op)
+	handler := peer.handlers[reflect.TypeOf(request.Op)]
+	if handler == nil {
+		return nil, code.New(code.UnknownMessage, "%s does not serve %T", peer.Self.Role, request.Op)
 	}
-	return h(ctx, q)
+	return handler(ctx, request)
 }
 
 // Call sends a request and returns the response. It may return a response together with an
 // error.
-func (peer *Peer) Call(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
-	q.Ver, q.From, q.Id, q.Inc = wire.Version, peer.Self.Addr, peer.Self.Id, peer.Incarnation()
+func (peer *Peer) Call(ctx context.Context, addr string, request *wire.Req) (*wire.Resp, error) {
+	request.Ver, request.From, request.Id, request.Inc = wire.Version, peer.Self.Addr, peer.Self.Id, peer.Incarnation()
 	if deadline, ok := ctx.Deadline(); ok {
-		q.RemainingMs = max(time.Until(deadline).Milliseconds(), 1)
+		request.RemainingMs = max(time.Until(deadline).Milliseconds(), 1)
 	}
-	body, err := wire.Encode(q)
+	body, err := wire.Encode(request)
 	if err != nil {
 		return nil, err
 	}
-	b, err := peer.client.Call(ctx, addr, body)
+	answer, err := peer.client.Call(ctx, addr, body)
 	if err != nil {
 		return nil, err
 	}
-	r := &wire.Resp{}
-	if err := wire.Decode(b, r); err != nil {
+	response := &wire.Resp{}
+	if err := wire.Decode(answer, response); err != nil {
 		return nil, err
 	}
-	return r, r.Err()
+	return response, response.Err()
 }
 
 // CallWithTimeout is Call with a timeout.
-func (peer *Peer) CallWithTimeout(ctx context.Context, d time.Duration, addr string, q *wire.Req) (*wire.Resp, error) {
-	ctx, stop := context.WithTimeout(ctx, d)
+func (peer *Peer) CallWithTimeout(
+	ctx context.Context,
+	timeout time.Duration,
+	addr string,
+	request *wire.Req,
+) (*wire.Resp, error) {
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	return peer.Call(ctx, addr, q)
+	return peer.Call(ctx, addr, request)
 }
--- a/internal/coordination/peer/peer_test.go
+++ b/internal/coordination/peer/peer_test.go
@@ -58,7 +58,7 @@
 			{"another identity", &wire.Req{Ver: wire.Version, Ident: "ib", Op: hello}, nil, code.WrongIdentity},
 			{"an unserved kind", &wire.Req{Ver: wire.Version, Op: &wire.Req_Put{Put: &wire.Put{}}}, nil, code.UnknownMessage},
 			{"a kind of a later version", &wire.Req{Ver: wire.Version + 1}, later, code.UnknownMessage},
-			{"garble", &wire.Req{Ver: wire.Version, Op: hello}, []byte{0xff}, code.Garbled},
+			{"invalid bytes", &wire.Req{Ver: wire.Version, Op: hello}, []byte{0xff}, code.Garbled},
 		} {
 			if got := send(tc.q, tc.tail); got != tc.want {
 				t.Errorf("%s: %d, want %d", tc.what, got, tc.want)
--- a/internal/coordination/storeclient/client.go
+++ b/internal/coordination/storeclient/client.go
@@ -28,7 +28,7 @@
 	health     health
 }
 
-// New returns a client.
+// New returns a client of the stores in the spec that the given cluster has in force.
 func New(pr *peer.Peer, c *cluster.Cluster, p *register.Proposer) *Client {
 	return &Client{Peer: pr, Cluster: c, Proposer: p, catchingUp: make(chan struct{}, 1)}
 }
@@ -49,45 +49,46 @@
 	return err
 }
 
-func replicasOf(v *cluster.View, key string) (register.Set, error) {
-	s := v.Stores(key)
-	if len(s) == 0 {
+// replicasOf returns the stores that hold a key.
+func replicasOf(view *cluster.View, key string) (register.Set, error) {
+	set := view.Stores(key)
+	if len(set) == 0 {
 		return nil, code.New(code.StoresUnreachable, "the stores are not all bound yet")
 	}
-	return s, nil
+	return set, nil
 }
 
 // maxCatchUps bounds the attempts of one request to be served under a newer spec.
 const maxCatchUps = 3
 
-// withVersion runs do at the stores of a key under the spec in force. If stores reject the spec
-// as stale, it fetches the newer one and runs do again.
+// withVersion runs operation at the stores of a key under the spec in force. If stores reject
+// the spec as stale, it fetches the newer one and runs operation again.
 func (client *Client) withVersion(
 	ctx context.Context,
 	key string,
 	strict bool,
-	do func(context.Context, register.Set) error,
+	operation func(context.Context, register.Set) error,
 ) (uint64, error) {
 	for attempt := 1; ; attempt++ {
-		v := client.Cluster.Now()
-		s, err := replicasOf(v, key)
+		view := client.Cluster.Now()
+		set, err := replicasOf(view, key)
 		if err == nil {
-			err = failure(do(register.WithVersion(ctx, v.Version, strict), s))
+			err = failure(operation(register.WithVersion(ctx, view.Version, strict), set))
 		}
 		if code.Of(err) != code.StaleSpec {
 			client.health.record(err)
-			return v.Version, err
+			return view.Version, err
 		}
 		if attempt == maxCatchUps || ctx.Err() != nil {
-			return v.Version, code.New(code.StoresUnreachable, "%w", err)
+			return view.Version, code.New(code.StoresUnreachable, "%w", err)
 		}
-		client.catchUp(ctx, s, v.Version)
+		client.catchUp(ctx, set, view.Version)
 	}
 }
 
 // catchUp fetches a newer spec from one of the stores and applies it, which does not need the
 // cores to be reachable. Concurrent requests that are rejected share one fetch.
-func (client *Client) catchUp(ctx context.Context, s register.Set, from uint64) {
+func (client *Client) catchUp(ctx context.Context, set register.Set, staleVersion uint64) {
 	ctx, stop := context.WithTimeout(ctx, probeInterval)
 	defer stop()
 	select {
@@ -96,14 +97,15 @@
 	case <-ctx.Done():
 		return
 	}
-	if client.Cluster.Now().Version > from {
+	if client.Cluster.Now().Version > staleVersion {
 		return
 	}
-	ch, n := client.sendAll(ctx, s, func() *wire.Req {
+	replies, count := client.sendAll(ctx, set, func() *wire.Req {
 		return &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{Head: true}}}
 	})
-	for range n {
-		if reply := <-ch; reply.err == nil && reply.hello.GetClusterVer() > from && client.fetchSpec(ctx, reply.from) {
+	for range count {
+		if reply := <-replies; reply.err == nil && reply.hello.GetClusterVer() > staleVersion &&
+			client.fetchSpec(ctx, reply.from) {
 			return
 		}
 	}
@@ -143,8 +145,8 @@
 	key string,
 	strict bool,
 ) (state register.State, ver uint64, err error) {
-	ver, err = client.withVersion(ctx, key, strict, func(ctx context.Context, s register.Set) error {
-		state, err = client.Proposer.Read(ctx, s, key)
+	ver, err = client.withVersion(ctx, key, strict, func(ctx context.Context, set register.Set) error {
+		state, err = client.Proposer.Read(ctx, set, key)
 		return err
 	})
 	return state, ver, err
@@ -152,28 +154,33 @@
 
 // Change applies f to a register at a majority. If it fails with code.OutcomeUnknown, the
 // change may have been applied.
-func (client *Client) Change(ctx context.Context, key string, f register.UpdateFunc) (register.State, error) {
-	return client.change(ctx, key, false, f)
+func (client *Client) Change(ctx context.Context, key string, update register.UpdateFunc) (register.State, error) {
+	return client.change(ctx, key, false, update)
 }
 
 // ChangeStrict is Change, but stores with a newer spec reject it.
-func (client *Client) ChangeStrict(ctx context.Context, key string, f register.UpdateFunc) (register.State, error) {
-	return client.change(ctx, key, true, f)
+func (client *Client) ChangeStrict(
+	ctx context.Context,
+	key string,
+	update register.UpdateFunc,
+) (register.State, error) {
+	return client.change(ctx, key, true, update)
 }
 
 func (client *Client) change(
 	ctx context.Context,
 	key string,
 	strict bool,
-	f register.UpdateFunc,
+	update register.UpdateFunc,
 ) (state register.State, err error) {
-	_, err = client.withVersion(ctx, key, strict, func(ctx context.Context, s register.Set) error {
-		state, err = client.Proposer.Change(ctx, s, key, f)
+	_, err = client.withVersion(ctx, key, strict, func(ctx context.Context, set register.Set) error {
+		state, err = client.Proposer.Change(ctx, set, key, update)
 		return err
 	})
 	return state, err
 }
 
+// storeReply is the response of a store to one request.
 type storeReply struct {
 	from  register.Replica
 	blob  *wire.Got
@@ -185,10 +192,10 @@
 // responses.
 func (client *Client) sendAll(
 	ctx context.Context,
-	s register.Set,
+	set register.Set,
 	newRequest func() *wire.Req,
 ) (<-chan storeReply, int) {
-	all := s.All()
+	all := set.All()
 	ch := make(chan storeReply, len(all))
 	client.sendEach(ctx, all, newRequest, ch)
 	return ch, len(all)
@@ -219,15 +226,15 @@
 		ctx,
 		key,
 		false,
-		func(ctx context.Context, s register.Set) error { return client.put(ctx, s, key, val, keep) },
+		func(ctx context.Context, set register.Set) error { return client.put(ctx, set, key, val, keep) },
 	)
 	return err
 }
 
-func (client *Client) put(ctx context.Context, s register.Set, key string, val []byte, keep time.Duration) error {
+func (client *Client) put(ctx context.Context, set register.Set, key string, val []byte, keep time.Duration) error {
 	// Writes to the remaining stores go on after a majority has acknowledged, for redundancy.
 	bg, stop := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
-	ch, n := client.sendAll(bg, s, func() *wire.Req {
+	replies, count := client.sendAll(bg, set, func() *wire.Req {
 		return &wire.Req{Op: &wire.Req_Put{Put: &wire.Put{Key: key, Val: val, KeepMs: keep.Milliseconds()}}}
 	})
 	done := make(chan error, 1)
@@ -240,19 +247,19 @@
 			default:
 			}
 		}
-		for range n {
-			reply := <-ch
+		for range count {
+			reply := <-replies
 			if reply.err != nil {
 				if last = reply.err; code.Of(last) == code.StaleSpec {
 					report(last)
 				}
 				continue
 			}
-			if stored[reply.from] = true; s.Quorum(stored) {
+			if stored[reply.from] = true; set.Quorum(stored) {
 				report(nil)
 			}
 		}
-		report(fmt.Errorf("%d of %d stores: %w", len(stored), n, last))
+		report(fmt.Errorf("%d of %d stores: %w", len(stored), count, last))
 	}()
 	select {
 	case err := <-done:
@@ -277,15 +284,15 @@
 // GetBlobTimeLeft is GetBlob, and also returns the remaining retention at the replica that
 // answered.
 func (client *Client) GetBlobTimeLeft(ctx context.Context, key string) (val []byte, left time.Duration, err error) {
-	var g *wire.Got
-	_, err = client.withVersion(ctx, key, false, func(ctx context.Context, s register.Set) error {
-		g, err = client.get(ctx, s, key)
+	var got *wire.Got
+	_, err = client.withVersion(ctx, key, false, func(ctx context.Context, set register.Set) error {
+		got, err = client.get(ctx, set, key)
 		return err
 	})
 	if err != nil {
 		return nil, 0, err
 	}
-	return g.Val, time.Duration(g.KeepMs-g.AgeMs) * time.Millisecond, nil
+	return got.Val, time.Duration(got.KeepMs-got.AgeMs) * time.Millisecond, nil
 }
 
 // blobHedge is the delay after which a request for a blob is also sent to the other replicas.
@@ -294,11 +301,11 @@
 
 // get asks the nearest replica first, and all others only if it lacks the blob or does not
 // answer within blobHedge: a blob is large compared with the request, and one replica suffices.
-func (client *Client) get(ctx context.Context, s register.Set, key string) (*wire.Got, error) {
+func (client *Client) get(ctx context.Context, set register.Set, key string) (*wire.Got, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	request := func() *wire.Req { return &wire.Req{Op: &wire.Req_Get{Get: &wire.Get{Key: key}}} }
-	all := client.byDistance(s.All())
+	all := client.byDistance(set.All())
 	answers := make(chan storeReply, len(all))
 	client.sendEach(ctx, all[:1], request, answers)
 	asked := 1
@@ -319,7 +326,7 @@
 			if reply.blob.GetState() == wire.Got_HERE && reply.err == nil {
 				return reply.blob, nil
 			}
-			if err := tally.add(reply, s, key); err != nil {
+			if err := tally.add(reply, set, key); err != nil {
 				return nil, err
 			}
 		}
@@ -337,7 +344,7 @@
 
 // add records a response. It returns an error once the responses determine the outcome, and nil
 // before.
-func (t *blobTally) add(reply storeReply, s register.Set, key string) error {
+func (t *blobTally) add(reply storeReply, set register.Set, key string) error {
 	switch {
 	case code.Of(reply.err) == code.StaleSpec:
 		return reply.err
@@ -348,7 +355,7 @@
 	t.expired = t.expired || reply.blob.GetState() == wire.Got_PAST
 	t.absent[reply.from] = true
 	switch {
-	case !s[:1].Quorum(t.absent):
+	case !set[:1].Quorum(t.absent):
 		return nil
 	case t.expired:
 		return code.New(code.Expired, "%s is past its keeping time", key)
@@ -358,9 +365,9 @@
 
 // byDistance returns the replicas in random order, those in this node's zone first.
 func (client *Client) byDistance(all []register.Replica) []register.Replica {
-	v := client.Cluster.Now()
+	view := client.Cluster.Now()
 	near := map[string]bool{}
-	for _, m := range slices.Concat(v.Cluster.Stores, v.NextStores) {
+	for _, m := range slices.Concat(view.Cluster.Stores, view.NextStores) {
 		near[m.Ident] = m.Zone == client.Peer.Self.Zone
 	}
 	out := slices.Clone(all)
--- a/internal/transport/batch_test.go
+++ b/internal/transport/batch_test.go
@@ -64,7 +64,9 @@
 		return countingConn{c, &n}, err
 	}}} {
 		h := transport.NewClient(net, transport.DefaultParams, nil)
-		makeConcurrentCalls(t, func(ctx context.Context, b []byte) ([]byte, error) { return h.Call(ctx, ln.Addr().String(), b) })
+		makeConcurrentCalls(t, func(ctx context.Context, b []byte) ([]byte, error) {
+			return h.Call(ctx, ln.Addr().String(), b)
+		})
 		h.Close()
 	}
 	if n.Load() == 0 {
--- a/internal/transport/frame_fuzz_test.go
+++ b/internal/transport/frame_fuzz_test.go
@@ -13,7 +13,7 @@
 // FuzzFrame: for arbitrary input, each frame read encodes to the same bytes, none is longer
 // than the limit, and all other input fails with a known code.
 func FuzzFrame(f *testing.F) {
-	const most = 1 << 10
+	const maxBodyBytes = 1 << 10
 	write := func(frames ...frame) []byte {
 		var b []byte
 		for _, one := range frames {
@@ -25,19 +25,19 @@
 	stream := write(
 		call,
 		frame{kind: kindAnswer, id: 1<<64 - 1},
-		frame{kind: kindVersionMismatch, id: 2, body: make([]byte, most)},
+		frame{kind: kindVersionMismatch, id: 2, body: make([]byte, maxBodyBytes)},
 	)
 	f.Add(stream)
 	f.Add(stream[:headerBytes+2])
 	f.Add(stream[:headerBytes-1])
-	f.Add(write(frame{kind: kindCall, id: 1, body: make([]byte, most+1)}))
+	f.Add(write(frame{kind: kindCall, id: 1, body: make([]byte, maxBodyBytes+1)}))
 	f.Add(append([]byte{magic, Version + 1, kindCall, 0}, make([]byte, 12)...))
 	f.Add(append([]byte{magic, Version, kindVersionMismatch + 1, 0}, make([]byte, 12)...))
 	f.Add([]byte{magic, Version, kindCall, 0, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, 0, 0, 0, 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r := bufio.NewReader(bytes.NewReader(raw))
 		for read := 0; ; {
-			got, err := readFrame(r, most)
+			got, err := readFrame(r, maxBodyBytes)
 			if err != nil {
 				known := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 				switch code.Of(err) {
@@ -49,7 +49,7 @@
 				}
 				return
 			}
-			if len(got.body) > most {
+			if len(got.body) > maxBodyBytes {
 				t.Fatalf("a body of %d bytes", len(got.body))
 			}
 			again := write(got)
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -20,10 +20,10 @@
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		var bad atomic.Int64
-		var last atomic.Value
+		var errorCount atomic.Int64
+		var lastCode atomic.Value
 		for i := range 4 {
-			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &bad, &last)
+			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &errorCount, &lastCode)
 			defer s.Close()
 		}
 		ln, err := n.Host("slow").Listen("slow")
@@ -34,7 +34,7 @@
 			b := call.Body
 			time.Sleep(3 * transport.DefaultParams.IdleTimeout)
 			return b
-		}, func(error) { bad.Add(1) })
+		}, func(error) { errorCount.Add(1) })
 		defer slow.Close()
 		// Number of open connections, by address.
 		var mu sync.Mutex
@@ -93,8 +93,8 @@
 			t.Errorf("open %v after %d dials", open, dials)
 		}
 		wg.Wait()
-		if bad.Load() != 0 {
-			t.Errorf("%d failures at the servers", bad.Load())
+		if errorCount.Load() != 0 {
+			t.Errorf("%d failures at the servers", errorCount.Load())
 		}
 	})
 }
@@ -113,13 +113,13 @@
 
 // TestIdleRace: calls that begin while their connection is closed as idle are all answered.
 func TestIdleRace(t *testing.T) {
-	var bad atomic.Int64
-	var last atomic.Value
+	var errorCount atomic.Int64
+	var lastCode atomic.Value
 	const peers = 6
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
 		for i := range peers {
-			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &bad, &last)
+			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &errorCount, &lastCode)
 			defer s.Close()
 		}
 		p := transport.DefaultParams
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,7 +18,7 @@
 )
 
 // echo serves calls at addr, and records the connections closed because of protocol errors.
-func echo(t *testing.T, n transport.Net, addr string, bad *atomic.Int64, last *atomic.Value) *transport.Server {
+func echo(t *testing.T, n transport.Net, addr string, errorCount *atomic.Int64, lastCode *atomic.Value) *transport.Server {
 	t.Helper()
 	ln, err := n.Listen(addr)
 	if err != nil {
@@ -30,8 +30,8 @@
 		transport.DefaultParams,
 		func(_ context.Context, call *transport.Call) []byte { return call.Body },
 		func(err error) {
-			bad.Add(1)
-			last.Store(code.Of(err))
+			errorCount.Add(1)
+			lastCode.Store(code.Of(err))
 		},
 	)
 }
@@ -58,9 +58,9 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			n := memnet.New(1)
-			var bad atomic.Int64
-			var last atomic.Value
-			s := echo(t, n.Host("s"), "s", &bad, &last)
+			var errorCount atomic.Int64
+			var lastCode atomic.Value
+			s := echo(t, n.Host("s"), "s", &errorCount, &lastCode)
 			defer s.Close()
 			c, err := n.Host("c").Dial(t.Context(), "s")
 			if err != nil {
@@ -70,8 +70,8 @@
 			if _, err := io.ReadAll(c); err != nil && !errors.Is(err, io.ErrClosedPipe) {
 				t.Errorf("%s: %v", tc.what, err)
 			}
-			if bad.Load() != 1 || last.Load() != tc.want {
-				t.Errorf("%s: %d failures, code %v, want %v", tc.what, bad.Load(), last.Load(), tc.want)
+			if errorCount.Load() != 1 || lastCode.Load() != tc.want {
+				t.Errorf("%s: %d failures, code %v, want %v", tc.what, errorCount.Load(), lastCode.Load(), tc.want)
 			}
 			h := transport.NewClient(n.Host("d"), transport.DefaultParams, nil)
 			defer h.Close()
@@ -121,9 +121,9 @@
 		if _, err := h.Call(t.Context(), "s", nil); !errors.Is(err, transport.ErrRefused) {
 			t.Errorf("no listener: %v", err)
 		}
-		var bad atomic.Int64
-		var last atomic.Value
-		s := echo(t, n.Host("s"), "s", &bad, &last)
+		var errorCount atomic.Int64
+		var lastCode atomic.Value
+		s := echo(t, n.Host("s"), "s", &errorCount, &lastCode)
 		if b, err := h.Call(t.Context(), "s", []byte("a")); err != nil || string(b) != "a" {
 			t.Errorf("%q %v", b, err)
 		}
@@ -213,9 +213,9 @@
 func TestDrop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		var bad atomic.Int64
-		var last atomic.Value
-		s := echo(t, n.Host("s"), "s", &bad, &last)
+		var errorCount atomic.Int64
+		var lastCode atomic.Value
+		s := echo(t, n.Host("s"), "s", &errorCount, &lastCode)
 		defer s.Close()
 		dials := 0
 		host := n.Host("c")
