--- a/cmd/damsontiller-control/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -124,7 +124,7 @@
 	}
 	return runCore(p, cp, 2*time.Second, func(_ context.Context, e *echo.Echo, c *core.Core, v *storage.Engine) {
 		if p.Faults {
-			web.Faults(e, c.Peer.Partitions)
+			web.PartitionRoutes(e, c.Peer.Partitions)
 			startup.DiskFaults(e, v)
 		}
 	})
--- a/cmd/damsontiller-control/operator.go
+++ b/cmd/damsontiller-control/operator.go
@@ -341,7 +341,7 @@
 		return code.New(code.Unknown, "status %d", status)
 	}
 	if failure.Version > 0 {
-		return code.New(code.Code(failure.Code), "%s (version %d is in force)", failure.Failure, failure.Version)
+		return code.New(code.Code(failure.Code), "%s (version %d is in force)", failure.Problem, failure.Version)
 	}
-	return code.New(code.Code(failure.Code), "%s", failure.Failure)
+	return code.New(code.Code(failure.Code), "%s", failure.Problem)
 }
--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -62,7 +62,7 @@
 	x := web.New(log)
 	e.Routes(x)
 	if p.Faults {
-		web.Faults(x, e.Peer.Partitions)
+		web.PartitionRoutes(x, e.Peer.Partitions)
 	}
 	served := make(chan error, 1)
 	hctx, hstop := context.WithCancel(context.Background())
@@ -142,20 +142,20 @@
 			},
 		)
 	})
-	metrics.Routes(x, func() []metrics.Row {
+	metrics.Routes(x, func() []metrics.Sample {
 		return append(
-			metrics.Node(s.Cluster.Now().Version, s.Peer.Sent()),
-			metrics.Row{
-				Name:  "keys_mended_total",
-				Help:  "Keys taken from other stores.",
-				Value: float64(s.Repaired()),
-				Total: true,
+			metrics.NodeSamples(s.Cluster.Now().Version, s.Peer.Sent()),
+			metrics.Sample{
+				Name:    "keys_mended_total",
+				Help:    "Keys taken from other stores.",
+				Value:   float64(s.Repaired()),
+				Counter: true,
 			},
-			metrics.Row{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.NearlyFull())},
+			metrics.Sample{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.NearlyFull())},
 		)
 	})
 	if p.Faults {
-		web.Faults(x, s.Peer.Partitions)
+		web.PartitionRoutes(x, s.Peer.Partitions)
 		startup.DiskFaults(x, v)
 	}
 	log.Info("serving", "listen", p.Listen, "http", p.HTTP, "ident", v.Ident())
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -36,7 +36,7 @@
 	e.GET("/v1/explain", c.explain)
 	e.GET("/v1/members", c.getMembers)
 	e.GET("/v1/health", c.getHealth)
-	metrics.Routes(e, func() []metrics.Row {
+	metrics.Routes(e, func() []metrics.Sample {
 		live := 0
 		for _, m := range c.Lease.Members() {
 			if m.Live {
@@ -44,9 +44,9 @@
 			}
 		}
 		return append(
-			metrics.Node(c.Cluster.Now().Version, c.Peer.Sent()),
-			metrics.Row{Name: "members_live", Help: "Nodes whose lease runs.", Value: float64(live)},
-			metrics.Row{
+			metrics.NodeSamples(c.Cluster.Now().Version, c.Peer.Sent()),
+			metrics.Sample{Name: "members_live", Help: "Nodes whose lease runs.", Value: float64(live)},
+			metrics.Sample{
 				Name:  "keys_moved",
 				Help:  "Keys moved in the last change of a set.",
 				Value: float64(c.reconciler.keysMoved.Load()),
@@ -92,7 +92,7 @@
 // fail answers with a failure. Where nothing is refused, but could not be done now, it
 // says when to come back.
 func fail(x echo.Context, err error) error {
-	return answerFailure(x, web.Of(err))
+	return answerFailure(x, web.FailureOf(err))
 }
 
 // retryAfter is when to come back, in seconds, after a failure that is only for the
@@ -112,9 +112,9 @@
 	var o struct {
 		Force bool `json:"force"`
 	}
-	b, err := web.Body(x, 4096)
+	b, err := web.ReadBody(x, 4096)
 	if err == nil && len(b) > 0 {
-		err = web.Strict(b, &o)
+		err = web.DecodeStrict(b, &o)
 	}
 	if err != nil {
 		return fail(x, err)
@@ -198,7 +198,7 @@
 	a, err := c.changeOnce(ctx, expect, operationOf(x), f)
 	switch {
 	case err != nil:
-		p := web.Of(err)
+		p := web.FailureOf(err)
 		if code.Of(err) == code.SpecConflict {
 			p.Version = a.Version
 		}
--- a/internal/coordination/core/policies.go
+++ b/internal/coordination/core/policies.go
@@ -125,7 +125,7 @@
 }
 
 func read(x echo.Context, into interface{ UnmarshalJSON([]byte) error }) error {
-	b, err := web.Body(x, spec.MaxBytes)
+	b, err := web.ReadBody(x, spec.MaxBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -76,8 +76,8 @@
 	defer stop()
 	o := c.observe(v, set)
 	decision := membership.Decide(o)
-	if len(decision.Ask) > 0 {
-		o.Presence = c.probe(ctx, o, decision.Ask)
+	if len(decision.Probe) > 0 {
+		o.Presence = c.probe(ctx, o, decision.Probe)
 		decision = membership.Decide(o)
 	}
 	if decision.Wait {
@@ -123,7 +123,7 @@
 			at = time.Now()
 		}
 		since[ident] = at
-		members[i].KnownFor = time.Since(at)
+		members[i].OutsideFor = time.Since(at)
 	}
 	o.since = since
 	return members
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -55,11 +55,11 @@
 		return web.Fail(x, err)
 	}
 	var o setOrder
-	b, err := web.Body(x, 4096)
+	b, err := web.ReadBody(x, 4096)
 	if err != nil {
 		return fail(x, err)
 	}
-	if err := web.Strict(b, &o); err != nil {
+	if err := web.DecodeStrict(b, &o); err != nil {
 		return fail(x, err)
 	}
 	list, err := c.knownMembers(x.Request().Context())
--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -61,10 +61,10 @@
 // Running reports whether a change of the set is under way.
 func (c Change) Running() bool { return len(c.Next) > 0 }
 
-// Is reports whether two observations are of the very same change. Equal sets are not
+// Equal reports whether two observations are of the very same change. Equal sets are not
 // enough: a change may have been reverted and begun anew in between, and what was done for
 // the first says nothing about the second.
-func (c Change) Is(other Change) bool {
+func (c Change) Equal(other Change) bool {
 	return c.Since == other.Since && slices.Equal(c.Now, other.Now) && slices.Equal(c.Next, other.Next)
 }
 
@@ -82,9 +82,9 @@
 	}
 }
 
-// FoundSet sets the first machines of a set that has had none. Nothing has ever been
+// InitializeSet sets the first machines of a set that has had none. Nothing has ever been
 // stored there, so there is nothing to transfer.
-func FoundSet(c *spec.Cluster, set Set, machines []spec.Machine) {
+func InitializeSet(c *spec.Cluster, set Set, machines []spec.Machine) {
 	setMachines(c, set, machines, nil)
 }
 
@@ -105,12 +105,12 @@
 // It changes nothing and returns cluster.ErrNoChange where the cluster is not in the very
 // change that the target was computed for, or where a newcomer may no longer join.
 func BeginChange(c *spec.Cluster, set Set, was Change, target Target) error {
-	if !Of(c, set).Is(was) || !admissible(c, set, target) {
+	if !Of(c, set).Equal(was) || !admissible(c, set, target) {
 		return cluster.ErrNoChange
 	}
 	switch {
 	case len(was.Now) == 0:
-		FoundSet(c, set, target.Machines)
+		InitializeSet(c, set, target.Machines)
 	case slices.Equal(target.Machines, was.Now):
 		SetNext(c, set, nil)
 	default:
@@ -129,7 +129,7 @@
 // cluster.ErrNoChange where the cluster is no longer in that very change: what was
 // transferred was for another.
 func FinishChange(c *spec.Cluster, set Set, change Change) error {
-	if !change.Running() || !Of(c, set).Is(change) {
+	if !change.Running() || !Of(c, set).Equal(change) {
 		return cluster.ErrNoChange
 	}
 	for _, m := range change.Now {
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -39,8 +39,8 @@
 	Confirmed       uint64 // the version that it has in force
 	Live            bool   // its lease runs
 	UnresponsiveFor time.Duration
-	// KnownFor is how long ago this core first saw it stand outside the set.
-	KnownFor time.Duration
+	// OutsideFor is how long ago this core first saw it stand outside the set.
+	OutsideFor time.Duration
 }
 
 // WithSelf replaces whatever the table shows of a core itself by its own entry as it is
@@ -62,8 +62,8 @@
 
 // A machine that was not asked counts as present.
 const (
-	Present  Presence = iota
-	Doubtful          // it does not answer, but has not been unresponsive for long
+	Present   Presence = iota
+	Uncertain          // it does not answer, but has not been unresponsive for long
 	Absent
 )
 
@@ -76,7 +76,7 @@
 	case unresponsive >= AbsentAfter:
 		return Absent
 	}
-	return Doubtful
+	return Uncertain
 }
 
 // Observation is all that a decision about a set rests on.
@@ -106,8 +106,8 @@
 // Decision is a target, or the reason why there is none yet.
 type Decision struct {
 	Target
-	// Ask are the machines that must be asked whether they are there first.
-	Ask []spec.Machine
+	// Probe are the machines that must be asked whether they are there first.
+	Probe []spec.Machine
 	// Wait tells that the target can't be said yet, or not all of it.
 	Wait bool
 }
@@ -132,7 +132,7 @@
 		return p.decision()
 	}
 	if o.Presence == nil {
-		return Decision{Ask: p.remaining()}
+		return Decision{Probe: p.remaining()}
 	}
 	for _, m := range p.newcomers {
 		if !p.admitNewcomer(m) {
@@ -318,7 +318,7 @@
 		return true
 	}
 	for _, presence := range p.Presence {
-		if presence == Doubtful {
+		if presence == Uncertain {
 			return false
 		}
 	}
@@ -335,7 +335,7 @@
 	switch p.Presence[p.want[i].Ident] {
 	case Absent:
 		p.replaceAt(i, m)
-	case Doubtful:
+	case Uncertain:
 		p.wait = true
 	}
 }
@@ -345,7 +345,7 @@
 // does: most machines that are absent only start anew.
 func (p *plan) vacant(m Member) int {
 	vacant := func(s spec.Machine) bool {
-		return p.absent(s) && (m.KnownFor < ReplaceAfter || p.longUnresponsive(s.Ident))
+		return p.absent(s) && (m.OutsideFor < ReplaceAfter || p.longUnresponsive(s.Ident))
 	}
 	i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return vacant(s) && s.Zone == m.Machine.Zone })
 	if i >= 0 {
@@ -420,7 +420,7 @@
 // onlyCandidates reports whether the only newcomer is a core that has stood outside for a
 // while, would make the number of cores even, and could replace nobody now.
 func (p *plan) onlyCandidates() bool {
-	if p.Set != Cores || len(p.newcomers) != 1 || len(p.want)%2 == 0 || p.newcomers[0].KnownFor < ReplaceAfter {
+	if p.Set != Cores || len(p.newcomers) != 1 || len(p.want)%2 == 0 || p.newcomers[0].OutsideFor < ReplaceAfter {
 		return false
 	}
 	return !slices.ContainsFunc(p.want, func(s spec.Machine) bool {
--- a/internal/coordination/membership/plan_test.go
+++ b/internal/coordination/membership/plan_test.go
@@ -46,7 +46,7 @@
 // outside is a live member that has stood outside its set for so long.
 func outside(text string, known time.Duration) membership.Member {
 	m := memberSeen(text, 0)
-	m.KnownFor = known
+	m.OutsideFor = known
 	return m
 }
 
@@ -126,7 +126,7 @@
 	{
 		name: "a newcomer waits while one is in doubt", wait: true,
 		members:  []membership.Member{memberSeen("s4/a/i4", 0)},
-		presence: map[string]membership.Presence{"i3": membership.Doubtful},
+		presence: map[string]membership.Presence{"i3": membership.Uncertain},
 	},
 	{
 		name: "a newcomer for an absent one", want: "i1 i2 i4",
@@ -146,7 +146,7 @@
 	{
 		name: "moved, but perhaps the old one lives", want: "i1 i2 i3", wait: true,
 		members:  []membership.Member{memberSeen("s2/b/i9/elsewhere", 0)},
-		presence: map[string]membership.Presence{"i2": membership.Doubtful},
+		presence: map[string]membership.Presence{"i2": membership.Uncertain},
 	},
 	{
 		name: "moved, and the old one lives", want: "i1 i2 i3",
@@ -343,7 +343,7 @@
 			}
 			tc.cluster.Spec.Zones = []string{"a", "b", "c"}
 			d := membership.Decide(o)
-			if got := identities(d.Ask); got != tc.ask {
+			if got := identities(d.Probe); got != tc.ask {
 				t.Errorf("ask %q, want %q", got, tc.ask)
 			}
 			if got := identities(d.Machines); got != tc.want || d.Wait != tc.wait {
@@ -365,7 +365,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := drawObservation(t)
 		d := membership.Decide(o)
-		if d.Wait || len(d.Ask) > 0 {
+		if d.Wait || len(d.Probe) > 0 {
 			return
 		}
 		now := membership.Of(o.Cluster, o.Set).Now
@@ -409,7 +409,7 @@
 		o.Set, o.Cluster.Cores, o.Cluster.Retired = membership.Cores, o.Cluster.Stores, nil
 		was := o.Cluster.Cores
 		d := membership.Decide(o)
-		if d.Wait || len(d.Ask) > 0 {
+		if d.Wait || len(d.Probe) > 0 {
 			return
 		}
 		if len(d.Machines) != len(was) && len(d.Machines)%2 == 0 {
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -650,7 +650,7 @@
 		return
 	}
 	if w.change("begun", func(c *spec.Cluster) error {
-		if !membership.Of(c, membership.Stores).Is(was) || w.banned(c, next) {
+		if !membership.Of(c, membership.Stores).Equal(was) || w.banned(c, next) {
 			return cluster.ErrNoChange
 		}
 		membership.SetNext(c, membership.Stores, next)
--- a/internal/coordination/metrics/metrics.go
+++ b/internal/coordination/metrics/metrics.go
@@ -8,15 +8,15 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Row is one value.
-type Row struct {
-	Name, Help string
-	Label, Of  string // a label and its value, if any
-	Value      float64
-	Total      bool // only ever grows
+// Sample is one value.
+type Sample struct {
+	Name, Help        string
+	Label, LabelValue string // a label and its value, if any
+	Value             float64
+	Counter           bool // only ever grows
 }
 
-type rows func() []Row
+type rows func() []Sample
 
 // Describe says nothing beforehand: which rows there are changes.
 func (rows) Describe(chan<- *prometheus.Desc) {}
@@ -26,10 +26,10 @@
 	for _, r := range f() {
 		var names, vals []string
 		if r.Label != "" {
-			names, vals = []string{r.Label}, []string{r.Of}
+			names, vals = []string{r.Label}, []string{r.LabelValue}
 		}
 		kind := prometheus.GaugeValue
-		if r.Total {
+		if r.Counter {
 			kind = prometheus.CounterValue
 		}
 		description := prometheus.NewDesc("dt_"+r.Name, r.Help, names, nil)
@@ -38,16 +38,16 @@
 }
 
 // Routes puts /metrics on e.
-func Routes(e *echo.Echo, now func() []Row) {
+func Routes(e *echo.Echo, now func() []Sample) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(rows(now))
 	e.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{})))
 }
 
-// Node is what every process has.
-func Node(spec uint64, sent uint64) []Row {
-	return []Row{
+// NodeSamples is what every process has.
+func NodeSamples(spec uint64, sent uint64) []Sample {
+	return []Sample{
 		{Name: "spec_version", Help: "Version of the spec in force here.", Value: float64(spec)},
-		{Name: "messages_sent_total", Help: "Messages sent to other processes.", Value: float64(sent), Total: true},
+		{Name: "messages_sent_total", Help: "Messages sent to other processes.", Value: float64(sent), Counter: true},
 	}
 }
--- a/internal/coordination/web/web.go
+++ b/internal/coordination/web/web.go
@@ -25,7 +25,7 @@
 type Failure struct {
 	Code    int    `json:"code"`
 	Name    string `json:"name"`
-	Failure string `json:"problem"`
+	Problem string `json:"problem"`
 	// Ran is "no" only for work that did not run and won't.
 	Ran string `json:"ran,omitempty"`
 	// Version is the spec in force, where an operator's change lost a race.
@@ -36,10 +36,10 @@
 	Job       string `json:"job,omitempty"`
 }
 
-// Of turns an error into a failure.
-func Of(err error) Failure {
+// FailureOf turns an error into a failure.
+func FailureOf(err error) Failure {
 	c := code.Of(err)
-	return Failure{Code: int(c), Name: c.Name(), Failure: code.Text(err), Ran: c.Ran()}
+	return Failure{Code: int(c), Name: c.Name(), Problem: code.Text(err), Ran: c.Ran()}
 }
 
 // New makes a server whose unknown paths are numbered failures as well.
@@ -81,7 +81,7 @@
 
 // Fail answers with the failure's own status.
 func Fail(c echo.Context, err error) error {
-	p := Of(err)
+	p := FailureOf(err)
 	return c.JSON(Status(code.Code(p.Code)), p)
 }
 
@@ -95,8 +95,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// Body reads a request's body up to a limit.
-func Body(c echo.Context, most int64) ([]byte, error) {
+// ReadBody reads a request's body up to a limit.
+func ReadBody(c echo.Context, most int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(c.Request().Body, most+1))
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -111,8 +111,8 @@
 	return b, nil
 }
 
-// Strict reads JSON without unknown fields and with nothing after it.
-func Strict(b []byte, into any) error {
+// DecodeStrict reads JSON without unknown fields and with nothing after it.
+func DecodeStrict(b []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Faults adds the rehearsal kit's switch for cutting this process off.
-func Faults(e *echo.Echo, cuts *transport.Partitions) {
+// PartitionRoutes adds the rehearsal kit's switch for cutting this process off.
+func PartitionRoutes(e *echo.Echo, cuts *transport.Partitions) {
 	e.POST("/debug/cuts", func(c echo.Context) error {
 		var q struct {
 			Cut []string `json:"cut"`
--- a/internal/coordination/web/web_test.go
+++ b/internal/coordination/web/web_test.go
@@ -47,7 +47,7 @@
 		{io.MultiReader(part, iotest.ErrReader(errors.New("connection reset"))), code.BodyLost},
 	} {
 		q := httptest.NewRequest(http.MethodPost, "/", tc.body)
-		_, err := Body(echo.New().NewContext(q, httptest.NewRecorder()), 4)
+		_, err := ReadBody(echo.New().NewContext(q, httptest.NewRecorder()), 4)
 		if code.Of(err) != tc.want {
 			t.Errorf("%v, want %s", err, tc.want.Name())
 		}
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -238,40 +238,40 @@
 }
 
 // metricRows returns the edge's metrics.
-func (e *Edge) metricRows() []metrics.Row {
+func (e *Edge) metricRows() []metrics.Sample {
 	s := e.status()
 	out := append(
-		metrics.Node(s.Spec, s.Sent),
-		metrics.Row{Name: "waiting", Help: "Jobs in the backlog.", Value: float64(s.Waiting)},
-		metrics.Row{
-			Name:  "register_rounds_total",
-			Help:  "Rounds of the register asked for.",
-			Value: float64(s.Rounds),
-			Total: true,
+		metrics.NodeSamples(s.Spec, s.Sent),
+		metrics.Sample{Name: "waiting", Help: "Jobs in the backlog.", Value: float64(s.Waiting)},
+		metrics.Sample{
+			Name:    "register_rounds_total",
+			Help:    "Rounds of the register asked for.",
+			Value:   float64(s.Rounds),
+			Counter: true,
 		},
-		metrics.Row{
-			Name:  "cooldowns_installed_total",
-			Help:  "Cooldowns written by this edge.",
-			Value: float64(s.Installs),
-			Total: true,
+		metrics.Sample{
+			Name:    "cooldowns_installed_total",
+			Help:    "Cooldowns written by this edge.",
+			Value:   float64(s.Installs),
+			Counter: true,
 		},
-		metrics.Row{
-			Name:  "policy_fallbacks_total",
-			Help:  "Decisions in which a policy program failed.",
-			Value: float64(s.PolicyFallbacks),
-			Total: true,
+		metrics.Sample{
+			Name:    "policy_fallbacks_total",
+			Help:    "Decisions in which a policy program failed.",
+			Value:   float64(s.PolicyFallbacks),
+			Counter: true,
 		},
 	)
 	for k, n := range s.Counts {
 		out = append(
 			out,
-			metrics.Row{
-				Name:  "jobs_total",
-				Help:  "Jobs answered, by the code's name.",
-				Label: "code",
-				Of:    k,
-				Value: float64(n),
-				Total: true,
+			metrics.Sample{
+				Name:       "jobs_total",
+				Help:       "Jobs answered, by the code's name.",
+				Label:      "code",
+				LabelValue: k,
+				Value:      float64(n),
+				Counter:    true,
 			},
 		)
 	}
@@ -280,17 +280,17 @@
 	}
 	for k, n := range s.Slots {
 		const help = "Slots that this edge has of a runner."
-		out = append(out, metrics.Row{Name: "slots", Help: help, Label: "runner", Of: k, Value: float64(n)})
+		out = append(out, metrics.Sample{Name: "slots", Help: help, Label: "runner", LabelValue: k, Value: float64(n)})
 	}
 	for k, n := range s.Cooling {
 		out = append(
 			out,
-			metrics.Row{
-				Name:  "cooling_seconds",
-				Help:  "What is left of a cooldown.",
-				Label: "key",
-				Of:    k,
-				Value: float64(n) / 1000,
+			metrics.Sample{
+				Name:       "cooling_seconds",
+				Help:       "What is left of a cooldown.",
+				Label:      "key",
+				LabelValue: k,
+				Value:      float64(n) / 1000,
 			},
 		)
 	}
--- a/internal/dataplane/edge/proxy.go
+++ b/internal/dataplane/edge/proxy.go
@@ -82,18 +82,28 @@
 
 // metricRows returns the metrics of proxied requests. Tenants are listed only while they are
 // near their quotas, which bounds the number of rows.
-func (r *Proxy) metricRows() []metrics.Row {
-	var out []metrics.Row
+func (r *Proxy) metricRows() []metrics.Sample {
+	var out []metrics.Sample
 	for name, n := range r.Counts() {
 		const help = "Proxied requests answered, by the code's name."
-		row := metrics.Row{Name: "proxied_total", Help: help, Label: "code", Of: name, Value: float64(n), Total: true}
+		row := metrics.Sample{
+			Name:       "proxied_total",
+			Help:       help,
+			Label:      "code",
+			LabelValue: name,
+			Value:      float64(n),
+			Counter:    true,
+		}
 		out = append(out, row)
 	}
 	for tenant, state := range r.quotas.States() {
 		if state.Constrained {
 			const help = "Requests of a tenant near its quota that all edges admitted in a window, as merged here."
 			all := float64(state.Admitted) + state.Others
-			out = append(out, metrics.Row{Name: "quota_used", Help: help, Label: "tenant", Of: tenant, Value: all})
+			out = append(
+				out,
+				metrics.Sample{Name: "quota_used", Help: help, Label: "tenant", LabelValue: tenant, Value: all},
+			)
 		}
 	}
 	return out
--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -171,7 +171,7 @@
 
 // writeError answers a job that failed before its response started, with the time to retry after.
 func (handler *Handler) writeError(w http.ResponseWriter, answer Answer) {
-	problem := web.Of(answer.Err)
+	problem := web.FailureOf(answer.Err)
 	if answer.RetryAfter > 0 {
 		// Callers parse fractions of a second. Rounding up prevents a retry that is too early.
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(cooldown.WaitMs(answer.RetryAfter))/1000, 'f', 3, 64))
--- a/internal/dataplane/request/turnapi/handler.go
+++ b/internal/dataplane/request/turnapi/handler.go
@@ -143,7 +143,7 @@
 	if a.Err == nil {
 		return x.JSONBlob(http.StatusOK, a.Body)
 	}
-	p := web.Of(a.Err)
+	p := web.FailureOf(a.Err)
 	if c == nil {
 		// Rejected before it was parsed: for a request with a key, the outcome is unknown here.
 		c = &job.Ctx{Key: x.Request().Header.Get(HeaderIdempotencyKey)}
@@ -186,7 +186,7 @@
 	if err := handler.parseHeaders(q.Header, c, at); err != nil {
 		return nil, err
 	}
-	b, err := web.Body(x, handler.Params.MaxBody)
+	b, err := web.ReadBody(x, handler.Params.MaxBody)
 	if err != nil {
 		return nil, err
 	}
@@ -263,7 +263,7 @@
 // parseTurn reads the body of a turn.
 func (handler *Handler) parseTurn(c *job.Ctx, b []byte) error {
 	var t Turn
-	if err := web.Strict(b, &t); err != nil {
+	if err := web.DecodeStrict(b, &t); err != nil {
 		return err
 	}
 	if !spec.Name(t.Conversation) {
@@ -293,7 +293,7 @@
 // parseCall reads the body of a call.
 func (handler *Handler) parseCall(c *job.Ctx, b []byte) error {
 	var t Call
-	if err := web.Strict(b, &t); err != nil {
+	if err := web.DecodeStrict(b, &t); err != nil {
 		return err
 	}
 	c.Prompt, c.Class = string(t.Args), t.Class
--- a/internal/dataplane/request/turnapi/handler_test.go
+++ b/internal/dataplane/request/turnapi/handler_test.go
@@ -111,7 +111,7 @@
 		tc.do(&q)
 		ran := false
 		w, p := serve(t, q, func(*job.Ctx) job.Answer { ran = true; return job.Success([]byte("{}")) })
-		if code.Code(p.Code) != tc.want || w.Code != tc.want.Status() || p.Failure == "" || p.Name != tc.want.Name() {
+		if code.Code(p.Code) != tc.want || w.Code != tc.want.Status() || p.Problem == "" || p.Name != tc.want.Name() {
 			t.Errorf("%s: status %d, %+v, want %d", tc.what, w.Code, p, tc.want)
 		}
 		if ran {
--- a/internal/kit/sim/operators_test.go
+++ b/internal/kit/sim/operators_test.go
@@ -364,7 +364,7 @@
 		} {
 			var p web.Failure
 			st, err := s.Operate(tc.method, tc.path, tc.body, &p)
-			if err != nil || code.Code(p.Code) != tc.want || st != tc.want.Status() || p.Failure == "" {
+			if err != nil || code.Code(p.Code) != tc.want || st != tc.want.Status() || p.Problem == "" {
 				t.Errorf("%s %s %v: %d %+v %v, want %d", tc.method, tc.path, tc.body, st, p, err, tc.want)
 			}
 			if tc.want == code.SpecConflict && p.Version != ver {
--- a/internal/platform/control/operate.go
+++ b/internal/platform/control/operate.go
@@ -81,7 +81,7 @@
 	} else if o.Log != nil {
 		o.Log.Warn("order refused", "order", x.Request().URL.Path, "status", s, "err", err)
 	}
-	return x.JSON(s, web.Of(err))
+	return x.JSON(s, web.FailureOf(err))
 }
 
 // bound is how long an order may take; it outlives its caller, for what is half
@@ -110,7 +110,7 @@
 	if err != nil {
 		return o.fail(x, err)
 	}
-	b, err := web.Body(x, maxOrder)
+	b, err := web.ReadBody(x, maxOrder)
 	if err != nil {
 		return o.fail(x, err)
 	}
--- a/internal/platform/ready.go
+++ b/internal/platform/ready.go
@@ -11,7 +11,7 @@
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/readiness", func(w http.ResponseWriter, _ *http.Request) {
 		if err := may(); err != nil {
-			http.Error(w, web.Of(err).Name, http.StatusServiceUnavailable)
+			http.Error(w, web.FailureOf(err).Name, http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
