--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -1,12 +1,12 @@
-// Package membership holds the decisions about the sets of core and store machines:
-// what a set should be, how it changes from one to another, and which machines bring
-// which keys to the next one. All of it is pure; package core and package store
-// observe, decide here, and act.
+// Package membership decides which machines form the sets of cores and stores, how a set
+// changes to another one, and which machines send which keys during a change. Its functions
+// perform no I/O: packages core and store collect the observations, call this package and
+// carry out the result.
 //
-// A change of a set is a joint one. The register first holds both sets, and every
-// quorum is then a majority of each. Once all keys are at the machines of the next set
-// that lacked them, the next set stands alone. Every step of a change is bound to the
-// version of the cluster that began it.
+// A change of a set is a joint-consensus change. The register first holds the current and
+// the next set, and every quorum then needs a majority of each. Once all keys are
+// transferred to the machines of the next set that lacked them, the next set becomes the
+// only one. Every step of a change is tied to the cluster version that started the change.
 package membership
 
 import (
@@ -17,16 +17,16 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Set names one of the two replica sets, as operators write it.
+// Set is the name of one of the two replica sets, as operators write it.
 type Set string
 
-// The sets.
+// The replica sets.
 const (
 	Cores  Set = "cores"
 	Stores Set = "stores"
 )
 
-// ParseSet reads a set's name.
+// ParseSet returns the set with the given name, or a NoPath error for an unknown name.
 func ParseSet(name string) (Set, error) {
 	set := Set(name)
 	if set != Cores && set != Stores {
@@ -35,7 +35,7 @@
 	return set, nil
 }
 
-// Role is the role of the machines of the set.
+// Role returns the role of the machines in the set.
 func (s Set) Role() string {
 	if s == Cores {
 		return "core"
@@ -43,14 +43,14 @@
 	return "store"
 }
 
-// Change is the state of a set: its machines, those that it changes to if a change is
-// under way, and the version of the cluster since which both are these.
+// Change is the state of a set: its current machines, the machines of the next set while a
+// change is in progress, and the cluster version that last modified either of them.
 type Change struct {
 	Since     uint64
 	Now, Next []spec.Machine
 }
 
-// Of is the state of a set within a cluster.
+// Of returns the state of a set in a cluster.
 func Of(c *spec.Cluster, set Set) Change {
 	if set == Cores {
 		return Change{Since: c.CoresSince, Now: c.Cores, Next: c.NextCores}
@@ -58,22 +58,22 @@
 	return Change{Since: c.StoresSince, Now: c.Stores, Next: c.NextStores}
 }
 
-// Running reports whether a change of the set is under way.
+// Running reports whether a change of the set is in progress.
 func (c Change) Running() bool { return len(c.Next) > 0 }
 
-// Equal reports whether two observations are of the very same change. Equal sets are not
-// enough: a change may have been reverted and begun anew in between, and what was done for
-// the first says nothing about the second.
+// Equal reports whether two observations are of the same change. Comparing the machines is
+// not enough: a change may have been reverted and started again in between, and keys
+// transferred or versions confirmed for the first change don't count for the second.
 func (c Change) Equal(other Change) bool {
 	return c.Since == other.Since && slices.Equal(c.Now, other.Now) && slices.Equal(c.Next, other.Next)
 }
 
-// Has reports whether a set has a machine of that identity.
+// Has reports whether a set contains a machine with the given identity.
 func Has(set []spec.Machine, ident string) bool {
 	return slices.ContainsFunc(set, func(m spec.Machine) bool { return m.Ident == ident })
 }
 
-// setMachines writes both sets of a change into a cluster.
+// setMachines stores the current and next machines of a set in a cluster.
 func setMachines(c *spec.Cluster, set Set, now, next []spec.Machine) {
 	if set == Cores {
 		c.Cores, c.NextCores = now, next
@@ -82,36 +82,36 @@
 	}
 }
 
-// InitializeSet sets the first machines of a set that has had none. Nothing has ever been
-// stored there, so there is nothing to transfer.
+// InitializeSet sets the first machines of a set that was empty so far. No data has been
+// stored in it yet, so no transfer is needed.
 func InitializeSet(c *spec.Cluster, set Set, machines []spec.Machine) {
 	setMachines(c, set, machines, nil)
 }
 
-// SetNext changes what a set changes to; an empty next reverts the change. The present set
-// has been complete all the while, so that nothing is lost by it. A machine that was to
-// join and no longer is may have voted, so its identity is marked as used.
+// SetNext replaces the next machines of a set; an empty next reverts the change. The current
+// set holds all data during a change, so reverting loses none. A machine that is no longer
+// part of the next set may already have voted, so its identity is marked as used.
 func SetNext(c *spec.Cluster, set Set, next []spec.Machine) {
-	was := Of(c, set)
-	for _, m := range was.Next {
-		if !Has(was.Now, m.Ident) && !Has(next, m.Ident) {
+	before := Of(c, set)
+	for _, m := range before.Next {
+		if !Has(before.Now, m.Ident) && !Has(next, m.Ident) {
 			markUsed(c, m.Ident)
 		}
 	}
-	setMachines(c, set, was.Now, next)
+	setMachines(c, set, before.Now, next)
 }
 
-// BeginChange begins a change of a set towards a target, or redirects the one under way.
-// It changes nothing and returns cluster.ErrNoChange where the cluster is not in the very
-// change that the target was computed for, or where a newcomer may no longer join.
-func BeginChange(c *spec.Cluster, set Set, was Change, target Target) error {
-	if !Of(c, set).Equal(was) || !admissible(c, set, target) {
+// BeginChange starts a change of a set to a target, or redirects the change in progress.
+// It changes nothing and returns cluster.ErrNoChange if the state of the set differs from
+// the observed one, for which the target was computed, or if a newcomer may no longer join.
+func BeginChange(c *spec.Cluster, set Set, observed Change, target Target) error {
+	if !Of(c, set).Equal(observed) || !admissible(c, set, target) {
 		return cluster.ErrNoChange
 	}
 	switch {
-	case len(was.Now) == 0:
+	case len(observed.Now) == 0:
 		InitializeSet(c, set, target.Machines)
-	case slices.Equal(target.Machines, was.Now):
+	case slices.Equal(target.Machines, observed.Now):
 		SetNext(c, set, nil)
 	default:
 		SetNext(c, set, target.Machines)
@@ -126,8 +126,8 @@
 }
 
 // FinishChange makes the next set of a change the only one. It changes nothing and returns
-// cluster.ErrNoChange where the cluster is no longer in that very change: what was
-// transferred was for another.
+// cluster.ErrNoChange if the cluster is no longer in that change, because the keys were
+// then transferred for a different one.
 func FinishChange(c *spec.Cluster, set Set, change Change) error {
 	if !change.Running() || !Of(c, set).Equal(change) {
 		return cluster.ErrNoChange
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -11,43 +11,43 @@
 
 const (
 	// AbsentAfter is the time without contact after which a newcomer may replace a
-	// machine.
+	// machine that does not answer a probe.
 	AbsentAfter = 2 * time.Second
 	// ReplaceAfter is the time without contact after which a spare that was admitted
-	// earlier replaces a machine. It is longer than most restarts take.
+	// earlier replaces a machine. It exceeds the duration of most restarts.
 	ReplaceAfter = 3 * time.Second
-	// MinCores is the least number of cores that a set keeps.
+	// MinCores is the minimum size of a set of cores.
 	MinCores = 3
 )
 
-// For how long no new store must have come when the first set of them is made of those
-// that are there.
+// Times without a new store after which the first set is formed from the stores in contact.
+// The fewer they are, the longer the wait.
 const (
-	fullSetWait  = 150 * time.Millisecond // there are as many as the copies, in enough zones
-	majorityWait = time.Second            // there is a majority of the copies
-	minorityWait = 5 * time.Second        // so few that the loss of one would lose what it keeps
+	fullSetWait  = 150 * time.Millisecond // at least as many stores as copies, in enough zones
+	majorityWait = time.Second            // stores for a majority of the copies
+	minorityWait = 5 * time.Second        // so few stores that losing one loses the only copy of its data
 )
 
-// Member is what a core knows of a machine from its renewals.
+// Member is the state of a machine as a core knows it from the machine's lease renewals.
 type Member struct {
 	Machine spec.Machine
-	Start   uint64 // the number of its process's start
-	// IdentityVersion is the version of the cluster that its identity was made under.
+	Start   uint64 // start counter of its process
+	// IdentityVersion is the cluster version that was in force when the machine created its
+	// identity.
 	IdentityVersion uint64
-	// Confirmed reports whether a majority of a set has a version in force, by what each
-	// identity has confirmed. These refuse requests that act on an older set.
-	Confirmed       uint64 // the version that it has in force
-	Live            bool   // its lease runs
+	// Confirmed is the cluster version that the machine has confirmed to be in force. It
+	// refuses requests that act on an older set.
+	Confirmed       uint64
+	Live            bool // its lease has not expired
 	UnresponsiveFor time.Duration
-	// OutsideFor is how long ago this core first saw it stand outside the set.
+	// OutsideFor is the time since this core first saw the machine outside the set.
 	OutsideFor time.Duration
 }
 
-// WithSelf replaces whatever the table shows of a core itself by its own entry as it is
-// now. A core renews its lease at itself only while it is in the set, so its table may
-// still show an identity of its own that was removed: by that, a core that has just been
-// chosen for the next set would take itself for one that lost its disk, and revert the
-// change.
+// WithSelf replaces a core's entries for its own name and address by its present state. A
+// core renews its lease at itself only while it is in the set, so its table may still list
+// its previous, removed identity. A core that was just added to the next set would otherwise
+// treat itself as a machine that lost its disk, and revert the change.
 func WithSelf(members []Member, self Member) []Member {
 	out := slices.DeleteFunc(slices.Clone(members), func(m Member) bool {
 		return m.Machine.ID == self.Machine.ID && m.Machine.Addr == self.Machine.Addr
@@ -57,18 +57,18 @@
 	return append(out, self)
 }
 
-// Presence is the outcome of asking a machine whether it is there.
+// Presence is the result of probing a machine.
 type Presence int
 
-// A machine that was not asked counts as present.
+// The results of a probe. A machine that was not probed counts as present.
 const (
 	Present   Presence = iota
-	Uncertain          // it does not answer, but has not been unresponsive for long
+	Uncertain          // no answer, but unresponsive for less than AbsentAfter
 	Absent
 )
 
-// PresenceOf judges a machine by whether it answered, and for how long it had been
-// unresponsive.
+// PresenceOf returns the presence of a machine from whether it answered the probe and how
+// long it has been unresponsive.
 func PresenceOf(answered bool, unresponsive time.Duration) Presence {
 	switch {
 	case answered:
@@ -79,48 +79,48 @@
 	return Uncertain
 }
 
-// Observation is all that a decision about a set rests on.
+// Observation is the input of a decision about a set.
 type Observation struct {
 	Set     Set
 	Cluster *spec.Cluster
-	Members []Member // of the set's role
-	// Presence is by identity; nil where nobody has been asked yet.
+	Members []Member // the known machines of the set's role
+	// Presence holds the probe results by identity; nil if no machine has been probed yet.
 	Presence map[string]Presence
-	// Forming tells that the cluster is so young that newcomers are machines of the
-	// first hour, which take nobody's place later.
+	// Forming is set during the cluster's bootstrap period. Newcomers admitted then are
+	// regular machines: they are not recorded as spares and replace no machine later.
 	Forming bool
-	// NewcomerAge is how long ago the last store came that had not been seen before.
+	// NewcomerAge is the time since a previously unknown store last made contact.
 	NewcomerAge time.Duration
 }
 
-// Target is what a set should be.
+// Target is the desired state of a set.
 type Target struct {
 	Machines []spec.Machine
-	// Spares are newcomers admitted beside the others, who may take the place of one of
-	// them later; Spent are those who do so now.
+	// Spares are the identities of newcomers that are admitted as additional machines and
+	// may replace another machine later. Promoted are earlier spares that replace one now.
 	Spares, Promoted []string
-	// IdentityVersions are those of the newcomers, by identity.
+	// IdentityVersions maps the newcomers' identities to their identity versions.
 	IdentityVersions map[string]uint64
 }
 
-// Decision is a target, or the reason why there is none yet.
+// Decision is a target, or what is still needed to determine one.
 type Decision struct {
 	Target
-	// Probe are the machines that must be asked whether they are there first.
+	// Probe lists the machines that must be probed before a target can be determined.
 	Probe []spec.Machine
-	// Wait tells that the target can't be said yet, or not all of it.
+	// Wait is set while the target is undetermined or incomplete.
 	Wait bool
 }
 
-// Decide computes what a set should be. A machine is never removed only because it is
-// unresponsive, since it may come back with its data; a newcomer has to replace it. A
-// newcomer that finds all machines present is admitted as a spare and replaces whichever
-// fails next. So a set never shrinks, unless an operator retires a store.
+// Decide computes the target of a set. A machine is never removed only because it is
+// unresponsive, since it may come back with its data; it must be replaced by a newcomer. If
+// all machines are present, a newcomer is admitted as a spare and replaces the next machine
+// that fails. Apart from the promotion of a spare, a set shrinks only if an operator retires a
+// store.
 //
-// Cores come and go by twos, so that their number is odd: of an even number a majority is
-// one more than half, and bears the loss of no more machines than the odd number below it.
-// A newcomer that would make their number even stands outside as a candidate, and replaces
-// whichever fails next.
+// Cores are added and removed in pairs to keep their number odd: a set of even size
+// tolerates no more failures than the odd size below it. A newcomer that would make the
+// number even remains outside the set as a candidate and replaces the next core that fails.
 func Decide(o Observation) Decision {
 	if o.Set == Stores && len(o.Cluster.Stores) == 0 {
 		return firstStores(o)
@@ -128,7 +128,7 @@
 	p := newPlan(o)
 	p.dropRetired()
 	p.replaceWiped()
-	if len(p.newcomers) == 0 && !p.mayDrop() || p.onlyCandidates() {
+	if len(p.newcomers) == 0 && !p.mayPromote() || p.onlyIdleCandidate() {
 		return p.decision()
 	}
 	if o.Presence == nil {
@@ -144,13 +144,13 @@
 	return p.decision()
 }
 
-// plan is a target while it is computed.
+// plan is the intermediate state of the computation of a target.
 type plan struct {
 	Observation
-	now, want  []spec.Machine
-	newcomers  []Member // that no place has been found for yet
-	candidates []Member // those that find no place but beside the others
-	spares     []string // of those in want, who may take another's place
+	now, next  []spec.Machine
+	newcomers  []Member // not yet assigned to a place in the set
+	candidates []Member // newcomers that replace no machine of the set
+	spares     []string // identities in next that may replace another machine
 	target     Target
 	wait       bool
 }
@@ -160,17 +160,17 @@
 	return &plan{
 		Observation: o,
 		now:         now,
-		want:        slices.Clone(now),
+		next:        slices.Clone(now),
 		target:      Target{IdentityVersions: map[string]uint64{}},
 	}
 }
 
 func (p *plan) decision() Decision {
-	p.target.Machines = p.want
+	p.target.Machines = p.next
 	return Decision{Target: p.target, Wait: p.wait}
 }
 
-// minSize is how many machines the set keeps at least.
+// minSize returns the minimum size of the set.
 func (p *plan) minSize() int {
 	if p.Set == Cores {
 		return MinCores
@@ -178,9 +178,9 @@
 	return cluster.Copies(p.Cluster)
 }
 
-// candidates are the live machines outside the set that may join it, one of each address, by
-// name; of one name the latest start comes first.
-func candidates(o Observation) []Member {
+// eligibleNewcomers returns the live machines outside the set that may join it, one per
+// address, sorted by name and then by descending start counter.
+func eligibleNewcomers(o Observation) []Member {
 	now := Of(o.Cluster, o.Set).Now
 	var out []Member
 	for _, m := range o.Members {
@@ -194,12 +194,13 @@
 	slices.SortStableFunc(out, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Machine.ID, b.Machine.ID), -cmp.Compare(a.Start, b.Start))
 	})
-	return oneOfEachAddress(out)
+	return uniqueByAddress(out)
 }
 
-// oneOfEachAddress leaves out candidates whose address another uses since: of one name that
-// with the later start, which comes first, of two names that which was heard from last.
-func oneOfEachAddress(sorted []Member) []Member {
+// uniqueByAddress keeps one newcomer per address. Of several with the same name it keeps the
+// one with the latest start, which is sorted first; of several names, the one with the most
+// recent contact.
+func uniqueByAddress(sorted []Member) []Member {
 	var out []Member
 	for _, m := range sorted {
 		i := slices.IndexFunc(out, func(other Member) bool { return other.Machine.Addr == m.Machine.Addr })
@@ -213,81 +214,81 @@
 	return out
 }
 
-// dropRetired removes the stores that operators have retired, as long as enough are left.
+// dropRetired removes the stores that operators have retired, down to the minimum size.
 func (p *plan) dropRetired() {
 	if p.Set != Stores {
 		return
 	}
 	for _, id := range p.Cluster.Retired {
-		i := slices.IndexFunc(p.want, func(m spec.Machine) bool { return m.ID == id })
-		if i >= 0 && len(p.want) > p.minSize() {
-			p.want = slices.Delete(p.want, i, i+1)
+		i := slices.IndexFunc(p.next, func(m spec.Machine) bool { return m.ID == id })
+		if i >= 0 && len(p.next) > p.minSize() {
+			p.next = slices.Delete(p.next, i, i+1)
 		}
 	}
 }
 
-// replaceWiped replaces each machine whose address has come back with a newer identity: it
-// has lost its disk. The other candidates are left as newcomers.
+// replaceWiped replaces each machine whose address is now used by a newer identity, which
+// means that it lost its disk. The other eligible machines become the plan's newcomers.
 func (p *plan) replaceWiped() {
-	waiting := candidates(p.Observation)
+	waiting := eligibleNewcomers(p.Observation)
 	for len(waiting) > 0 {
 		successor := waiting[0]
 		waiting = waiting[1:]
-		i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return s.Addr == successor.Machine.Addr })
+		i := slices.IndexFunc(p.next, func(s spec.Machine) bool { return s.Addr == successor.Machine.Addr })
 		if i < 0 {
 			p.newcomers = append(p.newcomers, successor)
 			continue
 		}
-		// Both disks are empty, so the place goes to the lost machine's own zone: a set that
-		// bears the loss of any one zone must not lose that by a repair.
-		if other := p.takeOfZone(&waiting, successor, p.want[i].Zone); other != nil {
+		// Both disks are empty, so a newcomer in the wiped machine's zone is preferred: a set
+		// that tolerates the loss of any one zone must still tolerate it after the repair.
+		if other := p.takeInZone(&waiting, successor, p.next[i].Zone); other != nil {
 			p.newcomers = append(p.newcomers, successor)
 			successor = *other
 		}
-		if slices.Contains(p.Cluster.Spares, p.want[i].Ident) {
+		if slices.Contains(p.Cluster.Spares, p.next[i].Ident) {
 			p.target.Spares = append(p.target.Spares, successor.Machine.Ident)
 		}
 		p.replaceAt(i, successor)
 	}
-	for _, m := range p.want {
+	for _, m := range p.next {
 		if slices.Contains(p.Cluster.Spares, m.Ident) {
 			p.spares = append(p.spares, m.Ident)
 		}
 	}
 }
 
-// takeOfZone takes, where the successor of a lost machine is of another zone, a candidate of
-// the lost one's zone that neither has nor claims a place of its own in the set. It is nil if
-// there is none.
-func (p *plan) takeOfZone(waiting *[]Member, successor Member, zone string) *Member {
+// takeInZone handles a wiped machine whose successor is in another zone: it removes and
+// returns a newcomer in the wiped machine's zone whose name and address no machine of the set
+// has. It returns nil if the successor is in that zone or there is no such newcomer.
+func (p *plan) takeInZone(waiting *[]Member, successor Member, zone string) *Member {
 	if successor.Machine.Zone == zone {
 		return nil
 	}
-	for _, from := range []*[]Member{&p.newcomers, waiting} {
-		i := slices.IndexFunc(*from, func(m Member) bool {
-			return m.Machine.Zone == zone && !slices.ContainsFunc(p.want, func(s spec.Machine) bool {
+	for _, members := range []*[]Member{&p.newcomers, waiting} {
+		i := slices.IndexFunc(*members, func(m Member) bool {
+			return m.Machine.Zone == zone && !slices.ContainsFunc(p.next, func(s spec.Machine) bool {
 				return s.ID == m.Machine.ID || s.Addr == m.Machine.Addr
 			})
 		})
 		if i >= 0 {
-			taken := (*from)[i]
-			*from = slices.Delete(*from, i, i+1)
+			taken := (*members)[i]
+			*members = slices.Delete(*members, i, i+1)
 			return &taken
 		}
 	}
 	return nil
 }
 
-// replaceAt replaces the machine at an index by a newcomer.
+// replaceAt replaces the machine at an index of the next set by a newcomer.
 func (p *plan) replaceAt(i int, m Member) {
-	p.want[i] = m.Machine
+	p.next[i] = m.Machine
 	p.target.IdentityVersions[m.Machine.Ident] = m.IdentityVersion
 }
 
-// mayDrop reports whether a spare could replace a machine now.
-func (p *plan) mayDrop() bool {
+// mayPromote reports whether a spare could replace a machine now.
+func (p *plan) mayPromote() bool {
 	return len(p.spares) > 0 &&
-		slices.ContainsFunc(p.want, func(m spec.Machine) bool { return p.longUnresponsive(m.Ident) })
+		slices.ContainsFunc(p.next, func(m spec.Machine) bool { return p.longUnresponsive(m.Ident) })
 }
 
 func (p *plan) longUnresponsive(ident string) bool {
@@ -295,11 +296,11 @@
 	return i >= 0 && p.Members[i].UnresponsiveFor >= ReplaceAfter
 }
 
-// remaining are the machines of the present set that are to stay.
+// remaining returns the machines of the current set that are also in the next one.
 func (p *plan) remaining() []spec.Machine {
 	var out []spec.Machine
 	for _, m := range p.now {
-		if Has(p.want, m.Ident) {
+		if Has(p.next, m.Ident) {
 			out = append(out, m)
 		}
 	}
@@ -308,12 +309,12 @@
 
 func (p *plan) absent(m spec.Machine) bool { return p.Presence[m.Ident] == Absent }
 
-// admitNewcomer has a newcomer replace the machine of its own name at an earlier address,
-// or an absent machine, of its own zone if there is one; else it is admitted as a spare.
-// It reports false where it is uncertain whether some machine is absent that it could
-// replace.
+// admitNewcomer replaces the machine with the newcomer's name at its previous address, or
+// else an absent machine, preferably in the newcomer's zone. If there is neither, the
+// newcomer becomes a candidate. It returns false if the presence of a machine that the
+// newcomer could replace is uncertain.
 func (p *plan) admitNewcomer(m Member) bool {
-	if i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return s.ID == m.Machine.ID }); i >= 0 {
+	if i := slices.IndexFunc(p.next, func(s spec.Machine) bool { return s.ID == m.Machine.ID }); i >= 0 {
 		p.replaceRelocated(i, m)
 		return true
 	}
@@ -322,7 +323,7 @@
 			return false
 		}
 	}
-	if i := p.vacant(m); i >= 0 {
+	if i := p.replaceableIndex(m); i >= 0 {
 		p.replaceAt(i, m)
 		return true
 	}
@@ -330,9 +331,9 @@
 	return true
 }
 
-// replaceRelocated handles a newcomer whose name is in the set at another address.
+// replaceRelocated handles a newcomer whose name is in the set with another address.
 func (p *plan) replaceRelocated(i int, m Member) {
-	switch p.Presence[p.want[i].Ident] {
+	switch p.Presence[p.next[i].Ident] {
 	case Absent:
 		p.replaceAt(i, m)
 	case Uncertain:
@@ -340,61 +341,62 @@
 	}
 }
 
-// vacant is the index of an absent machine that a newcomer may replace, of its zone if
-// there is one; else -1. One that has stood outside for a while waits for as long as a spare
-// does: most machines that are absent only start anew.
-func (p *plan) vacant(m Member) int {
-	vacant := func(s spec.Machine) bool {
+// replaceableIndex returns the index of an absent machine that a newcomer may replace,
+// preferably in its own zone, or -1. A newcomer that has been outside the set for at least
+// ReplaceAfter waits as long as a spare does, since most absent machines are only restarting.
+func (p *plan) replaceableIndex(m Member) int {
+	replaceable := func(s spec.Machine) bool {
 		return p.absent(s) && (m.OutsideFor < ReplaceAfter || p.longUnresponsive(s.Ident))
 	}
-	i := slices.IndexFunc(p.want, func(s spec.Machine) bool { return vacant(s) && s.Zone == m.Machine.Zone })
+	i := slices.IndexFunc(p.next, func(s spec.Machine) bool { return replaceable(s) && s.Zone == m.Machine.Zone })
 	if i >= 0 {
 		return i
 	}
-	return slices.IndexFunc(p.want, vacant)
+	return slices.IndexFunc(p.next, replaceable)
 }
 
-// admitCandidates admits newcomers beside the others: all of them to a set of stores, to one
-// of cores as many as leave an odd number.
+// admitCandidates adds candidates as additional machines: all of them to a set of stores,
+// and to a set of cores as many as keep its size odd.
 func (p *plan) admitCandidates() {
 	if p.Set == Stores {
 		for _, m := range p.candidates {
-			p.admitBeside(m)
+			p.admitAdditional(m)
 		}
 		return
 	}
-	if len(p.want)%2 == 0 && len(p.candidates) > 0 {
-		p.admitBeside(p.takeCandidate())
+	if len(p.next)%2 == 0 && len(p.candidates) > 0 {
+		p.admitAdditional(p.takeCandidate())
 	}
 	for len(p.candidates) > 1 {
 		first, second := p.takeCandidate(), p.takeCandidate()
-		larger := append(slices.Clone(p.want), first.Machine, second.Machine)
-		if bearsZoneLoss(p.want) && !bearsZoneLoss(larger) {
+		larger := append(slices.Clone(p.next), first.Machine, second.Machine)
+		if toleratesZoneLoss(p.next) && !toleratesZoneLoss(larger) {
 			return
 		}
-		p.admitBeside(first)
-		p.admitBeside(second)
+		p.admitAdditional(first)
+		p.admitAdditional(second)
 	}
 }
 
-// admitBeside admits a newcomer that replaces nobody now.
-func (p *plan) admitBeside(m Member) {
-	p.want = append(p.want, spec.Machine{})
-	p.replaceAt(len(p.want)-1, m)
+// admitAdditional admits a newcomer without replacing a machine.
+func (p *plan) admitAdditional(m Member) {
+	p.next = append(p.next, spec.Machine{})
+	p.replaceAt(len(p.next)-1, m)
 	if !p.Forming {
 		p.target.Spares = append(p.target.Spares, m.Machine.Ident)
 	}
 }
 
-// takeCandidate takes the first candidate of the zone that has fewest machines in the set.
+// takeCandidate removes and returns the first candidate of the zone that has the fewest
+// machines in the set.
 func (p *plan) takeCandidate() Member {
-	inZone := map[string]int{}
-	for _, m := range p.want {
-		inZone[m.Zone]++
+	zoneSizes := map[string]int{}
+	for _, m := range p.next {
+		zoneSizes[m.Zone]++
 	}
 	best := 0
 	for i, m := range p.candidates {
-		if inZone[m.Machine.Zone] < inZone[p.candidates[best].Machine.Zone] {
+		if zoneSizes[m.Machine.Zone] < zoneSizes[p.candidates[best].Machine.Zone] {
 			best = i
 		}
 	}
@@ -403,13 +405,14 @@
 	return m
 }
 
-// bearsZoneLoss reports whether a majority of a set is left without any one zone.
-func bearsZoneLoss(set []spec.Machine) bool {
-	inZone := map[string]int{}
+// toleratesZoneLoss reports whether a majority of a set remains after the loss of any one
+// zone.
+func toleratesZoneLoss(set []spec.Machine) bool {
+	zoneSizes := map[string]int{}
 	for _, m := range set {
-		inZone[m.Zone]++
+		zoneSizes[m.Zone]++
 	}
-	for _, n := range inZone {
+	for _, n := range zoneSizes {
 		if n*2 >= len(set) {
 			return false
 		}
@@ -417,94 +420,96 @@
 	return true
 }
 
-// onlyCandidates reports whether the only newcomer is a core that has stood outside for a
-// while, would make the number of cores even, and could replace nobody now.
-func (p *plan) onlyCandidates() bool {
-	if p.Set != Cores || len(p.newcomers) != 1 || len(p.want)%2 == 0 || p.newcomers[0].OutsideFor < ReplaceAfter {
+// onlyIdleCandidate reports whether the only newcomer is a core that has been outside the set
+// for at least ReplaceAfter, would make the number of cores even, and can replace no machine
+// now. The machines of the set are then not probed.
+func (p *plan) onlyIdleCandidate() bool {
+	if p.Set != Cores || len(p.newcomers) != 1 || len(p.next)%2 == 0 || p.newcomers[0].OutsideFor < ReplaceAfter {
 		return false
 	}
-	return !slices.ContainsFunc(p.want, func(s spec.Machine) bool {
+	return !slices.ContainsFunc(p.next, func(s spec.Machine) bool {
 		return s.ID == p.newcomers[0].Machine.ID || p.longUnresponsive(s.Ident)
 	})
 }
 
-// dropAbsent removes absent machines that spares replace. Of cores it leaves an odd number.
+// dropAbsent removes absent machines that are replaced by spares. Cores are removed only as
+// far as the resulting number is odd.
 func (p *plan) dropAbsent() {
-	want, promoted := slices.Clone(p.want), []string(nil)
+	next, promoted := slices.Clone(p.next), []string(nil)
 	for _, ident := range p.spares {
-		i := slices.IndexFunc(want, func(s spec.Machine) bool {
+		i := slices.IndexFunc(next, func(s spec.Machine) bool {
 			return p.absent(s) && p.longUnresponsive(s.Ident) && s.Ident != ident
 		})
-		if i < 0 || len(want) <= p.minSize() {
+		if i < 0 || len(next) <= p.minSize() {
 			return
 		}
-		want = slices.Delete(want, i, i+1)
+		next = slices.Delete(next, i, i+1)
 		promoted = append(promoted, ident)
-		if p.Set == Stores || len(want)%2 == 1 {
-			p.want, p.target.Promoted = slices.Clone(want), slices.Clone(promoted)
+		if p.Set == Stores || len(next)%2 == 1 {
+			p.next, p.target.Promoted = slices.Clone(next), slices.Clone(promoted)
 		}
 	}
 }
 
-// firstStores computes the first set of stores: all that are there once they are enough,
-// or once no more come.
+// firstStores computes the first set of stores from all stores in contact. It waits for more
+// of them until no new store has made contact for a time that depends on their number.
 func firstStores(o Observation) Decision {
 	p := newPlan(o)
 	zones := map[string]bool{}
-	for _, m := range candidates(o) {
-		// Of two at one place or of one name the later start is meant, which came first.
+	for _, m := range eligibleNewcomers(o) {
+		// Of several stores with the same name, the latest start is sorted first and wins.
 		taken := slices.ContainsFunc(
-			p.want,
+			p.next,
 			func(s spec.Machine) bool { return s.ID == m.Machine.ID || s.Addr == m.Machine.Addr },
 		)
 		if taken {
 			continue
 		}
-		p.want = append(p.want, spec.Machine{})
-		p.replaceAt(len(p.want)-1, m)
+		p.next = append(p.next, spec.Machine{})
+		p.replaceAt(len(p.next)-1, m)
 		zones[m.Machine.Zone] = true
 	}
 	copies := cluster.Copies(o.Cluster)
-	quiet := minorityWait
+	quietPeriod := minorityWait
 	switch {
-	case len(p.want) >= copies && len(zones) >= min(copies, len(o.Cluster.Spec.Zones)):
-		quiet = fullSetWait
-	case len(p.want)*2 > copies:
-		quiet = majorityWait
+	case len(p.next) >= copies && len(zones) >= min(copies, len(o.Cluster.Spec.Zones)):
+		quietPeriod = fullSetWait
+	case len(p.next)*2 > copies:
+		quietPeriod = majorityWait
 	}
-	p.wait = len(p.want) > 0 && o.NewcomerAge < quiet
+	p.wait = len(p.next) > 0 && o.NewcomerAge < quietPeriod
 	return p.decision()
 }
 
-// Stalled reports whether a change waits for a machine that will not complete it, because
-// it has departed or has come back with another identity. Where that can only be said
-// after some machines have been asked, it returns those.
-func (c Change) Stalled(o Observation) (stalled bool, ask []spec.Machine) {
-	need := c.Receivers(cluster.Copies(o.Cluster))
+// Stalled reports whether a change waits for a machine that will not complete its transfer
+// because it is absent or has come back with another identity. If machines must be probed to
+// determine this, it returns them.
+func (c Change) Stalled(o Observation) (stalled bool, probe []spec.Machine) {
+	receivers := c.Receivers(cluster.Copies(o.Cluster))
 	unresponsive := false
 	for _, m := range o.Members {
 		wiped := func(s spec.Machine) bool { return s.Addr == m.Machine.Addr && s.Ident != m.Machine.Ident }
-		if m.Live && slices.ContainsFunc(need, wiped) {
+		if m.Live && slices.ContainsFunc(receivers, wiped) {
 			return true, nil
 		}
-		unresponsive = unresponsive || Has(need, m.Machine.Ident) && m.UnresponsiveFor >= AbsentAfter
+		unresponsive = unresponsive || Has(receivers, m.Machine.Ident) && m.UnresponsiveFor >= AbsentAfter
 	}
 	if !unresponsive {
 		return false, nil
 	}
 	if o.Presence == nil {
-		return false, need
+		return false, receivers
 	}
-	return slices.ContainsFunc(need, func(m spec.Machine) bool { return o.Presence[m.Ident] == Absent }), nil
+	return slices.ContainsFunc(receivers, func(m spec.Machine) bool { return o.Presence[m.Ident] == Absent }), nil
 }
 
-// IsReconciler reports whether a core runs the reconcilers: the first by name of the
-// voters that are in contact. Two that run them at once only do the same work twice, so
-// one that has missed a renewal is skipped.
+// IsReconciler reports whether a core runs the reconcilers: the first voter by name among
+// those in contact. If two cores run them concurrently, they only do the same work twice, so
+// a voter that has missed a lease renewal is skipped.
 func IsReconciler(c *spec.Cluster, self spec.Machine, members []Member) bool {
 	voters := slices.Concat(c.Cores, c.NextCores)
 	for _, m := range members {
-		if m.Live && m.UnresponsiveFor < leaderTimeout && m.Machine.ID < self.ID && m.Machine.Ident != "" &&
+		if m.Live && m.UnresponsiveFor < missedRenewalTimeout && m.Machine.ID < self.ID && m.Machine.Ident != "" &&
 			Has(voters, m.Machine.Ident) {
 			return false
 		}
@@ -512,32 +517,34 @@
 	return self.Ident != "" && Has(voters, self.Ident)
 }
 
-// leaderTimeout is the time without contact of a machine that has missed a renewal.
-const leaderTimeout = 1500 * time.Millisecond
+// missedRenewalTimeout is the time without contact after which a machine has missed a lease
+// renewal.
+const missedRenewalTimeout = 1500 * time.Millisecond
 
-// Confirmed reports whether a majority of a set has a version in force, by what each
-// identity has confirmed. These refuse whoever deals with them under an older set.
+// Confirmed reports whether a majority of a set has a cluster version in force, given the
+// version that each identity has confirmed. Machines that have confirmed it refuse requests
+// that act on an older set.
 func Confirmed(set []spec.Machine, versions map[string]uint64, version uint64) bool {
-	n := 0
+	confirmed := 0
 	for _, m := range set {
 		if versions[m.Ident] >= version {
-			n++
+			confirmed++
 		}
 	}
-	return n*2 > len(set)
+	return confirmed*2 > len(set)
 }
 
-// Fenced reports whether in no set of stores those that have not confirmed a version could
-// form a majority of some key's replicas.
+// Fenced reports whether the stores that have not confirmed a version are, in the current and
+// in the next set, too few to form a majority of any key's replicas.
 func Fenced(c *spec.Cluster, confirmed func(spec.Machine) bool) bool {
 	for _, set := range [][]spec.Machine{c.Stores, c.NextStores} {
-		var behind []spec.Machine
+		var unconfirmed []spec.Machine
 		for _, m := range set {
 			if !confirmed(m) {
-				behind = append(behind, m)
+				unconfirmed = append(unconfirmed, m)
 			}
 		}
-		if !IsMinority(set, behind, cluster.Copies(c)) {
+		if !IsMinority(set, unconfirmed, cluster.Copies(c)) {
 			return false
 		}
 	}
--- a/internal/coordination/metrics/metrics.go
+++ b/internal/coordination/metrics/metrics.go
@@ -1,5 +1,4 @@
-// Package metrics shows a process's own counts at /metrics, for whoever scrapes
-// them.
+// Package metrics serves a process's own metrics at /metrics in the Prometheus format.
 package metrics
 
 import (
@@ -8,46 +7,54 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Sample is one value.
+// Sample is the present value of one metric.
 type Sample struct {
 	Name, Help        string
-	Label, LabelValue string // a label and its value, if any
+	Label, LabelValue string // Label is empty for a metric without a label
 	Value             float64
-	Counter           bool // only ever grows
+	Counter           bool // the metric is a counter, otherwise a gauge
 }
 
-type rows func() []Sample
+// collector is a prometheus.Collector for the samples that the function returns.
+type collector func() []Sample
 
-// Describe says nothing beforehand: which rows there are changes.
-func (rows) Describe(chan<- *prometheus.Desc) {}
+// Describe sends no descriptions, since the set of metrics varies between collections.
+func (collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect hands out the rows as they are now.
-func (f rows) Collect(ch chan<- prometheus.Metric) {
-	for _, r := range f() {
-		var names, vals []string
-		if r.Label != "" {
-			names, vals = []string{r.Label}, []string{r.LabelValue}
+// Collect sends the current samples.
+func (f collector) Collect(metrics chan<- prometheus.Metric) {
+	for _, sample := range f() {
+		var labels, labelValues []string
+		if sample.Label != "" {
+			labels, labelValues = []string{sample.Label}, []string{sample.LabelValue}
 		}
-		kind := prometheus.GaugeValue
-		if r.Counter {
-			kind = prometheus.CounterValue
+		valueType := prometheus.GaugeValue
+		if sample.Counter {
+			valueType = prometheus.CounterValue
 		}
-		description := prometheus.NewDesc("dt_"+r.Name, r.Help, names, nil)
-		ch <- prometheus.MustNewConstMetric(description, kind, r.Value, vals...)
+		description := prometheus.NewDesc("dt_"+sample.Name, sample.Help, labels, nil)
+		metrics <- prometheus.MustNewConstMetric(description, valueType, sample.Value, labelValues...)
 	}
 }
 
-// Routes puts /metrics on e.
-func Routes(e *echo.Echo, now func() []Sample) {
-	reg := prometheus.NewRegistry()
-	reg.MustRegister(rows(now))
-	e.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{})))
+// Routes registers the /metrics endpoint, which serves the samples that the function returns
+// at each request.
+func Routes(e *echo.Echo, samples func() []Sample) {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(collector(samples))
+	e.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{})))
 }
 
-// NodeSamples is what every process has.
-func NodeSamples(spec uint64, sent uint64) []Sample {
+// NodeSamples returns the metrics that every process has: the version of the spec in force
+// and the number of messages sent.
+func NodeSamples(specVersion uint64, messagesSent uint64) []Sample {
 	return []Sample{
-		{Name: "spec_version", Help: "Version of the spec in force here.", Value: float64(spec)},
-		{Name: "messages_sent_total", Help: "Messages sent to other processes.", Value: float64(sent), Counter: true},
+		{Name: "spec_version", Help: "Version of the spec in force here.", Value: float64(specVersion)},
+		{
+			Name:    "messages_sent_total",
+			Help:    "Messages sent to other processes.",
+			Value:   float64(messagesSent),
+			Counter: true,
+		},
 	}
 }
--- a/internal/coordination/web/web.go
+++ b/internal/coordination/web/web.go
@@ -1,5 +1,5 @@
-// Package web is the HTTP side every process shares: limits, plain failures,
-// a graceful end.
+// Package web provides the HTTP server that all processes share: request limits, JSON error
+// responses and graceful shutdown.
 package web
 
 import (
@@ -21,28 +21,30 @@
 	"damsontiller/internal/transport/listen"
 )
 
-// Failure is what a caller reads of a failed request.
+// Failure is the JSON body of the response to a failed request.
 type Failure struct {
 	Code    int    `json:"code"`
 	Name    string `json:"name"`
 	Problem string `json:"problem"`
-	// Ran is "no" only for work that did not run and won't.
+	// Ran is "no" only if the request was not executed and will not be.
 	Ran string `json:"ran,omitempty"`
-	// Version is the spec in force, where an operator's change lost a race.
+	// Version is the spec version in force if an operator's change conflicted with another one.
 	Version uint64 `json:"version,omitempty"`
-	// NotBefore is when to come back, by this server's clock (see Date).
+	// NotBefore is the earliest time for a retry by this server's clock, which callers can
+	// read from the Date header.
 	NotBefore string `json:"not_before,omitempty"`
 	WaitMs    int64  `json:"wait_ms,omitempty"`
 	Job       string `json:"job,omitempty"`
 }
 
-// FailureOf turns an error into a failure.
+// FailureOf returns the response body for an error.
 func FailureOf(err error) Failure {
-	c := code.Of(err)
-	return Failure{Code: int(c), Name: c.Name(), Problem: code.Text(err), Ran: c.Ran()}
+	errorCode := code.Of(err)
+	return Failure{Code: int(errorCode), Name: errorCode.Name(), Problem: code.Text(err), Ran: errorCode.Ran()}
 }
 
-// New makes a server whose unknown paths are numbered failures as well.
+// New returns a server that answers all errors with a Failure, including those of unknown
+// paths and methods.
 func New(log hclog.Logger) *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
@@ -50,121 +52,124 @@
 		if c.Response().Committed {
 			return
 		}
-		var he *echo.HTTPError
-		if errors.As(err, &he) {
-			err = code.New(code.NoPath, "%s: %s", c.Request().URL.Path, http.StatusText(he.Code))
-			if he.Code == http.StatusMethodNotAllowed {
+		var httpError *echo.HTTPError
+		if errors.As(err, &httpError) {
+			err = code.New(code.NoPath, "%s: %s", c.Request().URL.Path, http.StatusText(httpError.Code))
+			if httpError.Code == http.StatusMethodNotAllowed {
 				c.Response().Header().Set("Allow", c.Response().Header().Get("Allow"))
 			}
 		}
-		if jerr := Fail(c, err); jerr != nil {
-			log.Debug("answer not sent", "err", jerr)
+		if sendErr := Fail(c, err); sendErr != nil {
+			log.Debug("cannot send the error response", "err", sendErr)
 		}
 	}
-	e.Use(boundAnswers)
+	e.Use(limitWriteTime)
 	return e
 }
 
-// answerTimeout is how long a caller has to read an answer. All answers here are made
-// before their first byte is written.
-const answerTimeout = 10 * time.Second
+// writeTimeout is the time a client has to read a response. It starts at the first byte:
+// responses are complete before the server begins to write them.
+const writeTimeout = 10 * time.Second
 
-// boundAnswers ends the connection of a caller that does not read its answer.
-func boundAnswers(next echo.HandlerFunc) echo.HandlerFunc {
-	return func(x echo.Context) error {
-		x.Response().Before(func() {
-			_ = http.NewResponseController(x.Response().Writer).SetWriteDeadline(time.Now().Add(answerTimeout))
+// limitWriteTime sets a write deadline on the connection, so that a client that does not read
+// its response can't block the server.
+func limitWriteTime(next echo.HandlerFunc) echo.HandlerFunc {
+	return func(c echo.Context) error {
+		c.Response().Before(func() {
+			_ = http.NewResponseController(c.Response().Writer).SetWriteDeadline(time.Now().Add(writeTimeout))
 		})
-		return next(x)
+		return next(c)
 	}
 }
 
-// Fail answers with the failure's own status.
+// Fail responds with the Failure for an error and the HTTP status of its code.
 func Fail(c echo.Context, err error) error {
-	p := FailureOf(err)
-	return c.JSON(Status(code.Code(p.Code)), p)
+	failure := FailureOf(err)
+	return c.JSON(Status(code.Code(failure.Code)), failure)
 }
 
-// Status is the HTTP status of a failure. Codes that are meant for other processes of
-// the system have none of their own; one that comes up to a caller says no more than
-// that it did not work this time.
+// Status returns the HTTP status for an error code. Codes that are exchanged only between
+// the processes of the system have no status; if one reaches a client, the status is 503
+// Service Unavailable, since the failure is temporary.
 func Status(c code.Code) int {
-	if s := c.Status(); s > 0 {
-		return s
+	if status := c.Status(); status > 0 {
+		return status
 	}
 	return http.StatusServiceUnavailable
 }
 
-// ReadBody reads a request's body up to a limit.
-func ReadBody(c echo.Context, most int64) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(c.Request().Body, most+1))
+// ReadBody reads a request body of at most maxBytes. Larger bodies fail with TooLarge.
+func ReadBody(c echo.Context, maxBytes int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBytes+1))
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		// Its sender ended it before the length that it had stated.
+		// The client ended the body before the announced Content-Length.
 		return nil, code.New(code.BadJSON, "body is cut short: %w", err)
 	case err != nil:
 		return nil, code.New(code.BodyLost, "body can't be read: %w", err)
 	}
-	if int64(len(b)) > most {
-		return nil, code.New(code.TooLarge, "more than %d bytes", most)
+	if int64(len(body)) > maxBytes {
+		return nil, code.New(code.TooLarge, "more than %d bytes", maxBytes)
 	}
-	return b, nil
+	return body, nil
 }
 
-// DecodeStrict reads JSON without unknown fields and with nothing after it.
-func DecodeStrict(b []byte, into any) error {
-	dec := json.NewDecoder(bytes.NewReader(b))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+// DecodeStrict decodes a JSON value and rejects unknown fields and trailing data.
+func DecodeStrict(body []byte, value any) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(value); err != nil {
 		if strings.Contains(err.Error(), "unknown field") {
 			return code.New(code.UnknownField, "%w", err)
 		}
 		return code.New(code.BadJSON, "%w", err)
 	}
-	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return code.New(code.BadJSON, "something follows the body")
 	}
 	return nil
 }
 
-// PartitionRoutes adds the rehearsal kit's switch for cutting this process off.
-func PartitionRoutes(e *echo.Echo, cuts *transport.Partitions) {
+// PartitionRoutes registers the fault injection endpoint, with which tests partition this
+// process from others.
+func PartitionRoutes(e *echo.Echo, partitions *transport.Partitions) {
 	e.POST("/debug/cuts", func(c echo.Context) error {
-		var q struct {
+		var request struct {
 			Cut []string `json:"cut"`
 		}
-		if err := c.Bind(&q); err != nil {
+		if err := c.Bind(&request); err != nil {
 			return Fail(c, code.New(code.BadJSON, "%w", err))
 		}
-		cuts.Set(q.Cut)
-		return c.JSON(http.StatusOK, map[string]int{"fired": cuts.Swallowed()})
+		partitions.Set(request.Cut)
+		return c.JSON(http.StatusOK, map[string]int{"fired": partitions.Swallowed()})
 	})
 }
 
-// Serve runs e at addr until ctx ends, then gives requests under way the grace.
-func Serve(ctx context.Context, open listen.Opener, addr string, e *echo.Echo, grace time.Duration) error {
-	ln, err := open.TCP(ctx, net.ListenConfig{}, addr)
+// Serve serves HTTP at addr until ctx is canceled. It then shuts the server down gracefully
+// and closes the connections that are still active after the grace period.
+func Serve(ctx context.Context, opener listen.Opener, addr string, e *echo.Echo, gracePeriod time.Duration) error {
+	listener, err := opener.TCP(ctx, net.ListenConfig{}, addr)
 	if err != nil {
 		return err
 	}
-	s := &http.Server{
+	server := &http.Server{
 		Handler:           e,
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       30 * time.Second,
 		IdleTimeout:       time.Minute,
 		MaxHeaderBytes:    64 << 10,
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
-	gctx, stop := context.WithTimeout(context.WithoutCancel(ctx), grace)
-	defer stop()
-	if err := s.Shutdown(gctx); err != nil {
-		return s.Close()
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), gracePeriod)
+	defer cancel()
+	if err := server.Shutdown(shutdownCtx); err != nil {
+		return server.Close()
 	}
 	return nil
 }
--- a/internal/coordination/web/web_test.go
+++ b/internal/coordination/web/web_test.go
@@ -15,26 +15,26 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestFailEveryCode: every code that comes up to a caller is answered, also those that
-// have no status of their own.
+// TestFailEveryCode verifies the HTTP status of every error code. Codes without a status of
+// their own are answered with 503.
 func TestFailEveryCode(t *testing.T) {
-	for _, row := range code.Table {
+	for _, entry := range code.Table {
 		e := New(hclog.NewNullLogger())
-		e.GET("/", func(c echo.Context) error { return Fail(c, code.New(row.Code, "x")) })
+		e.GET("/", func(c echo.Context) error { return Fail(c, code.New(entry.Code, "x")) })
 		w := httptest.NewRecorder()
 		e.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", strings.NewReader("")))
-		want := row.Status
+		want := entry.Status
 		if want == 0 {
 			want = http.StatusServiceUnavailable
 		}
 		if w.Code != want {
-			t.Errorf("%s: %d, want %d", row.Name, w.Code, want)
+			t.Errorf("%s: %d, want %d", entry.Name, w.Code, want)
 		}
 	}
 }
 
-// TestBody: a body that its sender cut short is wrong; one that a failing connection
-// cut short is only lost.
+// TestBody verifies that a body truncated by its sender is reported as malformed, while one
+// truncated by a failing connection is reported as lost.
 func TestBody(t *testing.T) {
 	part := strings.NewReader("{")
 	for _, tc := range []struct {
