--- a/internal/coordination/membership/cores_history_test.go
+++ b/internal/coordination/membership/cores_history_test.go
@@ -10,32 +10,32 @@
 
 // editRegister makes a proposer edit the register with answers of the given cores only, and
 // reports whether the edit was acknowledged.
-func (w *coresWorld) editRegister(p *proposer, name string, edit func(*spec.Cluster) error, ids ...string) bool {
-	w.propose(p, name, edit)
+func (sim *coresSimulation) editRegister(p *proposer, name string, edit func(*spec.Cluster) error, ids ...string) bool {
+	sim.propose(p, name, edit)
 	op := p.op
-	w.exchange(op, ids)
+	sim.exchange(op, ids)
 	if !quorum(op.set, op.promised) {
 		p.op = nil
 		return false
 	}
-	w.proposeValue(p)
-	w.exchange(op, ids)
+	sim.proposeValue(p)
+	sim.exchange(op, ids)
 	if op.cell == nil || !quorum(op.set, op.accepted) {
 		p.op = nil
 		return false
 	}
-	w.acknowledge(p)
-	w.apply(p.view, op.cell.Ver)
-	w.check()
+	sim.acknowledge(p)
+	sim.apply(p.view, op.cell.Ver)
+	sim.check()
 	return true
 }
 
 // exchange delivers a proposal's messages to the given cores and writes them to their disks.
-func (w *coresWorld) exchange(op *proposal, ids []string) {
-	w.network = nil
+func (sim *coresSimulation) exchange(op *proposal, ids []string) {
+	sim.network = nil
 	for _, id := range ids {
-		n := w.nodes[id]
-		w.deliver(&coreMessage{to: register.Replica{Addr: id, Ident: n.machine.Ident}, op: op, cell: op.cell})
+		n := sim.nodes[id]
+		sim.deliver(&coreMessage{to: register.Replica{Addr: id, Ident: n.machine.Ident}, op: op, cell: op.cell})
 		for _, commit := range n.admitted {
 			commit()
 		}
@@ -44,12 +44,12 @@
 }
 
 // publish applies the newest version to the views of all cores and the given proposers.
-func (w *coresWorld) publish(proposers ...*proposer) {
-	for _, n := range w.nodes {
-		w.apply(n.view, w.newest)
+func (sim *coresSimulation) publish(proposers ...*proposer) {
+	for _, n := range sim.nodes {
+		sim.apply(n.view, sim.newest)
 	}
 	for _, p := range proposers {
-		w.apply(p.view, w.newest)
+		sim.apply(p.view, sim.newest)
 	}
 }
 
@@ -59,26 +59,26 @@
 }
 
 // fiveToThree returns a model with five cores, and the edit that starts a change to three.
-func fiveToThree(t *testing.T) (*coresWorld, func(*spec.Cluster) error) {
-	w := newCoresWorld(t, 0)
+func fiveToThree(t *testing.T) (*coresSimulation, func(*spec.Cluster) error) {
+	sim := newCoresSimulation(t, 0)
 	first := []string{"c0", "c1", "c2"}
-	p := w.proposers[0]
-	five := append(machinesAt(w, first...), machinesAt(w, "c3", "c4")...)
-	w.editRegister(p, "five", func(c *spec.Cluster) error { c.Cores = five; return nil }, first...)
-	w.publish(w.proposers...)
+	p := sim.proposers[0]
+	five := append(machinesAt(sim, first...), machinesAt(sim, "c3", "c4")...)
+	sim.editRegister(p, "five", func(c *spec.Cluster) error { c.Cores = five; return nil }, first...)
+	sim.publish(sim.proposers...)
 	// The newcomers receive the value, as they would when a change finishes.
-	w.editRegister(p, "edit", func(*spec.Cluster) error { return nil }, "c0", "c1", "c2", "c3", "c4")
-	w.publish(w.proposers...)
-	return w, func(c *spec.Cluster) error {
+	sim.editRegister(p, "edit", func(*spec.Cluster) error { return nil }, "c0", "c1", "c2", "c3", "c4")
+	sim.publish(sim.proposers...)
+	return sim, func(c *spec.Cluster) error {
 		membership.SetNext(c, membership.Cores, five[:3])
 		return nil
 	}
 }
 
-func machinesAt(w *coresWorld, ids ...string) []spec.Machine {
+func machinesAt(sim *coresSimulation, ids ...string) []spec.Machine {
 	var out []spec.Machine
 	for _, id := range ids {
-		out = append(out, w.nodes[id].machine)
+		out = append(out, sim.nodes[id].machine)
 	}
 	return out
 }
@@ -90,17 +90,17 @@
 // alone are not refused yet, and {c2, c3, c4} is a majority of the old set while {c0, c1} is
 // one of the new set.
 func TestPausedCoreReconciler(t *testing.T) {
-	w, begin := fiveToThree(t)
+	sim, begin := fiveToThree(t)
 	all := []string{"c0", "c1", "c2", "c3", "c4"}
-	reconciler, other, old := w.proposers[0], w.proposers[1], w.proposers[2]
-	w.editRegister(reconciler, "begin", begin, all...)
-	w.publish(other)
+	reconciler, other, old := sim.proposers[0], sim.proposers[1], sim.proposers[2]
+	sim.editRegister(reconciler, "begin", begin, all...)
+	sim.publish(other)
 	observed := membership.Of(&reconciler.view.Now().Cluster, membership.Cores)
-	w.editRegister(other, "revert", revertChange, all...)
-	w.publish(old)
-	w.editRegister(other, "begin", begin, all...)
-	w.apply(reconciler.view, w.newest)
-	finished := w.editRegister(
+	sim.editRegister(other, "revert", revertChange, all...)
+	sim.publish(old)
+	sim.editRegister(other, "begin", begin, all...)
+	sim.apply(reconciler.view, sim.newest)
+	finished := sim.editRegister(
 		reconciler,
 		"finish",
 		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, observed) },
@@ -108,7 +108,7 @@
 		"c1",
 		"c2",
 	)
-	acknowledged := w.editRegister(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4")
+	acknowledged := sim.editRegister(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4")
 	if finished && acknowledged {
 		t.Error("an edit was acknowledged by the old cores after the change to the new ones was finished")
 	}
@@ -120,17 +120,17 @@
 // TestSkippedCoreVersion verifies that cores that learned of a change and of an equal later
 // one, but not of the revert between them, refuse a proposer at the version of the revert.
 func TestSkippedCoreVersion(t *testing.T) {
-	w, begin := fiveToThree(t)
+	sim, begin := fiveToThree(t)
 	all := []string{"c0", "c1", "c2", "c3", "c4"}
-	reconciler, old := w.proposers[0], w.proposers[2]
-	w.editRegister(reconciler, "begin", begin, all...)
-	w.publish()
-	w.editRegister(reconciler, "revert", revertChange, all...)
-	w.apply(old.view, w.newest)
-	w.editRegister(reconciler, "begin", begin, all...)
-	w.publish()
+	reconciler, old := sim.proposers[0], sim.proposers[2]
+	sim.editRegister(reconciler, "begin", begin, all...)
+	sim.publish()
+	sim.editRegister(reconciler, "revert", revertChange, all...)
+	sim.apply(old.view, sim.newest)
+	sim.editRegister(reconciler, "begin", begin, all...)
+	sim.publish()
 	observed := membership.Of(&reconciler.view.Now().Cluster, membership.Cores)
-	if !w.editRegister(
+	if !sim.editRegister(
 		reconciler,
 		"finish",
 		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, observed) },
@@ -140,7 +140,7 @@
 	) {
 		t.Fatal("the change was not finished")
 	}
-	if w.editRegister(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4") {
+	if sim.editRegister(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4") {
 		t.Error("an edit was acknowledged by the old cores after the change to the new ones was finished")
 	}
 }
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -25,7 +25,7 @@
 const (
 	fullSetWait  = 150 * time.Millisecond // at least as many stores as copies, in enough zones
 	majorityWait = time.Second            // stores for a majority of the copies
-	minorityWait = 5 * time.Second        // so few stores that losing one loses the only copy of its data
+	minorityWait = 5 * time.Second        // fewer stores, so that losing one could lose data
 )
 
 // Member is the state of a machine as a core knows it from the machine's lease renewals.
@@ -35,8 +35,8 @@
 	// IdentityVersion is the cluster version that was in force when the machine created its
 	// identity.
 	IdentityVersion uint64
-	// Confirmed is the cluster version that the machine has confirmed to be in force. It
-	// refuses requests that act on an older set.
+	// Confirmed is the cluster version that the machine has confirmed to be in force. The
+	// machine refuses requests that act on an older set.
 	Confirmed       uint64
 	Live            bool // its lease has not expired
 	UnresponsiveFor time.Duration
--- a/internal/coordination/membership/stores_history_test.go
+++ b/internal/coordination/membership/stores_history_test.go
@@ -15,7 +15,7 @@
 
 // removal is a model with four stores, of which one that holds a key is removed.
 type removal struct {
-	*storesWorld
+	*storesSimulation
 	key       string
 	old       []spec.Machine // the key's replicas before; the first one is removed
 	next      []spec.Machine
@@ -23,9 +23,9 @@
 }
 
 func newRemoval(t *testing.T) *removal {
-	w := newStoresWorld(t, 1)
-	set := w.current().Cluster.Stores
-	r := &removal{storesWorld: w, key: "k0", old: cluster.Holders(set, "k0", copies)}
+	sim := newStoresSimulation(t, 1)
+	set := sim.current().Cluster.Stores
+	r := &removal{storesSimulation: sim, key: "k0", old: cluster.Holders(set, "k0", copies)}
 	for _, m := range set {
 		if m != r.old[0] {
 			r.next = append(r.next, m)
--- a/internal/coordination/membership/stores_model_test.go
+++ b/internal/coordination/membership/stores_model_test.go
@@ -123,7 +123,8 @@
 	deliveries int
 }
 
-type storesWorld struct {
+// storesSimulation is the state of the stores' model.
+type storesSimulation struct {
 	t             *testing.T
 	random        *rand.Rand
 	versions      [][]byte
@@ -142,8 +143,8 @@
 	steps         int
 }
 
-func newStoresWorld(t *testing.T, seed uint64) *storesWorld {
-	w := &storesWorld{
+func newStoresSimulation(t *testing.T, seed uint64) *storesSimulation {
+	sim := &storesSimulation{
 		t:            t,
 		random:       rand.New(rand.NewPCG(seed, 7)),
 		nodes:        map[string]*storeNode{},
@@ -152,7 +153,7 @@
 	}
 	c := &spec.Cluster{Copies: copies, StoresSince: 1, CoresSince: 1, SelfManaged: true}
 	for i := range 6 {
-		n := w.newNode(fmt.Sprintf("s%d", i), string(rune('a'+i%3)))
+		n := sim.newNode(fmt.Sprintf("s%d", i), string(rune('a'+i%3)))
 		if i < 3+int(seed%2) {
 			c.Stores = append(c.Stores, n.machine)
 		}
@@ -161,84 +162,84 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.versions, w.newest = [][]byte{raw}, cluster.New(nil, nil)
-	for _, n := range w.nodes {
-		w.apply(n.view, 1)
+	sim.versions, sim.newest = [][]byte{raw}, cluster.New(nil, nil)
+	for _, n := range sim.nodes {
+		sim.apply(n.view, 1)
 	}
 	for range 2 {
-		w.writers = append(w.writers, &writer{view: w.newView()})
-		w.reconcilers = append(w.reconcilers, &reconciler{view: w.newView()})
+		sim.writers = append(sim.writers, &writer{view: sim.newView()})
+		sim.reconcilers = append(sim.reconcilers, &reconciler{view: sim.newView()})
 	}
-	return w
+	return sim
 }
 
-func (w *storesWorld) newView() *cluster.Cluster {
+func (sim *storesSimulation) newView() *cluster.Cluster {
 	c := cluster.New(nil, nil)
-	w.apply(c, 1)
+	sim.apply(c, 1)
 	return c
 }
 
-func (w *storesWorld) newNode(id, zone string) *storeNode {
-	w.identityCount++
+func (sim *storesSimulation) newNode(id, zone string) *storeNode {
+	sim.identityCount++
 	n := &storeNode{view: cluster.New(nil, nil), disk: newMemoryDisk()}
-	n.machine = spec.Machine{ID: id, Addr: id, Zone: zone, Ident: fmt.Sprintf("i%d", w.identityCount)}
+	n.machine = spec.Machine{ID: id, Addr: id, Zone: zone, Ident: fmt.Sprintf("i%d", sim.identityCount)}
 	n.voter = register.NewAcceptor(n.disk)
-	w.nodes[id] = n
+	sim.nodes[id] = n
 	return n
 }
 
-func (w *storesWorld) logf(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf(format, args...))
+func (sim *storesSimulation) logf(format string, args ...any) {
+	sim.log = append(sim.log, fmt.Sprintf(format, args...))
 }
 
-func (w *storesWorld) fail(format string, args ...any) {
-	w.t.Fatalf("%s\n%s", fmt.Sprintf(format, args...), strings.Join(w.log, "\n"))
+func (sim *storesSimulation) fail(format string, args ...any) {
+	sim.t.Fatalf("%s\n%s", fmt.Sprintf(format, args...), strings.Join(sim.log, "\n"))
 }
 
 // apply applies a version to a process's view.
-func (w *storesWorld) apply(c *cluster.Cluster, ver uint64) {
-	if err := c.Apply(ver, w.versions[ver-1]); err != nil {
-		w.t.Fatal(err)
+func (sim *storesSimulation) apply(c *cluster.Cluster, ver uint64) {
+	if err := c.Apply(ver, sim.versions[ver-1]); err != nil {
+		sim.t.Fatal(err)
 	}
 }
 
 // learn applies a random later version to a process's view, which may skip versions.
-func (w *storesWorld) learn(c *cluster.Cluster) {
-	last, now := uint64(len(w.versions)), c.Now().Version
+func (sim *storesSimulation) learn(c *cluster.Cluster) {
+	last, now := uint64(len(sim.versions)), c.Now().Version
 	switch {
 	case now == last:
-	case w.random.IntN(2) == 0:
-		w.apply(c, last)
+	case sim.random.IntN(2) == 0:
+		sim.apply(c, last)
 	default:
-		w.apply(c, now+1+w.random.Uint64N(last-now))
+		sim.apply(c, now+1+sim.random.Uint64N(last-now))
 	}
 }
 
 // current returns the view of the newest version.
-func (w *storesWorld) current() *cluster.View {
-	if last := uint64(len(w.versions)); w.newest.Now().Version < last {
-		w.apply(w.newest, last)
+func (sim *storesSimulation) current() *cluster.View {
+	if last := uint64(len(sim.versions)); sim.newest.Now().Version < last {
+		sim.apply(sim.newest, last)
 	}
-	return w.newest.Now()
+	return sim.newest.Now()
 }
 
 // editRegister edits the cluster's register, as cluster.Change does.
-func (w *storesWorld) editRegister(description string, f func(*spec.Cluster) error) bool {
-	last := uint64(len(w.versions))
+func (sim *storesSimulation) editRegister(description string, f func(*spec.Cluster) error) bool {
+	last := uint64(len(sim.versions))
 	var c spec.Cluster
-	if err := c.UnmarshalJSON(w.versions[last-1]); err != nil {
-		w.t.Fatal(err)
+	if err := c.UnmarshalJSON(sim.versions[last-1]); err != nil {
+		sim.t.Fatal(err)
 	}
 	if err := cluster.Edit(&c, last+1, f); err != nil {
 		return false
 	}
 	raw, err := c.MarshalJSON()
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	w.versions = append(w.versions, raw)
-	w.logf("v%d %s: %v -> %v", last+1, description, machineNames(c.Stores), machineNames(c.NextStores))
-	w.checkIdentities(&c)
+	sim.versions = append(sim.versions, raw)
+	sim.logf("v%d %s: %v -> %v", last+1, description, machineNames(c.Stores), machineNames(c.NextStores))
+	sim.checkIdentities(&c)
 	return true
 }
 
@@ -252,46 +253,46 @@
 
 // checkIdentities verifies that an identity that was removed from all sets is never in a set
 // again.
-func (w *storesWorld) checkIdentities(c *spec.Cluster) {
+func (sim *storesSimulation) checkIdentities(c *spec.Cluster) {
 	in := map[string]bool{}
 	for _, m := range slices.Concat(c.Stores, c.NextStores) {
-		if in[m.Ident] = true; w.removed[m.Ident] {
-			w.fail("removed identity %s is in a set again", m.Ident)
+		if in[m.Ident] = true; sim.removed[m.Ident] {
+			sim.fail("removed identity %s is in a set again", m.Ident)
 		}
 	}
 	var before spec.Cluster
-	if err := before.UnmarshalJSON(w.versions[len(w.versions)-2]); err != nil {
-		w.t.Fatal(err)
+	if err := before.UnmarshalJSON(sim.versions[len(sim.versions)-2]); err != nil {
+		sim.t.Fatal(err)
 	}
 	for _, m := range slices.Concat(before.Stores, before.NextStores) {
 		if !in[m.Ident] {
-			w.removed[m.Ident] = true
+			sim.removed[m.Ident] = true
 		}
 	}
 }
 
 // present reports whether a machine of a set still has its disk.
-func (w *storesWorld) present(m spec.Machine) bool {
-	n := w.nodes[m.Addr]
+func (sim *storesSimulation) present(m spec.Machine) bool {
+	n := sim.nodes[m.Addr]
 	return n != nil && n.machine.Ident == m.Ident
 }
 
-func (w *storesWorld) hasCopy(m spec.Machine, key, name string) bool {
-	r := w.nodes[m.Addr].disk.records[key]
+func (sim *storesSimulation) hasCopy(m spec.Machine, key, name string) bool {
+	r := sim.nodes[m.Addr].disk.records[key]
 	return r != nil && slices.Contains(writeNames(r.Cell), name)
 }
 
-// check verifies that every quorum of the sets in force returns all acknowledged writes.
-func (w *storesWorld) check() {
-	v := w.current()
+// check verifies that every quorum of the sets in force includes all acknowledged writes.
+func (sim *storesSimulation) check() {
+	v := sim.current()
 	groups := [][]spec.Machine{v.Cluster.Stores}
 	if len(v.NextStores) > 0 {
 		groups = append(groups, v.NextStores)
 	}
-	for key, writes := range w.acknowledged {
+	for key, writes := range sim.acknowledged {
 		for _, name := range writes {
-			if !w.readable(groups, key, name) {
-				w.fail("write %s of %s can be missed at version %d", name, key, v.Version)
+			if !sim.readable(groups, key, name) {
+				sim.fail("write %s of %s can be missed at version %d", name, key, v.Version)
 			}
 		}
 	}
@@ -299,12 +300,12 @@
 
 // readable reports whether every quorum includes a write: in at least one set, the replicas
 // without the write that still have their disk are less than a majority.
-func (w *storesWorld) readable(groups [][]spec.Machine, key, name string) bool {
+func (sim *storesSimulation) readable(groups [][]spec.Machine, key, name string) bool {
 	for _, group := range groups {
 		holders := cluster.Holders(group, key, copies)
 		missing := 0
 		for _, m := range holders {
-			if w.present(m) && !w.hasCopy(m, key, name) {
+			if sim.present(m) && !sim.hasCopy(m, key, name) {
 				missing++
 			}
 		}
@@ -317,22 +318,22 @@
 
 // checkMajority verifies right after the end of a change that a majority of each key's
 // replicas has all acknowledged writes, where replicas that lost their disk are excused.
-func (w *storesWorld) checkMajority() {
-	v := w.current()
-	for key, writes := range w.acknowledged {
+func (sim *storesSimulation) checkMajority() {
+	v := sim.current()
+	for key, writes := range sim.acknowledged {
 		holders := cluster.Holders(v.Cluster.Stores, key, copies)
 		for _, name := range writes {
 			present, lost := 0, 0
 			for _, m := range holders {
 				switch {
-				case !w.present(m):
+				case !sim.present(m):
 					lost++
-				case w.hasCopy(m, key, name):
+				case sim.hasCopy(m, key, name):
 					present++
 				}
 			}
 			if present == 0 || (present+lost)*2 <= len(holders) {
-				w.fail(
+				sim.fail(
 					"write %s of %s is at %d of %d replicas at version %d, %d lost their disk",
 					name,
 					key,
@@ -354,15 +355,15 @@
 
 // deliver passes a message to a store, which checks its version. An admitted message reaches
 // the disk in a later step.
-func (w *storesWorld) deliver(m *message) {
-	n := w.nodes[m.to.Addr]
+func (sim *storesSimulation) deliver(m *message) {
+	n := sim.nodes[m.to.Addr]
 	if n.machine.Ident != m.to.Ident || !n.votes() || membership.Stale(n.view.Now(), m.op.version) {
 		return
 	}
-	n.admitted = append(n.admitted, func() { w.commit(n, m) })
+	n.admitted = append(n.admitted, func() { sim.commit(n, m) })
 }
 
-func (w *storesWorld) commit(n *storeNode, m *message) {
+func (sim *storesSimulation) commit(n *storeNode, m *message) {
 	if n.machine.Ident != m.to.Ident {
 		return
 	}
@@ -370,7 +371,7 @@
 	if m.accept {
 		if _, err := n.voter.Accept(&wire.Acc{Key: op.key, Ballot: op.ballot, Cell: m.cell}); err == nil {
 			op.accepted[m.to] = true
-			w.logf("%s accepts %s of %s sent under v%d, is at v%d", m.to.Addr, op.name, op.key, op.version, n.view.Now().Version)
+			sim.logf("%s accepts %s of %s sent under v%d, is at v%d", m.to.Addr, op.name, op.key, op.version, n.view.Now().Version)
 		}
 		return
 	}
@@ -387,39 +388,39 @@
 	return set.Quorum(answered)
 }
 
-func (w *storesWorld) send(op *write, accept bool) {
+func (sim *storesSimulation) send(op *write, accept bool) {
 	for _, r := range op.set.All() {
-		w.network = append(w.network, &message{to: r, op: op, accept: accept, cell: op.cell})
+		sim.network = append(sim.network, &message{to: r, op: op, accept: accept, cell: op.cell})
 	}
 }
 
 // stepWriter executes one step of a writer.
-func (w *storesWorld) stepWriter(writer *writer) {
+func (sim *storesSimulation) stepWriter(writer *writer) {
 	op := writer.op
 	switch {
 	case op == nil:
-		w.beginWrite(writer)
+		sim.beginWrite(writer)
 	case op.cell == nil && quorum(op.set, op.promised):
 		op.cell = nextCell(op)
-		w.send(op, true)
+		sim.send(op, true)
 	case op.cell != nil && quorum(op.set, op.accepted):
-		w.acknowledged[op.key] = append(w.acknowledged[op.key], op.name)
-		w.logf("%s of %s is acknowledged", op.name, op.key)
+		sim.acknowledged[op.key] = append(sim.acknowledged[op.key], op.name)
+		sim.logf("%s of %s is acknowledged", op.name, op.key)
 		writer.op = nil
-	case w.random.IntN(40) == 0 || !w.inFlight(op):
+	case sim.random.IntN(40) == 0 || !sim.inFlight(op):
 		// The writer gives up. Its messages remain on the network.
 		writer.op = nil
-		w.learn(writer.view)
+		sim.learn(writer.view)
 	}
 }
 
 // inFlight reports whether a write has messages on the network, or any store has admitted
 // requests that are not on its disk yet.
-func (w *storesWorld) inFlight(op *write) bool {
-	if slices.ContainsFunc(w.network, func(m *message) bool { return m.op == op }) {
+func (sim *storesSimulation) inFlight(op *write) bool {
+	if slices.ContainsFunc(sim.network, func(m *message) bool { return m.op == op }) {
 		return true
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if len(n.admitted) > 0 {
 			return true
 		}
@@ -427,25 +428,25 @@
 	return false
 }
 
-func (w *storesWorld) beginWrite(writer *writer) {
+func (sim *storesSimulation) beginWrite(writer *writer) {
 	v := writer.view.Now()
-	key := fmt.Sprintf("k%d", w.random.IntN(2))
+	key := fmt.Sprintf("k%d", sim.random.IntN(2))
 	set := v.Stores(key)
 	if set == nil {
 		return
 	}
-	w.clock++
-	w.writes++
+	sim.clock++
+	sim.writes++
 	writer.op = &write{
 		key:      key,
-		name:     fmt.Sprintf("w%d", w.writes),
+		name:     fmt.Sprintf("w%d", sim.writes),
 		version:  v.Version,
 		set:      set,
-		ballot:   &wire.Ballot{N: w.clock, Node: 1},
+		ballot:   &wire.Ballot{N: sim.clock, Node: 1},
 		promised: map[register.Replica]*wire.View{},
 		accepted: map[register.Replica]bool{},
 	}
-	w.send(writer.op, false)
+	sim.send(writer.op, false)
 }
 
 // nextCell returns the cell that a write proposes, based on the promise with the highest
@@ -464,52 +465,52 @@
 }
 
 // stepNetwork delivers a random message, which may stay on the network for a second delivery.
-func (w *storesWorld) stepNetwork() {
-	if len(w.network) == 0 {
+func (sim *storesSimulation) stepNetwork() {
+	if len(sim.network) == 0 {
 		return
 	}
-	i := w.random.IntN(len(w.network))
-	if w.random.IntN(4) > 0 {
-		i = len(w.network) - 1 - w.random.IntN(min(len(w.network), 8))
+	i := sim.random.IntN(len(sim.network))
+	if sim.random.IntN(4) > 0 {
+		i = len(sim.network) - 1 - sim.random.IntN(min(len(sim.network), 8))
 	}
-	m := w.network[i]
-	w.deliver(m)
-	if m.deliveries++; m.deliveries > 1 || w.random.IntN(8) > 0 {
-		w.network = slices.Delete(w.network, i, i+1)
+	m := sim.network[i]
+	sim.deliver(m)
+	if m.deliveries++; m.deliveries > 1 || sim.random.IntN(8) > 0 {
+		sim.network = slices.Delete(sim.network, i, i+1)
 	}
 }
 
 // stepStore executes one step of a store: it writes an admitted request to the disk, advances
 // the transfer of its keys, or learns of a later version.
-func (w *storesWorld) stepStore(n *storeNode) {
+func (sim *storesSimulation) stepStore(n *storeNode) {
 	switch {
-	case len(n.admitted) > 0 && w.random.IntN(4) > 0:
+	case len(n.admitted) > 0 && sim.random.IntN(4) > 0:
 		n.admitted[0]()
 		n.admitted = n.admitted[1:]
-	case n.transfer != nil && !n.transfer.done && w.random.IntN(4) > 0:
-		w.stepTransfer(n, n.transfer)
-	case w.random.IntN(3) == 0:
-		w.learn(n.view)
+	case n.transfer != nil && !n.transfer.done && sim.random.IntN(4) > 0:
+		sim.stepTransfer(n, n.transfer)
+	case sim.random.IntN(3) == 0:
+		sim.learn(n.view)
 	}
 }
 
 // stepTransfer requests a page from the next source or imports a received page. After the last
 // page it imports the copies that were sent by name only.
-func (w *storesWorld) stepTransfer(n *storeNode, transfer *keyTransfer) {
+func (sim *storesSimulation) stepTransfer(n *storeNode, transfer *keyTransfer) {
 	switch {
-	case len(transfer.pages) > 0 && (transfer.requested == len(transfer.sources) || w.random.IntN(2) == 0):
-		w.importPage(n, transfer)
+	case len(transfer.pages) > 0 && (transfer.requested == len(transfer.sources) || sim.random.IntN(2) == 0):
+		sim.importPage(n, transfer)
 	case transfer.requested < len(transfer.sources):
-		w.requestPage(n, transfer, transfer.sources[transfer.requested])
+		sim.requestPage(n, transfer, transfer.sources[transfer.requested])
 		transfer.requested++
 	default:
 		transfer.done = true
 		transfer.complete = membership.Readable(transfer.view.Cluster.Stores, transfer.failed, copies) &&
-			w.importNamed(n, transfer)
+			sim.importNamed(n, transfer)
 	}
 }
 
-func (w *storesWorld) importPage(n *storeNode, transfer *keyTransfer) {
+func (sim *storesSimulation) importPage(n *storeNode, transfer *keyTransfer) {
 	var withValue []*wire.Copy
 	for _, c := range transfer.pages[0] {
 		if c.Rec != nil {
@@ -517,20 +518,20 @@
 		}
 	}
 	transfer.pages = transfer.pages[1:]
-	w.importCopies(n, withValue)
+	sim.importCopies(n, withValue)
 }
 
-func (w *storesWorld) importCopies(n *storeNode, copies []*wire.Copy) {
+func (sim *storesSimulation) importCopies(n *storeNode, copies []*wire.Copy) {
 	if _, err := n.voter.Import(copies, n.disk.saveAll); err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 }
 
 // answeringSource returns the store that answers a transfer request to a machine, or nil if the
 // request is lost or refused.
-func (w *storesWorld) answeringSource(_ *storeNode, transfer *keyTransfer, m spec.Machine) *storeNode {
-	other := w.nodes[m.Addr]
-	lost := w.random.IntN(8) == 0
+func (sim *storesSimulation) answeringSource(_ *storeNode, transfer *keyTransfer, m spec.Machine) *storeNode {
+	other := sim.nodes[m.Addr]
+	lost := sim.random.IntN(8) == 0
 	if lost || other.machine.Ident != m.Ident ||
 		!membership.SameStores(other.view.Now(), transfer.version, transfer.setsDigest) {
 		return nil
@@ -543,11 +544,11 @@
 	return other
 }
 
-func (w *storesWorld) requestPage(n *storeNode, transfer *keyTransfer, m spec.Machine) {
-	if w.random.IntN(8) > 0 && w.present(m) {
-		w.learn(w.nodes[m.Addr].view)
+func (sim *storesSimulation) requestPage(n *storeNode, transfer *keyTransfer, m spec.Machine) {
+	if sim.random.IntN(8) > 0 && sim.present(m) {
+		sim.learn(sim.nodes[m.Addr].view)
 	}
-	other := w.answeringSource(n, transfer, m)
+	other := sim.answeringSource(n, transfer, m)
 	if other == nil {
 		transfer.failed = append(transfer.failed, m.Ident)
 		return
@@ -574,26 +575,26 @@
 
 // importNamed requests and imports the copies that were sent by name only. It reports whether
 // their sources have answered.
-func (w *storesWorld) importNamed(n *storeNode, transfer *keyTransfer) bool {
+func (sim *storesSimulation) importNamed(n *storeNode, transfer *keyTransfer) bool {
 	for key, named := range transfer.named {
 		if r := n.disk.records[key]; r != nil && wire.CompareBallots(r.Accepted, named.ballot) >= 0 {
 			continue
 		}
-		other := w.answeringSource(n, transfer, named.source)
+		other := sim.answeringSource(n, transfer, named.source)
 		if other == nil {
 			return false
 		}
 		r := other.disk.records[key]
-		w.importCopies(n, []*wire.Copy{{Key: key, Rec: &wire.Rec{Accepted: r.Accepted, Cell: r.Cell}}})
+		sim.importCopies(n, []*wire.Copy{{Key: key, Rec: &wire.Rec{Accepted: r.Accepted, Cell: r.Cell}}})
 	}
 	return true
 }
 
 // requestTransfer requests a store to transfer its keys for a change, and reports whether the
 // transfer is complete.
-func (w *storesWorld) requestTransfer(n *storeNode, version, setsDigest uint64) bool {
+func (sim *storesSimulation) requestTransfer(n *storeNode, version, setsDigest uint64) bool {
 	for n.view.Now().Version < version {
-		w.learn(n.view)
+		sim.learn(n.view)
 	}
 	v := n.view.Now()
 	if !membership.SameStores(v, version, setsDigest) || len(v.NextStores) == 0 {
@@ -610,24 +611,24 @@
 			n.transfer.sources = append(n.transfer.sources, m)
 		}
 	}
-	w.random.Shuffle(len(n.transfer.sources), func(i, j int) {
+	sim.random.Shuffle(len(n.transfer.sources), func(i, j int) {
 		n.transfer.sources[i], n.transfer.sources[j] = n.transfer.sources[j], n.transfer.sources[i]
 	})
 	return false
 }
 
 // stepReconciler executes one step of a reconciler, which may be paused between any two steps.
-func (w *storesWorld) stepReconciler(r *reconciler) {
-	if len(w.versions) < r.resumeAt {
+func (sim *storesSimulation) stepReconciler(r *reconciler) {
+	if len(sim.versions) < r.resumeAt {
 		return
 	}
 	if r.observed == nil {
-		w.learn(r.view)
+		sim.learn(r.view)
 		r.observed, r.complete = r.view.Now(), map[string]bool{}
 	}
 	change := membership.Of(&r.observed.Cluster, membership.Stores)
 	if !change.Running() {
-		w.beginChange(change)
+		sim.beginChange(change)
 		r.observed = nil
 		return
 	}
@@ -635,11 +636,11 @@
 		if r.complete[receiver.Ident] {
 			continue
 		}
-		if w.present(receiver) &&
-			w.requestTransfer(w.nodes[receiver.Addr], r.observed.StoresVersion, r.observed.StoresDigest()) {
+		if sim.present(receiver) &&
+			sim.requestTransfer(sim.nodes[receiver.Addr], r.observed.StoresVersion, r.observed.StoresDigest()) {
 			r.complete[receiver.Ident] = true
-			w.logf("%s has completed its transfer for v%d", receiver.ID, r.observed.StoresVersion)
-		} else if w.random.IntN(100) == 0 {
+			sim.logf("%s has completed its transfer for v%d", receiver.ID, r.observed.StoresVersion)
+		} else if sim.random.IntN(100) == 0 {
 			r.observed = nil
 		}
 		return
@@ -647,67 +648,67 @@
 	// All receivers have reported completion. Finishing the change is a separate step.
 	if !r.finishing {
 		r.finishing = true
-		if w.random.IntN(3) > 0 {
-			r.resumeAt = len(w.versions) + 1 + w.random.IntN(4)
+		if sim.random.IntN(3) > 0 {
+			r.resumeAt = len(sim.versions) + 1 + sim.random.IntN(4)
 		}
 		return
 	}
-	finished := w.editRegister(
+	finished := sim.editRegister(
 		"finished",
 		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Stores, change) },
 	)
 	r.observed, r.finishing = nil, false
 	if finished {
-		w.checkMajority()
+		sim.checkMajority()
 	}
 }
 
 // beginChange starts a change of the stores to a random target, which may be an earlier one.
-func (w *storesWorld) beginChange(observed membership.Change) {
-	next := w.randomTarget(observed.Now)
+func (sim *storesSimulation) beginChange(observed membership.Change) {
+	next := sim.randomTarget(observed.Now)
 	if len(next) < copies || slices.Equal(next, observed.Now) {
 		return
 	}
-	if w.editRegister("started", func(c *spec.Cluster) error {
-		if !membership.Of(c, membership.Stores).Equal(observed) || w.hasUsedIdentity(c, next) {
+	if sim.editRegister("started", func(c *spec.Cluster) error {
+		if !membership.Of(c, membership.Stores).Equal(observed) || sim.hasUsedIdentity(c, next) {
 			return cluster.ErrNoChange
 		}
 		membership.SetNext(c, membership.Stores, next)
 		return nil
 	}) {
-		w.recentTargets = append(w.recentTargets, next)
+		sim.recentTargets = append(sim.recentTargets, next)
 	}
 }
 
-func (w *storesWorld) hasUsedIdentity(c *spec.Cluster, next []spec.Machine) bool {
+func (sim *storesSimulation) hasUsedIdentity(c *spec.Cluster, next []spec.Machine) bool {
 	return slices.ContainsFunc(next, func(m spec.Machine) bool { return slices.Contains(c.Used, m.Ident) })
 }
 
 // randomTarget returns the most recent target, or a random set that differs from the current
 // one in at most one machine.
-func (w *storesWorld) randomTarget(now []spec.Machine) []spec.Machine {
-	if len(w.recentTargets) > 0 && w.random.IntN(3) > 0 {
-		return w.recentTargets[len(w.recentTargets)-1]
+func (sim *storesSimulation) randomTarget(now []spec.Machine) []spec.Machine {
+	if len(sim.recentTargets) > 0 && sim.random.IntN(3) > 0 {
+		return sim.recentTargets[len(sim.recentTargets)-1]
 	}
 	next := slices.Clone(now)
 	var others []spec.Machine
-	for _, id := range slices.Sorted(maps.Keys(w.nodes)) {
-		m := w.nodes[id].machine
+	for _, id := range slices.Sorted(maps.Keys(sim.nodes)) {
+		m := sim.nodes[id].machine
 		if !slices.ContainsFunc(now, func(o spec.Machine) bool { return o.ID == m.ID && o.Ident == m.Ident }) {
 			others = append(others, m)
 		}
 	}
-	i := w.random.IntN(len(next))
-	switch kind := w.random.IntN(4); {
+	i := sim.random.IntN(len(next))
+	switch kind := sim.random.IntN(4); {
 	case kind < 2 && len(next) > copies:
 		return slices.Delete(next, i, i+1)
 	case len(others) == 0:
 		return next
 	}
-	m := others[w.random.IntN(len(others))]
+	m := others[sim.random.IntN(len(others))]
 	if j := slices.IndexFunc(next, func(o spec.Machine) bool { return o.ID == m.ID }); j >= 0 {
 		next[j] = m
-	} else if len(next) < 5 && w.random.IntN(2) == 0 {
+	} else if len(next) < 5 && sim.random.IntN(2) == 0 {
 		next = append(next, m)
 	} else {
 		next[i] = m
@@ -716,18 +717,18 @@
 }
 
 // stepOperator starts a change, or reverts or redirects the one in progress.
-func (w *storesWorld) stepOperator() {
-	v := w.current()
+func (sim *storesSimulation) stepOperator() {
+	v := sim.current()
 	if len(v.NextStores) == 0 {
-		w.beginChange(membership.Of(&v.Cluster, membership.Stores))
+		sim.beginChange(membership.Of(&v.Cluster, membership.Stores))
 		return
 	}
 	next := []spec.Machine(nil)
-	if w.random.IntN(3) == 0 {
-		next = w.randomTarget(v.Cluster.Stores)
+	if sim.random.IntN(3) == 0 {
+		next = sim.randomTarget(v.Cluster.Stores)
 	}
-	w.editRegister("redirected", func(c *spec.Cluster) error {
-		if w.hasUsedIdentity(c, next) || len(next) > 0 && len(next) < copies {
+	sim.editRegister("redirected", func(c *spec.Cluster) error {
+		if sim.hasUsedIdentity(c, next) || len(next) > 0 && len(next) < copies {
 			return cluster.ErrNoChange
 		}
 		membership.SetNext(c, membership.Stores, next)
@@ -737,14 +738,14 @@
 
 // stepDiskLoss makes a machine lose its disk, unless less than a majority of some key's replicas
 // would be left in a set in force.
-func (w *storesWorld) stepDiskLoss() {
-	ids := slices.Sorted(maps.Keys(w.nodes))
-	n := w.nodes[ids[w.random.IntN(len(ids))]]
-	v := w.current()
+func (sim *storesSimulation) stepDiskLoss() {
+	ids := slices.Sorted(maps.Keys(sim.nodes))
+	n := sim.nodes[ids[sim.random.IntN(len(ids))]]
+	v := sim.current()
 	for _, set := range [][]spec.Machine{v.Cluster.Stores, v.NextStores} {
 		var lost []string
 		for _, m := range set {
-			if !w.present(m) || m.Ident == n.machine.Ident {
+			if !sim.present(m) || m.Ident == n.machine.Ident {
 				lost = append(lost, m.Ident)
 			}
 		}
@@ -752,51 +753,51 @@
 			return
 		}
 	}
-	w.logf("%s loses its disk", n.machine.ID)
-	wiped := w.newNode(n.machine.ID, n.machine.Zone)
-	w.learn(wiped.view)
+	sim.logf("%s loses its disk", n.machine.ID)
+	wiped := sim.newNode(n.machine.ID, n.machine.Zone)
+	sim.learn(wiped.view)
 }
 
 // pickNode returns a random store, preferably one with pending work.
-func (w *storesWorld) pickNode() *storeNode {
-	ids := slices.Sorted(maps.Keys(w.nodes))
+func (sim *storesSimulation) pickNode() *storeNode {
+	ids := slices.Sorted(maps.Keys(sim.nodes))
 	var busy []string
 	for _, id := range ids {
-		if n := w.nodes[id]; len(n.admitted) > 0 || n.transfer != nil && !n.transfer.done {
+		if n := sim.nodes[id]; len(n.admitted) > 0 || n.transfer != nil && !n.transfer.done {
 			busy = append(busy, id)
 		}
 	}
-	if len(busy) > 0 && w.random.IntN(5) > 0 {
+	if len(busy) > 0 && sim.random.IntN(5) > 0 {
 		ids = busy
 	}
-	return w.nodes[ids[w.random.IntN(len(ids))]]
+	return sim.nodes[ids[sim.random.IntN(len(ids))]]
 }
 
 // anyPaused reports whether a reconciler is paused until a later version.
-func (w *storesWorld) anyPaused() bool {
-	return slices.ContainsFunc(w.reconcilers, func(r *reconciler) bool { return len(w.versions) < r.resumeAt })
+func (sim *storesSimulation) anyPaused() bool {
+	return slices.ContainsFunc(sim.reconcilers, func(r *reconciler) bool { return len(sim.versions) < r.resumeAt })
 }
 
-func (w *storesWorld) step() {
-	w.steps++
-	switch k := w.random.IntN(200); {
+func (sim *storesSimulation) step() {
+	sim.steps++
+	switch k := sim.random.IntN(200); {
 	case k < 60:
-		w.stepNetwork()
+		sim.stepNetwork()
 	case k < 90:
-		w.stepWriter(w.writers[w.random.IntN(len(w.writers))])
+		sim.stepWriter(sim.writers[sim.random.IntN(len(sim.writers))])
 	case k < 150:
-		w.stepStore(w.pickNode())
+		sim.stepStore(sim.pickNode())
 	case k < 197:
-		w.stepReconciler(w.reconcilers[w.random.IntN(len(w.reconcilers))])
+		sim.stepReconciler(sim.reconcilers[sim.random.IntN(len(sim.reconcilers))])
 	case k < 199:
-		w.stepOperator()
+		sim.stepOperator()
 	default:
-		w.stepDiskLoss()
+		sim.stepDiskLoss()
 	}
-	if w.anyPaused() && w.random.IntN(40) == 0 {
-		w.stepOperator()
+	if sim.anyPaused() && sim.random.IntN(40) == 0 {
+		sim.stepOperator()
 	}
-	w.check()
+	sim.check()
 }
 
 // intFromEnv returns the value of an environment variable, or a default if it is not a number.
@@ -815,15 +816,15 @@
 	n, first := intFromEnv("MODEL_HISTORIES", 300), intFromEnv("MODEL_FIRST", 1)
 	steps, acknowledged, finished := 0, 0, 0
 	for seed := range n {
-		w := newStoresWorld(t, uint64(first+seed))
+		sim := newStoresSimulation(t, uint64(first+seed))
 		for range 400 {
-			w.step()
+			sim.step()
 		}
-		steps += w.steps
-		for _, a := range w.acknowledged {
+		steps += sim.steps
+		for _, a := range sim.acknowledged {
 			acknowledged += len(a)
 		}
-		for _, line := range w.log {
+		for _, line := range sim.log {
 			if strings.Contains(line, "finished") {
 				finished++
 			}
--- a/internal/coordination/web/web.go
+++ b/internal/coordination/web/web.go
@@ -145,8 +145,9 @@
 	})
 }
 
-// Serve serves HTTP at addr until ctx is canceled. It then shuts the server down gracefully
-// and closes the connections that are still active after the grace period.
+// Serve serves HTTP at addr until the server fails or ctx is canceled. On cancellation it shuts
+// the server down gracefully and closes the connections that are still active after the grace
+// period.
 func Serve(ctx context.Context, opener listen.Opener, addr string, e *echo.Echo, gracePeriod time.Duration) error {
 	listener, err := opener.TCP(ctx, net.ListenConfig{}, addr)
 	if err != nil {
