--- a/cmd/damsontiller-control/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -29,7 +29,7 @@
 	}
 	cp := core.Params{Zones: s.ZoneList(), Copies: s.Copies(), AckTimeout: time.Second, MoveRate: 500}
 	if s.Founds() {
-		cp.FounderAddrs = s.Peers()
+		cp.InitialCoreAddrs = s.Peers()
 	}
 	return runCore(
 		p,
--- a/internal/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -27,14 +27,14 @@
 	return nil
 }
 
-// MaxUsed is how many identities that were removed are listed at the most.
-const MaxUsed = 64
+// MaxRemovedIdentities is how many identities that were removed are listed at the most.
+const MaxRemovedIdentities = 64
 
 // pruneUsed cuts the list of identities that were removed. All that were ever in a set
 // were made under a lower version than the one of the cut, and are refused by that from
 // then on: see package membership.
 func pruneUsed(c *spec.Cluster, version uint64) {
-	if len(c.Used) > MaxUsed {
+	if len(c.Used) > MaxRemovedIdentities {
 		c.Used, c.IdentityFloor = nil, version
 	}
 }
--- a/internal/coordination/core/bootstrap.go
+++ b/internal/coordination/core/bootstrap.go
@@ -34,8 +34,8 @@
 		}
 		return out
 	}
-	if slices.Contains(c.params.FounderAddrs, c.Peer.Self.Addr) {
-		for _, a := range c.params.FounderAddrs {
+	if slices.Contains(c.params.InitialCoreAddrs, c.Peer.Self.Addr) {
+		for _, a := range c.params.InitialCoreAddrs {
 			out = append(out, founder{addr: a})
 		}
 	}
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -66,9 +66,9 @@
 // checkContact is the background task that updates the contact tracker.
 func (c *Core) checkContact(context.Context) { c.contact.check(c.moment(), c.Lease.Valid()) }
 
-// InContact rejects, for the moment, an order that may be an old one: this core is or was
+// RequireContact rejects, for the moment, an order that may be an old one: this core is or was
 // just out of contact, or the order's time is over. The error has code.OutOfContact.
-func (c *Core) InContact(ctx context.Context) error {
+func (c *Core) RequireContact(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	if bounded && time.Now().After(deadline) {
 		return code.New(code.OutOfContact, "the order's time is over")
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -31,8 +31,8 @@
 	SetAside(why string) error
 	// MeasureDisk measures the disk.
 	MeasureDisk()
-	DiskStates
-	Lister
+	DiskStatusReporter
+	KeyLister
 }
 
 // Params are a core machine's settings.
@@ -42,11 +42,11 @@
 	Cores     []spec.Machine
 	Stores    []spec.Machine
 	Spec      *spec.Spec
-	// FounderAddrs are the addresses of the cores that form the first set, where no names
+	// InitialCoreAddrs are the addresses of the cores that form the first set, where no names
 	// are known. It stands without stores, over Zones where there is no Spec; they
 	// are taken in as they come.
-	FounderAddrs []string
-	Zones        []string
+	InitialCoreAddrs []string
+	Zones            []string
 	// Copies is how many stores hold each key; 0 means 3.
 	Copies int
 	// MoveRate bounds the keys moved a second while a set changes.
@@ -130,7 +130,7 @@
 	c.Peer.Handle(&wire.Req_Renew{}, c.renew)
 	c.Peer.Handle(
 		&wire.Req_List{},
-		func(_ context.Context, q *wire.Req) (*wire.Resp, error) { return List(d, q.GetList(), nil) },
+		func(_ context.Context, q *wire.Req) (*wire.Resp, error) { return ListKeys(d, q.GetList(), nil) },
 	)
 	c.Peer.Handle(&wire.Req_Members{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
 		return &wire.Resp{
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -124,7 +124,7 @@
 		if !slices.Contains(s.Zones, z) {
 			return code.New(code.NoZone, "%q is not one of zones", z)
 		}
-		if err := c.InContact(x.Request().Context()); err != nil {
+		if err := c.RequireContact(x.Request().Context()); err != nil {
 			return err
 		}
 		s.EmptyZones = slices.DeleteFunc(slices.Clone(s.EmptyZones), func(e string) bool { return e == z })
@@ -149,8 +149,8 @@
 	})
 }
 
-// Ack is what becomes of an operator's change.
-type Ack struct {
+// ChangeResult is what becomes of an operator's change.
+type ChangeResult struct {
 	Version uint64
 	InForce bool     // nobody acts on an older one any more
 	Waiting []string // who still might
@@ -159,7 +159,7 @@
 // Change makes f's change of the cluster and waits, for as long as ctx lasts, until
 // it is in force. An error means that it was not chosen, or is uncertain; on a
 // conflict the version in force is given.
-func (c *Core) Change(ctx context.Context, expect uint64, f func(*spec.Cluster) error) (Ack, error) {
+func (c *Core) Change(ctx context.Context, expect uint64, f func(*spec.Cluster) error) (ChangeResult, error) {
 	return c.changeOnce(ctx, expect, spec.Operation{}, f)
 }
 
@@ -169,14 +169,14 @@
 	expect uint64,
 	operation spec.Operation,
 	f func(*spec.Cluster) error,
-) (Ack, error) {
+) (ChangeResult, error) {
 	ver, raw, err := c.Cluster.ChangeOnce(ctx, expect, operation, f)
 	if err != nil {
-		return Ack{Version: ver}, err
+		return ChangeResult{Version: ver}, err
 	}
 	c.Log.Info("spec chosen", "version", ver)
 	confirmed := c.broadcastSpec(ctx, ver, raw)
-	a := Ack{Version: ver, Waiting: []string{"unknown"}}
+	a := ChangeResult{Version: ver, Waiting: []string{"unknown"}}
 	for {
 		if w, err := c.unconfirmed(ctx, ver, confirmed); err == nil {
 			if a.Waiting = w; len(w) == 0 {
--- a/internal/coordination/core/persistence.go
+++ b/internal/coordination/core/persistence.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// DiskStates is what a data folder tells of itself.
-type DiskStates interface {
+// DiskStatusReporter is what a data folder tells of itself.
+type DiskStatusReporter interface {
 	// Status says what is wrong with the disk; HungFor for how long it has answered nothing.
 	Status() string
 	HungFor() time.Duration
@@ -50,7 +50,7 @@
 }
 
 // DiskState is what a lease's renewals state of a data folder.
-func DiskState(d DiskStates) lease.DiskState {
+func DiskState(d DiskStatusReporter) lease.DiskState {
 	return lease.DiskState{Status: d.Status(), HungFor: d.HungFor(), Folder: d.FolderState()}
 }
 
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -39,7 +39,7 @@
 		if slices.Contains(r.Retired, id) {
 			return cluster.ErrNoChange
 		}
-		if err := c.InContact(ctx); err != nil {
+		if err := c.RequireContact(ctx); err != nil {
 			return err
 		}
 		return retireStore(r, id, list.members)
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -71,7 +71,7 @@
 		ms = append(ms, m)
 	}
 	return c.change(x, 0, func(r *spec.Cluster) error {
-		if err := c.InContact(x.Request().Context()); err != nil {
+		if err := c.RequireContact(x.Request().Context()); err != nil {
 			return err
 		}
 		return do(r, set, o, ms)
--- a/internal/coordination/membership/identity_test.go
+++ b/internal/coordination/membership/identity_test.go
@@ -83,7 +83,7 @@
 			t.Fatalf("%s was taken in again: %v", ident, err)
 		}
 	}
-	if most := 5000; largest > most || len(r.c.Used) > cluster.MaxUsed {
+	if most := 5000; largest > most || len(r.c.Used) > cluster.MaxRemovedIdentities {
 		t.Errorf("the register has had %d bytes, %d identities are listed", largest, len(r.c.Used))
 	}
 	t.Logf(
@@ -126,7 +126,7 @@
 					t.Fatalf("%s, made under %d, is not refused at version %d", ident, made[ident], r.ver)
 				}
 			}
-			if len(r.c.Used) > cluster.MaxUsed || len(r.c.Spares) > len(r.c.Stores)+len(r.c.NextStores) {
+			if len(r.c.Used) > cluster.MaxRemovedIdentities || len(r.c.Spares) > len(r.c.Stores)+len(r.c.NextStores) {
 				t.Fatalf("%d used, %d beside", len(r.c.Used), len(r.c.Spares))
 			}
 		}
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -55,7 +55,7 @@
 	want := s.shared(addr)
 	after := ""
 	for {
-		rows, err := s.v.Keys(kind, after, core.MaxPage, want)
+		rows, err := s.v.Keys(kind, after, core.MaxKeysPerPage, want)
 		if err != nil {
 			return nil, err
 		}
@@ -66,7 +66,7 @@
 			// Sums do not hang on the order, and do not cancel out as XOR would.
 			out[bucket(r.Key)] += h.Sum64()
 		}
-		if len(rows) < core.MaxPage {
+		if len(rows) < core.MaxKeysPerPage {
 			return out, nil
 		}
 		after = rows[len(rows)-1].Key
@@ -84,7 +84,7 @@
 func (s *Store) answerList(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	l := q.GetList()
 	if len(l.Buckets) == 0 {
-		return core.List(s.v, l, nil)
+		return core.ListKeys(s.v, l, nil)
 	}
 	var in [Buckets]bool
 	for _, b := range l.Buckets {
@@ -93,7 +93,7 @@
 		}
 	}
 	shared := s.shared(q.From)
-	return core.List(s.v, l, func(k string) bool { return in[bucket(k)] && shared(k) })
+	return core.ListKeys(s.v, l, func(k string) bool { return in[bucket(k)] && shared(k) })
 }
 
 // repair compares with one other store and pulls what is newer there.
@@ -137,7 +137,7 @@
 	if len(theirs) != len(mine) {
 		return 0, code.New(code.Garbled, "%d digests, want %d", len(theirs), len(mine))
 	}
-	l := &wire.List{Kind: kind, Limit: core.MaxPage}
+	l := &wire.List{Kind: kind, Limit: core.MaxKeysPerPage}
 	for i := range mine {
 		if mine[i] != theirs[i] {
 			l.Buckets = append(l.Buckets, uint32(i))
@@ -159,7 +159,7 @@
 				n++
 			}
 		}
-		if len(rows) < core.MaxPage {
+		if len(rows) < core.MaxKeysPerPage {
 			break
 		}
 		l.After = rows[len(rows)-1].Key
--- a/internal/kit/sim/machine.go
+++ b/internal/kit/sim/machine.go
@@ -138,7 +138,7 @@
 	if s.found {
 		cp.Bootstrap, cp.Cores, cp.Stores = false, nil, nil
 		if first {
-			cp.FounderAddrs = np.Seeds
+			cp.InitialCoreAddrs = np.Seeds
 		}
 	}
 	c, err := core.New(cp, np, l.engine)
--- a/internal/kit/sim/membership_test.go
+++ b/internal/kit/sim/membership_test.go
@@ -447,7 +447,7 @@
 func forget(t *testing.T, ctx context.Context, s *sim.Sim) {
 	t.Helper()
 	_, _, err := s.Core("c1").Cluster.Change(ctx, 0, func(c *spec.Cluster) error {
-		for i := range cluster.MaxUsed + 1 {
+		for i := range cluster.MaxRemovedIdentities + 1 {
 			c.Used = append(c.Used, fmt.Sprint("earlier", i))
 		}
 		return nil
--- a/internal/platform/control/control_test.go
+++ b/internal/platform/control/control_test.go
@@ -71,7 +71,7 @@
 				t.Fatal(err)
 			}
 			c, err := core.New(
-				core.Params{FounderAddrs: addrs, Zones: []string{"a", "b"}, AckTimeout: time.Second, MoveRate: 500},
+				core.Params{InitialCoreAddrs: addrs, Zones: []string{"a", "b"}, AckTimeout: time.Second, MoveRate: 500},
 				node.Params{
 					Self: &wire.Member{Id: id, Role: "core", Addr: a, Zone: "a", Ident: v.Ident()}, Seeds: addrs,
 					Net: fl.net.Host(
--- a/internal/platform/control/operate.go
+++ b/internal/platform/control/operate.go
@@ -171,7 +171,7 @@
 			return code.New(code.NoZone, "%q is not one of zones", z)
 		}
 		// The order has no number: one that may be old must not undo a newer one.
-		if err := o.Core.InContact(ctx); err != nil {
+		if err := o.Core.RequireContact(ctx); err != nil {
 			return err
 		}
 		s.EmptyZones = slices.DeleteFunc(slices.Clone(s.EmptyZones), func(e string) bool { return e == z })
--- a/internal/platform/control/orders_test.go
+++ b/internal/platform/control/orders_test.go
@@ -150,7 +150,7 @@
 	}
 	params := core.Params{Zones: []string{"a", "b"}, AckTimeout: time.Second, MoveRate: 500}
 	if first {
-		params.FounderAddrs = l.addrs
+		params.InitialCoreAddrs = l.addrs
 	}
 	c, err := core.New(params, node.Params{
 		Self:  &wire.Member{Id: m.id, Role: "core", Addr: m.addr, Zone: "a", Ident: v.Ident()},
