--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -40,7 +40,7 @@
 }
 
 // Copies is how many stores hold each key.
-func (v *View) Copies() int { return Copies(&v.Cluster) }
+func (view *View) Copies() int { return Copies(&view.Cluster) }
 
 // Copies is how many stores hold each key under r.
 func Copies(cluster *spec.Cluster) int {
@@ -51,7 +51,7 @@
 }
 
 // Raw is the register's value.
-func (v *View) Raw() []byte { return v.raw }
+func (view *View) Raw() []byte { return view.raw }
 
 // Cluster holds the version in force in this process. Its methods may be called
 // concurrently.
@@ -63,10 +63,10 @@
 	unsaved atomic.Pointer[View]
 	mu      sync.Mutex // guards on, and is held for changes of cur
 	persist func(raw []byte, version uint64) error
-	// applying is full while a version is put in force, which may wait for the disk.
-	applying chan struct{}
-	watchers []loop.Wakeup
-	changing chan struct{} // one change at a time from this process
+	// applySemaphore is full while a version is put in force, which may wait for the disk.
+	applySemaphore  chan struct{}
+	watchers        []loop.Wakeup
+	changeSemaphore chan struct{} // one change at a time from this process
 	// Discover checks elsewhere for a newer version, where the voters known here refuse
 	// to deal with one so old. It is set before use.
 	Discover func(ctx context.Context) bool
@@ -76,10 +76,10 @@
 // into force.
 func New(proposer *register.Proposer, persist func(raw []byte, version uint64) error) *Cluster {
 	cluster := &Cluster{
-		proposer: proposer,
-		persist:  persist,
-		changing: make(chan struct{}, 1),
-		applying: make(chan struct{}, 1),
+		proposer:        proposer,
+		persist:         persist,
+		changeSemaphore: make(chan struct{}, 1),
+		applySemaphore:  make(chan struct{}, 1),
 	}
 	cluster.current.Store(&View{})
 	return cluster
@@ -92,8 +92,8 @@
 // not taken yet. Nothing that this process votes on or confirms rests on it.
 func (cluster *Cluster) Newest() *View {
 	now := cluster.Now()
-	if v := cluster.unsaved.Load(); v != nil && v.Version > now.Version {
-		return v
+	if unsaved := cluster.unsaved.Load(); unsaved != nil && unsaved.Version > now.Version {
+		return unsaved
 	}
 	return now
 }
@@ -109,46 +109,46 @@
 
 // Watch returns a wake-up that is notified of every new version.
 func (cluster *Cluster) Watch() loop.Wakeup {
-	k := loop.NewWakeup()
+	wakeup := loop.NewWakeup()
 	cluster.mu.Lock()
-	cluster.watchers = append(cluster.watchers, k)
+	cluster.watchers = append(cluster.watchers, wakeup)
 	cluster.mu.Unlock()
-	return k
+	return wakeup
 }
 
 // Apply puts a version in force if it is higher than the present one.
 func (cluster *Cluster) Apply(version uint64, raw []byte) error {
-	cluster.applying <- struct{}{}
-	defer func() { <-cluster.applying }()
+	cluster.applySemaphore <- struct{}{}
+	defer func() { <-cluster.applySemaphore }()
 	if version <= cluster.Now().Version {
 		return nil
 	}
-	v, err := cluster.newView(version, raw)
+	view, err := cluster.newView(version, raw)
 	if err != nil {
 		return err
 	}
 	if cluster.persist != nil {
 		if err := cluster.persist(raw, version); err != nil {
 			if isDiskRefusal(err) {
-				cluster.noteUnsaved(v)
+				cluster.recordUnsaved(view)
 			}
 			return err
 		}
 	}
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	cluster.current.Store(v)
-	for _, k := range cluster.watchers {
-		k.Notify()
+	cluster.current.Store(view)
+	for _, wakeup := range cluster.watchers {
+		wakeup.Notify()
 	}
 	return nil
 }
 
-// noteUnsaved keeps a version that is not in force here.
-func (cluster *Cluster) noteUnsaved(v *View) {
+// recordUnsaved keeps a version that is not in force here.
+func (cluster *Cluster) recordUnsaved(view *View) {
 	for {
 		old := cluster.unsaved.Load()
-		if old != nil && old.Version >= v.Version || cluster.unsaved.CompareAndSwap(old, v) {
+		if old != nil && old.Version >= view.Version || cluster.unsaved.CompareAndSwap(old, view) {
 			return
 		}
 	}
@@ -156,17 +156,17 @@
 
 // newView reads a version that follows the one in force.
 func (cluster *Cluster) newView(version uint64, raw []byte) (*View, error) {
-	v := &View{
+	view := &View{
 		Version:    version,
 		raw:        raw,
 		compressed: sync.OnceValue(func() []byte { return wire.Compress(raw) }),
 	}
-	if err := v.UnmarshalJSON(raw); err != nil {
+	if err := view.UnmarshalJSON(raw); err != nil {
 		return nil, code.New(code.Garbled, "cluster %d: %w", version, err)
 	}
-	v.StoresVersion = storesSince(cluster.Now(), v)
-	v.CoresVersion = coresSince(cluster.Now(), v)
-	return v, nil
+	view.StoresVersion = storesSince(cluster.Now(), view)
+	view.CoresVersion = coresSince(cluster.Now(), view)
+	return view, nil
 }
 
 // isDiskRefusal reports whether a version was not put in force only because this machine's
@@ -180,17 +180,17 @@
 }
 
 // Cores is the spec register's voters: two groups while the set changes.
-func (v *View) Cores() register.Set {
-	set := register.Set{replicas(v.Cluster.Cores)}
-	if len(v.NextCores) > 0 {
-		set = append(set, replicas(v.NextCores))
+func (view *View) Cores() register.Set {
+	set := register.Set{replicas(view.Cluster.Cores)}
+	if len(view.NextCores) > 0 {
+		set = append(set, replicas(view.NextCores))
 	}
 	return set
 }
 
-func replicas(ms []spec.Machine) []register.Replica {
-	out := make([]register.Replica, len(ms))
-	for i, m := range ms {
+func replicas(machines []spec.Machine) []register.Replica {
+	out := make([]register.Replica, len(machines))
+	for i, m := range machines {
 		out[i] = register.Replica{Addr: m.Addr, Ident: m.Ident}
 	}
 	return out
@@ -198,14 +198,14 @@
 
 // Stores is the voters of one key: two groups while the set changes; nil where fewer
 // stores have an identity than the key has replicas.
-func (v *View) Stores(key string) register.Set {
-	g := Holders(v.Cluster.Stores, key, v.Copies())
-	if g == nil {
+func (view *View) Stores(key string) register.Set {
+	holders := Holders(view.Cluster.Stores, key, view.Copies())
+	if holders == nil {
 		return nil
 	}
-	set := register.Set{replicas(g)}
-	if len(v.NextStores) > 0 {
-		set = append(set, replicas(Holders(v.NextStores, key, v.Copies())))
+	set := register.Set{replicas(holders)}
+	if len(view.NextStores) > 0 {
+		set = append(set, replicas(Holders(view.NextStores, key, view.Copies())))
 	}
 	return set
 }
@@ -213,121 +213,127 @@
 // Holders are the stores of a set that hold a key, by rendezvous hashing over those whose
 // identity is known, spread over zones: each round takes the first that is left of each
 // zone, so that no zone has two more than another that has any left.
-func Holders(set []spec.Machine, key string, defaultCopies int) []spec.Machine {
+func Holders(set []spec.Machine, key string, copies int) []spec.Machine {
 	type candidate struct {
-		m    *spec.Machine
-		h    uint64
-		turn int // its place among those of its zone
+		machine  *spec.Machine
+		hash     uint64
+		zoneRank int // its place among those of its zone
 	}
-	all := make([]candidate, 0, len(set))
-	k := hash(fnvStart, key)
+	candidates := make([]candidate, 0, len(set))
+	keyHash := fnv1a(fnvOffsetBasis, key)
 	for i := range set {
-		if m := &set[i]; m.Ident != "" {
-			all = append(all, candidate{m: m, h: mix(hash(hash(k, "/"), m.ID))})
+		if machine := &set[i]; machine.Ident != "" {
+			candidates = append(
+				candidates,
+				candidate{machine: machine, hash: mixBits(fnv1a(fnv1a(keyHash, "/"), machine.ID))},
+			)
 		}
 	}
 	// Fewer than all copies is no set to write to: a lone store would answer
 	// for a majority that does not exist yet.
-	if len(all) < min(defaultCopies, len(set)) || len(all) == 0 {
+	if len(candidates) < min(copies, len(set)) || len(candidates) == 0 {
 		return nil
 	}
-	slices.SortFunc(all, func(a, b candidate) int { return cmp.Compare(b.h, a.h) })
-	for i := range all {
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.hash, a.hash) })
+	for i := range candidates {
 		for j := range i {
-			if all[j].m.Zone == all[i].m.Zone {
-				all[i].turn++
+			if candidates[j].machine.Zone == candidates[i].machine.Zone {
+				candidates[i].zoneRank++
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b candidate) int { return cmp.Compare(a.turn, b.turn) })
-	got := make([]spec.Machine, 0, min(defaultCopies, len(all)))
-	for _, c := range all[:min(defaultCopies, len(all))] {
-		got = append(got, *c.m)
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.zoneRank, b.zoneRank) })
+	holders := make([]spec.Machine, 0, min(copies, len(candidates)))
+	for _, c := range candidates[:min(copies, len(candidates))] {
+		holders = append(holders, *c.machine)
 	}
-	return got
+	return holders
 }
 
 // MaxHolders is the largest number of a key's replicas that could be on some machines of a
 // set.
-func MaxHolders(set, some []spec.Machine, defaultCopies int) int {
-	zones, in := map[string]int{}, map[string]int{}
+func MaxHolders(set, subset []spec.Machine, copies int) int {
+	machinesInZone, subsetInZone := map[string]int{}, map[string]int{}
 	for _, m := range set {
-		zones[m.Zone]++
+		machinesInZone[m.Zone]++
 	}
-	for _, m := range some {
-		in[m.Zone]++
+	for _, m := range subset {
+		subsetInZone[m.Zone]++
 	}
 	// A zone gives one holder in each round until it has no more.
-	most, left := map[string]int{}, min(defaultCopies, len(set))
-	for r := 1; left > 0; r++ {
-		n := 0
-		for z, have := range zones {
-			if have >= r {
-				most[z]++
-				n++
+	maxInZone, unassigned := map[string]int{}, min(copies, len(set))
+	for round := 1; unassigned > 0; round++ {
+		count := 0
+		for zone, machines := range machinesInZone {
+			if machines >= round {
+				maxInZone[zone]++
+				count++
 			}
 		}
 		// The last round may end before it has come to every zone; any may be among
 		// those it takes.
-		left -= n
+		unassigned -= count
 	}
-	worst := 0
-	for z, n := range in {
-		worst += min(n, most[z])
+	total := 0
+	for zone, count := range subsetInZone {
+		total += min(count, maxInZone[zone])
 	}
-	return min(worst, defaultCopies, len(set))
+	return min(total, copies, len(set))
 }
 
 // StoresDigest hashes the sets of stores and the version that made them so: a change that
 // was reverted and begun anew has another.
-func (v *View) StoresDigest() uint64 {
-	h := uint64(fnvStart)
-	if v.StoresSince > 0 {
-		h = hash(h, strconv.FormatUint(v.StoresSince, 10))
+func (view *View) StoresDigest() uint64 {
+	digest := uint64(fnvOffsetBasis)
+	if view.StoresSince > 0 {
+		digest = fnv1a(digest, strconv.FormatUint(view.StoresSince, 10))
 	}
-	for _, set := range [][]spec.Machine{v.Cluster.Stores, v.NextStores} {
-		h = hash(h, "|")
+	for _, set := range [][]spec.Machine{view.Cluster.Stores, view.NextStores} {
+		digest = fnv1a(digest, "|")
 		for _, m := range set {
-			for _, s := range []string{m.ID, m.Addr, m.Zone, m.Ident} {
-				h = hash(hash(h, s), "/")
+			for _, field := range []string{m.ID, m.Addr, m.Zone, m.Ident} {
+				digest = fnv1a(fnv1a(digest, field), "/")
 			}
 		}
 	}
-	return mix(h)
+	return mixBits(digest)
 }
 
-const fnvStart = 14695981039346656037
+const (
+	fnvOffsetBasis = 14695981039346656037
+	fnvPrime       = 1099511628211
+)
 
 // hash goes on with an FNV-1a hash.
-func hash(h uint64, s string) uint64 {
+func fnv1a(h uint64, s string) uint64 {
 	for i := range len(s) {
-		h = (h ^ uint64(s[i])) * 1099511628211
+		h = (h ^ uint64(s[i])) * fnvPrime
 	}
 	return h
 }
 
 // mix spreads a hash whose last letters differ little.
-func mix(h uint64) uint64 {
+func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
 	return h
 }
 
-// maxAttempts bounds how often voters may refuse one request for its old version.
-const maxAttempts = 3
+// maxStaleAttempts bounds how often voters may refuse one request for its old version.
+const maxStaleAttempts = 3
 
 // withVoters runs do with the voters under the version in force. Voters of newer sets
 // refuse, so that no request acts on an old one alone; then a newer version is discovered
 // and do is run again.
 func (cluster *Cluster) withVoters(ctx context.Context, do func(context.Context, register.Set) error) error {
 	for attempt := 1; ; attempt++ {
-		v := cluster.Newest()
-		err := do(register.WithVersion(ctx, v.Version, false), v.Cores())
-		if attempt == maxAttempts || code.Of(err) != code.StaleSpec || errors.Is(err, register.ErrUncertain) ||
+		view := cluster.Newest()
+		err := do(register.WithVersion(ctx, view.Version, false), view.Cores())
+		if attempt == maxStaleAttempts || code.Of(err) != code.StaleSpec || errors.Is(err, register.ErrUncertain) ||
 			cluster.Discover == nil ||
 			!cluster.Discover(ctx) ||
-			cluster.Newest().Version == v.Version {
+			cluster.Newest().Version == view.Version {
 			return err
 		}
 	}
@@ -355,8 +361,8 @@
 	return state, nil
 }
 
-// applyWait is how long a question waits for the disk to take a newer version.
-const applyWait = 100 * time.Millisecond
+// applyTimeout is how long a question waits for the disk to take a newer version.
+const applyTimeout = 100 * time.Millisecond
 
 // ReadView reads the cluster at a majority and returns what it has read, whether or not the
 // disk takes it soon; where it does, it is in force. The error has code.CoreUnreachable.
@@ -368,21 +374,21 @@
 	if state.Version <= cluster.Now().Version {
 		return cluster.Now(), nil
 	}
-	v, err := cluster.newView(state.Version, state.Value)
+	view, err := cluster.newView(state.Version, state.Value)
 	if err != nil {
 		return nil, err
 	}
-	cluster.noteUnsaved(v)
+	cluster.recordUnsaved(view)
 	applied := make(chan error, 1)
 	go func() { applied <- cluster.Apply(state.Version, state.Value) }()
-	wait := time.NewTimer(applyWait)
-	defer wait.Stop()
+	timer := time.NewTimer(applyTimeout)
+	defer timer.Stop()
 	select {
 	case err := <-applied:
 		if err != nil && !isDiskRefusal(err) {
 			return nil, err
 		}
-	case <-wait.C:
+	case <-timer.C:
 	}
 	return cluster.Newest(), nil
 }
@@ -397,9 +403,9 @@
 func (cluster *Cluster) Change(
 	ctx context.Context,
 	expect uint64,
-	f func(*spec.Cluster) error,
+	edit func(*spec.Cluster) error,
 ) (uint64, []byte, error) {
-	return cluster.ChangeOnce(ctx, expect, spec.Operation{}, f)
+	return cluster.ChangeOnce(ctx, expect, spec.Operation{}, edit)
 }
 
 // ChangeOnce is Change for an order that may be sent again: where it was taken before,
@@ -408,63 +414,67 @@
 	ctx context.Context,
 	expect uint64,
 	operation spec.Operation,
-	f func(*spec.Cluster) error,
+	edit func(*spec.Cluster) error,
 ) (uint64, []byte, error) {
 	// Changes of one process that race each other only outbid each other's
 	// ballots; they wait for their turn here.
 	select {
-	case cluster.changing <- struct{}{}:
-		defer func() { <-cluster.changing }()
+	case cluster.changeSemaphore <- struct{}{}:
+		defer func() { <-cluster.changeSemaphore }()
 	case <-ctx.Done():
 		return 0, nil, code.New(code.CoreUnreachable, "nothing changed: %w", ctx.Err())
 	}
-	var seen uint64
+	var seenVersion uint64
 	var state register.State
-	work := func(s register.State) ([]byte, bool, error) {
-		seen = s.Version
-		b, err := edited(s, expect, operation, f)
-		return b, false, err
+	compute := func(current register.State) ([]byte, bool, error) {
+		seenVersion = current.Version
+		value, err := editValue(current, expect, operation, edit)
+		return value, false, err
 	}
 	err := cluster.withVoters(ctx, func(ctx context.Context, set register.Set) (err error) {
-		state, err = cluster.proposer.Change(ctx, set, Key, work)
+		state, err = cluster.proposer.Change(ctx, set, Key, compute)
 		return err
 	})
 	switch {
 	case err == nil:
 		return state.Version, state.Value, cluster.applyChosen(state)
 	case errors.Is(err, register.ErrUncertain):
-		return seen, nil, code.New(code.OutcomeUnknown, "the change may be in force, read the spec again: %w", err)
+		return seenVersion, nil, code.New(
+			code.OutcomeUnknown,
+			"the change may be in force, read the spec again: %w",
+			err,
+		)
 	case errors.Is(err, register.ErrNoQuorum):
-		return seen, nil, code.New(code.CoreUnreachable, "nothing changed: %w", err)
+		return seenVersion, nil, code.New(code.CoreUnreachable, "nothing changed: %w", err)
 	}
-	return seen, nil, err
+	return seenVersion, nil, err
 }
 
 // edited is the register's value after f's change of a state.
-func edited(
-	s register.State,
+func editValue(
+	current register.State,
 	expect uint64,
 	operation spec.Operation,
-	f func(*spec.Cluster) error,
+	edit func(*spec.Cluster) error,
 ) ([]byte, error) {
-	var c spec.Cluster
-	if err := c.UnmarshalJSON(s.Value); err != nil {
-		return nil, code.New(code.Garbled, "cluster %d: %w", s.Version, err)
+	var cluster spec.Cluster
+	if err := cluster.UnmarshalJSON(current.Value); err != nil {
+		return nil, code.New(code.Garbled, "cluster %d: %w", current.Version, err)
 	}
-	taken, err := c.TookOperation(operation)
+	repeated, err := cluster.TookOperation(operation)
 	switch {
 	case err != nil:
 		return nil, err
-	case taken:
-		return s.Value, nil
-	case expect != 0 && s.Version != expect:
-		return nil, code.New(code.SpecConflict, "expected version %d, version %d is in force", expect, s.Version)
+	case repeated:
+		return current.Value, nil
+	case expect != 0 && current.Version != expect:
+		return nil, code.New(code.SpecConflict, "expected version %d, version %d is in force", expect, current.Version)
 	}
-	if err := Edit(&c, s.Version+1, f); err != nil {
+	if err := Edit(&cluster, current.Version+1, edit); err != nil {
 		return nil, err
 	}
-	c.RememberOperation(operation)
-	return c.MarshalJSON()
+	cluster.RememberOperation(operation)
+	return cluster.MarshalJSON()
 }
 
 // applyChosen puts a version in force that was chosen just now. Where the disk does not
--- a/internal/coordination/cluster/cluster_test.go
+++ b/internal/coordination/cluster/cluster_test.go
@@ -31,9 +31,9 @@
 // a machine more or less moves only what falls to it.
 func TestHolders(t *testing.T) {
 	for _, tc := range []struct {
-		zones         []int
-		defaultCopies int
-		loses         bool // a zone may take a majority with it
+		zones             []int
+		copies            int
+		zoneHoldsMajority bool // a zone may take a majority with it
 	}{
 		{[]int{1, 1, 1}, 3, false},
 		{[]int{2, 2, 1}, 3, false},
@@ -45,26 +45,26 @@
 	} {
 		set := machines(tc.zones...)
 		count := map[string]int{}
-		more := append(slices.Clone(set), spec.Machine{ID: "new", Addr: "new", Zone: "b", Ident: "inew"})
-		for k := range 3000 {
-			key := fmt.Sprint("turn/", k)
-			got := cluster.Holders(set, key, tc.defaultCopies)
-			if len(got) != tc.defaultCopies {
-				t.Fatalf("%v: %d holders", tc, len(got))
+		extended := append(slices.Clone(set), spec.Machine{ID: "new", Addr: "new", Zone: "b", Ident: "inew"})
+		for i := range 3000 {
+			key := fmt.Sprint("turn/", i)
+			holders := cluster.Holders(set, key, tc.copies)
+			if len(holders) != tc.copies {
+				t.Fatalf("%v: %d holders", tc, len(holders))
 			}
-			in := map[string]int{}
-			for _, m := range got {
-				in[m.Zone]++
+			holdersInZone := map[string]int{}
+			for _, m := range holders {
+				holdersInZone[m.Zone]++
 				count[m.ID]++
 			}
-			for z, n := range in {
-				if !tc.loses && n*2 >= tc.defaultCopies {
-					t.Fatalf("%v: zone %s holds %d of %d", tc, z, n, tc.defaultCopies)
+			for z, n := range holdersInZone {
+				if !tc.zoneHoldsMajority && n*2 >= tc.copies {
+					t.Fatalf("%v: zone %s holds %d of %d", tc, z, n, tc.copies)
 				}
 			}
 			// Only the newcomer gains.
-			for _, m := range cluster.Holders(more, key, tc.defaultCopies) {
-				if m.ID != "new" && !slices.Contains(got, m) {
+			for _, m := range cluster.Holders(extended, key, tc.copies) {
+				if m.ID != "new" && !slices.Contains(holders, m) {
 					t.Fatalf("%v: %s gains %s though it is not new", tc, m.ID, key)
 				}
 			}
@@ -90,29 +90,29 @@
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		set := machines(rnd.IntN(4), rnd.IntN(4), 1+rnd.IntN(4))
-		defaultCopies := []int{3, 5}[rnd.IntN(2)]
-		var some []spec.Machine
+		copies := []int{3, 5}[rnd.IntN(2)]
+		var subset []spec.Machine
 		for _, m := range set {
 			if rnd.IntN(3) == 0 {
-				some = append(some, m)
+				subset = append(subset, m)
 			}
 		}
-		worst := cluster.MaxHolders(set, some, defaultCopies)
-		for k := range 200 {
-			n := 0
-			for _, m := range cluster.Holders(set, fmt.Sprint(k), defaultCopies) {
-				if slices.Contains(some, m) {
-					n++
+		bound := cluster.MaxHolders(set, subset, copies)
+		for i := range 200 {
+			count := 0
+			for _, m := range cluster.Holders(set, fmt.Sprint(i), copies) {
+				if slices.Contains(subset, m) {
+					count++
 				}
 			}
-			if n > worst {
+			if count > bound {
 				t.Fatalf(
 					"%v without %v: %d of a key's %d, the worst is said to be %d",
 					set,
-					some,
-					n,
-					defaultCopies,
-					worst,
+					subset,
+					count,
+					copies,
+					bound,
 				)
 			}
 		}
@@ -141,15 +141,15 @@
 // memory is an acceptor's disk in memory.
 type memory map[string]*wire.Rec
 
-func (m memory) Load(key string) (*wire.Rec, error) {
-	if r := m[key]; r != nil {
-		return &wire.Rec{Promised: r.Promised, Accepted: r.Accepted, Cell: r.Cell}, nil
+func (disk memory) Load(key string) (*wire.Rec, error) {
+	if record := disk[key]; record != nil {
+		return &wire.Rec{Promised: record.Promised, Accepted: record.Accepted, Cell: record.Cell}, nil
 	}
 	return &wire.Rec{}, nil
 }
 
-func (m memory) Save(key string, r *wire.Rec) error {
-	m[key] = r
+func (disk memory) Save(key string, record *wire.Rec) error {
+	disk[key] = record
 	return nil
 }
 
@@ -169,22 +169,22 @@
 		t.Fatal(err)
 	}
 	set := register.Set{{{Addr: "c1", Ident: "ic1"}}}
-	found := func(register.State) ([]byte, bool, error) { return raw, false, nil }
-	if _, err := proposer.Change(t.Context(), set, cluster.Key, found); err != nil {
+	initialValue := func(register.State) ([]byte, bool, error) { return raw, false, nil }
+	if _, err := proposer.Change(t.Context(), set, cluster.Key, initialValue); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []code.Code{code.DiskFull, code.DiskStalled, code.WriteUncertain, code.DiskFailure} {
-		here := cluster.New(proposer, func([]byte, uint64) error { return code.New(c, "no sync") })
-		here.SetInitialVoters(cores)
-		version, got, err := here.Change(t.Context(), 0, func(cluster *spec.Cluster) error {
+	for _, failure := range []code.Code{code.DiskFull, code.DiskStalled, code.WriteUncertain, code.DiskFailure} {
+		local := cluster.New(proposer, func([]byte, uint64) error { return code.New(failure, "no sync") })
+		local.SetInitialVoters(cores)
+		version, value, err := local.Change(t.Context(), 0, func(cluster *spec.Cluster) error {
 			cluster.Copies++
 			return nil
 		})
-		if err != nil || version == 0 || got == nil {
-			t.Errorf("%v: a chosen change is answered %d, %v", c, version, err)
+		if err != nil || version == 0 || value == nil {
+			t.Errorf("%v: a chosen change is answered %d, %v", failure, version, err)
 		}
-		if here.Now().Version != 0 {
-			t.Errorf("%v: version %d is in force without being kept", c, here.Now().Version)
+		if local.Now().Version != 0 {
+			t.Errorf("%v: version %d is in force without being kept", failure, local.Now().Version)
 		}
 	}
 }
--- a/internal/coordination/cluster/hello.go
+++ b/internal/coordination/cluster/hello.go
@@ -10,12 +10,12 @@
 // Hello asks another process who it is, and for the cluster that it has in force unless
 // only the head is asked for. The answer's cluster is decompressed. An empty identity of
 // the replica asks whoever is at its address.
-func Hello(ctx context.Context, call wire.Caller, to register.Replica, q *wire.Hello) (*wire.HelloAck, error) {
-	r, err := call(ctx, to.Addr, &wire.Req{Ident: to.Ident, Op: &wire.Req_Hello{Hello: q}})
+func Hello(ctx context.Context, call wire.Caller, replica register.Replica, hello *wire.Hello) (*wire.HelloAck, error) {
+	response, err := call(ctx, replica.Addr, &wire.Req{Ident: replica.Ident, Op: &wire.Req_Hello{Hello: hello}})
 	if err != nil {
 		return nil, err
 	}
-	ack := r.GetHello()
+	ack := response.GetHello()
 	if len(ack.GetCompressedCluster()) > 0 {
 		if ack.Cluster, err = wire.Decompress(ack.CompressedCluster); err != nil {
 			return nil, err
@@ -25,14 +25,14 @@
 }
 
 // HelloAck is the answer to a hello, with the cluster in the form that it asks for.
-func (v *View) HelloAck(self *wire.Member, q *wire.Hello) *wire.HelloAck {
-	ack := &wire.HelloAck{Self: self, Formed: v.Version > 0, ClusterVer: v.Version}
+func (view *View) HelloAck(self *wire.Member, hello *wire.Hello) *wire.HelloAck {
+	ack := &wire.HelloAck{Self: self, Formed: view.Version > 0, ClusterVer: view.Version}
 	switch {
-	case q.GetHead():
-	case q.GetAcceptsCompressed() && len(v.raw) >= wire.CompressAbove:
-		ack.CompressedCluster = v.compressed()
+	case hello.GetHead():
+	case hello.GetAcceptsCompressed() && len(view.raw) >= wire.CompressAbove:
+		ack.CompressedCluster = view.compressed()
 	default:
-		ack.Cluster = v.raw
+		ack.Cluster = view.raw
 	}
 	return ack
 }
--- a/internal/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -10,19 +10,19 @@
 // cluster which version last changed each of its sets. So every process knows the same
 // one, also a process that never saw the versions in between, and two changes between
 // the same sets can be distinguished.
-func Edit(c *spec.Cluster, version uint64, f func(*spec.Cluster) error) error {
-	cores, nextCores := slices.Clone(c.Cores), slices.Clone(c.NextCores)
-	stores, nextStores := slices.Clone(c.Stores), slices.Clone(c.NextStores)
-	if err := f(c); err != nil {
+func Edit(cluster *spec.Cluster, version uint64, edit func(*spec.Cluster) error) error {
+	cores, nextCores := slices.Clone(cluster.Cores), slices.Clone(cluster.NextCores)
+	stores, nextStores := slices.Clone(cluster.Stores), slices.Clone(cluster.NextStores)
+	if err := edit(cluster); err != nil {
 		return err
 	}
-	pruneUsed(c, version)
-	pruneSpares(c)
-	if !slices.Equal(cores, c.Cores) || !slices.Equal(nextCores, c.NextCores) {
-		c.CoresSince = version
+	pruneRemovedIdentities(cluster, version)
+	pruneSpareIdentities(cluster)
+	if !slices.Equal(cores, cluster.Cores) || !slices.Equal(nextCores, cluster.NextCores) {
+		cluster.CoresSince = version
 	}
-	if !slices.Equal(stores, c.Stores) || !slices.Equal(nextStores, c.NextStores) {
-		c.StoresSince = version
+	if !slices.Equal(stores, cluster.Stores) || !slices.Equal(nextStores, cluster.NextStores) {
+		cluster.StoresSince = version
 	}
 	return nil
 }
@@ -30,44 +30,44 @@
 // MaxRemovedIdentities is how many identities that were removed are listed at the most.
 const MaxRemovedIdentities = 64
 
-// pruneUsed cuts the list of identities that were removed. All that were ever in a set
+// pruneRemovedIdentities cuts the list of identities that were removed. All that were ever in a set
 // were made under a lower version than the one of the cut, and are refused by that from
 // then on: see package membership.
-func pruneUsed(c *spec.Cluster, version uint64) {
-	if len(c.Used) > MaxRemovedIdentities {
-		c.Used, c.IdentityFloor = nil, version
+func pruneRemovedIdentities(cluster *spec.Cluster, version uint64) {
+	if len(cluster.Used) > MaxRemovedIdentities {
+		cluster.Used, cluster.IdentityFloor = nil, version
 	}
 }
 
-// pruneSpares keeps of those that were admitted beside the others only who is in a set.
-func pruneSpares(c *spec.Cluster) {
-	all := slices.Concat(c.Cores, c.NextCores, c.Stores, c.NextStores)
-	c.Spares = slices.DeleteFunc(c.Spares, func(ident string) bool {
+// pruneSpareIdentities keeps of those that were admitted beside the others only who is in a set.
+func pruneSpareIdentities(cluster *spec.Cluster) {
+	all := slices.Concat(cluster.Cores, cluster.NextCores, cluster.Stores, cluster.NextStores)
+	cluster.Spares = slices.DeleteFunc(cluster.Spares, func(ident string) bool {
 		return !slices.ContainsFunc(all, func(m spec.Machine) bool { return m.Ident == ident })
 	})
 }
 
 // storesSince is the version since which the sets of stores are these. Where the
 // register doesn't say, it is the first version that this process has seen them at.
-func storesSince(old, v *View) uint64 {
-	if v.StoresSince > 0 {
-		return v.StoresSince
+func storesSince(previous, view *View) uint64 {
+	if view.StoresSince > 0 {
+		return view.StoresSince
 	}
-	if old.Version > 0 && slices.Equal(old.Cluster.Stores, v.Cluster.Stores) &&
-		slices.Equal(old.NextStores, v.NextStores) {
-		return old.StoresVersion
+	if previous.Version > 0 && slices.Equal(previous.Cluster.Stores, view.Cluster.Stores) &&
+		slices.Equal(previous.NextStores, view.NextStores) {
+		return previous.StoresVersion
 	}
-	return v.Version
+	return view.Version
 }
 
 // coresSince is the same for the sets of cores.
-func coresSince(old, v *View) uint64 {
-	if v.CoresSince > 0 {
-		return v.CoresSince
+func coresSince(previous, view *View) uint64 {
+	if view.CoresSince > 0 {
+		return view.CoresSince
 	}
-	if old.Version > 0 && slices.Equal(old.Cluster.Cores, v.Cluster.Cores) &&
-		slices.Equal(old.NextCores, v.NextCores) {
-		return old.CoresVersion
+	if previous.Version > 0 && slices.Equal(previous.Cluster.Cores, view.Cluster.Cores) &&
+		slices.Equal(previous.NextCores, view.NextCores) {
+		return previous.CoresVersion
 	}
-	return v.Version
+	return view.Version
 }
--- a/internal/coordination/core/acknowledgement.go
+++ b/internal/coordination/core/acknowledgement.go
@@ -16,9 +16,9 @@
 )
 
 // broadcastSpec sends a version down the tree and gives the ids that took it.
-func (c *Core) broadcastSpec(ctx context.Context, ver uint64, raw []byte) map[string]bool {
+func (c *Core) broadcastSpec(ctx context.Context, version uint64, raw []byte) map[string]bool {
 	confirmed := map[string]bool{}
-	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: keys.SpecTopic, Seq: ver, Body: raw}) {
+	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: keys.SpecTopic, Seq: version, Body: raw}) {
 		confirmed[id] = true
 	}
 	return confirmed
@@ -34,15 +34,15 @@
 	err  error
 }
 
-// askMembers asks all core machines which members they know. The channel has a place for
+// queryMembers asks all core machines which members they know. The channel has a place for
 // each answer.
-func (c *Core) askMembers(ctx context.Context, cores []register.Replica) <-chan membersAnswer {
+func (c *Core) queryMembers(ctx context.Context, cores []register.Replica) <-chan membersAnswer {
 	answers := make(chan membersAnswer, len(cores))
-	for _, core := range cores {
+	for _, replica := range cores {
 		go func() {
-			request := &wire.Req{Ident: core.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}}
-			response, err := c.Peer.Call(ctx, core.Addr, request)
-			answers <- membersAnswer{core, response.GetMembers(), err}
+			request := &wire.Req{Ident: replica.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}}
+			response, err := c.Peer.Call(ctx, replica.Addr, request)
+			answers <- membersAnswer{replica, response.GetMembers(), err}
 		}()
 	}
 	return answers
@@ -55,14 +55,14 @@
 	complete bool
 }
 
-// knownMembers merges the members that a majority of core machines know: the newest
+// queryMemberList merges the members that a majority of core machines know: the newest
 // start of each, its highest confirmation, its shortest time without contact.
-func (c *Core) knownMembers(ctx context.Context) (*memberList, error) {
+func (c *Core) queryMemberList(ctx context.Context) (*memberList, error) {
 	set := c.Cluster.Newest().Cores()
-	ctx, stop := context.WithTimeout(ctx, membersTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
+	defer cancel()
 	cores := set.All()
-	answers := c.askMembers(ctx, cores)
+	answers := c.queryMembers(ctx, cores)
 	list := &memberList{members: map[string]*wire.Member{}}
 	answered, complete := map[register.Replica]bool{}, map[register.Replica]bool{}
 	// A lease is granted by a majority, so any majority knows of every node. The
@@ -70,20 +70,20 @@
 	var stragglers <-chan time.Time
 	for range cores {
 		select {
-		case a := <-answers:
-			if a.err == nil {
-				answered[a.core] = true
-				complete[a.core] = !a.ack.GetIncomplete()
-				mergeMembers(list.members, a.ack.GetMembers())
+		case answer := <-answers:
+			if answer.err == nil {
+				answered[answer.core] = true
+				complete[answer.core] = !answer.ack.GetIncomplete()
+				mergeMembers(list.members, answer.ack.GetMembers())
 				list.complete = set.Quorum(complete)
 			}
 		case <-stragglers:
 			return list, nil
 		}
 		if stragglers == nil && set.Quorum(answered) {
-			t := time.NewTimer(stragglerWait)
-			defer t.Stop()
-			stragglers = t.C
+			timer := time.NewTimer(stragglerWait)
+			defer timer.Stop()
+			stragglers = timer.C
 		}
 	}
 	if !set.Quorum(answered) {
@@ -111,72 +111,72 @@
 // stragglerWait is how long a core machine that is slower than a majority is waited for.
 const stragglerWait = 50 * time.Millisecond
 
-// unconfirmed lists the nodes that could still act on a version older than ver. It
+// unconfirmedNodes lists the nodes that could still act on a version older than ver. It
 // is none where the stores are the fence: so many have confirmed that no key
 // finds a majority below it, and what was looked at before is too old by now. Where the
 // cores do not list every node, only that fence will do.
-func (c *Core) unconfirmed(ctx context.Context, ver uint64, confirmed map[string]bool) ([]string, error) {
-	list, err := c.knownMembers(ctx)
+func (c *Core) unconfirmedNodes(ctx context.Context, version uint64, confirmed map[string]bool) ([]string, error) {
+	list, err := c.queryMemberList(ctx)
 	if err != nil {
 		return nil, err
 	}
-	all := list.members
+	members := list.members
 	// The fence's time runs while the unresponsive are asked for.
-	var over <-chan time.Time
-	if c.fencedByStores(all, ver, confirmed) {
-		t := time.NewTimer(storeclient.ReadWindow)
-		defer t.Stop()
-		over = t.C
+	var fenceElapsed <-chan time.Time
+	if c.fencedByStores(members, version, confirmed) {
+		timer := time.NewTimer(storeclient.ReadWindow)
+		defer timer.Stop()
+		fenceElapsed = timer.C
 	}
 	type probed struct {
 		id  string
 		yes bool
 	}
-	ch := make(chan probed, len(all))
-	n := 0
-	for _, m := range all {
-		if m.SpecVer >= ver || confirmed[m.Id] {
+	probes := make(chan probed, len(members))
+	probeCount := 0
+	for _, m := range members {
+		if m.SpecVer >= version || confirmed[m.Id] {
 			continue
 		}
-		n++
+		probeCount++
 		go func() {
 			// A refused port: the process has exited, and a new one reads the
 			// spec at a majority before it serves.
-			ch <- probed{m.Id, c.portRefused(ctx, m.Addr)}
+			probes <- probed{m.Id, c.portRefused(ctx, m.Addr)}
 		}()
 	}
-	out := []string{}
+	unconfirmed := []string{}
 	if !list.complete {
-		out = append(out, unlistedNodes)
+		unconfirmed = append(unconfirmed, unlistedNodes)
 	}
-	for range n {
+	for range probeCount {
 		select {
-		case g := <-ch:
-			if !g.yes {
-				out = append(out, g.id)
+		case probe := <-probes:
+			if !probe.yes {
+				unconfirmed = append(unconfirmed, probe.id)
 			}
-		case <-over:
+		case <-fenceElapsed:
 			return []string{}, nil
 		}
 	}
-	slices.Sort(out)
-	if len(out) > 0 && over != nil {
+	slices.Sort(unconfirmed)
+	if len(unconfirmed) > 0 && fenceElapsed != nil {
 		select {
-		case <-over:
+		case <-fenceElapsed:
 			return []string{}, nil
 		case <-ctx.Done():
 		}
 	}
-	return out, nil
+	return unconfirmed, nil
 }
 
 // fencedByStores reports whether in neither set of stores could those that have not confirmed ver
 // make a majority of some key's copies.
-func (c *Core) fencedByStores(known map[string]*wire.Member, ver uint64, confirmed map[string]bool) bool {
-	v := c.Cluster.Newest()
-	return membership.Fenced(&v.Cluster, func(m spec.Machine) bool {
+func (c *Core) fencedByStores(known map[string]*wire.Member, version uint64, confirmed map[string]bool) bool {
+	view := c.Cluster.Newest()
+	return membership.Fenced(&view.Cluster, func(m spec.Machine) bool {
 		member := known[m.ID+"@"+m.Addr]
-		return member.GetIdent() == m.Ident && (member.GetSpecVer() >= ver || confirmed[m.ID])
+		return member.GetIdent() == m.Ident && (member.GetSpecVer() >= version || confirmed[m.ID])
 	})
 }
 
--- a/internal/coordination/core/binding.go
+++ b/internal/coordination/core/binding.go
@@ -20,18 +20,18 @@
 			idents[m.Id] = m.Ident
 		}
 	}
-	want := func(s spec.Machine) bool { return s.Ident == "" && idents[s.ID] != "" }
-	if !slices.ContainsFunc(c.Cluster.Now().Cluster.Stores, want) {
+	bindable := func(s spec.Machine) bool { return s.Ident == "" && idents[s.ID] != "" }
+	if !slices.ContainsFunc(c.Cluster.Now().Cluster.Stores, bindable) {
 		return
 	}
-	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		some := false
-		for i, s := range r.Stores {
-			if want(s) {
-				r.Stores[i].Ident, some = idents[s.ID], true
+	version, raw, err := c.Cluster.Change(ctx, 0, func(updated *spec.Cluster) error {
+		bound := false
+		for i, s := range updated.Stores {
+			if bindable(s) {
+				updated.Stores[i].Ident, bound = idents[s.ID], true
 			}
 		}
-		if !some {
+		if !bound {
 			return cluster.ErrNoChange
 		}
 		return nil
@@ -42,6 +42,6 @@
 		}
 		return
 	}
-	c.Log.Info("stores bound to their identities", "version", ver)
-	c.broadcastSpec(ctx, ver, raw)
+	c.Log.Info("stores bound to their identities", "version", version)
+	c.broadcastSpec(ctx, version, raw)
 }
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -35,36 +35,36 @@
 }
 
 // check is called regularly; valid reports whether this core's lease runs.
-func (t *contactTracker) check(now clock.Moment, valid bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !valid || t.paused(now) {
-		t.lastLost = now.Monotonic()
+func (tracker *contactTracker) check(now clock.Moment, leaseValid bool) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if !leaseValid || tracker.paused(now) {
+		tracker.lastLost = now.Monotonic()
 	}
-	t.lastCheck = now
+	tracker.lastCheck = now
 }
 
 // paused reports whether the process stood still since the last check. The machine may have
 // been suspended, which the monotonic clock does not show.
-func (t *contactTracker) paused(now clock.Moment) bool {
-	return !t.lastCheck.IsZero() && now.Sub(t.lastCheck) > contactGap
+func (tracker *contactTracker) paused(now clock.Moment) bool {
+	return !tracker.lastCheck.IsZero() && now.Sub(tracker.lastCheck) > contactGap
 }
 
 // established reports whether the process has been in contact for long enough.
-func (t *contactTracker) established(now clock.Moment, valid bool) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !valid || t.paused(now) {
+func (tracker *contactTracker) established(now clock.Moment, leaseValid bool) bool {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if !leaseValid || tracker.paused(now) {
 		return false
 	}
-	return t.lastLost.IsZero() || now.Monotonic().Sub(t.lastLost) > contactStableAfter
+	return tracker.lastLost.IsZero() || now.Monotonic().Sub(tracker.lastLost) > contactStableAfter
 }
 
 // moment is the present one by this core's clocks.
-func (c *Core) moment() clock.Moment { return clock.Now(c.Proposer.Clock) }
+func (c *Core) currentMoment() clock.Moment { return clock.Now(c.Proposer.Clock) }
 
 // checkContact is the background task that updates the contact tracker.
-func (c *Core) checkContact(context.Context) { c.contact.check(c.moment(), c.Lease.Valid()) }
+func (c *Core) checkContact(context.Context) { c.contact.check(c.currentMoment(), c.Lease.Valid()) }
 
 // RequireContact rejects, for the moment, an order that may be an old one: this core is or was
 // just out of contact, or the order's time is over. The error has code.OutOfContact.
@@ -73,7 +73,7 @@
 	if bounded && time.Now().After(deadline) {
 		return code.New(code.OutOfContact, "the order's time is over")
 	}
-	if !c.contact.established(c.moment(), c.Lease.Valid()) {
+	if !c.contact.established(c.currentMoment(), c.Lease.Valid()) {
 		return code.New(code.OutOfContact, "%s was out of touch a moment ago", c.Peer.Self.Id)
 	}
 	return nil
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -57,10 +57,10 @@
 
 // Intervals of a core's background tasks.
 const (
-	diskCheckInterval = time.Second
-	tableInterval     = time.Second
-	bindInterval      = 500 * time.Millisecond
-	reconcileInterval = 500 * time.Millisecond
+	diskCheckInterval  = time.Second
+	leaseTableInterval = time.Second
+	bindInterval       = 500 * time.Millisecond
+	reconcileInterval  = 500 * time.Millisecond
 )
 
 // Core is one control-plane process.
@@ -80,57 +80,65 @@
 type reconcilerState struct {
 	// wakeups has a reconciler check its set again at once. The map never changes.
 	wakeups map[membership.Set]loop.Wakeup
-	// outsiders are kept for each set. The map never changes.
-	outsiders map[membership.Set]*outsiders
-	// lastNewcomer is when a store that is in no set was last seen for the first time, in
-	// Unix nanoseconds; knownIdentities are those seen so far.
-	lastNewcomer    atomic.Int64
-	knownIdentities sync.Map
-	keysMoved       atomic.Int64 // in the change of a set under way
-	// founded is when this very process formed the set; zero: it did not. It is set
+	// nonMembers are kept for each set. The map never changes.
+	nonMembers map[membership.Set]*nonMemberTracker
+	// lastNewStoreUnixNano is when a store that is in no set was last seen for the first time, in
+	// Unix nanoseconds; seenIdentities are those seen so far.
+	lastNewStoreUnixNano atomic.Int64
+	seenIdentities       sync.Map
+	keysMoved            atomic.Int64 // in the change of a set under way
+	// bootstrappedAt is when this very process formed the set; zero: it did not. It is set
 	// before the reconcilers begin.
-	founded time.Time
+	bootstrappedAt time.Time
 	// lastTransferFailure is when keys could last not be transferred. Only the stores'
 	// reconciler uses it.
 	lastTransferFailure time.Time
 }
 
 // New makes a core over its disk.
-func New(p Params, np node.Params, d Disk) (*Core, error) {
-	np.Persist = PersistCluster(d.SaveMetadata)
-	c := &Core{params: p, disk: d, acceptor: register.NewAcceptor(d), Node: node.New(np), startedAt: time.Now()}
+func New(params Params, nodeParams node.Params, disk Disk) (*Core, error) {
+	nodeParams.Persist = PersistCluster(disk.SaveMetadata)
+	c := &Core{
+		params:    params,
+		disk:      disk,
+		acceptor:  register.NewAcceptor(disk),
+		Node:      node.New(nodeParams),
+		startedAt: time.Now(),
+	}
 	c.reconciler.wakeups = map[membership.Set]loop.Wakeup{
 		membership.Cores:  c.Cluster.Watch(),
 		membership.Stores: c.Cluster.Watch(),
 	}
-	c.reconciler.outsiders = map[membership.Set]*outsiders{membership.Cores: {}, membership.Stores: {}}
-	c.reconciler.lastNewcomer.Store(time.Now().UnixNano())
-	c.FreshFolder = d.FolderState().Opened == 0
-	c.Lease.BeforeRenewal = c.drain
-	c.Lease.Disk = func() lease.DiskState { return DiskState(d) }
+	c.reconciler.nonMembers = map[membership.Set]*nonMemberTracker{membership.Cores: {}, membership.Stores: {}}
+	c.reconciler.lastNewStoreUnixNano.Store(time.Now().UnixNano())
+	c.FreshFolder = disk.FolderState().Opened == 0
+	c.Lease.BeforeRenewal = c.drainAfterCoreChange
+	c.Lease.Disk = func() lease.DiskState { return DiskState(disk) }
 	var err error
-	if c.table, err = lease.NewTable(np.Lease, d); err != nil {
+	if c.table, err = lease.NewTable(nodeParams.Lease, disk); err != nil {
 		return nil, err
 	}
-	if err := RestoreCluster(d.LoadMetadata, c.Cluster); err != nil {
+	if err := RestoreCluster(disk.LoadMetadata, c.Cluster); err != nil {
 		return nil, err
 	}
-	if err := RestoreIdentityVersion(c.Node, d); err != nil {
+	if err := RestoreIdentityVersion(c.Node, disk); err != nil {
 		return nil, err
 	}
 	ServeRegister(c.Node, c.acceptor, c.checkCoresVersion, func() []spec.Machine {
-		v := c.Cluster.Now()
-		if v.Version == 0 {
+		view := c.Cluster.Now()
+		if view.Version == 0 {
 			// Before there is a set, whoever names this identity has it from us and
 			// is forming the first.
 			return []spec.Machine{{Ident: c.Peer.Ident()}}
 		}
-		return slices.Concat(v.Cluster.Cores, v.NextCores)
+		return slices.Concat(view.Cluster.Cores, view.NextCores)
 	})
 	c.Peer.Handle(&wire.Req_Renew{}, c.renew)
 	c.Peer.Handle(
 		&wire.Req_List{},
-		func(_ context.Context, q *wire.Req) (*wire.Resp, error) { return ListKeys(d, q.GetList(), nil) },
+		func(_ context.Context, request *wire.Req) (*wire.Resp, error) {
+			return ListKeys(disk, request.GetList(), nil)
+		},
 	)
 	c.Peer.Handle(&wire.Req_Members{}, func(context.Context, *wire.Req) (*wire.Resp, error) {
 		return &wire.Resp{
@@ -146,20 +154,20 @@
 	return c, nil
 }
 
-func (c *Core) renew(ctx context.Context, q *wire.Req) (*wire.Resp, error) {
+func (c *Core) renew(ctx context.Context, request *wire.Req) (*wire.Resp, error) {
 	// Whoever goes by cores that are no more may be known to none of the others that
 	// wait for all who could act on an older spec.
-	if err := c.checkCoresVersion(&wire.Req{Spec: q.GetRenew().GetSelf().GetSpecVer()}); err != nil {
+	if err := c.checkCoresVersion(&wire.Req{Spec: request.GetRenew().GetSelf().GetSpecVer()}); err != nil {
 		return nil, err
 	}
-	r, err := c.table.Grant(ctx, q)
+	response, err := c.table.Grant(ctx, request)
 	if err != nil {
-		return r, err
+		return response, err
 	}
-	v := c.Cluster.Now()
-	r.GetRenew().SpecVer = v.Version
-	c.onRenewal(v, q.GetRenew().GetSelf())
-	return r, nil
+	view := c.Cluster.Now()
+	response.GetRenew().SpecVer = view.Version
+	c.onRenewal(view, request.GetRenew().GetSelf())
+	return response, nil
 }
 
 // Start listens, finds its set and joins. It returns once the core serves.
@@ -172,7 +180,7 @@
 			return err
 		}
 	}
-	ReplaceOutdatedFolder(c.Node, c.disk, c.forget)
+	ReplaceOutdatedFolder(c.Node, c.disk, c.resetDiskState)
 	if err := c.Join(ctx); err != nil {
 		return err
 	}
@@ -180,7 +188,7 @@
 	c.Go(ctx, func(ctx context.Context) {
 		loop.Every(ctx, diskCheckInterval, nil, func(context.Context) { c.disk.MeasureDisk() })
 	})
-	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, tableInterval, nil, c.maintainTable) })
+	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, leaseTableInterval, nil, c.maintainLeaseTable) })
 	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, bindInterval, nil, c.bindStores) })
 	c.Go(ctx, func(ctx context.Context) { loop.Every(ctx, contactCheckInterval, nil, c.checkContact) })
 	for set, wakeup := range c.reconciler.wakeups {
@@ -188,18 +196,18 @@
 			loop.Every(ctx, reconcileInterval, wakeup, func(ctx context.Context) { c.reconcile(ctx, set) })
 		})
 	}
-	c.Go(ctx, func(ctx context.Context) { WatchRemoval(ctx, c.Node, c.disk, c.forget) })
+	c.Go(ctx, func(ctx context.Context) { WatchRemoval(ctx, c.Node, c.disk, c.resetDiskState) })
 	return nil
 }
 
 // joinCluster forms the first set or finds the one that stands, for a machine that knows of
 // none yet. An identity that may be in the first set counts as made under version 0.
 func (c *Core) joinCluster(ctx context.Context) error {
-	voted, err := c.disk.Load(cluster.Key)
+	vote, err := c.disk.Load(cluster.Key)
 	if err != nil {
 		return err
 	}
-	if len(c.founders()) > 0 {
+	if len(c.initialCores()) > 0 {
 		if err := SaveIdentityVersion(c.Node, c.disk, 0); err != nil {
 			return err
 		}
@@ -208,7 +216,7 @@
 	if err := c.Discover(ctx); err != nil {
 		return err
 	}
-	if voted.Promised != nil {
+	if vote.Promised != nil {
 		return SaveIdentityVersion(c.Node, c.disk, 0)
 	}
 	// Leases were granted before this folder was there.
--- a/internal/coordination/core/explain.go
+++ b/internal/coordination/core/explain.go
@@ -21,63 +21,68 @@
 
 // explain tells what the intents in force come to.
 func (c *Core) explain(x echo.Context) error {
-	v, err := c.Cluster.ReadView(x.Request().Context())
+	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	return x.JSON(http.StatusOK, map[string]any{"version": v.Version, "intents": Explain(v)})
+	return x.JSON(http.StatusOK, map[string]any{"version": view.Version, "intents": Explain(view)})
 }
 
 // Explain works out the placements of each intent of a version.
-func Explain(v *cluster.View) []Explanation {
-	s := &v.Spec
-	out := []Explanation{}
-	add := func(intent, means string, a ...any) {
-		out = append(out, Explanation{intent, fmt.Sprintf(means, a...)})
+func Explain(view *cluster.View) []Explanation {
+	s := &view.Spec
+	explanations := []Explanation{}
+	add := func(intent, means string, args ...any) {
+		explanations = append(explanations, Explanation{intent, fmt.Sprintf(means, args...)})
 	}
-	for i, r := range s.Routes {
-		var on, off []string
-		for _, n := range s.Runners {
+	for i, route := range s.Routes {
+		var active, drained []string
+		for _, runner := range s.Runners {
 			switch {
-			case n.Route != r.Name:
-			case s.Empty(n.Zone):
-				off = append(off, n.Name)
+			case runner.Route != route.Name:
+			case s.Empty(runner.Zone):
+				drained = append(drained, runner.Name)
 			default:
-				on = append(on, n.Name)
+				active = append(active, runner.Name)
 			}
 		}
-		m := "goes to " + strings.Join(on, ", ")
-		if len(on) == 0 {
-			m = "goes nowhere"
+		means := "goes to " + strings.Join(active, ", ")
+		if len(active) == 0 {
+			means = "goes nowhere"
 		}
-		if len(off) > 0 {
-			m += "; not to " + strings.Join(off, ", ") + ", whose zones are emptied"
+		if len(drained) > 0 {
+			means += "; not to " + strings.Join(drained, ", ") + ", whose zones are emptied"
 		}
-		add(fmt.Sprintf("routes[%d] %s", i, r.Name), "%s; one cooldown for each %s", m, coolsBy(s, r))
+		add(
+			fmt.Sprintf("routes[%d] %s", i, route.Name),
+			"%s; one cooldown for each %s",
+			means,
+			cooldownScope(s, route),
+		)
 	}
-	for i, k := range s.Classes {
-		m := fmt.Sprintf("number %d in every backlog", i+1)
-		if k.Reserve > 0 {
-			m += fmt.Sprintf("; %d percent of the slots of every runner are for urgent work only", k.Reserve)
+	for i, class := range s.Classes {
+		means := fmt.Sprintf("number %d in every backlog", i+1)
+		if class.Reserve > 0 {
+			means += fmt.Sprintf("; %d percent of the slots of every runner are for urgent work only", class.Reserve)
 		}
-		add(fmt.Sprintf("classes[%d] %s", i, k.Name), "%s", m)
+		add(fmt.Sprintf("classes[%d] %s", i, class.Name), "%s", means)
 	}
-	for i, k := range s.Keeping {
+	for i, class := range s.Keeping {
 		add(
-			fmt.Sprintf("keeping[%d] %s", i, k.Class),
+			fmt.Sprintf("keeping[%d] %s", i, class.Class),
 			"turns are kept for %s of the stores' open time, at two of three stores before they are answered",
-			time.Duration(k.KeepS)*time.Second,
+			time.Duration(class.KeepS)*time.Second,
 		)
 	}
-	for i, b := range s.Budgets {
+	for i, budget := range s.Budgets {
 		add(
-			fmt.Sprintf("budgets[%d] %s", i, b.Programs),
+			fmt.Sprintf("budgets[%d] %s", i, budget.Programs),
 			"each program of the class may put out %d, counted in one budget at the stores",
-			b.Output,
+			budget.Output,
 		)
 	}
-	for _, z := range s.EmptyZones {
-		add("empty_zones "+z, "no work to its runners; its edges are last in line to assign slots")
+	for _, zone := range s.EmptyZones {
+		add("empty_zones "+zone, "no work to its runners; its edges are last in line to assign slots")
 	}
 	add(
 		"cooldown",
@@ -86,23 +91,25 @@
 		s.Cooldown.Cap(),
 		s.Cooldown.Quiet(),
 	)
-	if l := s.Live; l != nil {
+	if live := s.Live; live != nil {
 		add(
-			"live "+l.Policy,
+			"live "+live.Policy,
 			"ranks runners and orders jobs of %d percent of all programs; the built-in rules those of the others",
-			l.Share,
+			live.Share,
 		)
 	}
-	return out
+	return explanations
 }
 
-// coolsBy names what shares a cooldown on a route.
-func coolsBy(s *spec.Spec, r spec.Route) string {
-	if r.Account != "" ||
-		slices.ContainsFunc(s.Runners, func(n spec.Runner) bool { return n.Route == r.Name && n.Account != "" }) {
+// cooldownScope names what shares a cooldown on a route.
+func cooldownScope(s *spec.Spec, route spec.Route) string {
+	if route.Account != "" ||
+		slices.ContainsFunc(s.Runners, func(runner spec.Runner) bool {
+			return runner.Route == route.Name && runner.Account != ""
+		}) {
 		return "account"
 	}
-	if r.Model {
+	if route.Model {
 		return "runner"
 	}
 	return "route"
--- a/internal/coordination/core/keys.go
+++ b/internal/coordination/core/keys.go
@@ -13,12 +13,12 @@
 const MaxKeysPerPage = 1000
 
 // ListKeys answers ListKeys calls from a disk; want narrows them.
-func ListKeys(d KeyLister, q *wire.List, want func(string) bool) (*wire.Resp, error) {
-	n := int(q.Limit)
-	if n <= 0 || n > MaxKeysPerPage {
-		n = MaxKeysPerPage
+func ListKeys(lister KeyLister, request *wire.List, want func(string) bool) (*wire.Resp, error) {
+	limit := int(request.Limit)
+	if limit <= 0 || limit > MaxKeysPerPage {
+		limit = MaxKeysPerPage
 	}
-	rows, err := d.Keys(q.Kind, q.After, n, want)
+	rows, err := lister.Keys(request.Kind, request.After, limit, want)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/core/members.go
+++ b/internal/coordination/core/members.go
@@ -12,7 +12,7 @@
 )
 
 // member is a row of the members list.
-type member struct {
+type memberRow struct {
 	ID       string `json:"id"`
 	Role     string `json:"role"`
 	Addr     string `json:"addr"`
@@ -27,22 +27,24 @@
 
 func (c *Core) getMembers(x echo.Context) error {
 	// The sets whose cores are asked are those that a majority has in force.
-	v, err := c.Cluster.ReadView(x.Request().Context())
+	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	list, err := c.knownMembers(x.Request().Context())
+	list, err := c.queryMemberList(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	out := []member{}
+	rows := []memberRow{}
 	for _, m := range list.members {
-		out = append(
-			out,
-			member{m.Id, m.Role, m.Addr, m.Http, m.Zone, m.Live, m.SpecVer, m.SilentMs, votes(v, m), m.Status},
+		rows = append(
+			rows,
+			memberRow{
+				m.Id, m.Role, m.Addr, m.Http, m.Zone, m.Live, m.SpecVer, m.SilentMs, isVoter(view, m), m.Status,
+			},
 		)
 	}
-	slices.SortFunc(out, func(a, b member) int {
+	slices.SortFunc(rows, func(a, b memberRow) int {
 		if a.ID != b.ID {
 			if a.ID < b.ID {
 				return -1
@@ -51,54 +53,54 @@
 		}
 		return 0
 	})
-	return x.JSON(http.StatusOK, map[string]any{"members": out})
+	return x.JSON(http.StatusOK, map[string]any{"members": rows})
 }
 
 // votes reports whether a member is in a present or next set.
-func votes(v *cluster.View, m *wire.Member) bool {
+func isVoter(view *cluster.View, m *wire.Member) bool {
 	return slices.ContainsFunc(
-		slices.Concat(v.Cluster.Cores, v.NextCores, v.Cluster.Stores, v.NextStores),
-		func(s spec.Machine) bool { return s.Ident != "" && s.Ident == m.Ident },
+		slices.Concat(view.Cluster.Cores, view.NextCores, view.Cluster.Stores, view.NextStores),
+		func(machine spec.Machine) bool { return machine.Ident != "" && machine.Ident == m.Ident },
 	)
 }
 
 // getHealth tells what an operator should check first.
 func (c *Core) getHealth(x echo.Context) error {
 	// The sets whose cores are asked are those that a majority has in force.
-	v, err := c.Cluster.ReadView(x.Request().Context())
+	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	list, err := c.knownMembers(x.Request().Context())
+	list, err := c.queryMemberList(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	wrong := []string{}
-	if len(v.NextCores)+len(v.NextStores) > 0 {
-		wrong = append(wrong, "a change of a set is under way")
+	problems := []string{}
+	if len(view.NextCores)+len(view.NextStores) > 0 {
+		problems = append(problems, "a change of a set is under way")
 	}
-	for _, m := range append(slices.Clone(v.Cluster.Cores), v.Cluster.Stores...) {
-		g := list.members[m.ID+"@"+m.Addr]
+	for _, m := range append(slices.Clone(view.Cluster.Cores), view.Cluster.Stores...) {
+		known := list.members[m.ID+"@"+m.Addr]
 		switch {
-		case g == nil || !g.Live:
-			wrong = append(wrong, m.ID+" is away")
+		case known == nil || !known.Live:
+			problems = append(problems, m.ID+" is away")
 		case m.Ident == "":
-			wrong = append(wrong, m.ID+" is not bound yet")
-		case g.Ident != m.Ident:
-			wrong = append(wrong, m.ID+" came back with another identity and does not vote")
+			problems = append(problems, m.ID+" is not bound yet")
+		case known.Ident != m.Ident:
+			problems = append(problems, m.ID+" came back with another identity and does not vote")
 		}
 	}
 	for _, m := range list.members {
 		if m.Role == "edge" && !m.Live {
-			wrong = append(wrong, m.Id+" is away")
+			problems = append(problems, m.Id+" is away")
 		}
 		if m.Status != "" {
-			wrong = append(wrong, m.Id+": "+m.Status)
+			problems = append(problems, m.Id+": "+m.Status)
 		}
 	}
-	slices.Sort(wrong)
+	slices.Sort(problems)
 	return x.JSON(
 		http.StatusOK,
-		map[string]any{"ok": len(wrong) == 0, "spec": v.Version, "members": len(list.members), "wrong": wrong},
+		map[string]any{"ok": len(problems) == 0, "spec": view.Version, "members": len(list.members), "wrong": problems},
 	)
 }
--- a/internal/coordination/core/operations.go
+++ b/internal/coordination/core/operations.go
@@ -11,15 +11,15 @@
 	"damsontiller/internal/transport/code"
 )
 
-// operationHeader carries an id that the sender of an order has drawn, so that the order
+// operationIDHeader carries an id that the sender of an order has drawn, so that the order
 // may be sent again after a lost answer.
-const operationHeader = "Idempotency-Key"
+const operationIDHeader = "Idempotency-Key"
 
-// maxOperationID bounds an id, in bytes.
-const maxOperationID = 128
+// maxOperationIDBytes bounds an id, in bytes.
+const maxOperationIDBytes = 128
 
-// operationContext is where a request keeps its order's id and content.
-const operationContext = "operation"
+// operationContextKey is where a request keeps its order's id and content.
+const operationContextKey = "operation"
 
 // pendingOperation is an order whose body is being read.
 type pendingOperation struct {
@@ -33,29 +33,29 @@
 	io.Closer
 }
 
-// identified is the middleware of orders that may carry an id.
-func identified(next echo.HandlerFunc) echo.HandlerFunc {
+// withOperationID is the middleware of orders that may carry an id.
+func withOperationID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(x echo.Context) error {
-		q := x.Request()
-		id := q.Header.Get(operationHeader)
+		request := x.Request()
+		id := request.Header.Get(operationIDHeader)
 		if id == "" {
 			return next(x)
 		}
-		if len(id) > maxOperationID {
-			err := code.New(code.BadHeader, "%s of %d bytes, limit %d", operationHeader, len(id), maxOperationID)
-			return fail(x, err)
+		if len(id) > maxOperationIDBytes {
+			err := code.New(code.BadHeader, "%s of %d bytes, limit %d", operationIDHeader, len(id), maxOperationIDBytes)
+			return writeError(x, err)
 		}
 		content := sha256.New()
-		_, _ = io.WriteString(content, q.Method+" "+q.URL.RequestURI()+"\n")
-		q.Body = hashedBody{io.TeeReader(q.Body, content), q.Body}
-		x.Set(operationContext, &pendingOperation{id, content})
+		_, _ = io.WriteString(content, request.Method+" "+request.URL.RequestURI()+"\n")
+		request.Body = hashedBody{io.TeeReader(request.Body, content), request.Body}
+		x.Set(operationContextKey, &pendingOperation{id, content})
 		return next(x)
 	}
 }
 
-// operationOf is the order's id and content, once its body has been read.
-func operationOf(x echo.Context) spec.Operation {
-	pending, ok := x.Get(operationContext).(*pendingOperation)
+// requestOperation is the order's id and content, once its body has been read.
+func requestOperation(x echo.Context) spec.Operation {
+	pending, ok := x.Get(operationContextKey).(*pendingOperation)
 	if !ok {
 		return spec.Operation{}
 	}
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -17,7 +17,7 @@
 )
 
 // ack is the answer to a change.
-type ack struct {
+type changeResponse struct {
 	Version uint64   `json:"version"`
 	Code    int      `json:"code"`
 	Name    string   `json:"name"`
@@ -28,11 +28,11 @@
 // Routes puts the operators' interface on e.
 func (c *Core) Routes(e *echo.Echo) {
 	e.GET("/v1/spec", c.getSpec)
-	e.PUT("/v1/spec", c.putSpec, identified)
-	e.PATCH("/v1/spec", c.patchSpec, identified)
+	e.PUT("/v1/spec", c.putSpec, withOperationID)
+	e.PATCH("/v1/spec", c.patchSpec, withOperationID)
 	e.GET("/v1/spec/versions/:ver", c.getVersion)
-	e.POST("/v1/zones/:zone/empty", func(x echo.Context) error { return c.changeZone(x, true) }, identified)
-	e.POST("/v1/zones/:zone/refill", func(x echo.Context) error { return c.changeZone(x, false) }, identified)
+	e.POST("/v1/zones/:zone/empty", func(x echo.Context) error { return c.changeZone(x, true) }, withOperationID)
+	e.POST("/v1/zones/:zone/refill", func(x echo.Context) error { return c.changeZone(x, false) }, withOperationID)
 	e.GET("/v1/explain", c.explain)
 	e.GET("/v1/members", c.getMembers)
 	e.GET("/v1/health", c.getHealth)
@@ -59,78 +59,78 @@
 
 func (c *Core) getSpec(x echo.Context) error {
 	// Read at a majority: what this core has in force may be older.
-	v, err := c.Cluster.ReadView(x.Request().Context())
+	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	b, err := spec.State{Version: v.Version, Spec: v.Spec}.MarshalJSON()
+	body, err := spec.State{Version: view.Version, Spec: view.Spec}.MarshalJSON()
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	return x.JSONBlob(http.StatusOK, b)
+	return x.JSONBlob(http.StatusOK, body)
 }
 
 func (c *Core) putSpec(x echo.Context) error {
-	var p spec.Put
-	if err := read(x, &p); err != nil {
-		return fail(x, err)
+	var put spec.Put
+	if err := readRequest(x, &put); err != nil {
+		return writeError(x, err)
 	}
-	if p.Expect == 0 {
-		return fail(x, code.New(code.BadField, "expect: the version to be replaced is missing"))
+	if put.Expect == 0 {
+		return writeError(x, code.New(code.BadField, "expect: the version to be replaced is missing"))
 	}
-	return c.changeSpec(x, p.Expect, func(s *spec.Spec) error { *s = p.Spec; return nil })
+	return c.changeSpec(x, put.Expect, func(s *spec.Spec) error { *s = put.Spec; return nil })
 }
 
 func (c *Core) patchSpec(x echo.Context) error {
-	var p spec.Patch
-	if err := read(x, &p); err != nil {
-		return fail(x, err)
+	var patch spec.Patch
+	if err := readRequest(x, &patch); err != nil {
+		return writeError(x, err)
 	}
-	return c.changeSpec(x, p.Expect, func(s *spec.Spec) error { *s = p.Apply(*s); return nil })
+	return c.changeSpec(x, patch.Expect, func(s *spec.Spec) error { *s = patch.Apply(*s); return nil })
 }
 
 // fail answers with a failure. Where nothing is refused, but could not be done now, it
 // says when to come back.
-func fail(x echo.Context, err error) error {
-	return answerFailure(x, web.Of(err))
+func writeError(x echo.Context, err error) error {
+	return writeFailure(x, web.Of(err))
 }
 
-// retryAfter is when to come back, in seconds, after a failure that is only for the
+// retryAfterSeconds is when to come back, in seconds, after a failure that is only for the
 // moment.
-const retryAfter = "1"
+const retryAfterSeconds = "1"
 
-func answerFailure(x echo.Context, f web.Failure) error {
-	status := web.Status(code.Code(f.Code))
+func writeFailure(x echo.Context, failure web.Failure) error {
+	status := web.Status(code.Code(failure.Code))
 	if status == http.StatusServiceUnavailable {
-		x.Response().Header().Set("Retry-After", retryAfter)
+		x.Response().Header().Set("Retry-After", retryAfterSeconds)
 	}
-	return x.JSON(status, f)
+	return x.JSON(status, failure)
 }
 
 func (c *Core) changeZone(x echo.Context, empty bool) error {
-	z := x.Param("zone")
-	var o struct {
+	zone := x.Param("zone")
+	var options struct {
 		Force bool `json:"force"`
 	}
-	b, err := web.Body(x, 4096)
-	if err == nil && len(b) > 0 {
-		err = web.Strict(b, &o)
+	body, err := web.Body(x, 4096)
+	if err == nil && len(body) > 0 {
+		err = web.Strict(body, &options)
 	}
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
 	return c.changeSpec(x, 0, func(s *spec.Spec) error {
 		// Only the register says which zones there are: this core's copy may be old.
-		if !slices.Contains(s.Zones, z) {
-			return code.New(code.NoZone, "%q is not one of zones", z)
+		if !slices.Contains(s.Zones, zone) {
+			return code.New(code.NoZone, "%q is not one of zones", zone)
 		}
 		if err := c.RequireContact(x.Request().Context()); err != nil {
 			return err
 		}
-		s.EmptyZones = slices.DeleteFunc(slices.Clone(s.EmptyZones), func(e string) bool { return e == z })
+		s.EmptyZones = slices.DeleteFunc(slices.Clone(s.EmptyZones), func(name string) bool { return name == zone })
 		if empty {
-			s.EmptyZones = append(s.EmptyZones, z)
-			s.ForceEmpty = s.ForceEmpty || o.Force
+			s.EmptyZones = append(s.EmptyZones, zone)
+			s.ForceEmpty = s.ForceEmpty || options.Force
 		} else {
 			// The force word was for the emptying; the next one needs its own.
 			s.ForceEmpty = false
@@ -140,12 +140,12 @@
 }
 
 // changeSpec makes f's change and checks the spec that comes of it.
-func (c *Core) changeSpec(x echo.Context, expect uint64, f func(*spec.Spec) error) error {
-	return c.change(x, expect, func(r *spec.Cluster) error {
-		if err := f(&r.Spec); err != nil {
+func (c *Core) changeSpec(x echo.Context, expect uint64, edit func(*spec.Spec) error) error {
+	return c.change(x, expect, func(updated *spec.Cluster) error {
+		if err := edit(&updated.Spec); err != nil {
 			return err
 		}
-		return r.Spec.Check()
+		return updated.Spec.Check()
 	})
 }
 
@@ -159,8 +159,8 @@
 // Change makes f's change of the cluster and waits, for as long as ctx lasts, until
 // it is in force. An error means that it was not chosen, or is uncertain; on a
 // conflict the version in force is given.
-func (c *Core) Change(ctx context.Context, expect uint64, f func(*spec.Cluster) error) (ChangeResult, error) {
-	return c.changeOnce(ctx, expect, spec.Operation{}, f)
+func (c *Core) Change(ctx context.Context, expect uint64, edit func(*spec.Cluster) error) (ChangeResult, error) {
+	return c.changeOnce(ctx, expect, spec.Operation{}, edit)
 }
 
 // changeOnce is Change for an order that may be sent again.
@@ -168,67 +168,73 @@
 	ctx context.Context,
 	expect uint64,
 	operation spec.Operation,
-	f func(*spec.Cluster) error,
+	edit func(*spec.Cluster) error,
 ) (ChangeResult, error) {
-	ver, raw, err := c.Cluster.ChangeOnce(ctx, expect, operation, f)
+	version, raw, err := c.Cluster.ChangeOnce(ctx, expect, operation, edit)
 	if err != nil {
-		return ChangeResult{Version: ver}, err
+		return ChangeResult{Version: version}, err
 	}
-	c.Log.Info("spec chosen", "version", ver)
-	confirmed := c.broadcastSpec(ctx, ver, raw)
-	a := ChangeResult{Version: ver, Waiting: []string{"unknown"}}
+	c.Log.Info("spec chosen", "version", version)
+	confirmed := c.broadcastSpec(ctx, version, raw)
+	result := ChangeResult{Version: version, Waiting: []string{"unknown"}}
 	for {
-		if w, err := c.unconfirmed(ctx, ver, confirmed); err == nil {
-			if a.Waiting = w; len(w) == 0 {
-				a.InForce = true
-				return a, nil
+		if waiting, err := c.unconfirmedNodes(ctx, version, confirmed); err == nil {
+			if result.Waiting = waiting; len(waiting) == 0 {
+				result.InForce = true
+				return result, nil
 			}
 		}
 		if !loop.Wait(ctx, 50*time.Millisecond) {
 			// Chosen, but somebody could still act on an older one.
-			return a, nil
+			return result, nil
 		}
 	}
 }
 
 // change makes f's change and answers as the rule of acknowledgement says.
-func (c *Core) change(x echo.Context, expect uint64, f func(*spec.Cluster) error) error {
-	ctx, stop := context.WithTimeout(x.Request().Context(), c.params.AckTimeout)
-	defer stop()
-	a, err := c.changeOnce(ctx, expect, operationOf(x), f)
+func (c *Core) change(x echo.Context, expect uint64, edit func(*spec.Cluster) error) error {
+	ctx, cancel := context.WithTimeout(x.Request().Context(), c.params.AckTimeout)
+	defer cancel()
+	result, err := c.changeOnce(ctx, expect, requestOperation(x), edit)
 	switch {
 	case err != nil:
-		p := web.Of(err)
+		failure := web.Of(err)
 		if code.Of(err) == code.SpecConflict {
-			p.Version = a.Version
+			failure.Version = result.Version
 		}
-		return answerFailure(x, p)
-	case a.InForce:
-		return x.JSON(http.StatusOK, ack{Version: a.Version, Name: code.OK.Name(), InForce: true, Waiting: a.Waiting})
+		return writeFailure(x, failure)
+	case result.InForce:
+		return x.JSON(
+			http.StatusOK,
+			changeResponse{Version: result.Version, Name: code.OK.Name(), InForce: true, Waiting: result.Waiting},
+		)
 	}
-	return x.JSON(http.StatusAccepted, ack{a.Version, int(code.NotInForce), code.NotInForce.Name(), false, a.Waiting})
+	return x.JSON(
+		http.StatusAccepted,
+		changeResponse{result.Version, int(code.NotInForce), code.NotInForce.Name(), false, result.Waiting},
+	)
 }
 
 func (c *Core) getVersion(x echo.Context) error {
-	ver, err := strconv.ParseUint(x.Param("ver"), 10, 64)
-	if err != nil || ver == 0 {
-		return fail(x, code.New(code.BadField, "version: %q is not a version", x.Param("ver")))
+	version, err := strconv.ParseUint(x.Param("ver"), 10, 64)
+	if err != nil || version == 0 {
+		return writeError(x, code.New(code.BadField, "version: %q is not a version", x.Param("ver")))
 	}
 	ctx := x.Request().Context()
-	v, err := c.Cluster.ReadView(ctx)
+	view, err := c.Cluster.ReadView(ctx)
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	if ver > v.Version {
-		return fail(x, code.New(code.NoVersion, "version %d, the latest is %d", ver, v.Version))
+	if version > view.Version {
+		return writeError(x, code.New(code.NoVersion, "version %d, the latest is %d", version, view.Version))
 	}
-	w, err := c.unconfirmed(ctx, ver, nil)
+	waiting, err := c.unconfirmedNodes(ctx, version, nil)
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	a := ack{Version: ver, Name: code.OK.Name(), InForce: len(w) == 0, Waiting: w}
-	if !a.InForce {
-		a.Code, a.Name = int(code.NotInForce), code.NotInForce.Name()
+	response := changeResponse{Version: version, Name: code.OK.Name(), InForce: len(waiting) == 0, Waiting: waiting}
+	if !response.InForce {
+		response.Code, response.Name = int(code.NotInForce), code.NotInForce.Name()
 	}
-	return x.JSON(http.StatusOK, a)
+	return x.JSON(http.StatusOK, response)
 }
--- a/internal/coordination/core/persistence.go
+++ b/internal/coordination/core/persistence.go
@@ -22,8 +22,8 @@
 // SaveIdentityVersion records on disk under which version of the cluster this machine's identity
 // was made, before it is first given to anybody who could admit it. It is recorded once and
 // never raised: what is removed and forgotten is refused by it (package membership).
-func SaveIdentityVersion(n *node.Node, d MetadataStore, version uint64) error {
-	if err := d.SaveMetadata(identityVersionKey, binary.BigEndian.AppendUint64(nil, version)); err != nil {
+func SaveIdentityVersion(n *node.Node, store MetadataStore, version uint64) error {
+	if err := store.SaveMetadata(identityVersionKey, binary.BigEndian.AppendUint64(nil, version)); err != nil {
 		return err
 	}
 	n.Peer.SetIdent(n.Peer.Ident(), version)
@@ -32,12 +32,12 @@
 
 // RestoreIdentityVersion takes up the version that was recorded. A folder that an earlier release
 // has made has no such record: its identity counts as made under version 0.
-func RestoreIdentityVersion(n *node.Node, d MetadataStore) error {
-	b, err := d.LoadMetadata(identityVersionKey)
-	if err != nil || len(b) < 8 {
+func RestoreIdentityVersion(n *node.Node, store MetadataStore) error {
+	record, err := store.LoadMetadata(identityVersionKey)
+	if err != nil || len(record) < 8 {
 		return err
 	}
-	n.Peer.SetIdent(n.Peer.Ident(), binary.BigEndian.Uint64(b))
+	n.Peer.SetIdent(n.Peer.Ident(), binary.BigEndian.Uint64(record))
 	return nil
 }
 
@@ -50,25 +50,25 @@
 }
 
 // DiskState is what a lease's renewals state of a data folder.
-func DiskState(d DiskStatusReporter) lease.DiskState {
-	return lease.DiskState{Status: d.Status(), HungFor: d.HungFor(), Folder: d.FolderState()}
+func DiskState(disk DiskStatusReporter) lease.DiskState {
+	return lease.DiskState{Status: disk.Status(), HungFor: disk.HungFor(), Folder: disk.FolderState()}
 }
 
-const clusterKey = "realm"
+const clusterMetadataKey = "realm"
 
 // PersistCluster records each spec on disk before it comes into force.
 func PersistCluster(save func(string, []byte) error) func([]byte, uint64) error {
-	return func(raw []byte, ver uint64) error {
-		return save(clusterKey, append(binary.BigEndian.AppendUint64(nil, ver), raw...))
+	return func(raw []byte, version uint64) error {
+		return save(clusterMetadataKey, append(binary.BigEndian.AppendUint64(nil, version), raw...))
 	}
 }
 
 // RestoreCluster puts the spec kept on disk in force: a node never slips back to an
 // older one than it has had.
-func RestoreCluster(saved func(string) ([]byte, error), r *cluster.Cluster) error {
-	b, err := saved(clusterKey)
-	if err != nil || len(b) < 8 {
+func RestoreCluster(load func(string) ([]byte, error), state *cluster.Cluster) error {
+	record, err := load(clusterMetadataKey)
+	if err != nil || len(record) < 8 {
 		return err
 	}
-	return r.Apply(binary.BigEndian.Uint64(b), b[8:])
+	return state.Apply(binary.BigEndian.Uint64(record), record[8:])
 }
--- a/internal/coordination/core/policies.go
+++ b/internal/coordination/core/policies.go
@@ -14,13 +14,13 @@
 // policyRoutes puts the commands for policy programs on e.
 func (c *Core) policyRoutes(e *echo.Echo) {
 	e.GET("/v1/policies", c.getPolicies)
-	e.PUT("/v1/policies/:name", c.putPolicy, identified)
-	e.DELETE("/v1/policies/:name", c.deletePolicy, identified)
-	e.POST("/v1/policies/:name/approve", c.approve, identified)
-	e.POST("/v1/policies/live", c.live, identified)
+	e.PUT("/v1/policies/:name", c.putPolicy, withOperationID)
+	e.DELETE("/v1/policies/:name", c.deletePolicy, withOperationID)
+	e.POST("/v1/policies/:name/approve", c.approvePolicy, withOperationID)
+	e.POST("/v1/policies/live", c.setLivePolicy, withOperationID)
 	e.POST("/v1/policies/off", func(x echo.Context) error {
 		return c.changeSpec(x, 0, func(s *spec.Spec) error { s.Live = nil; return nil })
-	}, identified)
+	}, withOperationID)
 }
 
 // policyRow is a policy as operators see it.
@@ -32,49 +32,55 @@
 }
 
 func (c *Core) getPolicies(x echo.Context) error {
-	v, err := c.Cluster.ReadView(x.Request().Context())
+	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	out := []policyRow{}
-	for _, p := range v.Spec.Policies {
-		r := policyRow{Policy: p, Digest: p.Source().Digest()}
-		if l := v.Spec.Live; l != nil && l.Policy == p.Name {
-			r.Share = l.Share
+	rows := []policyRow{}
+	for _, policy := range view.Spec.Policies {
+		row := policyRow{Policy: policy, Digest: policy.Source().Digest()}
+		if live := view.Spec.Live; live != nil && live.Policy == policy.Name {
+			row.Share = live.Share
 		}
-		for _, a := range v.Spec.Approvals {
-			if a.Policy == p.Name {
-				r.Approval = append(r.Approval, a)
+		for _, approval := range view.Spec.Approvals {
+			if approval.Policy == policy.Name {
+				row.Approval = append(row.Approval, approval)
 			}
 		}
-		out = append(out, r)
+		rows = append(rows, row)
 	}
-	return x.JSON(http.StatusOK, map[string]any{"version": v.Version, "policies": out})
+	return x.JSON(http.StatusOK, map[string]any{"version": view.Version, "policies": rows})
 }
 
-func dropApprovals(s *spec.Spec, name string) {
-	s.Approvals = slices.DeleteFunc(slices.Clone(s.Approvals), func(a spec.Approval) bool { return a.Policy == name })
+func removeApprovals(s *spec.Spec, name string) {
+	s.Approvals = slices.DeleteFunc(
+		slices.Clone(s.Approvals),
+		func(approval spec.Approval) bool { return approval.Policy == name },
+	)
 }
 
 // putPolicy takes a text; another text of the same name has to be approved anew,
 // and a live one must be taken off first.
 func (c *Core) putPolicy(x echo.Context) error {
-	var p spec.PolicyPut
-	if err := read(x, &p); err != nil {
-		return fail(x, err)
+	var put spec.PolicyPut
+	if err := readRequest(x, &put); err != nil {
+		return writeError(x, err)
 	}
-	n := spec.Policy{Name: x.Param("name"), Rank: p.Rank, Order: p.Order}
+	policy := spec.Policy{Name: x.Param("name"), Rank: put.Rank, Order: put.Order}
 	return c.changeSpec(x, 0, func(s *spec.Spec) error {
-		old, ok := s.Policy(n.Name)
-		if ok && old == n {
+		old, ok := s.Policy(policy.Name)
+		if ok && old == policy {
 			return nil
 		}
-		if s.Live != nil && s.Live.Policy == n.Name {
-			return code.New(code.NotApproved, "%q is live; its text can't change under it", n.Name)
+		if s.Live != nil && s.Live.Policy == policy.Name {
+			return code.New(code.NotApproved, "%q is live; its text can't change under it", policy.Name)
 		}
-		s.Policies = slices.DeleteFunc(slices.Clone(s.Policies), func(o spec.Policy) bool { return o.Name == n.Name })
-		s.Policies = append(s.Policies, n)
-		dropApprovals(s, n.Name)
+		s.Policies = slices.DeleteFunc(
+			slices.Clone(s.Policies),
+			func(other spec.Policy) bool { return other.Name == policy.Name },
+		)
+		s.Policies = append(s.Policies, policy)
+		removeApprovals(s, policy.Name)
 		return nil
 	})
 }
@@ -88,46 +94,49 @@
 		if s.Live != nil && s.Live.Policy == name {
 			return code.New(code.NotApproved, "%q is live; take it off first", name)
 		}
-		s.Policies = slices.DeleteFunc(slices.Clone(s.Policies), func(o spec.Policy) bool { return o.Name == name })
-		dropApprovals(s, name)
+		s.Policies = slices.DeleteFunc(
+			slices.Clone(s.Policies),
+			func(policy spec.Policy) bool { return policy.Name == name },
+		)
+		removeApprovals(s, name)
 		return nil
 	})
 }
 
 // approve takes a rehearsal's report as it was written.
-func (c *Core) approve(x echo.Context) error {
-	var a spec.Approval
-	if err := read(x, &a); err != nil {
-		return fail(x, err)
+func (c *Core) approvePolicy(x echo.Context) error {
+	var approval spec.Approval
+	if err := readRequest(x, &approval); err != nil {
+		return writeError(x, err)
 	}
-	if a.Policy != x.Param("name") {
-		return fail(x, code.New(code.BadField, "policy: the report is of %q", a.Policy))
+	if approval.Policy != x.Param("name") {
+		return writeError(x, code.New(code.BadField, "policy: the report is of %q", approval.Policy))
 	}
 	return c.changeSpec(x, 0, func(s *spec.Spec) error {
-		if _, ok := s.Policy(a.Policy); !ok {
-			return code.New(code.BadField, "there is no policy %q", a.Policy)
+		if _, ok := s.Policy(approval.Policy); !ok {
+			return code.New(code.BadField, "there is no policy %q", approval.Policy)
 		}
-		dropApprovals(s, a.Policy)
-		s.Approvals = append(s.Approvals, a)
+		removeApprovals(s, approval.Policy)
+		s.Approvals = append(s.Approvals, approval)
 		return nil
 	})
 }
 
-func (c *Core) live(x echo.Context) error {
-	var l spec.Live
-	if err := read(x, &l); err != nil {
-		return fail(x, err)
+func (c *Core) setLivePolicy(x echo.Context) error {
+	var live spec.Live
+	if err := readRequest(x, &live); err != nil {
+		return writeError(x, err)
 	}
 	return c.changeSpec(x, 0, func(s *spec.Spec) error {
-		s.Live = &l
+		s.Live = &live
 		return nil
 	})
 }
 
-func read(x echo.Context, into interface{ UnmarshalJSON([]byte) error }) error {
-	b, err := web.Body(x, spec.MaxBytes)
+func readRequest(x echo.Context, into interface{ UnmarshalJSON([]byte) error }) error {
+	body, err := web.Body(x, spec.MaxBytes)
 	if err != nil {
 		return err
 	}
-	return spec.Read(b, into)
+	return spec.Read(body, into)
 }
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -32,60 +32,60 @@
 )
 
 // onRenewal wakes the reconcilers where a renewal shows something new.
-func (c *Core) onRenewal(v *cluster.View, m *wire.Member) {
+func (c *Core) onRenewal(view *cluster.View, member *wire.Member) {
 	for set, wakeup := range c.reconciler.wakeups {
-		change := membership.Of(&v.Cluster, set)
-		known := membership.Has(change.Now, m.GetIdent()) || membership.Has(change.Next, m.GetIdent())
-		newcomer := m.GetRole() == set.Role() && !known
-		if newcomer && set == membership.Stores && c.firstSeen(m.Ident) {
-			c.reconciler.lastNewcomer.Store(time.Now().UnixNano())
+		change := membership.Of(&view.Cluster, set)
+		known := membership.Has(change.Now, member.GetIdent()) || membership.Has(change.Next, member.GetIdent())
+		isNew := member.GetRole() == set.Role() && !known
+		if isNew && set == membership.Stores && c.markSeen(member.Ident) {
+			c.reconciler.lastNewStoreUnixNano.Store(time.Now().UnixNano())
 		}
 		// A confirmation may be the last that a change waits for.
-		if newcomer || change.Running() {
+		if isNew || change.Running() {
 			wakeup.Notify()
 		}
 	}
 }
 
 // firstSeen reports whether an identity is seen for the first time.
-func (c *Core) firstSeen(ident string) bool {
-	_, old := c.reconciler.knownIdentities.LoadOrStore(ident, true)
-	return !old
+func (c *Core) markSeen(ident string) bool {
+	_, seen := c.reconciler.seenIdentities.LoadOrStore(ident, true)
+	return !seen
 }
 
 // reconcile brings a set one step closer to what it should be.
 func (c *Core) reconcile(ctx context.Context, set membership.Set) {
-	v := c.Cluster.Now()
-	change := membership.Of(&v.Cluster, set)
-	if !v.SelfManaged && !change.Running() || !c.isReconciler(v) {
+	view := c.Cluster.Now()
+	change := membership.Of(&view.Cluster, set)
+	if !view.SelfManaged && !change.Running() || !c.isReconciler(view) {
 		return
 	}
-	if v.SelfManaged && c.review(ctx, v, set, change) {
+	if view.SelfManaged && c.review(ctx, view, set, change) {
 		return
 	}
 	if change.Running() {
-		c.advanceChange(ctx, v, set, change)
+		c.advanceChange(ctx, view, set, change)
 		time.AfterFunc(retryInterval, c.reconciler.wakeups[set].Notify)
 	}
 }
 
 // review compares a set with what it should be. It reports whether it has begun a change
 // of it, or redirected one that can not complete.
-func (c *Core) review(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
-	ctx, stop := context.WithTimeout(ctx, reviewTimeout)
-	defer stop()
-	o := c.observe(v, set)
-	decision := membership.Decide(o)
+func (c *Core) review(ctx context.Context, view *cluster.View, set membership.Set, change membership.Change) bool {
+	ctx, cancel := context.WithTimeout(ctx, reviewTimeout)
+	defer cancel()
+	observation := c.observe(view, set)
+	decision := membership.Decide(observation)
 	if len(decision.Ask) > 0 {
-		o.Presence = c.probe(ctx, o, decision.Ask)
-		decision = membership.Decide(o)
+		observation.Presence = c.probe(ctx, observation, decision.Ask)
+		decision = membership.Decide(observation)
 	}
 	if decision.Wait {
 		time.AfterFunc(retryInterval, c.reconciler.wakeups[set].Notify)
 		return false
 	}
 	if change.Running() {
-		if slices.Equal(decision.Machines, change.Next) || !c.stalled(ctx, v, set, change) {
+		if slices.Equal(decision.Machines, change.Next) || !c.stalled(ctx, view, set, change) {
 			return false
 		}
 	} else if slices.Equal(decision.Machines, change.Now) {
@@ -96,63 +96,63 @@
 }
 
 // observe is what this core knows of the machines of a set's role.
-func (c *Core) observe(v *cluster.View, set membership.Set) membership.Observation {
+func (c *Core) observe(view *cluster.View, set membership.Set) membership.Observation {
 	return membership.Observation{
 		Set:         set,
-		Cluster:     &v.Cluster,
-		Members:     c.reconciler.outsiders[set].observe(v, c.members(set.Role())),
-		Forming:     time.Since(c.reconciler.founded) <= bootstrapPeriod,
-		NewcomerAge: time.Since(time.Unix(0, c.reconciler.lastNewcomer.Load())),
+		Cluster:     &view.Cluster,
+		Members:     c.reconciler.nonMembers[set].observe(view, c.members(set.Role())),
+		Forming:     time.Since(c.reconciler.bootstrappedAt) <= bootstrapPeriod,
+		NewcomerAge: time.Since(time.Unix(0, c.reconciler.lastNewStoreUnixNano.Load())),
 	}
 }
 
-// outsiders remembers since when machines of a role have been seen outside their set. Only
+// nonMembers remembers since when machines of a role have been seen outside their set. Only
 // the reconciler of that set uses it.
-type outsiders struct{ since map[string]time.Time }
+type nonMemberTracker struct{ since map[string]time.Time }
 
 // observe states of each member for how long it has been seen outside the sets.
-func (o *outsiders) observe(v *cluster.View, members []membership.Member) []membership.Member {
+func (tracker *nonMemberTracker) observe(view *cluster.View, members []membership.Member) []membership.Member {
 	since := map[string]time.Time{}
 	for i, m := range members {
 		ident := m.Machine.Ident
-		if ident == "" || !m.Live || membership.InSets(&v.Cluster, ident) {
+		if ident == "" || !m.Live || membership.InSets(&view.Cluster, ident) {
 			continue
 		}
-		at, known := o.since[ident]
+		first, known := tracker.since[ident]
 		if !known {
-			at = time.Now()
+			first = time.Now()
 		}
-		since[ident] = at
-		members[i].KnownFor = time.Since(at)
+		since[ident] = first
+		members[i].KnownFor = time.Since(first)
 	}
-	o.since = since
+	tracker.since = since
 	return members
 }
 
 // members are the machines of a role that this core has seen. Its own entry needs no
 // renewal.
 func (c *Core) members(role string) []membership.Member {
-	var out []membership.Member
+	var members []membership.Member
 	for _, m := range c.table.List() {
 		if m.Role == role {
-			out = append(out, observed(m))
+			members = append(members, memberFromWire(m))
 		}
 	}
-	self := observed(c.Peer.Member(c.Cluster.Now().Version))
+	self := memberFromWire(c.Peer.Member(c.Cluster.Now().Version))
 	if c.Peer.Self.Role == role {
-		out = membership.WithSelf(out, self)
+		members = membership.WithSelf(members, self)
 	}
-	return out
+	return members
 }
 
-func observed(m *wire.Member) membership.Member {
+func memberFromWire(member *wire.Member) membership.Member {
 	return membership.Member{
-		Machine:         spec.Machine{ID: m.Id, Addr: m.Addr, Zone: m.Zone, Ident: m.Ident},
-		Start:           m.Inc,
-		IdentityVersion: m.IdentityVersion,
-		Confirmed:       m.SpecVer,
-		Live:            m.Live,
-		UnresponsiveFor: time.Duration(m.SilentMs) * time.Millisecond,
+		Machine:         spec.Machine{ID: member.Id, Addr: member.Addr, Zone: member.Zone, Ident: member.Ident},
+		Start:           member.Inc,
+		IdentityVersion: member.IdentityVersion,
+		Confirmed:       member.SpecVer,
+		Live:            member.Live,
+		UnresponsiveFor: time.Duration(member.SilentMs) * time.Millisecond,
 	}
 }
 
@@ -160,7 +160,7 @@
 // checked anew, so that a core that was itself out of contact takes no machine for absent.
 func (c *Core) probe(
 	ctx context.Context,
-	o membership.Observation,
+	observation membership.Observation,
 	machines []spec.Machine,
 ) map[string]membership.Presence {
 	type answer struct {
@@ -175,52 +175,57 @@
 		}
 		asked++
 		go func() {
-			r, err := c.Peer.CallFor(
+			response, err := c.Peer.CallFor(
 				ctx,
 				presenceTimeout,
 				m.Addr,
 				&wire.Req{Ident: m.Ident, Op: &wire.Req_Hello{Hello: &wire.Hello{Head: true}}},
 			)
 			// A machine whose disk hangs is there, but of no use to its set.
-			hung := time.Duration(r.GetHello().GetSelf().GetDiskHungMs()) * time.Millisecond
-			answers <- answer{m.Ident, err == nil && hung < lease.HungDisk}
+			hungFor := time.Duration(response.GetHello().GetSelf().GetDiskHungMs()) * time.Millisecond
+			answers <- answer{m.Ident, err == nil && hungFor < lease.HungDisk}
 		}()
 	}
-	out := map[string]membership.Presence{}
+	presence := map[string]membership.Presence{}
 	for range asked {
-		a := <-answers
-		out[a.ident] = membership.PresenceOf(a.answered, c.unresponsiveFor(o, a.ident))
+		reply := <-answers
+		presence[reply.ident] = membership.PresenceOf(reply.answered, c.unresponsiveFor(observation, reply.ident))
 	}
-	return out
+	return presence
 }
 
 // unresponsiveFor is how long a machine has been without contact. One never seen by this
 // core counts as unresponsive for as long as the core has run.
-func (c *Core) unresponsiveFor(o membership.Observation, ident string) time.Duration {
-	least := time.Since(c.startedAt)
-	for _, m := range o.Members {
+func (c *Core) unresponsiveFor(observation membership.Observation, ident string) time.Duration {
+	shortest := time.Since(c.startedAt)
+	for _, m := range observation.Members {
 		if m.Machine.Ident == ident {
-			least = min(least, m.UnresponsiveFor)
+			shortest = min(shortest, m.UnresponsiveFor)
 		}
 	}
-	return least
+	return shortest
 }
 
 // stalled reports whether a change waits for a machine that will not complete it.
-func (c *Core) stalled(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) bool {
-	o := c.observe(v, set)
-	stalled, ask := change.Stalled(o)
-	if len(ask) > 0 {
-		o.Presence = c.probe(ctx, o, ask)
-		stalled, _ = change.Stalled(o)
+func (c *Core) stalled(ctx context.Context, view *cluster.View, set membership.Set, change membership.Change) bool {
+	observation := c.observe(view, set)
+	stalled, unprobed := change.Stalled(observation)
+	if len(unprobed) > 0 {
+		observation.Presence = c.probe(ctx, observation, unprobed)
+		stalled, _ = change.Stalled(observation)
 	}
 	return stalled
 }
 
 // beginChange begins a change of a set, or redirects one that can not complete.
-func (c *Core) beginChange(ctx context.Context, set membership.Set, was membership.Change, target membership.Target) {
-	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		return membership.BeginChange(r, set, was, target)
+func (c *Core) beginChange(
+	ctx context.Context,
+	set membership.Set,
+	before membership.Change,
+	target membership.Target,
+) {
+	version, raw, err := c.Cluster.Change(ctx, 0, func(updated *spec.Cluster) error {
+		return membership.BeginChange(updated, set, before, target)
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
@@ -228,14 +233,20 @@
 		}
 		return
 	}
-	c.Log.Info("set changes", "set", set, "version", ver, "from", names(was.Now), "to", names(target.Machines))
-	c.broadcastAsync(ctx, ver, raw)
+	c.Log.Info(
+		"set change begun",
+		"set", set,
+		"version", version,
+		"from", machineIDs(before.Now),
+		"to", machineIDs(target.Machines),
+	)
+	c.broadcastAsync(ctx, version, raw)
 }
 
-func names(machines []spec.Machine) []string {
-	out := []string{}
+func machineIDs(machines []spec.Machine) []string {
+	ids := []string{}
 	for _, m := range machines {
-		out = append(out, m.ID)
+		ids = append(ids, m.ID)
 	}
-	return out
+	return ids
 }
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -15,31 +15,31 @@
 // at each new version of the cluster.
 const removalCheckInterval = 5 * time.Second
 
-// folderOwner is a process with a data folder that stands for its identity.
-type folderOwner struct {
+// identityReplacer is a process with a data folder that stands for its identity.
+type identityReplacer struct {
 	node *node.Node
 	disk Disk
-	// forget drops what the process remembers of its disk.
-	forget func()
+	// resetDiskState drops what the process remembers of its disk.
+	resetDiskState func()
 }
 
 // WatchRemoval watches whether this machine must take a new identity: another machine
 // replaced it while it was away, or its folder was put back from a copy. Where the sets are
 // self-managed the machine then goes on with an empty folder and a new identity, and is
 // admitted again as a newcomer. A machine that operators retired keeps its data as it is.
-// forget drops what the process remembers of its disk.
-func WatchRemoval(ctx context.Context, n *node.Node, d Disk, forget func()) {
-	owner := &folderOwner{node: n, disk: d, forget: forget}
+// resetDiskState drops what the process remembers of its disk.
+func WatchRemoval(ctx context.Context, n *node.Node, disk Disk, resetDiskState func()) {
+	replacer := &identityReplacer{node: n, disk: disk, resetDiskState: resetDiskState}
 	loop.Every(ctx, removalCheckInterval, n.Cluster.Watch(), func(context.Context) {
-		v := n.Cluster.Now()
-		if !v.SelfManaged || slices.Contains(v.Retired, n.Peer.Self.Id) {
+		view := n.Cluster.Now()
+		if !view.SelfManaged || slices.Contains(view.Retired, n.Peer.Self.Id) {
 			return
 		}
 		switch {
 		case n.Lease.FolderOutdated():
-			_ = owner.replaceOutdated()
-		case membership.Removed(&v.Cluster, n.Peer.Ident(), n.Peer.IdentityVersion()):
-			_ = owner.replaceIdentity(v, "the identity was removed from the set", d.ReplaceIdentity)
+			_ = replacer.replaceOutdated()
+		case membership.Removed(&view.Cluster, n.Peer.Ident(), n.Peer.IdentityVersion()):
+			_ = replacer.replaceIdentity(view, "the identity was removed from the set", disk.ReplaceIdentity)
 		}
 	})
 }
@@ -47,23 +47,31 @@
 // ReplaceOutdatedFolder has a process whose folder was put back from a copy take a new
 // identity before it joins. What the folder holds is set aside, and a store takes it over
 // as copies that are no votes.
-func ReplaceOutdatedFolder(n *node.Node, d Disk, forget func()) {
-	owner := &folderOwner{node: n, disk: d, forget: forget}
-	n.ReplaceFolder = owner.replaceOutdated
+func ReplaceOutdatedFolder(n *node.Node, disk Disk, resetDiskState func()) {
+	replacer := &identityReplacer{node: n, disk: disk, resetDiskState: resetDiskState}
+	n.ReplaceFolder = replacer.replaceOutdated
 }
 
-func (o *folderOwner) replaceOutdated() error {
-	err := o.replaceIdentity(o.node.Cluster.Now(), "the folder was put back from a copy", o.disk.SetAside)
+func (replacer *identityReplacer) replaceOutdated() error {
+	err := replacer.replaceIdentity(
+		replacer.node.Cluster.Now(),
+		"the folder was put back from a copy",
+		replacer.disk.SetAside,
+	)
 	if err == nil {
-		o.node.Lease.ResetFolder()
+		replacer.node.Lease.ResetFolder()
 	}
 	return err
 }
 
 // replaceIdentity has replace put the folder aside for one of a new identity, and goes on
 // with that one under a view of the cluster.
-func (o *folderOwner) replaceIdentity(v *cluster.View, why string, replace func(why string) error) error {
-	n, was := o.node, o.node.Peer.Ident()
+func (replacer *identityReplacer) replaceIdentity(
+	view *cluster.View,
+	why string,
+	replace func(why string) error,
+) error {
+	n, oldIdent := replacer.node, replacer.node.Peer.Ident()
 	// From here on nobody reaches the old identity; what is under way ends first.
 	n.Peer.SetIdent("", 0)
 	n.Gate.Drain()
@@ -71,18 +79,18 @@
 		n.Log.Error("no new identity", "err", err)
 		return err
 	}
-	if o.forget != nil {
-		o.forget()
+	if replacer.resetDiskState != nil {
+		replacer.resetDiskState()
 	}
-	if err := SaveIdentityVersion(n, o.disk, v.Version); err != nil {
+	if err := SaveIdentityVersion(n, replacer.disk, view.Version); err != nil {
 		n.Log.Error("no new identity", "err", err)
 		return err
 	}
-	if err := PersistCluster(o.disk.SaveMetadata)(v.Raw(), v.Version); err != nil {
+	if err := PersistCluster(replacer.disk.SaveMetadata)(view.Raw(), view.Version); err != nil {
 		n.Log.Error("spec not saved", "err", err)
 	}
-	n.Peer.SetIdent(o.disk.Ident(), v.Version)
-	n.Log.Warn("back under a new identity", "why", why, "was", was, "ident", o.disk.Ident())
+	n.Peer.SetIdent(replacer.disk.Ident(), view.Version)
+	n.Log.Warn("back under a new identity", "why", why, "was", oldIdent, "ident", replacer.disk.Ident())
 	n.Lease.RenewNow()
 	return nil
 }
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -31,126 +31,130 @@
 // is about to be, changes nothing. What it refuses for good rests on the register;
 // what rests on who is live at this moment is code.FewLive or code.NotHeard.
 func (c *Core) Retire(ctx context.Context, id string) error {
-	list, err := c.knownMembers(ctx)
+	list, err := c.queryMemberList(ctx)
 	if err != nil {
 		return err
 	}
-	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		if slices.Contains(r.Retired, id) {
+	version, raw, err := c.Cluster.Change(ctx, 0, func(updated *spec.Cluster) error {
+		if slices.Contains(updated.Retired, id) {
 			return cluster.ErrNoChange
 		}
 		if err := c.RequireContact(ctx); err != nil {
 			return err
 		}
-		return retireStore(r, id, list.members)
+		return retireStore(updated, id, list.members)
 	})
 	switch {
 	case errors.Is(err, cluster.ErrNoChange):
 		return nil
-	case code.Of(err) == code.NotSeen && c.confirmedUnknown(ctx, id):
+	case code.Of(err) == code.NotSeen && c.confirmedUnknownStore(ctx, id):
 		return code.New(code.NoMember, "no store %q", id)
 	case err != nil:
 		return err
 	}
-	c.Log.Info("store retiring", "id", id, "version", ver)
-	c.broadcastAsync(ctx, ver, raw)
+	c.Log.Info("store retiring", "id", id, "version", version)
+	c.broadcastAsync(ctx, version, raw)
 	return nil
 }
 
 // retireStore notes in the cluster that a store is to go. The members known are a
 // view of this moment.
-func retireStore(r *spec.Cluster, id string, known map[string]*wire.Member) error {
+func retireStore(state *spec.Cluster, id string, known map[string]*wire.Member) error {
 	isStore := func(m *wire.Member) bool { return m.Role == membership.Stores.Role() }
-	in := slices.ContainsFunc(slices.Concat(r.Stores, r.NextStores), func(m spec.Machine) bool { return m.ID == id })
-	there := false
+	inSet := slices.ContainsFunc(
+		slices.Concat(state.Stores, state.NextStores),
+		func(m spec.Machine) bool { return m.ID == id },
+	)
+	seen := false
 	for _, m := range known {
-		there = there || m.Id == id && isStore(m)
+		seen = seen || m.Id == id && isStore(m)
 	}
-	if !in && !there {
+	if !inSet && !seen {
 		return code.New(code.NotSeen, "no store %q has been seen", id)
 	}
-	if err := enoughLeft(r, id, known); in && err != nil {
+	if err := checkRemainingStores(state, id, known); inSet && err != nil {
 		return err
 	}
-	r.Retired = append(r.Retired, id)
-	r.Retired = forgetRetired(r)
+	state.Retired = append(state.Retired, id)
+	state.Retired = pruneRetired(state)
 	return nil
 }
 
-// enoughLeft refuses for good to let a store go where the set can't be as large as the
+// checkRemainingStores refuses for good to let a store go where the set can't be as large as the
 // copies without it, and for the moment where fewer of the others are live.
-func enoughLeft(r *spec.Cluster, id string, known map[string]*wire.Member) error {
-	copies := cluster.Copies(r)
-	possible := map[string]bool{}
-	for _, m := range slices.Concat(r.Stores, r.NextStores) {
-		possible[m.ID] = true
+func checkRemainingStores(state *spec.Cluster, id string, known map[string]*wire.Member) error {
+	copies := cluster.Copies(state)
+	candidates := map[string]bool{}
+	for _, m := range slices.Concat(state.Stores, state.NextStores) {
+		candidates[m.ID] = true
 	}
 	live := 0
 	for _, m := range known {
-		stays := m.Id != id && m.Role == membership.Stores.Role() && !slices.Contains(r.Retired, m.Id)
+		remains := m.Id != id && m.Role == membership.Stores.Role() && !slices.Contains(state.Retired, m.Id)
 		switch {
-		case !stays:
-		case membership.Has(r.Stores, m.Ident):
+		case !remains:
+		case membership.Has(state.Stores, m.Ident):
 			if m.Live {
 				live++
 			}
-		case !membership.IdentityRefused(r, m.Ident, m.IdentityVersion) && m.SilentMs < admissionWindow.Milliseconds():
+		case !membership.IdentityRefused(state, m.Ident, m.IdentityVersion) &&
+			m.SilentMs < admissionWindow.Milliseconds():
 			// It may be taken in yet.
-			possible[m.Id] = true
+			candidates[m.Id] = true
 		}
 	}
-	delete(possible, id)
-	for _, probed := range r.Retired {
-		delete(possible, probed)
+	delete(candidates, id)
+	for _, retired := range state.Retired {
+		delete(candidates, retired)
 	}
 	switch {
-	case len(possible) < copies:
-		return code.New(code.BelowCopies, "%d machines would be left for %d copies", len(possible), copies)
+	case len(candidates) < copies:
+		return code.New(code.BelowCopies, "%d machines would be left for %d copies", len(candidates), copies)
 	case live < copies:
 		return code.New(code.FewLive, "%d live machines would be left for %d copies at this moment", live, copies)
 	}
 	return nil
 }
 
-// forgetRetired is the list of retired names without the oldest that are in no set
+// pruneRetired is the list of retired names without the oldest that are in no set
 // any more, as far as the list is too long.
-func forgetRetired(r *spec.Cluster) []string {
-	extra := len(r.Retired) - maxRetired
-	if extra <= 0 {
-		return r.Retired
+func pruneRetired(state *spec.Cluster) []string {
+	excess := len(state.Retired) - maxRetired
+	if excess <= 0 {
+		return state.Retired
 	}
-	sets := slices.Concat(r.Stores, r.NextStores)
-	var kept []string
-	for _, id := range r.Retired {
-		in := slices.ContainsFunc(sets, func(m spec.Machine) bool { return m.ID == id })
-		if extra > 0 && !in {
-			extra--
+	sets := slices.Concat(state.Stores, state.NextStores)
+	var remaining []string
+	for _, id := range state.Retired {
+		inSet := slices.ContainsFunc(sets, func(m spec.Machine) bool { return m.ID == id })
+		if excess > 0 && !inSet {
+			excess--
 			continue
 		}
-		kept = append(kept, id)
+		remaining = append(remaining, id)
 	}
-	return kept
+	return remaining
 }
 
-// confirmedUnknown reports whether a majority of the cores, each of which has run for long enough
+// confirmedUnknownStore reports whether a majority of the cores, each of which has run for long enough
 // to have seen every node in contact, knows no store of a name.
-func (c *Core) confirmedUnknown(ctx context.Context, id string) bool {
-	ctx, stop := context.WithTimeout(ctx, membersTimeout)
-	defer stop()
+func (c *Core) confirmedUnknownStore(ctx context.Context, id string) bool {
+	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
+	defer cancel()
 	set := c.Cluster.Now().Cores()
 	cores := set.All()
-	answers := c.askMembers(ctx, cores)
-	isStore := func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() }
+	answers := c.queryMembers(ctx, cores)
+	matches := func(m *wire.Member) bool { return m.Id == id && m.Role == membership.Stores.Role() }
 	witnesses := map[register.Replica]bool{}
 	for range cores {
-		a := <-answers
-		if a.err != nil || a.ack.GetUpMs() < membershipKnownAfter.Milliseconds() {
+		answer := <-answers
+		if answer.err != nil || answer.ack.GetUpMs() < membershipKnownAfter.Milliseconds() {
 			continue
 		}
-		if slices.ContainsFunc(a.ack.GetMembers(), isStore) {
+		if slices.ContainsFunc(answer.ack.GetMembers(), matches) {
 			return false
 		}
-		witnesses[a.core] = true
+		witnesses[answer.core] = true
 		if set.Quorum(witnesses) {
 			return true
 		}
@@ -160,19 +164,19 @@
 
 // Retired reports whether a store that is to go holds nothing any more that is needed.
 func (c *Core) Retired(ctx context.Context, id string) (bool, error) {
-	v, err := c.Cluster.ReadView(ctx)
+	view, err := c.Cluster.ReadView(ctx)
 	if err != nil {
 		return false, err
 	}
-	in := slices.ContainsFunc(
-		slices.Concat(v.Cluster.Stores, v.NextStores),
+	inSet := slices.ContainsFunc(
+		slices.Concat(view.Cluster.Stores, view.NextStores),
 		func(m spec.Machine) bool { return m.ID == id },
 	)
-	if !slices.Contains(v.Retired, id) {
-		if !in {
+	if !slices.Contains(view.Retired, id) {
+		if !inSet {
 			return false, code.New(code.NoMember, "no store %q is to go", id)
 		}
 		return false, nil
 	}
-	return !in, nil
+	return !inSet, nil
 }
--- a/internal/coordination/core/retire_test.go
+++ b/internal/coordination/core/retire_test.go
@@ -25,19 +25,19 @@
 
 // membersOf are live members of these names, but for those that are away.
 func membersOf(away string, ids ...string) map[string]*wire.Member {
-	out := map[string]*wire.Member{}
+	members := map[string]*wire.Member{}
 	for _, id := range ids {
-		out[id] = &wire.Member{Id: id, Addr: id, Role: "store", Ident: "i" + id, Live: id != away}
+		members[id] = &wire.Member{Id: id, Addr: id, Role: "store", Ident: "i" + id, Live: id != away}
 	}
-	return out
+	return members
 }
 
 // TestRetireStore: refused for good is what the sets can't bear; who is away at the
 // moment only puts it off.
 func TestRetireStore(t *testing.T) {
 	for _, tc := range []struct {
-		what  string
-		r     spec.Cluster
+		name  string
+		state spec.Cluster
 		known map[string]*wire.Member
 		want  code.Code
 	}{
@@ -114,9 +114,9 @@
 			code.BelowCopies,
 		},
 	} {
-		err := retireStore(&tc.r, "s1", tc.known)
-		if got := code.Of(err); got != tc.want || slices.Contains(tc.r.Retired, "s1") != (tc.want == code.OK) {
-			t.Errorf("%s: %v, retired %v; want %s", tc.what, err, tc.r.Retired, tc.want.Name())
+		err := retireStore(&tc.state, "s1", tc.known)
+		if got := code.Of(err); got != tc.want || slices.Contains(tc.state.Retired, "s1") != (tc.want == code.OK) {
+			t.Errorf("%s: %v, retired %v; want %s", tc.name, err, tc.state.Retired, tc.want.Name())
 		}
 	}
 }
@@ -124,21 +124,21 @@
 // TestRetiredBounded: the names that are remembered have a bound, and one that is
 // still in a set is never forgotten.
 func TestRetiredBounded(t *testing.T) {
-	r := spec.Cluster{Stores: storeSet("s0", "s1", "s2", "s3")}
-	if err := retireStore(&r, "s0", membersOf("", "s0", "s1", "s2", "s3")); err != nil {
+	state := spec.Cluster{Stores: storeSet("s0", "s1", "s2", "s3")}
+	if err := retireStore(&state, "s0", membersOf("", "s0", "s1", "s2", "s3")); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 * maxRetired {
 		id := fmt.Sprint("gone", i)
-		if err := retireStore(&r, id, membersOf("", id)); err != nil {
+		if err := retireStore(&state, id, membersOf("", id)); err != nil {
 			t.Fatal(id, err)
 		}
-		if !slices.Contains(r.Retired, "s0") || !slices.Contains(r.Retired, id) {
-			t.Fatalf("after %s: %v", id, r.Retired)
+		if !slices.Contains(state.Retired, "s0") || !slices.Contains(state.Retired, id) {
+			t.Fatalf("after %s: %v", id, state.Retired)
 		}
 	}
-	if len(r.Retired) != maxRetired {
-		t.Errorf("%d names are remembered", len(r.Retired))
+	if len(state.Retired) != maxRetired {
+		t.Errorf("%d names are remembered", len(state.Retired))
 	}
 }
 
@@ -156,7 +156,7 @@
 		time.Sleep(time.Until(start.Add(time.Duration(ms) * time.Millisecond)))
 		return clock.Now(func() time.Time { return time.Now().Add(suspended) })
 	}
-	check := func(tc *contactTracker, ms int, valid, want bool) {
+	expectEstablished := func(tc *contactTracker, ms int, valid, want bool) {
 		t.Helper()
 		if got := tc.established(at(ms), valid); got != want {
 			t.Errorf("at %d ms, lease %t: steady %t", ms, valid, got)
@@ -166,33 +166,33 @@
 	for ms := 500; ms <= 2000; ms += 500 {
 		tracker.check(at(ms), true)
 	}
-	check(tracker, 2400, true, true)
-	check(tracker, 2400, false, false)
+	expectEstablished(tracker, 2400, true, true)
+	expectEstablished(tracker, 2400, false, false)
 	// It stood still: seen before the next check, and after it.
-	check(tracker, 22000, true, false)
+	expectEstablished(tracker, 22000, true, false)
 	tracker.check(at(22000), true)
-	check(tracker, 22001, true, false)
+	expectEstablished(tracker, 22001, true, false)
 	for ms := 22500; ms <= 24000; ms += 500 {
 		tracker.check(at(ms), true)
-		check(tracker, ms+1, true, ms+1 > 23000)
+		expectEstablished(tracker, ms+1, true, ms+1 > 23000)
 	}
 	// It was out of contact.
 	tracker.check(at(24500), false)
 	tracker.check(at(25000), true)
-	check(tracker, 25400, true, false)
+	expectEstablished(tracker, 25400, true, false)
 	tracker.check(at(25500), true)
-	check(tracker, 25501, true, true)
+	expectEstablished(tracker, 25501, true, true)
 	// It was suspended: seen before the next check, and after it.
 	suspended = time.Minute
-	check(tracker, 25600, true, false)
+	expectEstablished(tracker, 25600, true, false)
 	tracker.check(at(26000), true)
 	for ms := 26500; ms <= 28000; ms += 500 {
 		tracker.check(at(ms), true)
-		check(tracker, ms+1, true, ms+1 > 27000)
+		expectEstablished(tracker, ms+1, true, ms+1 > 27000)
 	}
 	// Its time of day was set back.
 	suspended = -time.Hour
-	check(tracker, 28100, true, true)
+	expectEstablished(tracker, 28100, true, true)
 }
 
 // TestAdmitRefusals: who is away or unknown at the moment, and who can't be admitted.
@@ -214,8 +214,8 @@
 		{"s1", "", code.InSet},
 		{"s5", "", code.UsedIdentity},
 	} {
-		r := spec.Cluster{Stores: storeSet("s1", "s2", "s3"), Used: []string{"is5"}}
-		if err := (&Core{}).admit(&r, membership.Stores, setOrder{ID: tc.id}, known(tc.away)); code.Of(
+		state := spec.Cluster{Stores: storeSet("s1", "s2", "s3"), Used: []string{"is5"}}
+		if err := (&Core{}).admit(&state, membership.Stores, setRequest{ID: tc.id}, known(tc.away)); code.Of(
 			err,
 		) != tc.want {
 			t.Errorf("%s with %q away: %v, want %s", tc.id, tc.away, err, tc.want.Name())
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -19,9 +19,9 @@
 // it, nor that it is only one.
 
 // isReconciler reports whether this core runs the reconcilers.
-func (c *Core) isReconciler(v *cluster.View) bool {
-	self := observed(c.Peer.Member(0))
-	return membership.IsReconciler(&v.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
+func (c *Core) isReconciler(view *cluster.View) bool {
+	self := memberFromWire(c.Peer.Member(0))
+	return membership.IsReconciler(&view.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
 }
 
 // advanceChange takes a change of a set one step further: the keys are transferred to the
@@ -29,12 +29,12 @@
 // change goes on, a majority of the old set refuses whoever acts on that set alone. The
 // cores do because they have confirmed the change; the stores do, for each key that moves,
 // because they have sent what they had of it under the change.
-func (c *Core) advanceChange(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) {
+func (c *Core) advanceChange(ctx context.Context, view *cluster.View, set membership.Set, change membership.Change) {
 	var ready bool
 	if set == membership.Cores {
-		ready = c.confirmed(v)
+		ready = c.coresConfirmed(view)
 	} else {
-		ready = c.keysTransferred(ctx, v, change)
+		ready = c.keysTransferred(ctx, view, change)
 	}
 	if ready {
 		c.finishChange(ctx, set, change)
@@ -43,22 +43,22 @@
 
 // confirmed reports whether a majority of the old cores has the change in force. The
 // spec's is their only register, and finishing the change writes it to both sets.
-func (c *Core) confirmed(v *cluster.View) bool {
+func (c *Core) coresConfirmed(view *cluster.View) bool {
 	versions := map[string]uint64{c.Peer.Ident(): c.Cluster.Now().Version}
 	for _, m := range c.members(membership.Cores.Role()) {
 		ident := m.Machine.Ident
 		versions[ident] = max(versions[ident], m.Confirmed)
 	}
-	return membership.Confirmed(v.Cluster.Cores, versions, v.CoresVersion)
+	return membership.Confirmed(view.Cluster.Cores, versions, view.CoresVersion)
 }
 
 // keysTransferred has the keys transferred to the next stores, and reports whether they
 // are. It runs at each renewal; a failed attempt is not repeated at once.
-func (c *Core) keysTransferred(ctx context.Context, v *cluster.View, change membership.Change) bool {
+func (c *Core) keysTransferred(ctx context.Context, view *cluster.View, change membership.Change) bool {
 	if time.Since(c.reconciler.lastTransferFailure) < retryInterval {
 		return false
 	}
-	if err := c.transferKeys(ctx, v, change); err != nil {
+	if err := c.transferKeys(ctx, view, change); err != nil {
 		moved := c.reconciler.keysMoved.Load()
 		c.Log.Info("keys not transferred yet", "set", membership.Stores, "moved", moved, "err", err)
 		c.reconciler.lastTransferFailure = time.Now()
@@ -72,55 +72,55 @@
 const transferTimeout = 2 * time.Second
 
 // transferKeys has each store of the next set fetch the keys that it receives.
-func (c *Core) transferKeys(ctx context.Context, v *cluster.View, change membership.Change) error {
+func (c *Core) transferKeys(ctx context.Context, view *cluster.View, change membership.Change) error {
 	type answer struct {
-		a   *wire.FillAck
+		ack *wire.FillAck
 		err error
 	}
 	rate := c.params.MoveRate
-	if v.SelfManaged {
+	if view.SelfManaged {
 		// A set that lacks a machine is in more danger than the traffic is in haste.
 		rate = 0
 	}
-	gainers := change.Receivers(v.Copies())
-	ch := make(chan answer, len(gainers))
-	for _, m := range gainers {
+	receivers := change.Receivers(view.Copies())
+	answers := make(chan answer, len(receivers))
+	for _, m := range receivers {
 		go func() {
-			order := &wire.Fill{Spec: v.StoresVersion, Sets: v.StoresDigest(), Rate: int32(rate)}
-			r, err := c.Peer.CallFor(
+			fill := &wire.Fill{Spec: view.StoresVersion, Sets: view.StoresDigest(), Rate: int32(rate)}
+			response, err := c.Peer.CallFor(
 				ctx,
 				transferTimeout+time.Second,
 				m.Addr,
-				&wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: order}},
+				&wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: fill}},
 			)
 			if err != nil {
 				err = fmt.Errorf("%s: %w", m.ID, err)
 			}
-			ch <- answer{r.GetFill(), err}
+			answers <- answer{response.GetFill(), err}
 		}()
 	}
 	var keys int64
-	var last error
-	for range gainers {
-		a := <-ch
-		keys += a.a.GetKeys()
+	var lastErr error
+	for range receivers {
+		reply := <-answers
+		keys += reply.ack.GetKeys()
 		switch {
-		case a.err != nil:
-			last = a.err
-		case !a.a.GetWhole():
-			last = code.New(code.SetChanging, "keys are on their way")
+		case reply.err != nil:
+			lastErr = reply.err
+		case !reply.ack.GetWhole():
+			lastErr = code.New(code.SetChanging, "keys are on their way")
 		}
 	}
 	c.reconciler.keysMoved.Store(keys)
-	return last
+	return lastErr
 }
 
 // finishChange makes the next set the only one.
 func (c *Core) finishChange(ctx context.Context, set membership.Set, change membership.Change) {
-	ctx, stop := context.WithTimeout(ctx, 3*time.Second)
-	defer stop()
-	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		return membership.FinishChange(r, set, change)
+	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	defer cancel()
+	version, raw, err := c.Cluster.Change(ctx, 0, func(updated *spec.Cluster) error {
+		return membership.FinishChange(updated, set, change)
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
@@ -129,12 +129,12 @@
 		return
 	}
 	moved := c.reconciler.keysMoved.Load()
-	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", moved)
-	c.broadcastAsync(ctx, ver, raw)
+	c.Log.Info("set changed", "set", set, "version", version, "machines", len(change.Next), "moved", moved)
+	c.broadcastAsync(ctx, version, raw)
 }
 
 // broadcastAsync broadcasts a version in the background.
-func (c *Core) broadcastAsync(ctx context.Context, ver uint64, raw []byte) {
+func (c *Core) broadcastAsync(ctx context.Context, version uint64, raw []byte) {
 	ctx = context.WithoutCancel(ctx)
-	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, ver, raw) })
+	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, version, raw) })
 }
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -17,30 +17,30 @@
 // setRoutes puts the commands for sets on e.
 func (c *Core) setRoutes(e *echo.Echo) {
 	e.GET("/v1/sets", c.getSets)
-	e.POST("/v1/sets/:set/admit", func(x echo.Context) error { return c.changeSet(x, c.admit) }, identified)
-	e.POST("/v1/sets/:set/retire", func(x echo.Context) error { return c.changeSet(x, c.retire) }, identified)
-	e.POST("/v1/sets/:set/abandon", func(x echo.Context) error { return c.changeSet(x, c.abandon) }, identified)
+	e.POST("/v1/sets/:set/admit", func(x echo.Context) error { return c.changeSet(x, c.admit) }, withOperationID)
+	e.POST("/v1/sets/:set/retire", func(x echo.Context) error { return c.changeSet(x, c.retire) }, withOperationID)
+	e.POST("/v1/sets/:set/abandon", func(x echo.Context) error { return c.changeSet(x, c.abandon) }, withOperationID)
 }
 
-// setOrder is an operator's order about a set.
-type setOrder struct {
+// setRequest is an operator's order about a set.
+type setRequest struct {
 	ID  string `json:"id"`
 	For string `json:"for"` // the machine of the set whose place it takes
 }
 
 func (c *Core) getSets(x echo.Context) error {
-	v, err := c.Cluster.ReadView(x.Request().Context())
+	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
 	return x.JSON(
 		http.StatusOK,
 		map[string]any{
-			"version":     v.Version,
-			"cores":       v.Cluster.Cores,
-			"next_cores":  v.NextCores,
-			"stores":      v.Cluster.Stores,
-			"next_stores": v.NextStores,
+			"version":     view.Version,
+			"cores":       view.Cluster.Cores,
+			"next_cores":  view.NextCores,
+			"stores":      view.Cluster.Stores,
+			"next_stores": view.NextStores,
 			"moved":       c.reconciler.keysMoved.Load(),
 		},
 	)
@@ -48,119 +48,122 @@
 
 func (c *Core) changeSet(
 	x echo.Context,
-	do func(*spec.Cluster, membership.Set, setOrder, []*wire.Member) error,
+	edit func(*spec.Cluster, membership.Set, setRequest, []*wire.Member) error,
 ) error {
 	set, err := membership.ParseSet(x.Param("set"))
 	if err != nil {
 		return web.Fail(x, err)
 	}
-	var o setOrder
-	b, err := web.Body(x, 4096)
+	var request setRequest
+	body, err := web.Body(x, 4096)
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	if err := web.Strict(b, &o); err != nil {
-		return fail(x, err)
+	if err := web.Strict(body, &request); err != nil {
+		return writeError(x, err)
 	}
-	list, err := c.knownMembers(x.Request().Context())
+	list, err := c.queryMemberList(x.Request().Context())
 	if err != nil {
-		return fail(x, err)
+		return writeError(x, err)
 	}
-	var ms []*wire.Member
+	var members []*wire.Member
 	for _, m := range list.members {
-		ms = append(ms, m)
+		members = append(members, m)
 	}
-	return c.change(x, 0, func(r *spec.Cluster) error {
+	return c.change(x, 0, func(updated *spec.Cluster) error {
 		if err := c.RequireContact(x.Request().Context()); err != nil {
 			return err
 		}
-		return do(r, set, o, ms)
+		return edit(updated, set, request, members)
 	})
 }
 
-func (c *Core) admit(r *spec.Cluster, set membership.Set, o setOrder, ms []*wire.Member) error {
-	now := membership.Of(r, set)
-	if now.Running() {
+func (c *Core) admit(state *spec.Cluster, set membership.Set, request setRequest, members []*wire.Member) error {
+	current := membership.Of(state, set)
+	if current.Running() {
 		return code.New(code.SetChanging, "another change of the %s is under way", set)
 	}
-	if set == membership.Cores && o.For == "" {
+	if set == membership.Cores && request.For == "" {
 		return code.New(code.BadField, "for: name the core machine whose place it takes")
 	}
 	role := set.Role()
-	old := slices.IndexFunc(now.Now, func(m spec.Machine) bool { return m.ID == o.For })
-	if o.For != "" && old < 0 {
-		return code.New(code.NoMember, "%q is not in the set", o.For)
+	replacedIndex := slices.IndexFunc(current.Now, func(m spec.Machine) bool { return m.ID == request.For })
+	if request.For != "" && replacedIndex < 0 {
+		return code.New(code.NoMember, "%q is not in the set", request.For)
 	}
 	// Several may have come under that name; the one that is live and is not in
 	// the set is meant.
-	err := code.New(code.NoMember, "no %s %q has a lease", role, o.ID)
-	for _, m := range ms {
-		if m.Id != o.ID || m.Role != role {
+	err := code.New(code.NoMember, "no %s %q has a lease", role, request.ID)
+	for _, m := range members {
+		if m.Id != request.ID || m.Role != role {
 			continue
 		}
 		switch {
 		case !m.Live:
 			// It may be live again at any moment.
 			if code.Of(err) == code.NoMember {
-				err = code.New(code.NotSeen, "no live %s %q has a lease at this moment", role, o.ID)
+				err = code.New(code.NotSeen, "no live %s %q has a lease at this moment", role, request.ID)
 			}
 			continue
 		case m.Ident == "":
 			continue
-		case membership.Has(now.Now, m.Ident):
-			err = code.New(code.InSet, "%s is in the set already", o.ID)
+		case membership.Has(current.Now, m.Ident):
+			err = code.New(code.InSet, "%s is in the set already", request.ID)
 			continue
-		case membership.IdentityRefused(r, m.Ident, m.IdentityVersion):
-			err = code.New(code.UsedIdentity, "%s comes with an identity that was removed", o.ID)
+		case membership.IdentityRefused(state, m.Ident, m.IdentityVersion):
+			err = code.New(code.UsedIdentity, "%s comes with an identity that was removed", request.ID)
 			continue
-		case slices.ContainsFunc(now.Now, func(s spec.Machine) bool { return s.ID == o.ID && o.For != o.ID }):
-			err = code.New(code.InSet, "the set has a machine %s; admit it in that one's place", o.ID)
+		case slices.ContainsFunc(
+			current.Now,
+			func(s spec.Machine) bool { return s.ID == request.ID && request.For != request.ID },
+		):
+			err = code.New(code.InSet, "the set has a machine %s; admit it in that one's place", request.ID)
 			continue
 		}
-		n := spec.Machine{ID: m.Id, Addr: m.Addr, Zone: m.Zone, Ident: m.Ident}
-		next := slices.Clone(now.Now)
-		if old >= 0 {
-			next[old] = n
+		admitted := spec.Machine{ID: m.Id, Addr: m.Addr, Zone: m.Zone, Ident: m.Ident}
+		next := slices.Clone(current.Now)
+		if replacedIndex >= 0 {
+			next[replacedIndex] = admitted
 		} else {
-			next = append(next, n)
+			next = append(next, admitted)
 		}
-		membership.SetNext(r, set, next)
+		membership.SetNext(state, set, next)
 		// Whoever is named by an operator is wanted again.
-		r.Retired = slices.DeleteFunc(r.Retired, func(id string) bool { return id == o.ID })
+		state.Retired = slices.DeleteFunc(state.Retired, func(id string) bool { return id == request.ID })
 		return nil
 	}
 	return err
 }
 
-func (c *Core) retire(r *spec.Cluster, set membership.Set, o setOrder, _ []*wire.Member) error {
-	now := membership.Of(r, set)
-	if now.Running() {
+func (c *Core) retire(state *spec.Cluster, set membership.Set, request setRequest, _ []*wire.Member) error {
+	current := membership.Of(state, set)
+	if current.Running() {
 		return code.New(code.SetChanging, "another change of the %s is under way", set)
 	}
-	i := slices.IndexFunc(now.Now, func(m spec.Machine) bool { return m.ID == o.ID })
+	i := slices.IndexFunc(current.Now, func(m spec.Machine) bool { return m.ID == request.ID })
 	if i < 0 {
-		return code.New(code.NoMember, "%q is not in the set", o.ID)
+		return code.New(code.NoMember, "%q is not in the set", request.ID)
 	}
-	if n := cluster.Copies(r); len(now.Now) <= n {
+	if copies := cluster.Copies(state); len(current.Now) <= copies {
 		return code.New(
 			code.BelowCopies,
 			"%d machines would be left for %d copies; admit another in its place",
-			len(now.Now)-1,
-			n,
+			len(current.Now)-1,
+			copies,
 		)
 	}
-	if set == membership.Stores && r.SelfManaged {
-		r.Retired = append(r.Retired, o.ID)
+	if set == membership.Stores && state.SelfManaged {
+		state.Retired = append(state.Retired, request.ID)
 	}
-	membership.SetNext(r, set, slices.Delete(slices.Clone(now.Now), i, i+1))
+	membership.SetNext(state, set, slices.Delete(slices.Clone(current.Now), i, i+1))
 	return nil
 }
 
 // abandon goes back to the old set, which has been complete all the while.
-func (c *Core) abandon(r *spec.Cluster, set membership.Set, _ setOrder, _ []*wire.Member) error {
-	if !membership.Of(r, set).Running() {
+func (c *Core) abandon(state *spec.Cluster, set membership.Set, _ setRequest, _ []*wire.Member) error {
+	if !membership.Of(state, set).Running() {
 		return code.New(code.BadField, "no change of the %s is under way", set)
 	}
-	membership.SetNext(r, set, nil)
+	membership.SetNext(state, set, nil)
 	return nil
 }
