--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster is a process's view of the spec register: what is in force
-// here, where the voters are, and how to read and change it.
+// Package cluster gives a process access to the spec register: the version in force here, the
+// voters, and functions to read and change it.
 package cluster
 
 import (
@@ -20,29 +20,29 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Key is the spec's register.
+// Key is the key of the spec's register.
 const Key = keys.Cluster
 
-// defaultCopies is how many stores hold each key where the cluster does not say.
+// defaultCopies is the number of replicas of each key if the cluster does not specify one.
 const defaultCopies = 3
 
 // View is one version of the cluster. It is immutable.
 type View struct {
 	Version uint64
-	// StoresVersion is the version since which the sets of stores are these. All processes
-	// know the same, unless the value was written by a release that did not say.
+	// StoresVersion is the version that last changed the sets of stores. It is the same on all
+	// processes, unless the value was written by a release that did not record it.
 	StoresVersion uint64
 	// CoresVersion is the same for the sets of cores.
 	CoresVersion uint64
 	spec.Cluster
 	raw        []byte
-	compressed func() []byte // raw in the form in which it is sent
+	compressed func() []byte // raw in the compressed form used on the wire
 }
 
-// Copies is how many stores hold each key.
+// Copies is the number of stores that hold each key.
 func (view *View) Copies() int { return Copies(&view.Cluster) }
 
-// Copies is how many stores hold each key under r.
+// Copies is the number of stores that hold each key of a cluster.
 func Copies(cluster *spec.Cluster) int {
 	if cluster.Copies > 0 {
 		return cluster.Copies
@@ -53,27 +53,26 @@
 // Raw is the register's value.
 func (view *View) Raw() []byte { return view.raw }
 
-// Cluster holds the version in force in this process. Its methods may be called
-// concurrently.
+// Cluster holds the version in force in this process. Its methods may be called concurrently.
 type Cluster struct {
 	proposer *register.Proposer
 	current  atomic.Pointer[View]
-	// unsaved is a version newer than current that the disk has not taken. It is not in
-	// force here, nor confirmed; questions are answered by it and voters found.
+	// unsaved is a version newer than current that could not be written to disk. It is neither in
+	// force here nor confirmed, but it is used to answer reads and to find voters.
 	unsaved atomic.Pointer[View]
-	mu      sync.Mutex // guards on, and is held for changes of cur
+	mu      sync.Mutex // guards watchers, and is held for updates of current
 	persist func(raw []byte, version uint64) error
 	// applySemaphore is full while a version is put in force, which may wait for the disk.
 	applySemaphore  chan struct{}
 	watchers        []loop.Wakeup
-	changeSemaphore chan struct{} // one change at a time from this process
-	// Discover checks elsewhere for a newer version, where the voters known here refuse
-	// to deal with one so old. It is set before use.
+	changeSemaphore chan struct{} // allows one change at a time from this process
+	// Discover looks for a newer version on other processes when the known voters reject this
+	// process's version as too old. It is set before use.
 	Discover func(ctx context.Context) bool
 }
 
-// New makes an empty cluster. persist, if set, stores each version on disk before it comes
-// into force.
+// New creates an empty cluster. persist, if set, stores each version on disk before it comes into
+// force.
 func New(proposer *register.Proposer, persist func(raw []byte, version uint64) error) *Cluster {
 	cluster := &Cluster{
 		proposer:        proposer,
@@ -88,8 +87,8 @@
 // Now is the version in force.
 func (cluster *Cluster) Now() *View { return cluster.current.Load() }
 
-// Newest is the newest version known: the one in force, or a later one that the disk has
-// not taken yet. Nothing that this process votes on or confirms rests on it.
+// Newest is the newest version known: the version in force, or a later one that is not on the disk
+// yet. Votes and confirmations of this process must not be based on it.
 func (cluster *Cluster) Newest() *View {
 	now := cluster.Now()
 	if unsaved := cluster.unsaved.Load(); unsaved != nil && unsaved.Version > now.Version {
@@ -144,7 +143,7 @@
 	return nil
 }
 
-// recordUnsaved keeps a version that is not in force here.
+// recordUnsaved records a version that is not in force here.
 func (cluster *Cluster) recordUnsaved(view *View) {
 	for {
 		old := cluster.unsaved.Load()
@@ -154,7 +153,7 @@
 	}
 }
 
-// newView reads a version that follows the one in force.
+// newView decodes a version that follows the one in force.
 func (cluster *Cluster) newView(version uint64, raw []byte) (*View, error) {
 	view := &View{
 		Version:    version,
@@ -169,8 +168,8 @@
 	return view, nil
 }
 
-// isDiskRefusal reports whether a version was not put in force only because this machine's
-// disk does not take it, or not for sure.
+// isDiskRefusal reports whether a version was not put in force only because this machine's disk
+// rejected it or did not confirm it.
 func isDiskRefusal(err error) bool {
 	switch code.Of(err) {
 	case code.DiskFull, code.DiskStalled, code.WriteUncertain, code.DiskFailure:
@@ -179,7 +178,7 @@
 	return false
 }
 
-// Cores is the spec register's voters: two groups while the set changes.
+// Cores returns the voters of the spec register: two groups during a change of the set.
 func (view *View) Cores() register.Set {
 	set := register.Set{replicas(view.Cluster.Cores)}
 	if len(view.NextCores) > 0 {
@@ -196,7 +195,7 @@
 	return out
 }
 
-// Stores is the voters of one key: two groups while the set changes; nil where fewer
+// Stores returns the voters of one key: two groups during a change of the set, or nil if fewer
 // stores have an identity than the key has replicas.
 func (view *View) Stores(key string) register.Set {
 	holders := Holders(view.Cluster.Stores, key, view.Copies())
@@ -210,14 +209,15 @@
 	return set
 }
 
-// Holders are the stores of a set that hold a key, by rendezvous hashing over those whose
-// identity is known, spread over zones: each round takes the first that is left of each
-// zone, so that no zone has two more than another that has any left.
+// Holders returns the stores of a set that hold a key, by rendezvous hashing over the stores whose
+// identity is known. Replicas are spread over zones: each round takes the first remaining store of
+// each zone, so that the numbers of replicas in two zones differ by at most one until one of them
+// runs out of stores.
 func Holders(set []spec.Machine, key string, copies int) []spec.Machine {
 	type candidate struct {
 		machine  *spec.Machine
 		hash     uint64
-		zoneRank int // its place among those of its zone
+		zoneRank int // rank by hash within its zone
 	}
 	candidates := make([]candidate, 0, len(set))
 	keyHash := fnv1a(fnvOffsetBasis, key)
@@ -229,8 +229,8 @@
 			)
 		}
 	}
-	// Fewer than all copies is no set to write to: a lone store would answer
-	// for a majority that does not exist yet.
+	// A set with fewer stores than replicas must not be written to: a single store would act as a
+	// majority that does not exist yet.
 	if len(candidates) < min(copies, len(set)) || len(candidates) == 0 {
 		return nil
 	}
@@ -250,8 +250,8 @@
 	return holders
 }
 
-// MaxHolders is the largest number of a key's replicas that could be on some machines of a
-// set.
+// MaxHolders is the largest number of a key's replicas that could be on a subset of the machines of
+// a set.
 func MaxHolders(set, subset []spec.Machine, copies int) int {
 	machinesInZone, subsetInZone := map[string]int{}, map[string]int{}
 	for _, m := range set {
@@ -260,7 +260,7 @@
 	for _, m := range subset {
 		subsetInZone[m.Zone]++
 	}
-	// A zone gives one holder in each round until it has no more.
+	// Each zone contributes one holder per round until it has no machines left.
 	maxInZone, unassigned := map[string]int{}, min(copies, len(set))
 	for round := 1; unassigned > 0; round++ {
 		count := 0
@@ -270,8 +270,8 @@
 				count++
 			}
 		}
-		// The last round may end before it has come to every zone; any may be among
-		// those it takes.
+		// The last round may end before it reaches every zone; any zone may be among those it
+		// takes.
 		unassigned -= count
 	}
 	total := 0
@@ -281,8 +281,8 @@
 	return min(total, copies, len(set))
 }
 
-// StoresDigest hashes the sets of stores and the version that made them so: a change that
-// was reverted and begun anew has another.
+// StoresDigest hashes the sets of stores and the version that last changed them, so that a change
+// that was reverted and started again has a different digest.
 func (view *View) StoresDigest() uint64 {
 	digest := uint64(fnvOffsetBasis)
 	if view.StoresSince > 0 {
@@ -304,7 +304,7 @@
 	fnvPrime       = 1099511628211
 )
 
-// hash goes on with an FNV-1a hash.
+// fnv1a continues an FNV-1a hash h with the bytes of s.
 func fnv1a(h uint64, s string) uint64 {
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * fnvPrime
@@ -312,7 +312,7 @@
 	return h
 }
 
-// mix spreads a hash whose last letters differ little.
+// mixBits distributes the bits of hashes of strings that differ only in their last bytes.
 func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -320,12 +320,13 @@
 	return h
 }
 
-// maxStaleAttempts bounds how often voters may refuse one request for its old version.
+// maxStaleAttempts is the maximum number of attempts of a request that voters reject for its
+// outdated version.
 const maxStaleAttempts = 3
 
-// withVoters runs do with the voters under the version in force. Voters of newer sets
-// refuse, so that no request acts on an old one alone; then a newer version is discovered
-// and do is run again.
+// withVoters runs do with the voters of the newest version known. Voters of newer sets reject the
+// request, so that it cannot act on an old set alone; in that case withVoters discovers a newer
+// version and runs do again.
 func (cluster *Cluster) withVoters(ctx context.Context, do func(context.Context, register.Set) error) error {
 	for attempt := 1; ; attempt++ {
 		view := cluster.Newest()
@@ -339,7 +340,7 @@
 	}
 }
 
-// Read reads the cluster at a majority and puts it in force. The error has
+// Read reads the cluster at a majority and puts it in force. If no majority answers, the error has
 // code.CoreUnreachable.
 func (cluster *Cluster) Read(ctx context.Context) error {
 	state, err := cluster.readState(ctx)
@@ -361,11 +362,12 @@
 	return state, nil
 }
 
-// applyTimeout is how long a question waits for the disk to take a newer version.
+// applyTimeout is how long a read waits for the disk to store a newer version.
 const applyTimeout = 100 * time.Millisecond
 
-// ReadView reads the cluster at a majority and returns what it has read, whether or not the
-// disk takes it soon; where it does, it is in force. The error has code.CoreUnreachable.
+// ReadView reads the cluster at a majority and returns the version read, even if the disk does not
+// store it in time. If the disk does, the version is in force. If no majority answers, the error
+// has code.CoreUnreachable.
 func (cluster *Cluster) ReadView(ctx context.Context) (*View, error) {
 	state, err := cluster.readState(ctx)
 	if err != nil {
@@ -393,13 +395,13 @@
 	return cluster.Newest(), nil
 }
 
-// ErrNoChange is returned by the function of a change that would change nothing.
+// ErrNoChange is returned by an edit function that would change nothing.
 var ErrNoChange = errors.New("nothing to change")
 
-// Change computes a new cluster from the one chosen last by f. It returns the version and
-// value now chosen. A nonzero expect is the version that must be the present one, else the
-// error has code.SpecConflict and the version returned is the present one. With
-// code.OutcomeUnknown the change may be in force.
+// Change applies edit to the cluster chosen last and proposes the result. It returns the version
+// and value now chosen. If expect is not zero and differs from the present version, the error has
+// code.SpecConflict and the version returned is the present one. With code.OutcomeUnknown the
+// change may be in force.
 func (cluster *Cluster) Change(
 	ctx context.Context,
 	expect uint64,
@@ -408,16 +410,16 @@
 	return cluster.ChangeOnce(ctx, expect, spec.Operation{}, edit)
 }
 
-// ChangeOnce is Change for an order that may be sent again: where it was taken before,
-// whatever has changed since, it changes nothing and is chosen once more.
+// ChangeOnce is Change for a request that may be retried. If the operation was executed before, it
+// changes nothing, whatever has changed since, and the present value is chosen again.
 func (cluster *Cluster) ChangeOnce(
 	ctx context.Context,
 	expect uint64,
 	operation spec.Operation,
 	edit func(*spec.Cluster) error,
 ) (uint64, []byte, error) {
-	// Changes of one process that race each other only outbid each other's
-	// ballots; they wait for their turn here.
+	// Concurrent changes from one process would only outbid each other's ballots, so they run one
+	// at a time.
 	select {
 	case cluster.changeSemaphore <- struct{}{}:
 		defer func() { <-cluster.changeSemaphore }()
@@ -450,7 +452,7 @@
 	return seenVersion, nil, err
 }
 
-// edited is the register's value after f's change of a state.
+// editValue returns the register's value after edit is applied to a state.
 func editValue(
 	current register.State,
 	expect uint64,
@@ -477,9 +479,9 @@
 	return cluster.MarshalJSON()
 }
 
-// applyChosen puts a version in force that was chosen just now. Where the disk does not
-// take it, it is chosen all the same: this process then stays on its older version until
-// it receives a newer one again, and confirms none.
+// applyChosen puts a version in force that has just been chosen. If the disk does not store it, the
+// version is chosen nonetheless: this process then stays on its older version until it receives a
+// newer one again, and confirms none.
 func (cluster *Cluster) applyChosen(state register.State) error {
 	if err := cluster.Apply(state.Version, state.Value); err != nil && !isDiskRefusal(err) {
 		return err
--- a/internal/coordination/cluster/cluster_test.go
+++ b/internal/coordination/cluster/cluster_test.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// machines are some in each of the zones a, b, c and so on.
+// machines returns the given numbers of machines in the zones a, b, c and so on.
 func machines(zones ...int) []spec.Machine {
 	var out []spec.Machine
 	for z, n := range zones {
@@ -26,14 +26,14 @@
 	return out
 }
 
-// TestHolders: a key's copies are spread over zones, so that with as many zones as
-// that takes the loss of any one leaves a majority; all machines get their part; and
-// a machine more or less moves only what falls to it.
+// TestHolders checks that the replicas of a key are spread over zones, so that with enough zones
+// the loss of any one leaves a majority; that every machine holds some keys; and that adding a
+// machine moves only the keys that it receives.
 func TestHolders(t *testing.T) {
 	for _, tc := range []struct {
 		zones             []int
 		copies            int
-		zoneHoldsMajority bool // a zone may take a majority with it
+		zoneHoldsMajority bool // a zone may hold a majority
 	}{
 		{[]int{1, 1, 1}, 3, false},
 		{[]int{2, 2, 1}, 3, false},
@@ -62,7 +62,7 @@
 					t.Fatalf("%v: zone %s holds %d of %d", tc, z, n, tc.copies)
 				}
 			}
-			// Only the newcomer gains.
+			// Only the new machine may gain keys.
 			for _, m := range cluster.Holders(extended, key, tc.copies) {
 				if m.ID != "new" && !slices.Contains(holders, m) {
 					t.Fatalf("%v: %s gains %s though it is not new", tc, m.ID, key)
@@ -76,17 +76,18 @@
 		}
 	}
 	if cluster.Holders(nil, "k", 3) != nil {
-		t.Error("nobody holds a key")
+		t.Error("an empty set has holders")
 	}
 	half := machines(1, 1, 1)
 	half[0].Ident = ""
 	if cluster.Holders(half, "k", 3) != nil {
-		t.Error("a set that is not all bound is written to")
+		t.Error("a set with an unknown identity has holders")
 	}
 }
 
-// TestWorst: never less than what really falls together.
-func TestWorst(t *testing.T) {
+// TestMaxHolders checks that MaxHolders is never less than the number of replicas actually placed
+// on the subset.
+func TestMaxHolders(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		set := machines(rnd.IntN(4), rnd.IntN(4), 1+rnd.IntN(4))
@@ -107,7 +108,7 @@
 			}
 			if count > bound {
 				t.Fatalf(
-					"%v without %v: %d of a key's %d, the worst is said to be %d",
+					"set %v, subset %v: %d of a key's %d replicas on the subset, MaxHolders is %d",
 					set,
 					subset,
 					count,
@@ -118,12 +119,12 @@
 		}
 	}
 	if w := cluster.MaxHolders(machines(2, 2, 1), machines(2), 3); w != 1 {
-		t.Errorf("a zone of three takes %d of three copies", w)
+		t.Errorf("one of three zones holds %d of three replicas", w)
 	}
 }
 
-// TestSets: the digest tells sets of stores apart.
-func TestSets(t *testing.T) {
+// TestStoresDigest checks that different sets of stores have different digests.
+func TestStoresDigest(t *testing.T) {
 	view := func(now, next []spec.Machine) uint64 {
 		v := cluster.View{Cluster: spec.Cluster{Stores: now, NextStores: next}}
 		return v.StoresDigest()
@@ -131,14 +132,14 @@
 	a, b := machines(1, 1, 1), machines(1, 1, 1)
 	b[1].Ident = "other"
 	if view(a, nil) == view(b, nil) || view(a, b) == view(b, a) || view(a, nil) == view(nil, a) {
-		t.Error("different sets have one digest")
+		t.Error("different sets have the same digest")
 	}
 	if view(a, b) != view(slices.Clone(a), slices.Clone(b)) {
-		t.Error("one pair of sets has two digests")
+		t.Error("equal sets have different digests")
 	}
 }
 
-// memory is an acceptor's disk in memory.
+// memory is an in-memory disk of an acceptor.
 type memory map[string]*wire.Rec
 
 func (disk memory) Load(key string) (*wire.Rec, error) {
@@ -153,8 +154,8 @@
 	return nil
 }
 
-// TestChosenOnFullDisk: a change that was chosen is no failure because this process's
-// own disk does not take it; but it is not in force here, so it is not confirmed.
+// TestChosenOnFullDisk checks that a chosen change is no error if the local disk does not store it,
+// and that the version is not in force on this process, so that it is not confirmed.
 func TestChosenOnFullDisk(t *testing.T) {
 	acceptor := register.NewAcceptor(memory{})
 	call := func(_ context.Context, _ string, q *wire.Req) (*wire.Resp, error) {
@@ -181,10 +182,10 @@
 			return nil
 		})
 		if err != nil || version == 0 || value == nil {
-			t.Errorf("%v: a chosen change is answered %d, %v", failure, version, err)
+			t.Errorf("%v: a chosen change returned version %d, %v", failure, version, err)
 		}
 		if local.Now().Version != 0 {
-			t.Errorf("%v: version %d is in force without being kept", failure, local.Now().Version)
+			t.Errorf("%v: version %d is in force but not on disk", failure, local.Now().Version)
 		}
 	}
 }
--- a/internal/coordination/cluster/fuzz_test.go
+++ b/internal/coordination/cluster/fuzz_test.go
@@ -6,8 +6,8 @@
 	"damsontiller/internal/coordination/cluster"
 )
 
-// FuzzApply: a value from the wire or the disk is put in force complete or refused, and
-// with one in force each question that is asked of it has an answer.
+// FuzzApply checks that a value from the wire or the disk is either put in force completely or
+// rejected, and that every query of a version in force returns without a panic.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{}`), "k")
 	f.Add(
--- a/internal/coordination/cluster/hello.go
+++ b/internal/coordination/cluster/hello.go
@@ -7,9 +7,9 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Hello asks another process who it is, and for the cluster that it has in force unless
-// only the head is asked for. The answer's cluster is decompressed. An empty identity of
-// the replica asks whoever is at its address.
+// Hello asks another process for its identity, and for the cluster that it has in force unless the
+// request is for the head only. The cluster in the answer is decompressed. If the replica has no
+// identity, any process at its address may answer.
 func Hello(ctx context.Context, call wire.Caller, replica register.Replica, hello *wire.Hello) (*wire.HelloAck, error) {
 	response, err := call(ctx, replica.Addr, &wire.Req{Ident: replica.Ident, Op: &wire.Req_Hello{Hello: hello}})
 	if err != nil {
@@ -24,7 +24,7 @@
 	return ack, nil
 }
 
-// HelloAck is the answer to a hello, with the cluster in the form that it asks for.
+// HelloAck is the answer to a hello, with the cluster in the form that the hello accepts.
 func (view *View) HelloAck(self *wire.Member, hello *wire.Hello) *wire.HelloAck {
 	ack := &wire.HelloAck{Self: self, Formed: view.Version > 0, ClusterVer: view.Version}
 	switch {
--- a/internal/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -6,10 +6,10 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Edit makes f's change of a cluster whose next version is ver, and writes into the
-// cluster which version last changed each of its sets. So every process knows the same
-// one, also a process that never saw the versions in between, and two changes between
-// the same sets can be distinguished.
+// Edit applies edit to a cluster whose next version is given, and records in the cluster which
+// version last changed each of its sets. This makes the version the same on every process,
+// including one that has not seen the versions in between, and two changes between the same sets
+// can be distinguished.
 func Edit(cluster *spec.Cluster, version uint64, edit func(*spec.Cluster) error) error {
 	cores, nextCores := slices.Clone(cluster.Cores), slices.Clone(cluster.NextCores)
 	stores, nextStores := slices.Clone(cluster.Stores), slices.Clone(cluster.NextStores)
@@ -27,19 +27,19 @@
 	return nil
 }
 
-// MaxRemovedIdentities is how many identities that were removed are listed at the most.
+// MaxRemovedIdentities is the maximum number of removed identities to list.
 const MaxRemovedIdentities = 64
 
-// pruneRemovedIdentities cuts the list of identities that were removed. All that were ever in a set
-// were made under a lower version than the one of the cut, and are refused by that from
-// then on: see package membership.
+// pruneRemovedIdentities clears the list of removed identities if it is too long. All identities
+// that were ever in a set were created under a lower version than the new floor, and are rejected
+// because of it from then on (see package membership).
 func pruneRemovedIdentities(cluster *spec.Cluster, version uint64) {
 	if len(cluster.Used) > MaxRemovedIdentities {
 		cluster.Used, cluster.IdentityFloor = nil, version
 	}
 }
 
-// pruneSpareIdentities keeps of those that were admitted beside the others only who is in a set.
+// pruneSpareIdentities drops the spare identities that are no longer in any set.
 func pruneSpareIdentities(cluster *spec.Cluster) {
 	all := slices.Concat(cluster.Cores, cluster.NextCores, cluster.Stores, cluster.NextStores)
 	cluster.Spares = slices.DeleteFunc(cluster.Spares, func(ident string) bool {
@@ -47,8 +47,8 @@
 	})
 }
 
-// storesSince is the version since which the sets of stores are these. Where the
-// register doesn't say, it is the first version that this process has seen them at.
+// storesSince is the version that last changed the sets of stores. If the register does not record
+// it, this is the first version at which this process has seen these sets.
 func storesSince(previous, view *View) uint64 {
 	if view.StoresSince > 0 {
 		return view.StoresSince
--- a/internal/coordination/core/acknowledgement.go
+++ b/internal/coordination/core/acknowledgement.go
@@ -15,7 +15,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// broadcastSpec sends a version down the tree and gives the ids that took it.
+// broadcastSpec broadcasts a version and returns the ids of the nodes that confirmed it.
 func (c *Core) broadcastSpec(ctx context.Context, version uint64, raw []byte) map[string]bool {
 	confirmed := map[string]bool{}
 	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: keys.SpecTopic, Seq: version, Body: raw}) {
@@ -24,18 +24,18 @@
 	return confirmed
 }
 
-// membersTimeout is how long the core machines have to say which members they know.
+// membersTimeout bounds a query of all core machines for the members they know.
 const membersTimeout = time.Second
 
-// membersAnswer is what one core machine knows of the members.
+// membersAnswer is the answer of one core machine to a query for members.
 type membersAnswer struct {
 	core register.Replica
 	ack  *wire.MembersAck
 	err  error
 }
 
-// queryMembers asks all core machines which members they know. The channel has a place for
-// each answer.
+// queryMembers asks all core machines for the members they know. The channel has capacity for every
+// answer.
 func (c *Core) queryMembers(ctx context.Context, cores []register.Replica) <-chan membersAnswer {
 	answers := make(chan membersAnswer, len(cores))
 	for _, replica := range cores {
@@ -48,15 +48,17 @@
 	return answers
 }
 
-// memberList is what a majority of core machines know of the members, by id@addr.
+// memberList holds the members known to a majority of the core machines, by id@addr.
 type memberList struct {
 	members map[string]*wire.Member
-	// complete: every node that was ever granted a lease and may still act is listed.
+	// complete is true if the list contains every node that was ever granted a lease and may still
+	// act.
 	complete bool
 }
 
-// queryMemberList merges the members that a majority of core machines know: the newest
-// start of each, its highest confirmation, its shortest time without contact.
+// queryMemberList merges the members known to a majority of the core machines. Of each member it
+// keeps the latest incarnation, the highest confirmed version and the shortest time without
+// contact.
 func (c *Core) queryMemberList(ctx context.Context) (*memberList, error) {
 	set := c.Cluster.Newest().Cores()
 	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
@@ -65,8 +67,8 @@
 	answers := c.queryMembers(ctx, cores)
 	list := &memberList{members: map[string]*wire.Member{}}
 	answered, complete := map[register.Replica]bool{}, map[register.Replica]bool{}
-	// A lease is granted by a majority, so any majority knows of every node. The
-	// others are given a moment more: they may have seen some later.
+	// A lease is granted by a majority, so any majority knows every node. The remaining core
+	// machines get a little more time, as they may hold more recent contacts.
 	var stragglers <-chan time.Time
 	for range cores {
 		select {
@@ -92,7 +94,7 @@
 	return list, nil
 }
 
-// mergeMembers adds what one more core machine knows to what others do.
+// mergeMembers merges the members known to one more core machine into members.
 func mergeMembers(members map[string]*wire.Member, more []*wire.Member) {
 	for _, m := range more {
 		key := m.Id + "@" + m.Addr
@@ -108,31 +110,31 @@
 	}
 }
 
-// stragglerWait is how long a core machine that is slower than a majority is waited for.
+// stragglerWait is how long to wait for the remaining core machines once a majority has answered.
 const stragglerWait = 50 * time.Millisecond
 
-// unconfirmedNodes lists the nodes that could still act on a version older than ver. It
-// is none where the stores are the fence: so many have confirmed that no key
-// finds a majority below it, and what was looked at before is too old by now. Where the
-// cores do not list every node, only that fence will do.
+// unconfirmedNodes returns the nodes that could still act on a version older than the given one.
+// The result is empty once the stores act as the fence: enough of them have confirmed the version
+// that no key has a majority of replicas below it, and reads made before that have expired. If the
+// cores do not list every node, only this fence allows an empty result.
 func (c *Core) unconfirmedNodes(ctx context.Context, version uint64, confirmed map[string]bool) ([]string, error) {
 	list, err := c.queryMemberList(ctx)
 	if err != nil {
 		return nil, err
 	}
 	members := list.members
-	// The fence's time runs while the unresponsive are asked for.
+	// The read window of the fence elapses while the unresponsive nodes are probed.
 	var fenceElapsed <-chan time.Time
 	if c.fencedByStores(members, version, confirmed) {
 		timer := time.NewTimer(storeclient.ReadWindow)
 		defer timer.Stop()
 		fenceElapsed = timer.C
 	}
-	type probed struct {
-		id  string
-		yes bool
+	type probeResult struct {
+		id      string
+		refused bool
 	}
-	probes := make(chan probed, len(members))
+	probes := make(chan probeResult, len(members))
 	probeCount := 0
 	for _, m := range members {
 		if m.SpecVer >= version || confirmed[m.Id] {
@@ -140,9 +142,9 @@
 		}
 		probeCount++
 		go func() {
-			// A refused port: the process has exited, and a new one reads the
-			// spec at a majority before it serves.
-			probes <- probed{m.Id, c.portRefused(ctx, m.Addr)}
+			// If the port refuses connections, the process has exited. A new process reads the spec
+			// at a majority before it serves.
+			probes <- probeResult{m.Id, c.portRefused(ctx, m.Addr)}
 		}()
 	}
 	unconfirmed := []string{}
@@ -152,7 +154,7 @@
 	for range probeCount {
 		select {
 		case probe := <-probes:
-			if !probe.yes {
+			if !probe.refused {
 				unconfirmed = append(unconfirmed, probe.id)
 			}
 		case <-fenceElapsed:
@@ -170,8 +172,8 @@
 	return unconfirmed, nil
 }
 
-// fencedByStores reports whether in neither set of stores could those that have not confirmed ver
-// make a majority of some key's copies.
+// fencedByStores reports whether, in neither set of stores, the stores that have not confirmed the
+// version could form a majority of any key's replicas.
 func (c *Core) fencedByStores(known map[string]*wire.Member, version uint64, confirmed map[string]bool) bool {
 	view := c.Cluster.Newest()
 	return membership.Fenced(&view.Cluster, func(m spec.Machine) bool {
@@ -180,8 +182,8 @@
 	})
 }
 
-// unlistedNodes stands for nodes that the cores do not list any more, among those that an
-// acknowledgement waits for.
+// unlistedNodes stands for nodes that are no longer listed by the cores in the list of nodes that
+// an acknowledgement waits for.
 const unlistedNodes = "(nodes no longer listed)"
 
 func (c *Core) portRefused(ctx context.Context, addr string) bool {
--- a/internal/coordination/core/binding.go
+++ b/internal/coordination/core/binding.go
@@ -9,9 +9,9 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// bindStores gives each store of the set that has none yet the identity it came
-// with. Once bound it is never changed here: a store that lost its disk comes
-// with another and has to be admitted.
+// bindStores records the identity of each store in the set that has none yet. A recorded identity
+// is never replaced here: a store that lost its disk reports a different identity and has to be
+// admitted again.
 func (c *Core) bindStores(ctx context.Context) {
 	idents := map[string]string{}
 	used := c.Cluster.Now().Used
@@ -38,7 +38,7 @@
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
-			c.Log.Warn("stores not bound", "err", err)
+			c.Log.Warn("failed to bind stores to their identities", "err", err)
 		}
 		return
 	}
--- a/internal/coordination/core/bootstrap.go
+++ b/internal/coordination/core/bootstrap.go
@@ -14,18 +14,27 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// The first set is formed once. Every initialCore gives its identity, and version 1
-// is chosen only by all of them: whatever is chosen is then on every initialCore's
-// disk. One that loses its disk meanwhile comes with another identity, and any
-// set that it could found with the others needs their word too, which is given
-// already. So no two first sets can be, unless every initialCore's disk is lost.
+// The first set is formed only once. Every initial core reports its identity, and version 1 is
+// chosen only by all of them, so the chosen value is on the disk of every initial core. A core that
+// loses its disk in the meantime returns with another identity. Any set that it could form with the
+// others also needs their votes, which they have already cast. Two different first sets are
+// therefore impossible unless all initial cores lose their disks.
 
-// initialCore is where one of the first cores is; id is empty where only the address
-// is given.
+const (
+	// bootstrapInterval is the time between two attempts to form the first set.
+	bootstrapInterval = 100 * time.Millisecond
+	// bootstrapLogAttempts is the number of attempts for each log line.
+	bootstrapLogAttempts = 40
+	// proposeTimeout bounds one proposal of the first version.
+	proposeTimeout = time.Second
+)
+
+// initialCore is the address of a core of the first set; id is empty if only the address is
+// configured.
 type initialCore struct{ addr, id string }
 
-// founders are all who must agree to the first set; none where this machine is not
-// one of them.
+// initialCores returns the cores that must all agree to the first set, or nil if this machine is
+// not one of them.
 func (c *Core) initialCores() []initialCore {
 	var cores []initialCore
 	if c.params.Bootstrap {
@@ -42,8 +51,8 @@
 	return cores
 }
 
-// bootstrap makes the first set, or finds the one that stands. Each initialCore must be
-// empty and forming as well, or already belong to a set.
+// bootstrap forms the first set or finds the existing one. Each initial core must either be empty
+// and forming a set too, or already belong to a set.
 func (c *Core) bootstrap(ctx context.Context) error {
 	peers := c.initialCores()
 	selfIndex := slices.IndexFunc(peers, func(peer initialCore) bool { return peer.addr == c.Peer.Self.Addr })
@@ -58,8 +67,8 @@
 		}
 		if set != nil {
 			c.Cluster.SetInitialVoters(set)
-			// One proposes at a time, in the list's order, or they outbid each
-			// other's ballots; the later ones only if the earlier ones don't.
+			// Only one core proposes per attempt, in list order, because concurrent proposals would
+			// outbid each other's ballots. Later cores propose only if the earlier ones do not.
 			if attempt%max(len(peers), 1) == selfIndex {
 				if err := c.proposeFirstVersion(ctx, set); err != nil {
 					c.Log.Info("first set not chosen yet", "err", err)
@@ -69,17 +78,17 @@
 				}
 			}
 		}
-		if attempt%40 == 0 {
-			c.Log.Info("forming, waiting for every founder", "founders", len(peers))
+		if attempt%bootstrapLogAttempts == 0 {
+			c.Log.Info("forming the first set, waiting for every initial core", "founders", len(peers))
 		}
-		if !loop.Wait(ctx, 100*time.Millisecond) {
+		if !loop.Wait(ctx, bootstrapInterval) {
 			return code.New(code.CoreUnreachable, "the set was not formed: %w", ctx.Err())
 		}
 	}
 }
 
-// queryInitialCores asks every initialCore who it is. It gives the set only where all are there
-// and none belongs to a set yet; a set that stands is put in force here.
+// queryInitialCores sends a hello to every initial core. It returns the set only if all of them
+// answer and none belongs to a set yet. If a set already exists, its version is put in force here.
 func (c *Core) queryInitialCores(ctx context.Context, peers []initialCore) ([]spec.Machine, error) {
 	type helloReply struct {
 		index int
@@ -132,8 +141,8 @@
 		set[reply.index] = spec.Machine{ID: self.Id, Addr: peer.addr, Zone: self.Zone, Ident: self.Ident}
 	}
 	if view := c.Cluster.Now(); view.Version > 0 {
-		// An operator who lists the set by name means this machine to be in it;
-		// found by address alone it joins as a stranger and is taken in.
+		// An operator who lists the cores by name intends this machine to be one of them. A machine
+		// that is configured with addresses only joins as a new machine and is admitted.
 		if c.params.Bootstrap &&
 			!slices.ContainsFunc(view.Cluster.Cores, func(m spec.Machine) bool { return m.Ident == c.Peer.Ident() }) {
 			return nil, code.New(
@@ -149,8 +158,8 @@
 	return set, nil
 }
 
-// proposeFirstVersion proposes version 1 to all founders; whichever machine is first, the others
-// find it.
+// proposeFirstVersion proposes version 1 to all initial cores. Whichever core succeeds first, the
+// others read its value.
 func (c *Core) proposeFirstVersion(ctx context.Context, set []spec.Machine) error {
 	first := spec.Cluster{
 		Cores:       set,
@@ -169,12 +178,12 @@
 	if err != nil {
 		return err
 	}
-	// A group each: all of them are then the only quorum.
+	// With one group for each core, the only quorum is all of them.
 	var all register.Set
 	for _, m := range set {
 		all = append(all, []register.Replica{{Addr: m.Addr, Ident: m.Ident}})
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	state, err := c.Proposer.Change(ctx, all, cluster.Key, func(current register.State) ([]byte, bool, error) {
 		if current.Version > 0 {
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -9,32 +9,31 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Orders about zones and about retirement carry no number. One that lay unread at a
-// core that stood still would be carried out when the core goes on, long after its
-// sender went elsewhere, and could undo what was ordered since. So a core takes such
-// an order only if it has been in contact for longer than a sender waits for an answer:
-// what it reads then was sent while it was in contact.
+// Requests about zones and retirement carry no version. If such a request lay unread while a core
+// was paused, the core would execute it after resuming, long after the sender had retried
+// elsewhere, and could undo later requests. A core therefore accepts such a request only if it has
+// been in contact for longer than a sender waits for an answer: any request it reads then was sent
+// during that contact.
 
 const (
-	// contactCheckInterval is the time between two checks whether this core is in contact.
+	// contactCheckInterval is the time between two checks of whether this core is in contact.
 	contactCheckInterval = 500 * time.Millisecond
-	// contactGap is the time without a check after which this process must have been
+	// contactGap is the time without a check after which this process is considered to have been
 	// paused.
 	contactGap = 2 * contactCheckInterval
-	// contactStableAfter is how long this core must have been in contact again before it
-	// takes orders. Senders wait a second for an answer.
+	// contactStableAfter is how long this core must have been in contact again before it accepts
+	// requests without a version. Senders wait one second for an answer.
 	contactStableAfter = time.Second
 )
 
-// contactTracker remembers when a process was last out of contact with a majority, or
-// paused.
+// contactTracker records when a process was last paused or out of contact with a majority.
 type contactTracker struct {
 	mu        sync.Mutex
-	lastCheck clock.Moment // the last check; zero: there was none
-	lastLost  time.Time    // when it was last found out of contact; zero: never
+	lastCheck clock.Moment // the last check; zero if there was none
+	lastLost  time.Time    // when it was last found out of contact; zero if never
 }
 
-// check is called regularly; valid reports whether this core's lease runs.
+// check must be called regularly; leaseValid reports whether this core's lease is valid.
 func (tracker *contactTracker) check(now clock.Moment, leaseValid bool) {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
@@ -44,7 +43,7 @@
 	tracker.lastCheck = now
 }
 
-// paused reports whether the process stood still since the last check. The machine may have
+// paused reports whether the process has been paused since the last check. The machine may have
 // been suspended, which the monotonic clock does not show.
 func (tracker *contactTracker) paused(now clock.Moment) bool {
 	return !tracker.lastCheck.IsZero() && now.Sub(tracker.lastCheck) > contactGap
@@ -60,14 +59,14 @@
 	return tracker.lastLost.IsZero() || now.Monotonic().Sub(tracker.lastLost) > contactStableAfter
 }
 
-// moment is the present one by this core's clocks.
+// currentMoment is the present time on this core's clocks.
 func (c *Core) currentMoment() clock.Moment { return clock.Now(c.Proposer.Clock) }
 
 // checkContact is the background task that updates the contact tracker.
 func (c *Core) checkContact(context.Context) { c.contact.check(c.currentMoment(), c.Lease.Valid()) }
 
-// RequireContact rejects, for the moment, an order that may be an old one: this core is or was
-// just out of contact, or the order's time is over. The error has code.OutOfContact.
+// RequireContact temporarily rejects a request that may be outdated: this core is or was recently
+// out of contact, or the deadline of the request has passed. The error has code.OutOfContact.
 func (c *Core) RequireContact(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	if bounded && time.Now().After(deadline) {
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -1,5 +1,5 @@
-// Package core is the control plane: a voter of the spec register, the table
-// of leases, and the operators' HTTP interface.
+// Package core implements the control plane: a voter of the spec register, the table of leases, and
+// the operators' HTTP interface.
 package core
 
 import (
@@ -19,39 +19,39 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Disk is what a core machine keeps.
+// Disk is the persistent storage of a core machine.
 type Disk interface {
 	register.Disk
 	lease.Disk
-	// Ident is the identity that the disk stands for. Renew puts all of it aside for
-	// a new one.
+	// Ident returns the identity recorded on the disk. ReplaceIdentity moves the data aside and
+	// continues with an empty database under a new identity.
 	Ident() string
 	ReplaceIdentity(why string) error
-	// SetAside does the same and keeps what the folder holds for AdoptSetAside.
+	// SetAside does the same, but keeps the data so that AdoptSetAside can take it over.
 	SetAside(why string) error
-	// MeasureDisk measures the disk.
+	// MeasureDisk measures the free disk space.
 	MeasureDisk()
 	DiskStatusReporter
 	KeyLister
 }
 
-// Params are a core machine's settings.
+// Params are the settings of a core machine.
 type Params struct {
-	// Bootstrap forms the first set; Cores, Stores and Spec are its content.
+	// Bootstrap is set to form the first set from Cores, Stores and Spec.
 	Bootstrap bool
 	Cores     []spec.Machine
 	Stores    []spec.Machine
 	Spec      *spec.Spec
-	// InitialCoreAddrs are the addresses of the cores that form the first set, where no names
-	// are known. It stands without stores, over Zones where there is no Spec; they
-	// are taken in as they come.
+	// InitialCoreAddrs are the addresses of the cores that form the first set if their names are
+	// not known. The set starts without stores, and over Zones if there is no Spec; stores are
+	// admitted when they appear.
 	InitialCoreAddrs []string
 	Zones            []string
-	// Copies is how many stores hold each key; 0 means 3.
+	// Copies is the number of replicas of each key; 0 means 3.
 	Copies int
-	// MoveRate bounds the keys moved a second while a set changes.
+	// MoveRate limits the keys moved per second during a change of a set.
 	MoveRate int
-	// AckTimeout is how long an operator's request waits to be acknowledged.
+	// AckTimeout is how long an operator's request waits for its acknowledgement.
 	AckTimeout time.Duration
 }
 
@@ -71,31 +71,31 @@
 	acceptor       *register.Acceptor
 	table          *lease.Table
 	startedAt      time.Time
-	drainedVersion atomic.Uint64  // the change of the cores after which Gate was last waited for
-	contact        contactTracker // since when this core has been in contact with a majority
+	drainedVersion atomic.Uint64  // the CoresVersion for which Gate was last drained
+	contact        contactTracker // how long this core has been in contact with a majority
 	reconciler     reconcilerState
 }
 
-// reconcilerState is what the reconcilers of the two sets remember between their steps.
+// reconcilerState is the state that the reconcilers of the two sets keep between steps.
 type reconcilerState struct {
-	// wakeups has a reconciler check its set again at once. The map never changes.
+	// wakeups make a reconciler check its set immediately. The map is never modified.
 	wakeups map[membership.Set]loop.Wakeup
-	// nonMembers are kept for each set. The map never changes.
+	// nonMembers has a tracker for each set. The map is never modified.
 	nonMembers map[membership.Set]*nonMemberTracker
-	// lastNewStoreUnixNano is when a store that is in no set was last seen for the first time, in
-	// Unix nanoseconds; seenIdentities are those seen so far.
+	// lastNewStoreUnixNano is when a store outside the present and next set was last seen for the
+	// first time, in Unix nanoseconds; seenIdentities holds the identities seen so far.
 	lastNewStoreUnixNano atomic.Int64
 	seenIdentities       sync.Map
-	keysMoved            atomic.Int64 // in the change of a set under way
-	// bootstrappedAt is when this very process formed the set; zero: it did not. It is set
-	// before the reconcilers begin.
+	keysMoved            atomic.Int64 // in the current change of a set
+	// bootstrappedAt is when this process formed the set; zero if it did not. It is set before the
+	// reconcilers start.
 	bootstrappedAt time.Time
-	// lastTransferFailure is when keys could last not be transferred. Only the stores'
-	// reconciler uses it.
+	// lastTransferFailure is the time of the last failed key transfer. Only the reconciler of the
+	// stores uses it.
 	lastTransferFailure time.Time
 }
 
-// New makes a core over its disk.
+// New creates a core that stores its state on the given disk.
 func New(params Params, nodeParams node.Params, disk Disk) (*Core, error) {
 	nodeParams.Persist = PersistCluster(disk.SaveMetadata)
 	c := &Core{
@@ -127,8 +127,8 @@
 	ServeRegister(c.Node, c.acceptor, c.checkCoresVersion, func() []spec.Machine {
 		view := c.Cluster.Now()
 		if view.Version == 0 {
-			// Before there is a set, whoever names this identity has it from us and
-			// is forming the first.
+			// Before the first set exists, a caller that names this identity got it from this
+			// machine and is forming the first set.
 			return []spec.Machine{{Ident: c.Peer.Ident()}}
 		}
 		return slices.Concat(view.Cluster.Cores, view.NextCores)
@@ -155,8 +155,8 @@
 }
 
 func (c *Core) renew(ctx context.Context, request *wire.Req) (*wire.Resp, error) {
-	// Whoever goes by cores that are no more may be known to none of the others that
-	// wait for all who could act on an older spec.
+	// A caller that acts on cores that have been replaced may be unknown to the present cores,
+	// which wait for all nodes that could act on an older spec.
 	if err := c.checkCoresVersion(&wire.Req{Spec: request.GetRenew().GetSelf().GetSpecVer()}); err != nil {
 		return nil, err
 	}
@@ -170,7 +170,7 @@
 	return response, nil
 }
 
-// Start listens, finds its set and joins. It returns once the core serves.
+// Start listens, finds or forms the set and joins it. It returns once the core serves requests.
 func (c *Core) Start(ctx context.Context) error {
 	if err := c.Peer.Serve(ctx); err != nil {
 		return err
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// joinCluster forms the first set or finds the one that stands, for a machine that knows of
-// none yet. An identity that may be in the first set counts as made under version 0.
+// joinCluster forms the first set or finds the existing one, for a machine that does not know any
+// yet. An identity that may be in the first set is recorded as created under version 0.
 func (c *Core) joinCluster(ctx context.Context) error {
 	vote, err := c.disk.Load(cluster.Key)
 	if err != nil {
@@ -219,7 +219,7 @@
 	if vote.Promised != nil {
 		return SaveIdentityVersion(c.Node, c.disk, 0)
 	}
-	// Leases were granted before this folder was there.
+	// Leases may have been granted before this folder existed.
 	if err := c.table.MarkIncomplete(); err != nil {
 		return err
 	}
--- a/internal/coordination/core/explain.go
+++ b/internal/coordination/core/explain.go
@@ -13,13 +13,13 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// Explanation says which placements follow from an intent.
+// Explanation describes the placements that result from one intent.
 type Explanation struct {
 	Intent string `json:"intent"`
 	Means  string `json:"means"`
 }
 
-// explain tells what the intents in force come to.
+// explain returns the placements that result from the intents in force.
 func (c *Core) explain(x echo.Context) error {
 	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
@@ -28,7 +28,7 @@
 	return x.JSON(http.StatusOK, map[string]any{"version": view.Version, "intents": Explain(view)})
 }
 
-// Explain works out the placements of each intent of a version.
+// Explain computes the placements that result from each intent of a version.
 func Explain(view *cluster.View) []Explanation {
 	s := &view.Spec
 	explanations := []Explanation{}
@@ -101,7 +101,7 @@
 	return explanations
 }
 
-// cooldownScope names what shares a cooldown on a route.
+// cooldownScope names the unit that shares a cooldown on a route.
 func cooldownScope(s *spec.Spec, route spec.Route) string {
 	if route.Account != "" ||
 		slices.ContainsFunc(s.Runners, func(runner spec.Runner) bool {
--- a/internal/coordination/core/keys.go
+++ b/internal/coordination/core/keys.go
@@ -4,15 +4,15 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// KeyLister pages through the keys that a disk holds.
+// KeyLister returns the keys on a disk page by page.
 type KeyLister interface {
 	Keys(kind wire.List_Kind, after string, limit int, want func(string) bool) ([]*wire.Row, error)
 }
 
-// MaxKeysPerPage bounds one page of keys.
+// MaxKeysPerPage is the maximum number of keys in one page.
 const MaxKeysPerPage = 1000
 
-// ListKeys answers ListKeys calls from a disk; want narrows them.
+// ListKeys answers a List request from a disk; want filters the keys.
 func ListKeys(lister KeyLister, request *wire.List, want func(string) bool) (*wire.Resp, error) {
 	limit := int(request.Limit)
 	if limit <= 0 || limit > MaxKeysPerPage {
--- a/internal/coordination/core/members.go
+++ b/internal/coordination/core/members.go
@@ -11,7 +11,7 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// member is a row of the members list.
+// memberRow is a row of the members list.
 type memberRow struct {
 	ID       string `json:"id"`
 	Role     string `json:"role"`
@@ -26,7 +26,7 @@
 }
 
 func (c *Core) getMembers(x echo.Context) error {
-	// The sets whose cores are asked are those that a majority has in force.
+	// The cores to query are those of the sets that a majority has in force.
 	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
 		return writeError(x, err)
@@ -56,7 +56,7 @@
 	return x.JSON(http.StatusOK, map[string]any{"members": rows})
 }
 
-// votes reports whether a member is in a present or next set.
+// isVoter reports whether a member is in a present or next set.
 func isVoter(view *cluster.View, m *wire.Member) bool {
 	return slices.ContainsFunc(
 		slices.Concat(view.Cluster.Cores, view.NextCores, view.Cluster.Stores, view.NextStores),
@@ -64,9 +64,9 @@
 	)
 }
 
-// getHealth tells what an operator should check first.
+// getHealth lists the problems that an operator should check first.
 func (c *Core) getHealth(x echo.Context) error {
-	// The sets whose cores are asked are those that a majority has in force.
+	// The cores to query are those of the sets that a majority has in force.
 	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
 		return writeError(x, err)
--- a/internal/coordination/core/operations.go
+++ b/internal/coordination/core/operations.go
@@ -11,29 +11,29 @@
 	"damsontiller/internal/transport/code"
 )
 
-// operationIDHeader carries an id that the sender of an order has drawn, so that the order
-// may be sent again after a lost answer.
+// operationIDHeader carries an operation ID chosen by the sender, so that a request can be retried
+// after its answer was lost.
 const operationIDHeader = "Idempotency-Key"
 
-// maxOperationIDBytes bounds an id, in bytes.
+// maxOperationIDBytes is the maximum length of an operation ID.
 const maxOperationIDBytes = 128
 
-// operationContextKey is where a request keeps its order's id and content.
+// operationContextKey is the key of the pending operation in the request context.
 const operationContextKey = "operation"
 
-// pendingOperation is an order whose body is being read.
+// pendingOperation is an operation whose request body is being read.
 type pendingOperation struct {
 	id      string
 	content hash.Hash
 }
 
-// hashedBody hashes a body as it is read.
+// hashedBody hashes a body while it is read.
 type hashedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// withOperationID is the middleware of orders that may carry an id.
+// withOperationID is the middleware of requests that may carry an operation ID.
 func withOperationID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(x echo.Context) error {
 		request := x.Request()
@@ -53,7 +53,8 @@
 	}
 }
 
-// requestOperation is the order's id and content, once its body has been read.
+// requestOperation returns the ID and digest of the request's operation. The body must have been
+// read.
 func requestOperation(x echo.Context) spec.Operation {
 	pending, ok := x.Get(operationContextKey).(*pendingOperation)
 	if !ok {
--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -16,7 +16,7 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// ack is the answer to a change.
+// changeResponse is the HTTP response to a change.
 type changeResponse struct {
 	Version uint64   `json:"version"`
 	Code    int      `json:"code"`
@@ -25,7 +25,7 @@
 	Waiting []string `json:"waiting"`
 }
 
-// Routes puts the operators' interface on e.
+// Routes registers the operators' interface on e.
 func (c *Core) Routes(e *echo.Echo) {
 	e.GET("/v1/spec", c.getSpec)
 	e.PUT("/v1/spec", c.putSpec, withOperationID)
@@ -58,7 +58,7 @@
 }
 
 func (c *Core) getSpec(x echo.Context) error {
-	// Read at a majority: what this core has in force may be older.
+	// Read at a majority: the version in force on this core may be outdated.
 	view, err := c.Cluster.ReadView(x.Request().Context())
 	if err != nil {
 		return writeError(x, err)
@@ -89,14 +89,13 @@
 	return c.changeSpec(x, patch.Expect, func(s *spec.Spec) error { *s = patch.Apply(*s); return nil })
 }
 
-// fail answers with a failure. Where nothing is refused, but could not be done now, it
-// says when to come back.
+// writeError responds with an error. If the request was not rejected but cannot be carried out now,
+// the response tells the client when to retry.
 func writeError(x echo.Context, err error) error {
 	return writeFailure(x, web.Of(err))
 }
 
-// retryAfterSeconds is when to come back, in seconds, after a failure that is only for the
-// moment.
+// retryAfterSeconds is the Retry-After header of a response to a temporary failure.
 const retryAfterSeconds = "1"
 
 func writeFailure(x echo.Context, failure web.Failure) error {
@@ -107,12 +106,15 @@
 	return x.JSON(status, failure)
 }
 
+// maxRequestBytes is the maximum body size of a request about a zone or a set.
+const maxRequestBytes = 4096
+
 func (c *Core) changeZone(x echo.Context, empty bool) error {
 	zone := x.Param("zone")
 	var options struct {
 		Force bool `json:"force"`
 	}
-	body, err := web.Body(x, 4096)
+	body, err := web.Body(x, maxRequestBytes)
 	if err == nil && len(body) > 0 {
 		err = web.Strict(body, &options)
 	}
@@ -120,7 +122,7 @@
 		return writeError(x, err)
 	}
 	return c.changeSpec(x, 0, func(s *spec.Spec) error {
-		// Only the register says which zones there are: this core's copy may be old.
+		// Only the register is authoritative for the zones: this core's copy may be outdated.
 		if !slices.Contains(s.Zones, zone) {
 			return code.New(code.NoZone, "%q is not one of zones", zone)
 		}
@@ -132,14 +134,14 @@
 			s.EmptyZones = append(s.EmptyZones, zone)
 			s.ForceEmpty = s.ForceEmpty || options.Force
 		} else {
-			// The force word was for the emptying; the next one needs its own.
+			// The force flag applied to the emptying only; the next emptying needs its own.
 			s.ForceEmpty = false
 		}
 		return nil
 	})
 }
 
-// changeSpec makes f's change and checks the spec that comes of it.
+// changeSpec applies edit to the spec and validates the result.
 func (c *Core) changeSpec(x echo.Context, expect uint64, edit func(*spec.Spec) error) error {
 	return c.change(x, expect, func(updated *spec.Cluster) error {
 		if err := edit(&updated.Spec); err != nil {
@@ -149,21 +151,24 @@
 	})
 }
 
-// ChangeResult is what becomes of an operator's change.
+// ChangeResult is the outcome of an operator's change.
 type ChangeResult struct {
 	Version uint64
-	InForce bool     // nobody acts on an older one any more
-	Waiting []string // who still might
+	InForce bool     // no node can act on an older version any more
+	Waiting []string // nodes that might still act on an older version
 }
 
-// Change makes f's change of the cluster and waits, for as long as ctx lasts, until
-// it is in force. An error means that it was not chosen, or is uncertain; on a
-// conflict the version in force is given.
+// Change applies edit to the cluster and waits until the new version is in force or ctx is done. An
+// error means that the change was not chosen or that its outcome is uncertain. On a version
+// conflict the result holds the version in force.
 func (c *Core) Change(ctx context.Context, expect uint64, edit func(*spec.Cluster) error) (ChangeResult, error) {
 	return c.changeOnce(ctx, expect, spec.Operation{}, edit)
 }
 
-// changeOnce is Change for an order that may be sent again.
+// confirmationInterval is the time between two checks of whether a change is in force.
+const confirmationInterval = 50 * time.Millisecond
+
+// changeOnce is Change for a request that may be retried.
 func (c *Core) changeOnce(
 	ctx context.Context,
 	expect uint64,
@@ -184,14 +189,15 @@
 				return result, nil
 			}
 		}
-		if !loop.Wait(ctx, 50*time.Millisecond) {
-			// Chosen, but somebody could still act on an older one.
+		if !loop.Wait(ctx, confirmationInterval) {
+			// The version is chosen, but some node could still act on an older one.
 			return result, nil
 		}
 	}
 }
 
-// change makes f's change and answers as the rule of acknowledgement says.
+// change applies edit and responds with 200 if the version is in force, or with 202 if it is chosen
+// but not yet in force everywhere.
 func (c *Core) change(x echo.Context, expect uint64, edit func(*spec.Cluster) error) error {
 	ctx, cancel := context.WithTimeout(x.Request().Context(), c.params.AckTimeout)
 	defer cancel()
--- a/internal/coordination/core/persistence.go
+++ b/internal/coordination/core/persistence.go
@@ -10,18 +10,20 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// MetadataStore are the small records that a machine keeps beside its data.
+// MetadataStore stores the small records that a machine keeps next to its data.
 type MetadataStore interface {
 	SaveMetadata(key string, b []byte) error
 	LoadMetadata(key string) ([]byte, error)
 }
 
-// identityVersionKey is where a machine records the version that its identity was made under.
+// identityVersionKey is the record of the cluster version under which the machine's identity was
+// created.
 const identityVersionKey = "identity-version"
 
-// SaveIdentityVersion records on disk under which version of the cluster this machine's identity
-// was made, before it is first given to anybody who could admit it. It is recorded once and
-// never raised: what is removed and forgotten is refused by it (package membership).
+// SaveIdentityVersion records on disk the cluster version under which this machine's identity was
+// created, before the identity is sent to any process that could admit it. The version is recorded
+// once and never raised, because it is used to reject identities that were removed and are no
+// longer listed (see package membership).
 func SaveIdentityVersion(n *node.Node, store MetadataStore, version uint64) error {
 	if err := store.SaveMetadata(identityVersionKey, binary.BigEndian.AppendUint64(nil, version)); err != nil {
 		return err
@@ -30,8 +32,8 @@
 	return nil
 }
 
-// RestoreIdentityVersion takes up the version that was recorded. A folder that an earlier release
-// has made has no such record: its identity counts as made under version 0.
+// RestoreIdentityVersion loads the recorded version. A folder created by an earlier release has no
+// such record: its identity counts as created under version 0.
 func RestoreIdentityVersion(n *node.Node, store MetadataStore) error {
 	record, err := store.LoadMetadata(identityVersionKey)
 	if err != nil || len(record) < 8 {
@@ -41,30 +43,31 @@
 	return nil
 }
 
-// DiskStatusReporter is what a data folder tells of itself.
+// DiskStatusReporter reports the state of a data folder.
 type DiskStatusReporter interface {
-	// Status says what is wrong with the disk; HungFor for how long it has answered nothing.
+	// Status describes a problem with the disk; HungFor is how long the disk has not responded.
 	Status() string
 	HungFor() time.Duration
 	FolderState() *wire.FolderState
 }
 
-// DiskState is what a lease's renewals state of a data folder.
+// DiskState returns the state of a data folder as lease renewals report it.
 func DiskState(disk DiskStatusReporter) lease.DiskState {
 	return lease.DiskState{Status: disk.Status(), HungFor: disk.HungFor(), Folder: disk.FolderState()}
 }
 
 const clusterMetadataKey = "realm"
 
-// PersistCluster records each spec on disk before it comes into force.
+// PersistCluster returns a function that records each version of the cluster on disk before it
+// comes into force.
 func PersistCluster(save func(string, []byte) error) func([]byte, uint64) error {
 	return func(raw []byte, version uint64) error {
 		return save(clusterMetadataKey, append(binary.BigEndian.AppendUint64(nil, version), raw...))
 	}
 }
 
-// RestoreCluster puts the spec kept on disk in force: a node never slips back to an
-// older one than it has had.
+// RestoreCluster puts the version recorded on disk in force, so that a node never returns to an
+// older version than it has had.
 func RestoreCluster(load func(string) ([]byte, error), state *cluster.Cluster) error {
 	record, err := load(clusterMetadataKey)
 	if err != nil || len(record) < 8 {
--- a/internal/coordination/core/policies.go
+++ b/internal/coordination/core/policies.go
@@ -11,7 +11,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// policyRoutes puts the commands for policy programs on e.
+// policyRoutes registers the requests about policy programs on e.
 func (c *Core) policyRoutes(e *echo.Echo) {
 	e.GET("/v1/policies", c.getPolicies)
 	e.PUT("/v1/policies/:name", c.putPolicy, withOperationID)
@@ -27,7 +27,7 @@
 type policyRow struct {
 	spec.Policy
 	Digest   string          `json:"digest"`
-	Share    int             `json:"share"` // of all programs, in percent; 0: not live
+	Share    int             `json:"share"` // of all programs, in percent; 0 if not live
 	Approval []spec.Approval `json:"approvals,omitempty"`
 }
 
@@ -59,8 +59,8 @@
 	)
 }
 
-// putPolicy takes a text; another text of the same name has to be approved anew,
-// and a live one must be taken off first.
+// putPolicy stores the text of a policy. A different text under the same name has to be approved
+// again, and a live policy must be taken off before its text can change.
 func (c *Core) putPolicy(x echo.Context) error {
 	var put spec.PolicyPut
 	if err := readRequest(x, &put); err != nil {
@@ -103,7 +103,7 @@
 	})
 }
 
-// approve takes a rehearsal's report as it was written.
+// approvePolicy stores the report of a rehearsal as it was written.
 func (c *Core) approvePolicy(x echo.Context) error {
 	var approval spec.Approval
 	if err := readRequest(x, &approval); err != nil {
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -13,25 +13,24 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Self-managed sets: the first live core compares each set with the
-// machines that are there, and changes it by one step at a time. What a set should be
-// is decided in package membership; here the machines are observed and asked, and the
-// register is changed.
+// The reconciler of a self-managed set runs on the first live core. It compares the set with the
+// machines present and changes the set one step at a time. Package membership decides what the set
+// should be; this file observes and probes the machines and changes the register.
 
 const (
-	// retryInterval is when the reconciler of a set checks again what it waits for.
+	// retryInterval is the interval at which a reconciler checks a condition that it waits for.
 	retryInterval = 100 * time.Millisecond
-	// reviewTimeout bounds the time from the first observation to the change that rests on
-	// it: a core that was frozen in between begins nothing.
+	// reviewTimeout bounds the time from the first observation to the change based on it, so that a
+	// core that was paused in between does not begin a change from outdated observations.
 	reviewTimeout = 4 * time.Second
-	// presenceTimeout is how long a machine has to answer whether it is there.
+	// presenceTimeout is how long a machine has to answer a presence probe.
 	presenceTimeout = 300 * time.Millisecond
-	// bootstrapPeriod is for how long after it has formed the set a core takes newcomers for
-	// machines of the first hour, which take nobody's place later.
+	// bootstrapPeriod is the time after forming the set during which a core counts new machines as
+	// part of the initial set-up, so that they do not replace other machines later.
 	bootstrapPeriod = 6 * time.Second
 )
 
-// onRenewal wakes the reconcilers where a renewal shows something new.
+// onRenewal wakes the reconcilers if a lease renewal shows a new machine or may complete a change.
 func (c *Core) onRenewal(view *cluster.View, member *wire.Member) {
 	for set, wakeup := range c.reconciler.wakeups {
 		change := membership.Of(&view.Cluster, set)
@@ -40,20 +39,20 @@
 		if isNew && set == membership.Stores && c.markSeen(member.Ident) {
 			c.reconciler.lastNewStoreUnixNano.Store(time.Now().UnixNano())
 		}
-		// A confirmation may be the last that a change waits for.
+		// This confirmation may be the last one that a change waits for.
 		if isNew || change.Running() {
 			wakeup.Notify()
 		}
 	}
 }
 
-// firstSeen reports whether an identity is seen for the first time.
+// markSeen records an identity and reports whether it is seen for the first time.
 func (c *Core) markSeen(ident string) bool {
 	_, seen := c.reconciler.seenIdentities.LoadOrStore(ident, true)
 	return !seen
 }
 
-// reconcile brings a set one step closer to what it should be.
+// reconcile brings a set one step closer to its target.
 func (c *Core) reconcile(ctx context.Context, set membership.Set) {
 	view := c.Cluster.Now()
 	change := membership.Of(&view.Cluster, set)
@@ -69,8 +68,8 @@
 	}
 }
 
-// review compares a set with what it should be. It reports whether it has begun a change
-// of it, or redirected one that can not complete.
+// review compares a set with its target. It reports whether it has begun a change of the set or
+// redirected a change that cannot complete.
 func (c *Core) review(ctx context.Context, view *cluster.View, set membership.Set, change membership.Change) bool {
 	ctx, cancel := context.WithTimeout(ctx, reviewTimeout)
 	defer cancel()
@@ -95,7 +94,7 @@
 	return true
 }
 
-// observe is what this core knows of the machines of a set's role.
+// observe returns what this core knows about the machines of a set's role.
 func (c *Core) observe(view *cluster.View, set membership.Set) membership.Observation {
 	return membership.Observation{
 		Set:         set,
@@ -106,11 +105,11 @@
 	}
 }
 
-// nonMembers remembers since when machines of a role have been seen outside their set. Only
-// the reconciler of that set uses it.
+// nonMemberTracker records since when machines of a role have been seen outside their set. Only the
+// reconciler of that set uses it.
 type nonMemberTracker struct{ since map[string]time.Time }
 
-// observe states of each member for how long it has been seen outside the sets.
+// observe sets for each member how long it has been seen outside the sets.
 func (tracker *nonMemberTracker) observe(view *cluster.View, members []membership.Member) []membership.Member {
 	since := map[string]time.Time{}
 	for i, m := range members {
@@ -129,8 +128,8 @@
 	return members
 }
 
-// members are the machines of a role that this core has seen. Its own entry needs no
-// renewal.
+// members returns the machines of a role that this core has seen. Its own entry does not depend on
+// a lease renewal.
 func (c *Core) members(role string) []membership.Member {
 	var members []membership.Member
 	for _, m := range c.table.List() {
@@ -156,8 +155,8 @@
 	}
 }
 
-// probe asks some machines whether they are there. What a renewal reported a while ago is
-// checked anew, so that a core that was itself out of contact takes no machine for absent.
+// probe asks the given machines whether they are present. Earlier renewals are not enough: a core
+// that was itself out of contact must not consider other machines absent.
 func (c *Core) probe(
 	ctx context.Context,
 	observation membership.Observation,
@@ -181,7 +180,7 @@
 				m.Addr,
 				&wire.Req{Ident: m.Ident, Op: &wire.Req_Hello{Hello: &wire.Hello{Head: true}}},
 			)
-			// A machine whose disk hangs is there, but of no use to its set.
+			// A machine with a hung disk responds but is of no use to its set.
 			hungFor := time.Duration(response.GetHello().GetSelf().GetDiskHungMs()) * time.Millisecond
 			answers <- answer{m.Ident, err == nil && hungFor < lease.HungDisk}
 		}()
@@ -194,8 +193,8 @@
 	return presence
 }
 
-// unresponsiveFor is how long a machine has been without contact. One never seen by this
-// core counts as unresponsive for as long as the core has run.
+// unresponsiveFor is how long a machine has been without contact. A machine that this core has
+// never seen counts as unresponsive since the start of this core.
 func (c *Core) unresponsiveFor(observation membership.Observation, ident string) time.Duration {
 	shortest := time.Since(c.startedAt)
 	for _, m := range observation.Members {
@@ -217,7 +216,7 @@
 	return stalled
 }
 
-// beginChange begins a change of a set, or redirects one that can not complete.
+// beginChange begins a change of a set or redirects a change that cannot complete.
 func (c *Core) beginChange(
 	ctx context.Context,
 	set membership.Set,
@@ -229,7 +228,7 @@
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
-			c.Log.Warn("set not changed", "set", set, "err", err)
+			c.Log.Warn("failed to begin set change", "set", set, "err", err)
 		}
 		return
 	}
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -11,23 +11,23 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// removalCheckInterval is the time between two checks for a removed identity, beside those
+// removalCheckInterval is the time between two checks for a removed identity. The check also runs
 // at each new version of the cluster.
 const removalCheckInterval = 5 * time.Second
 
-// identityReplacer is a process with a data folder that stands for its identity.
+// identityReplacer replaces the identity of a process that has a data folder.
 type identityReplacer struct {
 	node *node.Node
 	disk Disk
-	// resetDiskState drops what the process remembers of its disk.
+	// resetDiskState discards the state that the process caches from its disk.
 	resetDiskState func()
 }
 
-// WatchRemoval watches whether this machine must take a new identity: another machine
-// replaced it while it was away, or its folder was put back from a copy. Where the sets are
-// self-managed the machine then goes on with an empty folder and a new identity, and is
-// admitted again as a newcomer. A machine that operators retired keeps its data as it is.
-// resetDiskState drops what the process remembers of its disk.
+// WatchRemoval checks whether this machine needs a new identity, because another machine replaced
+// it during its absence or because its folder was restored from a backup. In self-managed sets the
+// machine then continues with an empty folder and a new identity, and is admitted as a new machine.
+// A machine retired by operators keeps its data unchanged. resetDiskState discards the state that
+// the process caches from its disk.
 func WatchRemoval(ctx context.Context, n *node.Node, disk Disk, resetDiskState func()) {
 	replacer := &identityReplacer{node: n, disk: disk, resetDiskState: resetDiskState}
 	loop.Every(ctx, removalCheckInterval, n.Cluster.Watch(), func(context.Context) {
@@ -44,9 +44,9 @@
 	})
 }
 
-// ReplaceOutdatedFolder has a process whose folder was put back from a copy take a new
-// identity before it joins. What the folder holds is set aside, and a store takes it over
-// as copies that are no votes.
+// ReplaceOutdatedFolder makes a process whose folder was restored from a backup take a new identity
+// before it joins. The contents of the folder are set aside, and a store adopts them as copies that
+// do not count as votes.
 func ReplaceOutdatedFolder(n *node.Node, disk Disk, resetDiskState func()) {
 	replacer := &identityReplacer{node: n, disk: disk, resetDiskState: resetDiskState}
 	n.ReplaceFolder = replacer.replaceOutdated
@@ -55,7 +55,7 @@
 func (replacer *identityReplacer) replaceOutdated() error {
 	err := replacer.replaceIdentity(
 		replacer.node.Cluster.Now(),
-		"the folder was put back from a copy",
+		"the folder was restored from a backup",
 		replacer.disk.SetAside,
 	)
 	if err == nil {
@@ -64,33 +64,33 @@
 	return err
 }
 
-// replaceIdentity has replace put the folder aside for one of a new identity, and goes on
-// with that one under a view of the cluster.
+// replaceIdentity calls replace to set the folder aside and create a new identity, and continues
+// with that identity under the given view of the cluster.
 func (replacer *identityReplacer) replaceIdentity(
 	view *cluster.View,
 	why string,
 	replace func(why string) error,
 ) error {
 	n, oldIdent := replacer.node, replacer.node.Peer.Ident()
-	// From here on nobody reaches the old identity; what is under way ends first.
+	// From here on no request reaches the old identity; requests in progress finish first.
 	n.Peer.SetIdent("", 0)
 	n.Gate.Drain()
 	if err := replace(why); err != nil {
-		n.Log.Error("no new identity", "err", err)
+		n.Log.Error("failed to create a new identity", "err", err)
 		return err
 	}
 	if replacer.resetDiskState != nil {
 		replacer.resetDiskState()
 	}
 	if err := SaveIdentityVersion(n, replacer.disk, view.Version); err != nil {
-		n.Log.Error("no new identity", "err", err)
+		n.Log.Error("failed to record the version of the new identity", "err", err)
 		return err
 	}
 	if err := PersistCluster(replacer.disk.SaveMetadata)(view.Raw(), view.Version); err != nil {
 		n.Log.Error("spec not saved", "err", err)
 	}
 	n.Peer.SetIdent(replacer.disk.Ident(), view.Version)
-	n.Log.Warn("back under a new identity", "why", why, "was", oldIdent, "ident", replacer.disk.Ident())
+	n.Log.Warn("continuing under a new identity", "why", why, "was", oldIdent, "ident", replacer.disk.Ident())
 	n.Lease.RenewNow()
 	return nil
 }
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// maxRetired bounds the names of retired stores that are remembered. A store whose
-	// name was forgotten and that still runs finds its identity removed, and comes back
-	// as the empty stranger that it then is.
+	// maxRetired is the maximum number of names of retired stores to keep. A store that still runs
+	// after its name was dropped finds that its identity was removed and rejoins as an empty new
+	// machine.
 	maxRetired = 256
-	// membershipKnownAfter is the time after which a core that runs has seen every node that
-	// is in contact: the length of a lease, in which a node renews several times.
+	// membershipKnownAfter is the uptime after which a core has seen every node that is in contact.
+	// It equals the length of a lease, in which a node renews several times.
 	membershipKnownAfter = 2500 * time.Millisecond
-	// admissionWindow is the time without contact up to which a store that is in no set may
-	// still be taken in.
+	// admissionWindow is the time without contact up to which a store outside the sets may still be
+	// admitted.
 	admissionWindow = 30 * time.Second
 )
 
-// Retire has a store emptied and removed. A repeated order for one that is removed, or
-// is about to be, changes nothing. What it refuses for good rests on the register;
-// what rests on who is live at this moment is code.FewLive or code.NotHeard.
+// Retire has a store emptied and removed. Repeating the request for a store that is being removed
+// or already removed has no effect. Permanent rejections are based on the register; temporary ones,
+// based on the nodes live at this moment, have code.FewLive or code.NotSeen.
 func (c *Core) Retire(ctx context.Context, id string) error {
 	list, err := c.queryMemberList(ctx)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// retireStore notes in the cluster that a store is to go. The members known are a
-// view of this moment.
+// retireStore records in the cluster that a store is to be removed. The known members are a
+// snapshot.
 func retireStore(state *spec.Cluster, id string, known map[string]*wire.Member) error {
 	isStore := func(m *wire.Member) bool { return m.Role == membership.Stores.Role() }
 	inSet := slices.ContainsFunc(
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// checkRemainingStores refuses for good to let a store go where the set can't be as large as the
-// copies without it, and for the moment where fewer of the others are live.
+// checkRemainingStores rejects the removal of a store permanently if the set without it could not
+// have as many stores as replicas, and temporarily if fewer of the remaining stores are live.
 func checkRemainingStores(state *spec.Cluster, id string, known map[string]*wire.Member) error {
 	copies := cluster.Copies(state)
 	candidates := map[string]bool{}
@@ -99,7 +99,7 @@
 			}
 		case !membership.IdentityRefused(state, m.Ident, m.IdentityVersion) &&
 			m.SilentMs < admissionWindow.Milliseconds():
-			// It may be taken in yet.
+			// The store may still be admitted.
 			candidates[m.Id] = true
 		}
 	}
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// pruneRetired is the list of retired names without the oldest that are in no set
-// any more, as far as the list is too long.
+// pruneRetired returns the list of retired names. If it exceeds maxRetired, the oldest names that
+// are in no set are dropped.
 func pruneRetired(state *spec.Cluster) []string {
 	excess := len(state.Retired) - maxRetired
 	if excess <= 0 {
@@ -136,8 +136,8 @@
 	return remaining
 }
 
-// confirmedUnknownStore reports whether a majority of the cores, each of which has run for long enough
-// to have seen every node in contact, knows no store of a name.
+// confirmedUnknownStore reports whether no store of the given name is known to a majority of the
+// cores, each of which has run long enough to have seen every node in contact.
 func (c *Core) confirmedUnknownStore(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
 	defer cancel()
@@ -162,7 +162,8 @@
 	return false
 }
 
-// Retired reports whether a store that is to go holds nothing any more that is needed.
+// Retired reports whether a retiring store has left the sets and holds no data that is still
+// needed.
 func (c *Core) Retired(ctx context.Context, id string) (bool, error) {
 	view, err := c.Cluster.ReadView(ctx)
 	if err != nil {
--- a/internal/coordination/core/retire_test.go
+++ b/internal/coordination/core/retire_test.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// storeSet is a set of stores of these names.
+// storeSet returns a set of stores with the given names.
 func storeSet(ids ...string) []spec.Machine {
 	var set []spec.Machine
 	for _, id := range ids {
@@ -23,7 +23,7 @@
 	return set
 }
 
-// membersOf are live members of these names, but for those that are away.
+// membersOf returns live members with the given names, except for the one that is away.
 func membersOf(away string, ids ...string) map[string]*wire.Member {
 	members := map[string]*wire.Member{}
 	for _, id := range ids {
@@ -32,8 +32,8 @@
 	return members
 }
 
-// TestRetireStore: refused for good is what the sets can't bear; who is away at the
-// moment only puts it off.
+// TestRetireStore checks that a removal is rejected permanently if the sets would become too small,
+// and only temporarily if too few stores are live at the moment.
 func TestRetireStore(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -42,73 +42,73 @@
 		want  code.Code
 	}{
 		{
-			"as many as the copies",
+			"as many stores as copies",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3")},
 			membersOf("", "s1", "s2", "s3"),
 			code.BelowCopies,
 		},
 		{
-			"one more",
+			"one store more than copies",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.OK,
 		},
 		{
-			"one more, and another away",
+			"one more, another store away",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("s3", "s1", "s2", "s3", "s4"),
 			code.FewLive,
 		},
 		{
-			"one more, and another never heard",
+			"one more, another store never seen",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("", "s1", "s2", "s4"),
 			code.FewLive,
 		},
 		{
-			"one more, and it is away itself",
+			"one more, the store itself away",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("s1", "s1", "s2", "s3", "s4"),
 			code.OK,
 		},
 		{
-			"another retired before",
+			"another store already retired",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4"), Retired: []string{"s2"}},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.BelowCopies,
 		},
 		{
-			"another being taken in",
+			"another store being admitted",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3"), NextStores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.FewLive,
 		},
 		{
-			"another heard of, and not taken in yet",
+			"another store seen but not admitted yet",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3")},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.FewLive,
 		},
 		{
-			"another whose identity was let go",
+			"another store with a removed identity",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3"), Used: []string{"is4"}},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.BelowCopies,
 		},
 		{
-			"a stranger",
+			"an unknown store",
 			spec.Cluster{Stores: storeSet("s5", "s2", "s3", "s4")},
 			membersOf("", "s5", "s2", "s3", "s4"),
 			code.NotSeen,
 		},
 		{
-			"in no set, and heard of",
+			"in no set, but seen",
 			spec.Cluster{Stores: storeSet("s5", "s2", "s3")},
 			membersOf("", "s1", "s5", "s2", "s3"),
 			code.OK,
 		},
 		{
-			"five copies",
+			"five stores for five copies",
 			spec.Cluster{Copies: 5, Stores: storeSet("s1", "s2", "s3", "s4", "s5")},
 			membersOf("", "s1", "s2", "s3", "s4", "s5"),
 			code.BelowCopies,
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestRetiredBounded: the names that are remembered have a bound, and one that is
-// still in a set is never forgotten.
+// TestRetiredBounded checks that the number of retired names is bounded and that a name still in a
+// set is never dropped.
 func TestRetiredBounded(t *testing.T) {
 	state := spec.Cluster{Stores: storeSet("s0", "s1", "s2", "s3")}
 	if err := retireStore(&state, "s0", membersOf("", "s0", "s1", "s2", "s3")); err != nil {
@@ -138,19 +138,19 @@
 		}
 	}
 	if len(state.Retired) != maxRetired {
-		t.Errorf("%d names are remembered", len(state.Retired))
+		t.Errorf("%d retired names are kept", len(state.Retired))
 	}
 }
 
-// TestTouch: a process is steady only a second after it was last out of contact or
-// stood still, whether its monotonic clock stood still with it or not.
-func TestTouch(t *testing.T) {
-	synctest.Test(t, testTouch)
+// TestContactTracker checks that contact counts as established only one second after the process
+// was last out of contact or paused, whether or not its monotonic clock was paused with it.
+func TestContactTracker(t *testing.T) {
+	synctest.Test(t, testContactTracker)
 }
 
-func testTouch(t *testing.T) {
+func testContactTracker(t *testing.T) {
 	start := time.Now()
-	// Of a suspended machine the time of day alone goes on.
+	// On a suspended machine only the wall clock advances.
 	var suspended time.Duration
 	at := func(ms int) clock.Moment {
 		time.Sleep(time.Until(start.Add(time.Duration(ms) * time.Millisecond)))
@@ -159,7 +159,7 @@
 	expectEstablished := func(tc *contactTracker, ms int, valid, want bool) {
 		t.Helper()
 		if got := tc.established(at(ms), valid); got != want {
-			t.Errorf("at %d ms, lease %t: steady %t", ms, valid, got)
+			t.Errorf("at %d ms, lease %t: established %t", ms, valid, got)
 		}
 	}
 	tracker := &contactTracker{}
@@ -168,7 +168,7 @@
 	}
 	expectEstablished(tracker, 2400, true, true)
 	expectEstablished(tracker, 2400, false, false)
-	// It stood still: seen before the next check, and after it.
+	// The process was paused: detected before the next check, and after it.
 	expectEstablished(tracker, 22000, true, false)
 	tracker.check(at(22000), true)
 	expectEstablished(tracker, 22001, true, false)
@@ -176,13 +176,13 @@
 		tracker.check(at(ms), true)
 		expectEstablished(tracker, ms+1, true, ms+1 > 23000)
 	}
-	// It was out of contact.
+	// The process was out of contact.
 	tracker.check(at(24500), false)
 	tracker.check(at(25000), true)
 	expectEstablished(tracker, 25400, true, false)
 	tracker.check(at(25500), true)
 	expectEstablished(tracker, 25501, true, true)
-	// It was suspended: seen before the next check, and after it.
+	// The machine was suspended: detected before the next check, and after it.
 	suspended = time.Minute
 	expectEstablished(tracker, 25600, true, false)
 	tracker.check(at(26000), true)
@@ -190,12 +190,13 @@
 		tracker.check(at(ms), true)
 		expectEstablished(tracker, ms+1, true, ms+1 > 27000)
 	}
-	// Its time of day was set back.
+	// The wall clock was set back.
 	suspended = -time.Hour
 	expectEstablished(tracker, 28100, true, true)
 }
 
-// TestAdmitRefusals: who is away or unknown at the moment, and who can't be admitted.
+// TestAdmitRefusals checks the error codes for machines that are away or unknown at the moment and
+// for machines that cannot be admitted.
 func TestAdmitRefusals(t *testing.T) {
 	known := func(away string) []*wire.Member {
 		var out []*wire.Member
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -13,10 +13,10 @@
 	"damsontiller/internal/transport/code"
 )
 
-// The register first holds both sets, and every quorum is then a majority of each;
-// then all keys are brought to the machines of the new set that lack them; then the
-// new set stands alone. Each step may be done twice, so it does not matter who does
-// it, nor that it is only one.
+// A change of a set has three steps. The register first holds both sets, and every quorum is a
+// majority of each. Then all keys are transferred to the machines of the new set that lack them.
+// Finally the new set remains alone. Each step is idempotent, so it does not matter which core
+// executes it or whether several do.
 
 // isReconciler reports whether this core runs the reconcilers.
 func (c *Core) isReconciler(view *cluster.View) bool {
@@ -24,11 +24,11 @@
 	return membership.IsReconciler(&view.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
 }
 
-// advanceChange takes a change of a set one step further: the keys are transferred to the
-// next set, then it becomes the only one. No machine needs to be waited for: before the
-// change goes on, a majority of the old set refuses whoever acts on that set alone. The
-// cores do because they have confirmed the change; the stores do, for each key that moves,
-// because they have sent what they had of it under the change.
+// advanceChange takes a change of a set one step further: it transfers the keys to the next set,
+// which then becomes the only one. It need not wait for every machine: before the change proceeds,
+// a majority of the old set rejects requests that act on that set alone. The cores do so because
+// they have confirmed the change; the stores do so for each moved key because they have sent their
+// copies of it under the change.
 func (c *Core) advanceChange(ctx context.Context, view *cluster.View, set membership.Set, change membership.Change) {
 	var ready bool
 	if set == membership.Cores {
@@ -41,8 +41,8 @@
 	}
 }
 
-// confirmed reports whether a majority of the old cores has the change in force. The
-// spec's is their only register, and finishing the change writes it to both sets.
+// coresConfirmed reports whether a majority of the old cores has the change in force. The spec is
+// the only register of the cores, and finishing the change writes it to both sets.
 func (c *Core) coresConfirmed(view *cluster.View) bool {
 	versions := map[string]uint64{c.Peer.Ident(): c.Cluster.Now().Version}
 	for _, m := range c.members(membership.Cores.Role()) {
@@ -52,8 +52,8 @@
 	return membership.Confirmed(view.Cluster.Cores, versions, view.CoresVersion)
 }
 
-// keysTransferred has the keys transferred to the next stores, and reports whether they
-// are. It runs at each renewal; a failed attempt is not repeated at once.
+// keysTransferred transfers the keys to the next stores and reports whether all are transferred. It
+// runs at each renewal, so a failed attempt is not retried before retryInterval has elapsed.
 func (c *Core) keysTransferred(ctx context.Context, view *cluster.View, change membership.Change) bool {
 	if time.Since(c.reconciler.lastTransferFailure) < retryInterval {
 		return false
@@ -67,11 +67,11 @@
 	return true
 }
 
-// transferTimeout is how long one call waits for a store to have its keys. The transfer
-// goes on after it.
+// transferTimeout is how long one call waits for a store to receive its keys. The transfer
+// continues after the timeout.
 const transferTimeout = 2 * time.Second
 
-// transferKeys has each store of the next set fetch the keys that it receives.
+// transferKeys makes each store of the next set fetch the keys that it receives.
 func (c *Core) transferKeys(ctx context.Context, view *cluster.View, change membership.Change) error {
 	type answer struct {
 		ack *wire.FillAck
@@ -79,7 +79,8 @@
 	}
 	rate := c.params.MoveRate
 	if view.SelfManaged {
-		// A set that lacks a machine is in more danger than the traffic is in haste.
+		// Restoring the redundancy of a set that lacks a machine takes priority over the latency of
+		// the traffic.
 		rate = 0
 	}
 	receivers := change.Receivers(view.Copies())
@@ -115,21 +116,24 @@
 	return lastErr
 }
 
+// finishTimeout bounds the change of the register that finishes a change of a set.
+const finishTimeout = 3 * time.Second
+
 // finishChange makes the next set the only one.
 func (c *Core) finishChange(ctx context.Context, set membership.Set, change membership.Change) {
-	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	version, raw, err := c.Cluster.Change(ctx, 0, func(updated *spec.Cluster) error {
 		return membership.FinishChange(updated, set, change)
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
-			c.Log.Warn("set change not finished", "set", set, "err", err)
+			c.Log.Warn("failed to finish set change", "set", set, "err", err)
 		}
 		return
 	}
 	moved := c.reconciler.keysMoved.Load()
-	c.Log.Info("set changed", "set", set, "version", version, "machines", len(change.Next), "moved", moved)
+	c.Log.Info("set change finished", "set", set, "version", version, "machines", len(change.Next), "moved", moved)
 	c.broadcastAsync(ctx, version, raw)
 }
 
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// setRoutes puts the commands for sets on e.
+// setRoutes registers the requests about sets on e.
 func (c *Core) setRoutes(e *echo.Echo) {
 	e.GET("/v1/sets", c.getSets)
 	e.POST("/v1/sets/:set/admit", func(x echo.Context) error { return c.changeSet(x, c.admit) }, withOperationID)
@@ -22,10 +22,10 @@
 	e.POST("/v1/sets/:set/abandon", func(x echo.Context) error { return c.changeSet(x, c.abandon) }, withOperationID)
 }
 
-// setRequest is an operator's order about a set.
+// setRequest is an operator's request about a set.
 type setRequest struct {
 	ID  string `json:"id"`
-	For string `json:"for"` // the machine of the set whose place it takes
+	For string `json:"for"` // the machine of the set to be replaced
 }
 
 func (c *Core) getSets(x echo.Context) error {
@@ -55,7 +55,7 @@
 		return web.Fail(x, err)
 	}
 	var request setRequest
-	body, err := web.Body(x, 4096)
+	body, err := web.Body(x, maxRequestBytes)
 	if err != nil {
 		return writeError(x, err)
 	}
@@ -91,8 +91,7 @@
 	if request.For != "" && replacedIndex < 0 {
 		return code.New(code.NoMember, "%q is not in the set", request.For)
 	}
-	// Several may have come under that name; the one that is live and is not in
-	// the set is meant.
+	// Several machines may have used that name; the live one outside the set is meant.
 	err := code.New(code.NoMember, "no %s %q has a lease", role, request.ID)
 	for _, m := range members {
 		if m.Id != request.ID || m.Role != role {
@@ -128,7 +127,7 @@
 			next = append(next, admitted)
 		}
 		membership.SetNext(state, set, next)
-		// Whoever is named by an operator is wanted again.
+		// A machine that an operator admits by name is no longer retired.
 		state.Retired = slices.DeleteFunc(state.Retired, func(id string) bool { return id == request.ID })
 		return nil
 	}
@@ -159,7 +158,7 @@
 	return nil
 }
 
-// abandon goes back to the old set, which has been complete all the while.
+// abandon returns to the old set, which has remained complete during the change.
 func (c *Core) abandon(state *spec.Cluster, set membership.Set, _ setRequest, _ []*wire.Member) error {
 	if !membership.Of(state, set).Running() {
 		return code.New(code.BadField, "no change of the %s is under way", set)
--- a/internal/coordination/core/table.go
+++ b/internal/coordination/core/table.go
@@ -11,14 +11,14 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// maintainLeaseTable keeps the table of leases bounded, and completes that of a core whose folder
-// is newer than some of the leases.
+// maintainLeaseTable limits the size of the lease table, and completes the table of a core whose
+// folder is newer than some of the leases.
 func (c *Core) maintainLeaseTable(ctx context.Context) {
 	view := c.Cluster.Now()
 	if len(view.Cluster.Stores) > 0 {
-		// Without stores there is no fence, and acknowledgements rest on the table.
+		// Without stores there is no fence, and acknowledgements depend on the table.
 		if err := c.table.RemoveDeparted(func(m *wire.Member) bool { return isInAnySet(view, m) }); err != nil {
-			c.Log.Warn("departed members not removed", "err", err)
+			c.Log.Warn("failed to remove departed members", "err", err)
 		}
 	}
 	if c.table.Incomplete() {
@@ -26,8 +26,8 @@
 	}
 }
 
-// isInAnySet reports whether a member is, or was under another identity, in a present or next
-// set.
+// isInAnySet reports whether a member is in a present or next set, under its present or another
+// identity.
 func isInAnySet(view *cluster.View, member *wire.Member) bool {
 	for _, machine := range slices.Concat(view.Cluster.Cores, view.NextCores, view.Cluster.Stores, view.NextStores) {
 		if machine.Ident == member.Ident && member.Ident != "" ||
@@ -38,11 +38,11 @@
 	return false
 }
 
-// completeLeaseTable takes what all other cores list, where each of them lists everybody. Every
-// lease was granted by a majority of the cores, so that one of the others at least knows of
-// it. It is done only while this core is one of them and their set does not change: leases
-// that were granted without it before are then listed, and later ones are granted by
-// majorities of the same set.
+// completeLeaseTable merges the members listed by all other cores, provided that each of those
+// lists is complete. Every lease was granted by a majority of the cores, so at least one of the
+// others knows it. This is done only while this core is in the set of cores and that set does not
+// change: the lists then include all leases granted earlier without this core, and later leases are
+// granted by majorities of the same set.
 func (c *Core) completeLeaseTable(ctx context.Context, view *cluster.View) {
 	cores := view.Cluster.Cores
 	if len(view.NextCores) > 0 || len(cores) < minCoresToComplete || !membership.Has(cores, c.Peer.Ident()) {
@@ -61,20 +61,20 @@
 		mergeMembers(members, answer.ack.GetMembers())
 	}
 	if err := c.table.Complete(slices.Collect(maps.Values(members))); err != nil {
-		c.Log.Warn("members not recorded", "err", err)
+		c.Log.Warn("failed to record members", "err", err)
 		return
 	}
-	c.Log.Info("the table of leases lists everybody again", "members", len(members))
+	c.Log.Info("lease table is complete again", "members", len(members))
 }
 
-// minCoresToComplete is the least number of cores of which all but one know of every lease.
+// minCoresToComplete is the smallest number of cores for which all cores but one know every lease.
 const minCoresToComplete = 3
 
-// resetDiskState drops what this process remembers of its disk, which has been replaced by an empty
-// one.
+// resetDiskState discards the state that this process caches from its disk, which has been replaced
+// by an empty one.
 func (c *Core) resetDiskState() {
 	c.acceptor.Reset()
 	if err := c.table.Rerecord(); err != nil {
-		c.Log.Warn("members not recorded", "err", err)
+		c.Log.Warn("failed to record members", "err", err)
 	}
 }
--- a/internal/coordination/core/voting.go
+++ b/internal/coordination/core/voting.go
@@ -12,8 +12,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// ServeRegister answers the register's rounds, as long as this identity is in the set.
-// A machine that lost its disk has another identity and stays out.
+// ServeRegister answers requests to the register while this identity is in the set. A machine that
+// lost its disk has another identity and does not vote.
 func ServeRegister(
 	node *node.Node,
 	acceptor *register.Acceptor,
@@ -28,8 +28,8 @@
 		return nil
 	}
 	handle := func(_ context.Context, request *wire.Req) (*wire.Resp, error) {
-		// What a newer set's version shuts out is either refused or on the disk
-		// by the time that somebody asks for all that is there.
+		// A request that the version of a newer set excludes is either rejected or on the disk by
+		// the time another process asks for everything on this machine.
 		defer node.Gate.Begin()()
 		if !node.MayVote() {
 			return nil, code.New(code.NotVoting, "%s has not joined yet", node.Peer.Self.Id)
@@ -48,9 +48,9 @@
 	}
 }
 
-// CheckVersion refuses a sender that acts on an older spec than the highest that this
-// machine has synced: a strict one whatever has changed, any where the sets have.
-// What was begun under a promise may be ended.
+// CheckVersion rejects a request whose sender acts on an older spec than the latest that this
+// machine has synced: a strict request after any change, other requests only after a change of the
+// sets. An accept may finish what was begun under a promise.
 func CheckVersion(node *node.Node, request *wire.Req) error {
 	view := node.Cluster.Now()
 	if membership.Stale(view, request.Spec) ||
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// drainAfterCoreChange waits, once after each change of the cores, until what was let in before is
-// on the disk: only then may this core say that it has confirmed it.
+// drainAfterCoreChange waits, once after each change of the cores, until all requests admitted
+// before are on the disk. Only then may this core confirm the change.
 func (c *Core) drainAfterCoreChange() {
 	version := c.Cluster.Now().CoresVersion
 	if c.drainedVersion.Load() == version {
@@ -71,8 +71,8 @@
 	c.drainedVersion.Store(version)
 }
 
-// checkCoresVersion refuses whoever deals with the cores under sets that are no more: his
-// majority could be one of the old set alone.
+// checkCoresVersion rejects a request to the cores that acts on sets no longer valid: its majority
+// could be one of the old set alone.
 func (c *Core) checkCoresVersion(request *wire.Req) error {
 	if view := c.Cluster.Now(); membership.StaleCores(view, request.Spec) {
 		return code.New(code.StaleSpec, "version %d, the cores have changed with %d", request.Spec, view.CoresVersion)
