--- a/internal/coordination/core/persistence.go
+++ b/internal/coordination/core/persistence.go
@@ -56,6 +56,7 @@
 	return lease.DiskState{Status: disk.Status(), HungFor: disk.HungFor(), Folder: disk.FolderState()}
 }
 
+// clusterMetadataKey is the record of the cluster in force. The name is part of the stored format.
 const clusterMetadataKey = "realm"
 
 // PersistCluster returns a function that records each version of the cluster on disk before it
--- a/internal/coordination/core/policies.go
+++ b/internal/coordination/core/policies.go
@@ -26,9 +26,9 @@
 // policyRow is a policy as operators see it.
 type policyRow struct {
 	spec.Policy
-	Digest   string          `json:"digest"`
-	Share    int             `json:"share"` // of all programs, in percent; 0 if not live
-	Approval []spec.Approval `json:"approvals,omitempty"`
+	Digest    string          `json:"digest"`
+	Share     int             `json:"share"` // of all programs, in percent; 0 if not live
+	Approvals []spec.Approval `json:"approvals,omitempty"`
 }
 
 func (c *Core) getPolicies(x echo.Context) error {
@@ -44,7 +44,7 @@
 		}
 		for _, approval := range view.Spec.Approvals {
 			if approval.Policy == policy.Name {
-				row.Approval = append(row.Approval, approval)
+				row.Approvals = append(row.Approvals, approval)
 			}
 		}
 		rows = append(rows, row)
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -107,24 +107,24 @@
 
 // nonMemberTracker records since when machines of a role have been seen outside their set. Only the
 // reconciler of that set uses it.
-type nonMemberTracker struct{ since map[string]time.Time }
+type nonMemberTracker struct{ firstSeen map[string]time.Time }
 
 // observe sets for each member how long it has been seen outside the sets.
 func (tracker *nonMemberTracker) observe(view *cluster.View, members []membership.Member) []membership.Member {
-	since := map[string]time.Time{}
+	firstSeen := map[string]time.Time{}
 	for i, m := range members {
 		ident := m.Machine.Ident
 		if ident == "" || !m.Live || membership.InSets(&view.Cluster, ident) {
 			continue
 		}
-		first, known := tracker.since[ident]
+		first, known := tracker.firstSeen[ident]
 		if !known {
 			first = time.Now()
 		}
-		since[ident] = first
+		firstSeen[ident] = first
 		members[i].KnownFor = time.Since(first)
 	}
-	tracker.since = since
+	tracker.firstSeen = firstSeen
 	return members
 }
 
