--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -177,7 +177,7 @@
 	if a, ok := p.checkPreconditions(c); !ok {
 		return a
 	}
-	c.Passed = time.Now()
+	c.ForwardedAt = time.Now()
 	r, err := p.Web.Do(q)
 	c.At(job.ResponseReceived)
 	if err != nil {
--- a/internal/dataplane/request/job/job.go
+++ b/internal/dataplane/request/job/job.go
@@ -47,8 +47,8 @@
 	Log      hclog.Logger
 	// Runner is the picked runner; empty before the first pick.
 	Runner Runner
-	// Passed is when the job was last forwarded to a runner.
-	Passed time.Time
+	// ForwardedAt is when the job was last forwarded to a runner.
+	ForwardedAt time.Time
 	// Order is the job's position within its class, set by the policy. Decisions records how
 	// each of its runners was picked.
 	Order     float64
--- a/internal/dataplane/trace/trace.go
+++ b/internal/dataplane/trace/trace.go
@@ -57,8 +57,8 @@
 	if a.Err != nil {
 		r.Failure = code.Text(a.Err)
 	}
-	if !c.Passed.IsZero() {
-		r.Queued = (took - time.Since(c.Passed)).Milliseconds()
+	if !c.ForwardedAt.IsZero() {
+		r.Queued = (took - time.Since(c.ForwardedAt)).Milliseconds()
 	}
 	journal.mu.Lock()
 	defer journal.mu.Unlock()
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -92,8 +92,8 @@
 		sum := sha256.Sum256([]byte(c.Key))
 		r.Key = hex.EncodeToString(sum[:8])
 	}
-	if !c.Passed.IsZero() {
-		r.Queued = (took - now.Sub(c.Passed)).Milliseconds()
+	if !c.ForwardedAt.IsZero() {
+		r.Queued = (took - now.Sub(c.ForwardedAt)).Milliseconds()
 	}
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
