--- a/internal/dataplane/traffic/client.go
+++ b/internal/dataplane/traffic/client.go
@@ -27,10 +27,10 @@
 	Status, Code                                 int
 	Name, Ran, Job, Failure                      string
 	RetryAfter                                   time.Duration
-	Lost                                         bool // no answer was received
-	Refused                                      bool // the connection was refused, so the request was not received
-	Wrong                                        string
-	Forgot                                       bool
+	Lost                                         bool   // no answer was received
+	Refused                                      bool   // the connection was refused, so the request was not received
+	Wrong                                        string // what is wrong with the answer; empty if nothing
+	Forgot                                       bool   // the answer shows that earlier turns were lost
 	PrefixHit                                    bool
 	Runner                                       string
 	Output                                       int64
