--- a/internal/coordination/core/binding.go
+++ b/internal/coordination/core/binding.go
@@ -9,9 +9,9 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// bindStores gives each store of the set that has none yet the identity it came
-// with. Once bound it is never changed here: a store that lost its disk comes
-// with another and has to be admitted.
+// bindStores records the identity of each store in the set that has none yet. A recorded identity
+// is never replaced here: a store that lost its disk reports a different identity and has to be
+// admitted again.
 func (c *Core) bindStores(ctx context.Context) {
 	idents := map[string]string{}
 	used := c.Cluster.Now().Used
@@ -20,28 +20,28 @@
 			idents[m.Id] = m.Ident
 		}
 	}
-	want := func(s spec.Machine) bool { return s.Ident == "" && idents[s.ID] != "" }
-	if !slices.ContainsFunc(c.Cluster.Now().Cluster.Stores, want) {
+	bindable := func(s spec.Machine) bool { return s.Ident == "" && idents[s.ID] != "" }
+	if !slices.ContainsFunc(c.Cluster.Now().Cluster.Stores, bindable) {
 		return
 	}
-	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		some := false
-		for i, s := range r.Stores {
-			if want(s) {
-				r.Stores[i].Ident, some = idents[s.ID], true
+	version, raw, err := c.Cluster.Change(ctx, 0, func(updated *spec.Cluster) error {
+		bound := false
+		for i, s := range updated.Stores {
+			if bindable(s) {
+				updated.Stores[i].Ident, bound = idents[s.ID], true
 			}
 		}
-		if !some {
+		if !bound {
 			return cluster.ErrNoChange
 		}
 		return nil
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
-			c.Log.Warn("stores not bound", "err", err)
+			c.Log.Warn("failed to bind stores to their identities", "err", err)
 		}
 		return
 	}
-	c.Log.Info("stores bound to their identities", "version", ver)
-	c.broadcastSpec(ctx, ver, raw)
+	c.Log.Info("stores bound to their identities", "version", version)
+	c.broadcastSpec(ctx, version, raw)
 }
--- a/internal/coordination/membership/identity_test.go
+++ b/internal/coordination/membership/identity_test.go
@@ -83,7 +83,7 @@
 			t.Fatalf("removed identity %s was admitted again: %v", ident, err)
 		}
 	}
-	if maxBytes := 5000; largest > maxBytes || len(r.cluster.Used) > cluster.MaxUsed {
+	if maxBytes := 5000; largest > maxBytes || len(r.cluster.Used) > cluster.MaxRemovedIdentities {
 		t.Errorf("the register reached %d bytes, %d identities are listed", largest, len(r.cluster.Used))
 	}
 	t.Logf(
@@ -128,7 +128,7 @@
 					t.Fatalf("identity %s of version %d is not refused at version %d", ident, identityVersions[ident], r.version)
 				}
 			}
-			if len(r.cluster.Used) > cluster.MaxUsed || len(r.cluster.Spares) > len(r.cluster.Stores)+len(r.cluster.NextStores) {
+			if len(r.cluster.Used) > cluster.MaxRemovedIdentities || len(r.cluster.Spares) > len(r.cluster.Stores)+len(r.cluster.NextStores) {
 				t.Fatalf("%d used identities, %d spares", len(r.cluster.Used), len(r.cluster.Spares))
 			}
 		}
