--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -52,8 +52,8 @@
 	Targets [classes]time.Duration
 	// Window is the time over which the least wait is taken.
 	Window time.Duration
-	// MinPause and MaxPause bound when a refused caller is told to come back.
-	MinPause, MaxPause time.Duration
+	// MinRetryAfter and MaxRetryAfter bound when a refused caller is told to come back.
+	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
 // DefaultParams suit processes whose callers give a call half a second.
@@ -62,8 +62,8 @@
 	Shares:   [classes]int64{100, 80, 60, 40},
 	Targets:  [classes]time.Duration{0, 150 * time.Millisecond, 75 * time.Millisecond, 20 * time.Millisecond},
 	Window:   100 * time.Millisecond,
-	MinPause: 50 * time.Millisecond,
-	MaxPause: 2 * time.Second,
+	MinRetryAfter: 50 * time.Millisecond,
+	MaxRetryAfter: 2 * time.Second,
 }
 
 // Controller decides. Its methods may be called concurrently.
@@ -81,7 +81,7 @@
 
 // Counts are what a controller has decided, by class.
 type Counts struct {
-	Taken, RefusedForBytes, RefusedForWait [classes]uint64
+	Admitted, RefusedForBytes, RefusedForWait [classes]uint64
 	// Expired are calls dropped unserved, since their callers' time was over.
 	Expired uint64
 }
@@ -102,12 +102,12 @@
 	switch {
 	case c.held+bytes > p.MaxBytes*p.Shares[class]/100 && c.held > 0:
 		c.counts.RefusedForBytes[class]++
-		return overloaded(p.MinPause, "%d bytes of calls and answers are held", c.held)
+		return overloaded(p.MinRetryAfter, "%d bytes of calls and answers are held", c.held)
 	case p.Targets[class] > 0 && c.standing > p.Targets[class]:
 		c.counts.RefusedForWait[class]++
-		return overloaded(min(max(2*c.standing, p.MinPause), p.MaxPause), "calls wait for %s", c.standing)
+		return overloaded(min(max(2*c.standing, p.MinRetryAfter), p.MaxRetryAfter), "calls wait for %s", c.standing)
 	}
-	c.counts.Taken[class]++
+	c.counts.Admitted[class]++
 	c.held += bytes
 	return nil
 }
@@ -118,18 +118,18 @@
 	return f
 }
 
-// Hold counts bytes that a call that was taken holds beside its own: its answer.
-func (c *Controller) Hold(bytes int64) {
+// Reserve counts bytes that a call that was taken holds beside its own: its answer.
+func (c *Controller) Reserve(bytes int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.held += bytes
 }
 
 // Release gives bytes back.
-func (c *Controller) Release(bytes int64) { c.Hold(-bytes) }
+func (c *Controller) Release(bytes int64) { c.Reserve(-bytes) }
 
-// Expired counts a call that was dropped unserved.
-func (c *Controller) Expired() {
+// CountExpired counts a call that was dropped unserved.
+func (c *Controller) CountExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Expired++
--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -148,8 +148,8 @@
 	return out
 }
 
-// Head is the newest item received of a topic and key.
-func (broadcaster *Broadcaster) Head(topic, key string) *wire.Item {
+// Latest is the newest item received of a topic and key.
+func (broadcaster *Broadcaster) Latest(topic, key string) *wire.Item {
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
 	return broadcaster.items[topic+"/"+key]
@@ -338,7 +338,7 @@
 	broadcaster.Apply(r.GetDigest().GetItems())
 	var lack []*wire.Item
 	for _, w := range r.GetDigest().GetWant() {
-		if i := broadcaster.Head(w.Topic, w.Key); i != nil {
+		if i := broadcaster.Latest(w.Topic, w.Key); i != nil {
 			lack = append(lack, i)
 		}
 	}
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -179,7 +179,7 @@
 		defer end()
 		w.boards[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 2, Seq: 1}})
 		w.boards[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 1, Seq: 9}})
-		if i := w.boards[0].Head("x", "k"); i.Epoch != 2 {
+		if i := w.boards[0].Latest("x", "k"); i.Epoch != 2 {
 			t.Errorf("epoch %d", i.Epoch)
 		}
 		if _, most := w.count("x", "k"); most != 1 {
@@ -265,10 +265,10 @@
 			if !bytes.Equal(got[i], large) {
 				t.Errorf("node %d got %d bytes of %d", i, len(got[i]), len(large))
 			}
-			if kept := b.Head("large", "k"); len(kept.GetBody()) > 0 || len(kept.GetCompressedBody()) > len(large)/10 {
+			if kept := b.Latest("large", "k"); len(kept.GetBody()) > 0 || len(kept.GetCompressedBody()) > len(large)/10 {
 				t.Errorf("node %d keeps %d bytes, %d compressed", i, len(kept.GetBody()), len(kept.GetCompressedBody()))
 			}
-			if kept := b.Head("x", "k"); string(kept.GetBody()) != "small" {
+			if kept := b.Latest("x", "k"); string(kept.GetBody()) != "small" {
 				t.Errorf("node %d keeps a small body as %q", i, kept.GetBody())
 			}
 		}
--- a/internal/coordination/broadcast/digest_test.go
+++ b/internal/coordination/broadcast/digest_test.go
@@ -125,7 +125,7 @@
 			}
 			for i, broadcaster := range w.boards {
 				for _, missing := range []*wire.Item{item(1, 2), item(2, 7), item(n, 1), item(n+1, 1)} {
-					if h := broadcaster.Head(missing.Topic, missing.Key); h.GetSeq() != missing.Seq {
+					if h := broadcaster.Latest(missing.Topic, missing.Key); h.GetSeq() != missing.Seq {
 						t.Errorf(
 							"%d items: board %d has %s at %d, not %d",
 							n,
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -183,7 +183,7 @@
 			)
 			// A machine whose disk hangs is there, but of no use to its set.
 			hung := time.Duration(r.GetHello().GetSelf().GetDiskHungMs()) * time.Millisecond
-			answers <- answer{m.Ident, err == nil && hung < lease.HungDisk}
+			answers <- answer{m.Ident, err == nil && hung < lease.HungDiskTimeout}
 		}()
 	}
 	out := map[string]membership.Presence{}
--- a/internal/coordination/core/table.go
+++ b/internal/coordination/core/table.go
@@ -59,7 +59,7 @@
 		}
 		mergeMembers(members, a.ack.GetMembers())
 	}
-	if err := c.table.Complete(slices.Collect(maps.Values(members))); err != nil {
+	if err := c.table.MarkComplete(slices.Collect(maps.Values(members))); err != nil {
 		c.Log.Warn("members not recorded", "err", err)
 		return
 	}
@@ -73,7 +73,7 @@
 // one.
 func (c *Core) forget() {
 	c.acceptor.Reset()
-	if err := c.table.Rerecord(); err != nil {
+	if err := c.table.PersistAll(); err != nil {
 		c.Log.Warn("members not recorded", "err", err)
 	}
 }
--- a/internal/coordination/lease/contact.go
+++ b/internal/coordination/lease/contact.go
@@ -11,9 +11,9 @@
 // its disk answers, it must state: a machine that only sends, or whose writes never end,
 // is of no use to the others, and its place goes to another as that of a silent one does.
 
-// HungDisk is the time without any answer from a member's disk after which the member
+// HungDiskTimeout is the time without any answer from a member's disk after which the member
 // counts as unresponsive. It is longer than any sync of a disk that is merely slow.
-const HungDisk = 10 * time.Second
+const HungDiskTimeout = 10 * time.Second
 
 // sinceStart is a moment in milliseconds since the table began, at least 1.
 func (t *Table) sinceStart(now time.Time) int64 { return max(now.Sub(t.started).Milliseconds(), 1) }
@@ -45,7 +45,7 @@
 	if deaf := now.Sub(e.heardAt); deaf >= t.params.Duration {
 		out = max(out, deaf)
 	}
-	if hung := time.Duration(e.member.DiskHungMs) * time.Millisecond; hung >= HungDisk {
+	if hung := time.Duration(e.member.DiskHungMs) * time.Millisecond; hung >= HungDiskTimeout {
 		out += hung
 	}
 	return out
--- a/internal/coordination/lease/contact_test.go
+++ b/internal/coordination/lease/contact_test.go
@@ -104,7 +104,7 @@
 		for _, step := range []struct {
 			hung time.Duration
 			live bool
-		}{{0, true}, {2 * time.Second, true}, {HungDisk - time.Millisecond, true}, {HungDisk, false}, {HungDisk + time.Minute, false}, {0, true}} {
+		}{{0, true}, {2 * time.Second, true}, {HungDiskTimeout - time.Millisecond, true}, {HungDiskTimeout, false}, {HungDiskTimeout + time.Minute, false}, {0, true}} {
 			m := node(1)
 			m.DiskHungMs = step.hung.Milliseconds()
 			renew(t, tb, &wire.Renew{Self: m})
--- a/internal/coordination/lease/departed.go
+++ b/internal/coordination/lease/departed.go
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// Rerecord keeps all that is listed on a disk that has been replaced by an empty one, and
+// PersistAll keeps all that is listed on a disk that has been replaced by an empty one, and
 // notes that members may be missing.
-func (t *Table) Rerecord() error {
+func (t *Table) PersistAll() error {
 	t.mu.Lock()
 	t.incomplete = false
 	var members []*wire.Member
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// Complete takes the members that complete tables list, and notes that this one lists
+// MarkComplete takes the members that complete tables list, and notes that this one lists
 // everybody now. The caller asked a majority that granted all leases.
-func (t *Table) Complete(members []*wire.Member) error {
+func (t *Table) MarkComplete(members []*wire.Member) error {
 	for _, m := range members {
 		if err := t.adopt(m); err != nil {
 			return err
--- a/internal/coordination/lease/departed_test.go
+++ b/internal/coordination/lease/departed_test.go
@@ -180,7 +180,7 @@
 		renew(t, tb, &wire.Renew{Self: node(1)})
 		older := node(1)
 		older.Inc = 0
-		if err := tb.Complete([]*wire.Member{older, node(2), node(3)}); err != nil {
+		if err := tb.MarkComplete([]*wire.Member{older, node(2), node(3)}); err != nil {
 			t.Fatal(err)
 		}
 		for _, at := range []*Table{tb, table(t, disk)} {
@@ -189,7 +189,7 @@
 			}
 		}
 		disk.records = map[string][]byte{}
-		if err := tb.Rerecord(); err != nil {
+		if err := tb.PersistAll(); err != nil {
 			t.Fatal(err)
 		}
 		if again := table(t, disk); !again.Incomplete() || len(again.List()) != 3 {
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -169,7 +169,7 @@
 	if left := time.Duration(q.RemainingMs)*time.Millisecond - waited; q.RemainingMs > 0 {
 		if left <= 0 {
 			// Its caller has given it up.
-			peer.Admission.Expired()
+			peer.Admission.CountExpired()
 			return nil
 		}
 		if mayWait(q) {
@@ -180,7 +180,7 @@
 	}
 	peer.process(ctx, serveCost(call))
 	b := peer.serve(ctx, q)
-	peer.Admission.Hold(int64(len(b)))
+	peer.Admission.Reserve(int64(len(b)))
 	held += int64(len(b))
 	return b
 }
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -130,9 +130,9 @@
 
 func (role *Role) key() string { return keys.Singleton(role.Name) }
 
-// Order lists the live edges in the order in which they take the role; those in emptied
+// SuccessionOrder lists the live edges in the order in which they take the role; those in emptied
 // zones come last.
-func Order(v *cluster.View, ms []*wire.Member) []*wire.Member {
+func SuccessionOrder(v *cluster.View, ms []*wire.Member) []*wire.Member {
 	var out []*wire.Member
 	for _, m := range ms {
 		if m.Live && m.Role == "edge" {
@@ -176,7 +176,7 @@
 // contact has seen of late, and that does not answer, is skipped before its lease ends.
 // Should it only be slow, the epoch separates the two.
 func (role *Role) isElected(ctx context.Context) bool {
-	o := Order(role.Cluster.Now(), role.Lease.Members())
+	o := SuccessionOrder(role.Cluster.Now(), role.Lease.Members())
 	for _, m := range o {
 		if m.Id == role.Peer.Self.Id {
 			// Without a lease our list is old, and whoever is first by the
--- a/internal/coordination/singleton/singleton_test.go
+++ b/internal/coordination/singleton/singleton_test.go
@@ -37,7 +37,7 @@
 	v := &cluster.View{}
 	v.Spec = spec.Spec{EmptyZones: []string{"a"}}
 	got := ""
-	for _, m := range singleton.Order(v, []*wire.Member{
+	for _, m := range singleton.SuccessionOrder(v, []*wire.Member{
 		{Id: "e3", Role: "edge", Zone: "c", Live: true},
 		{Id: "e1", Role: "edge", Zone: "a", Live: true},
 		{Id: "e2", Role: "edge", Zone: "b", Live: true},
--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -112,7 +112,7 @@
 	counts := report.load.Watch.TakeCounts()
 	own := report.ownReport(counts)
 	self := report.node.Peer.Self.Id
-	order := singleton.Order(report.node.Cluster.Now(), report.node.Lease.Members())
+	order := singleton.SuccessionOrder(report.node.Cluster.Now(), report.node.Lease.Members())
 	for i, m := range report.candidates(order) {
 		if m.Id == self {
 			report.collectHere(ctx, order, counts, i == 0)
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -412,7 +412,7 @@
 
 // requestSlots requests slots from the current assigner.
 func (e *Edge) requestSlots(ctx context.Context) {
-	for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
+	for _, m := range singleton.SuccessionOrder(e.Cluster.Now(), e.Lease.Members()) {
 		requestedAt := time.Now()
 		r, err := e.Peer.CallFor(
 			ctx,
@@ -444,7 +444,7 @@
 func (e *Edge) reportDeparture(runner, why string) {
 	e.Log.Info("runner appears to be shutting down", "runner", runner, "why", why)
 	go func() {
-		for _, m := range singleton.Order(e.Cluster.Now(), e.Lease.Members()) {
+		for _, m := range singleton.SuccessionOrder(e.Cluster.Now(), e.Lease.Members()) {
 			request := &wire.Req{Op: &wire.Req_Tell{Tell: &wire.Tell{Runner: runner, Why: why}}}
 			_, err := e.Peer.CallFor(context.Background(), 500*time.Millisecond, m.Addr, request)
 			if err == nil {
--- a/internal/dataplane/quota/exchange.go
+++ b/internal/dataplane/quota/exchange.go
@@ -68,7 +68,7 @@
 	if !exchange.refreshLimits() {
 		return
 	}
-	order := singleton.Order(exchange.local.Cluster.Now(), exchange.local.Lease.Members())
+	order := singleton.SuccessionOrder(exchange.local.Cluster.Now(), exchange.local.Lease.Members())
 	if len(order) == 0 {
 		return
 	}
