--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -1,16 +1,18 @@
-// Package admission decides which calls a process takes while it has more of them than it
-// can serve. Calls come in classes. What is over its class's bound is refused at once, with a
-// time to come back, so that what is left of the processor and of the memory goes to the
-// classes before it: of a call that is served too late for its caller nobody has anything.
+// Package admission implements overload control: it decides which calls a process admits
+// while it receives more than it can serve. Calls are divided into priority classes. A call
+// over the limit of its class is rejected immediately with a retry delay, which leaves CPU
+// time and memory to the classes of higher priority. Serving a call after its caller has
+// timed out would be wasted work.
 //
-// Two things are bounded. The bytes held of calls and of answers that are not written yet:
-// each class may add to them up to its share. And the time that calls wait before they are
-// served: as in CoDel (Nichols and Jacobson), not the longest wait but the least of a window
-// shows a queue that stands, and each class is refused while that is above its target. As in
-// DAGOR (Zhou et al.), the decision is by class and by each process for itself.
+// Two quantities are limited. The first is the memory held by calls and by answers that are
+// not written yet: each class may fill it up to its share. The second is the time that calls
+// wait before they are served. As in CoDel (Nichols and Jacobson), a standing queue is
+// detected by the minimum wait within a window rather than by the maximum, and a class is
+// rejected while that minimum exceeds its target. As in DAGOR (Zhou et al.), each process
+// decides by class and independently of the others.
 //
-// It departs from CoDel in that nothing is dropped by a rising rate: a caller that is
-// refused comes back after a pause that it draws itself (package backoff).
+// Unlike CoDel, it does not raise a drop rate over time: a rejected caller retries after a
+// randomized delay of its own choice (package backoff).
 package admission
 
 import (
@@ -20,151 +22,160 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Class orders calls by what depends on them. Those that come first are refused last.
+// Class is the priority class of a call. Lower values have higher priority and are rejected
+// last.
 type Class int
 
 // The classes.
 const (
-	// Control are votes of the cluster's register and renewals of leases. They are never
-	// refused for a wait.
+	// Control covers votes of the cluster's register and lease renewals. They are never
+	// rejected because of the waiting time.
 	Control Class = iota
-	// Acknowledgements are what a change waits for: broadcasts, lists of members, who is there.
+	// Acknowledgements covers calls that a configuration change waits for: broadcasts,
+	// member lists and liveness checks.
 	Acknowledgements
-	// Requests are reads and writes for callers' requests.
+	// Requests covers reads and writes on behalf of client requests.
 	Requests
-	// Bulk is repair and the transfer of keys.
+	// Bulk covers repair and the transfer of keys.
 	Bulk
-	classes
+	classCount
 )
 
-// String is the class's name in metrics.
-func (c Class) String() string {
-	return [classes]string{"control", "acknowledgements", "requests", "bulk"}[c]
+// String returns the class's name as used in metrics.
+func (class Class) String() string {
+	return [classCount]string{"control", "acknowledgements", "requests", "bulk"}[class]
 }
 
-// Params bound what is taken.
+// Params are the limits of admission.
 type Params struct {
-	// MaxBytes bounds the bytes held of calls and answers.
+	// MaxBytes limits the memory held by calls and answers.
 	MaxBytes int64
-	// Shares are the parts of MaxBytes up to which each class may add, in hundredths.
-	Shares [classes]int64
-	// Targets are the standing waits above which each class is refused; 0: never.
-	Targets [classes]time.Duration
-	// Window is the time over which the least wait is taken.
+	// Shares are the percentages of MaxBytes up to which each class may fill the memory.
+	Shares [classCount]int64
+	// Targets are the standing waits above which each class is rejected; 0 means never.
+	Targets [classCount]time.Duration
+	// Window is the interval over which the minimum wait is taken.
 	Window time.Duration
-	// MinRetryAfter and MaxRetryAfter bound when a refused caller is told to come back.
+	// MinRetryAfter and MaxRetryAfter bound the retry delay returned with a rejection.
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
-// DefaultParams suit processes whose callers give a call half a second.
+// DefaultParams are for processes whose callers use a timeout of half a second.
 var DefaultParams = Params{
-	MaxBytes: 32 << 20,
-	Shares:   [classes]int64{100, 80, 60, 40},
-	Targets:  [classes]time.Duration{0, 150 * time.Millisecond, 75 * time.Millisecond, 20 * time.Millisecond},
-	Window:   100 * time.Millisecond,
+	MaxBytes:      32 << 20,
+	Shares:        [classCount]int64{100, 80, 60, 40},
+	Targets:       [classCount]time.Duration{0, 150 * time.Millisecond, 75 * time.Millisecond, 20 * time.Millisecond},
+	Window:        100 * time.Millisecond,
 	MinRetryAfter: 50 * time.Millisecond,
 	MaxRetryAfter: 2 * time.Second,
 }
 
-// Controller decides. Its methods may be called concurrently.
+// Controller admits or rejects calls. Its methods may be called concurrently.
 type Controller struct {
 	params Params
 
-	mu          sync.Mutex
-	held        int64         // bytes
-	standing    time.Duration // the least wait of the last whole window
-	windowStart time.Time
-	least       time.Duration // of the window under way
-	observed    bool          // in the window under way
-	counts      Counts
+	mu           sync.Mutex
+	heldBytes    int64
+	standingWait time.Duration // minimum wait of the last complete window
+	windowStart  time.Time
+	minWait      time.Duration // in the current window
+	observed     bool          // whether a call has arrived in the current window
+	counts       Counts
 }
 
-// Counts are what a controller has decided, by class.
+// Counts are the numbers of a controller's decisions by class.
 type Counts struct {
-	Admitted, RefusedForBytes, RefusedForWait [classes]uint64
-	// Expired are calls dropped unserved, since their callers' time was over.
+	Admitted, RefusedForBytes, RefusedForWait [classCount]uint64
+	// Expired counts calls dropped unserved because their callers had timed out.
 	Expired uint64
 }
 
-// New makes a controller.
+// New creates a controller.
 func New(p Params) *Controller { return &Controller{params: p} }
 
-// Admit takes a call that holds so many bytes and has waited for so long since it was read,
-// or refuses it with code.Overloaded. What is taken is given back by Release.
-func (c *Controller) Admit(class Class, bytes int64, wait time.Duration, now time.Time) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.turn(now)
-	if !c.observed || wait < c.least {
-		c.least, c.observed = wait, true
+// Admit admits a call of the given size that has waited for the given time since it was
+// read, or rejects it with code.Overloaded. The caller returns the bytes of an admitted call
+// with Release.
+func (controller *Controller) Admit(class Class, bytes int64, wait time.Duration, now time.Time) error {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	controller.rotateWindow(now)
+	if !controller.observed || wait < controller.minWait {
+		controller.minWait, controller.observed = wait, true
 	}
-	p := &c.params
+	p := &controller.params
 	switch {
-	case c.held+bytes > p.MaxBytes*p.Shares[class]/100 && c.held > 0:
-		c.counts.RefusedForBytes[class]++
-		return overloaded(p.MinRetryAfter, "%d bytes of calls and answers are held", c.held)
-	case p.Targets[class] > 0 && c.standing > p.Targets[class]:
-		c.counts.RefusedForWait[class]++
-		return overloaded(min(max(2*c.standing, p.MinRetryAfter), p.MaxRetryAfter), "calls wait for %s", c.standing)
+	case controller.heldBytes+bytes > p.MaxBytes*p.Shares[class]/100 && controller.heldBytes > 0:
+		controller.counts.RefusedForBytes[class]++
+		return overloaded(p.MinRetryAfter, "%d bytes of calls and answers are held", controller.heldBytes)
+	case p.Targets[class] > 0 && controller.standingWait > p.Targets[class]:
+		controller.counts.RefusedForWait[class]++
+		return overloaded(
+			min(max(2*controller.standingWait, p.MinRetryAfter), p.MaxRetryAfter),
+			"calls wait for %s",
+			controller.standingWait,
+		)
 	}
-	c.counts.Admitted[class]++
-	c.held += bytes
+	controller.counts.Admitted[class]++
+	controller.heldBytes += bytes
 	return nil
 }
 
-func overloaded(pause time.Duration, format string, a ...any) error {
-	f := code.New(code.Overloaded, format, a...)
-	f.RetryAfter = pause
-	return f
+// overloaded returns an error with code.Overloaded and a retry delay.
+func overloaded(retryAfter time.Duration, format string, args ...any) error {
+	failure := code.New(code.Overloaded, format, args...)
+	failure.RetryAfter = retryAfter
+	return failure
 }
 
-// Reserve counts bytes that a call that was taken holds beside its own: its answer.
-func (c *Controller) Reserve(bytes int64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.held += bytes
+// Reserve adds the bytes of an admitted call's answer to those of the call itself.
+func (controller *Controller) Reserve(bytes int64) {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	controller.heldBytes += bytes
 }
 
-// Release gives bytes back.
-func (c *Controller) Release(bytes int64) { c.Reserve(-bytes) }
+// Release returns bytes taken by Admit or Reserve.
+func (controller *Controller) Release(bytes int64) { controller.Reserve(-bytes) }
 
-// CountExpired counts a call that was dropped unserved.
-func (c *Controller) CountExpired() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.counts.Expired++
+// CountExpired counts a call that was dropped unserved because its caller had timed out.
+func (controller *Controller) CountExpired() {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	controller.counts.Expired++
 }
 
-// turn ends the window under way once it is over. In one without any call nothing waited.
-func (c *Controller) turn(now time.Time) {
-	age := now.Sub(c.windowStart)
-	if age < c.params.Window {
+// rotateWindow ends the current window once its time is over. A window without calls counts
+// as one without waiting.
+func (controller *Controller) rotateWindow(now time.Time) {
+	age := now.Sub(controller.windowStart)
+	if age < controller.params.Window {
 		return
 	}
-	c.standing = 0
-	if c.observed && age < 2*c.params.Window {
-		c.standing = c.least
+	controller.standingWait = 0
+	if controller.observed && age < 2*controller.params.Window {
+		controller.standingWait = controller.minWait
 	}
-	c.windowStart, c.observed = now, false
+	controller.windowStart, controller.observed = now, false
 }
 
-// Status is what a controller holds and has decided.
+// Status is a snapshot of a controller's state and counts.
 type Status struct {
 	HeldBytes    int64
 	StandingWait time.Duration
 	Counts
 }
 
-// Status is a copy of it.
-func (c *Controller) Status() Status {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return Status{HeldBytes: c.held, StandingWait: c.standing, Counts: c.counts}
+// Status returns a snapshot of the controller.
+func (controller *Controller) Status() Status {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	return Status{HeldBytes: controller.heldBytes, StandingWait: controller.standingWait, Counts: controller.counts}
 }
 
-// Classes lists the classes in order.
+// Classes returns all classes in order of priority.
 func Classes() []Class {
-	out := make([]Class, classes)
+	out := make([]Class, classCount)
 	for i := range out {
 		out[i] = Class(i)
 	}
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -10,19 +10,20 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestBytes: each class is refused once what is held reaches its share, those before it are
-// not, and what is given back is taken again. One call is always taken, however large.
+// TestBytes checks that a class is rejected once the held bytes reach its share, that classes
+// of higher priority are still admitted, and that released bytes can be used again. A single
+// call is always admitted, however large it is.
 func TestBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := admission.DefaultParams
-		p.MaxBytes = 1000
-		c := admission.New(p)
-		admit := func(class admission.Class, bytes int64) error { return c.Admit(class, bytes, 0, time.Now()) }
+		params := admission.DefaultParams
+		params.MaxBytes = 1000
+		controller := admission.New(params)
+		admit := func(class admission.Class, bytes int64) error { return controller.Admit(class, bytes, 0, time.Now()) }
 		if err := admit(admission.Bulk, 5000); err != nil {
 			t.Errorf("a large call alone: %v", err)
 		}
-		c.Release(5000)
-		for held, refused := range map[int64]string{0: "", 350: "bulk", 550: "requests bulk", 750: "acknowledgements requests bulk"} {
+		controller.Release(5000)
+		for held, rejected := range map[int64]string{0: "", 350: "bulk", 550: "requests bulk", 750: "acknowledgements requests bulk"} {
 			if err := admit(admission.Control, held); err != nil {
 				t.Fatal(err)
 			}
@@ -30,7 +31,7 @@
 			for _, class := range admission.Classes() {
 				err := admit(class, 100)
 				if err == nil {
-					c.Release(100)
+					controller.Release(100)
 					continue
 				}
 				if code.Of(err) != code.Overloaded || code.RetryAfter(err) <= 0 {
@@ -38,40 +39,42 @@
 				}
 				got += " " + class.String()
 			}
-			if got != "" && got[1:] != refused || got == "" && refused != "" {
-				t.Errorf("%d held: refused are%s, want %s", held, got, refused)
+			if got != "" && got[1:] != rejected || got == "" && rejected != "" {
+				t.Errorf("%d bytes held: rejected classes are%s, want %s", held, got, rejected)
 			}
-			c.Release(held)
+			controller.Release(held)
 		}
-		if s := c.Status(); s.HeldBytes != 0 {
+		if s := controller.Status(); s.HeldBytes != 0 {
 			t.Errorf("%d bytes are held at the end", s.HeldBytes)
 		}
 	})
 }
 
-// TestStandingWait: a class is refused while the least wait of a window is above its target,
-// not for a burst; control never; and it is taken again a window after the queue is gone.
+// TestStandingWait checks that a class is rejected while the minimum wait of a window is above
+// its target, but not because of a burst; that control is never rejected; and that a class is
+// admitted again one window after the queue has drained.
 func TestStandingWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := admission.New(admission.DefaultParams)
-		// play lets a call of control come each 10 ms and tells which classes are taken.
+		controller := admission.New(admission.DefaultParams)
+		// play sends a control call every 10 ms and reports which classes are admitted at the
+		// end.
 		play := func(span time.Duration, wait func(i int) time.Duration) string {
 			i := 0
 			for end := time.Now().Add(span); time.Now().Before(end); i++ {
-				if err := c.Admit(admission.Control, 1, wait(i), time.Now()); err != nil {
+				if err := controller.Admit(admission.Control, 1, wait(i), time.Now()); err != nil {
 					t.Fatalf("control: %v", err)
 				}
-				c.Release(1)
+				controller.Release(1)
 				time.Sleep(10 * time.Millisecond)
 			}
-			taken := ""
+			admitted := ""
 			for _, class := range admission.Classes() {
-				if c.Admit(class, 1, wait(0), time.Now()) == nil {
-					c.Release(1)
-					taken += fmt.Sprint(" ", class)
+				if controller.Admit(class, 1, wait(0), time.Now()) == nil {
+					controller.Release(1)
+					admitted += fmt.Sprint(" ", class)
 				}
 			}
-			return taken
+			return admitted
 		}
 		constant := func(wait time.Duration) func(int) time.Duration { return func(int) time.Duration { return wait } }
 		all := " control acknowledgements requests bulk"
@@ -89,13 +92,13 @@
 			{"gone for two windows", 210 * time.Millisecond, constant(time.Millisecond), all},
 		} {
 			if got := play(step.span, step.wait); got != step.want {
-				t.Errorf("%s: taken are%s, want%s", step.name, got, step.want)
+				t.Errorf("%s: admitted classes are%s, want%s", step.name, got, step.want)
 			}
 		}
 		play(time.Second, constant(time.Second))
 		time.Sleep(300 * time.Millisecond)
-		if err := c.Admit(admission.Bulk, 1, 0, time.Now()); err != nil {
-			t.Errorf("after a silence: %v", err)
+		if err := controller.Admit(admission.Bulk, 1, 0, time.Now()); err != nil {
+			t.Errorf("after a time without calls: %v", err)
 		}
 	})
 }
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -1,7 +1,8 @@
-// Package singleton runs a singleton role at the first live member in an agreed order,
-// under an epoch from a register at the stores, so that the role survives the loss of
-// the core. Every member remembers the highest epoch it has seen as a fencing token and
-// refuses lower ones, so no two holders can both act.
+// Package singleton elects one member to run a singleton role: the first live member in an
+// order that all members agree on. The holder acts under an epoch from a replicated register
+// on the stores, so the role survives the loss of the core. Every member remembers the
+// highest epoch it has seen as a fencing token and rejects lower ones, so two holders cannot
+// both act.
 package singleton
 
 import (
@@ -23,8 +24,19 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// EpochGuard remembers the highest epoch of a singleton role that this node has seen, as a
-// fencing token. Its methods may be called concurrently.
+// Timeouts and intervals of the election.
+const (
+	stepInterval   = 250 * time.Millisecond
+	confirmTimeout = 500 * time.Millisecond
+	acquireTimeout = time.Second
+	pingTimeout    = 200 * time.Millisecond
+)
+
+// never is reported as the time since an event that has not happened yet.
+const never time.Duration = 1 << 62
+
+// EpochGuard remembers the highest epoch of a singleton role that this node has seen and
+// uses it as a fencing token. Its methods may be called concurrently.
 type EpochGuard struct {
 	mu        sync.Mutex
 	highest   uint64
@@ -42,41 +54,41 @@
 	return nil
 }
 
-// Observe remembers an epoch that another node has seen.
+// Observe records an epoch that another node has seen.
 func (guard *EpochGuard) Observe(epoch uint64) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	guard.highest = max(guard.highest, epoch)
 }
 
-// Highest is the highest epoch seen.
+// Highest returns the highest epoch seen.
 func (guard *EpochGuard) Highest() uint64 {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	return guard.highest
 }
 
-// ObserveContact takes another node's report of how long ago a holder with a valid epoch
-// contacted it.
-func (guard *EpochGuard) ObserveContact(quiet time.Duration) {
+// ObserveContact records another node's report of the time since a holder with a valid
+// epoch contacted it.
+func (guard *EpochGuard) ObserveContact(sinceContact time.Duration) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	if at := time.Now().Add(-quiet); at.After(guard.contactAt) {
+	if at := time.Now().Add(-sinceContact); at.After(guard.contactAt) {
 		guard.contactAt = at
 	}
 }
 
-// SinceContact is how long ago a holder with a valid epoch was last in contact.
+// SinceContact returns the time since a holder with a valid epoch was last in contact.
 func (guard *EpochGuard) SinceContact() time.Duration {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	if guard.contactAt.IsZero() {
-		return 1 << 62
+		return never
 	}
 	return time.Since(guard.contactAt)
 }
 
-// Role is a singleton role as one member takes part in it.
+// Role is one member's participation in the election for a singleton role.
 type Role struct {
 	Name    string
 	Peer    *peer.Peer
@@ -84,103 +96,107 @@
 	Lease   *lease.Holder
 	Stores  *storeclient.Client
 	Epochs  *EpochGuard
-	// Work does the role until ctx ends.
+	// Work performs the role's duties until ctx is canceled.
 	Work func(ctx context.Context, epoch uint64)
-	// SuspectAfter after which a successor checks whether the holder's port is closed.
+	// SuspectAfter is the time without contact from the holder after which a successor
+	// checks whether members before it in the order still answer.
 	SuspectAfter time.Duration
 
-	stop  context.CancelFunc
-	ended chan struct{}
-	epoch uint64
+	cancelWork context.CancelFunc // nil while this member does not hold the role
+	workDone   chan struct{}
+	epoch      uint64
 
 	mu          sync.Mutex
-	confirmedAt time.Time // before the last check that showed our epoch as the last
+	confirmedAt time.Time // start of the last check that showed this epoch to be the latest
 }
 
-// SinceConfirmed is how long ago our epoch was certainly the latest.
+// SinceConfirmed returns the time since this member's epoch was last known to be the latest.
 func (role *Role) SinceConfirmed() time.Duration {
 	role.mu.Lock()
 	defer role.mu.Unlock()
 	if role.confirmedAt.IsZero() {
-		return 1 << 62
+		return never
 	}
 	return time.Since(role.confirmedAt)
 }
 
-func (role *Role) markConfirmed(asked time.Time) {
+func (role *Role) markConfirmed(startedAt time.Time) {
 	role.mu.Lock()
-	role.confirmedAt = asked
+	role.confirmedAt = startedAt
 	role.mu.Unlock()
 }
 
-// confirm checks whether our epoch is still the latest.
+// confirm checks whether this member's epoch is still the latest in the register.
 func (role *Role) confirm(ctx context.Context) {
-	asked := time.Now()
-	ctx, stop := context.WithTimeout(ctx, 500*time.Millisecond)
-	defer stop()
-	st, err := role.Stores.Read(ctx, role.key())
+	startedAt := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+	defer cancel()
+	state, err := role.Stores.Read(ctx, role.key())
 	if err != nil {
 		return
 	}
-	if st.Version == role.epoch {
-		role.markConfirmed(asked)
+	if state.Version == role.epoch {
+		role.markConfirmed(startedAt)
 	}
-	role.Epochs.Observe(st.Version)
+	role.Epochs.Observe(state.Version)
 }
 
 func (role *Role) key() string { return keys.Singleton(role.Name) }
 
-// SuccessionOrder lists the live edges in the order in which they take the role; those in emptied
-// zones come last.
-func SuccessionOrder(v *cluster.View, ms []*wire.Member) []*wire.Member {
+// SuccessionOrder lists the live edges in the order in which they may acquire the role: by
+// id, with members of drained zones last.
+func SuccessionOrder(view *cluster.View, members []*wire.Member) []*wire.Member {
 	var out []*wire.Member
-	for _, m := range ms {
+	for _, m := range members {
 		if m.Live && m.Role == "edge" {
 			out = append(out, m)
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool {
-		a, b := v.Spec.Empty(out[i].Zone), v.Spec.Empty(out[j].Zone)
-		if a != b {
-			return b
+		drainedI, drainedJ := view.Spec.Empty(out[i].Zone), view.Spec.Empty(out[j].Zone)
+		if drainedI != drainedJ {
+			return drainedJ
 		}
 		return out[i].Id < out[j].Id
 	})
 	return out
 }
 
-// Run acquires and releases the role until ctx ends.
+// Run acquires and releases the role until ctx is canceled.
 func (role *Role) Run(ctx context.Context) {
-	loop.Every(ctx, 250*time.Millisecond, role.Cluster.Watch(), role.step)
+	loop.Every(ctx, stepInterval, role.Cluster.Watch(), role.step)
 	role.release()
 }
 
+// step runs one round of the election.
 func (role *Role) step(ctx context.Context) {
-	// Whoever holds it goes on until a higher epoch shows that another has taken
-	// it: leaving before would be leaving it to nobody.
-	elected := role.stop == nil && role.isElected(ctx)
-	if role.stop != nil {
+	// The holder keeps the role until a higher epoch shows that another member has
+	// acquired it. Releasing it earlier would leave the role without a holder.
+	elected := role.cancelWork == nil && role.isElected(ctx)
+	if role.cancelWork != nil {
 		role.confirm(ctx)
 	}
-	// A higher epoch has been seen: nobody listens to ours any more. Whose turn
-	// it is takes the role anew, under one that is higher still.
-	if role.stop != nil && role.Epochs.Highest() > role.epoch {
+	// Other members reject this epoch once they have seen a higher one. The elected member
+	// then acquires the role again under a still higher epoch.
+	if role.cancelWork != nil && role.Epochs.Highest() > role.epoch {
 		role.release()
 	}
-	if elected && role.stop == nil {
+	if elected && role.cancelWork == nil {
 		role.acquire(ctx)
 	}
 }
 
-// isElected reports whether this member is the first live one. A first one that no node in
-// contact has seen of late, and that does not answer, is skipped before its lease ends.
-// Should it only be slow, the epoch separates the two.
+// isElected reports whether this member is the first live member in the succession order. A
+// member before it is skipped before its lease expires if no holder has been in contact for
+// SuspectAfter and that member does not answer. If that member is merely slow, the epoch
+// fences the older of the two holders.
 func (role *Role) isElected(ctx context.Context) bool {
-	o := SuccessionOrder(role.Cluster.Now(), role.Lease.Members())
-	for _, m := range o {
+	successors := SuccessionOrder(role.Cluster.Now(), role.Lease.Members())
+	for _, m := range successors {
 		if m.Id == role.Peer.Self.Id {
-			// Without a lease our list is old, and whoever is first by the
-			// others' lists goes on; unless nobody does, as without the core.
+			// Without a lease this member's list is outdated, so the first member in the
+			// other members' lists keeps the role. If no holder has been in contact, as
+			// when the core is down, this member acquires it anyway.
 			return role.Lease.Valid() || role.Epochs.SinceContact() >= role.SuspectAfter
 		}
 		if role.Epochs.SinceContact() < role.SuspectAfter || ping(ctx, role.Peer, m.Addr) == nil {
@@ -190,46 +206,49 @@
 	return false
 }
 
-// PortRefused reports whether no process listens at addr any more.
+// PortRefused reports whether the connection to addr is refused: no process listens there.
 func PortRefused(ctx context.Context, p *peer.Peer, addr string) bool {
 	return errors.Is(ping(ctx, p, addr), transport.ErrRefused)
 }
 
+// ping reports an error unless the process at addr answers within pingTimeout.
 func ping(ctx context.Context, p *peer.Peer, addr string) error {
-	_, err := p.CallFor(ctx, 200*time.Millisecond, addr, &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{}}})
+	_, err := p.CallFor(ctx, pingTimeout, addr, &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{}}})
 	return err
 }
 
+// acquire writes this member's id to the register, which raises the epoch, and starts Work.
 func (role *Role) acquire(ctx context.Context) {
-	cctx, stop := context.WithTimeout(ctx, time.Second)
-	defer stop()
-	asked := time.Now()
-	st, err := role.Stores.Change(cctx, role.key(), func(register.State) ([]byte, bool, error) {
+	callCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
+	defer cancel()
+	startedAt := time.Now()
+	state, err := role.Stores.Change(callCtx, role.key(), func(register.State) ([]byte, bool, error) {
 		return []byte(role.Peer.Self.Id), false, nil
 	})
 	if err != nil {
 		role.Peer.Log.Warn("singleton role not acquired", "role", role.Name, "err", err)
 		return
 	}
-	if role.Epochs.Admit(st.Version) != nil {
+	if role.Epochs.Admit(state.Version) != nil {
 		return
 	}
-	role.Peer.Log.Info("singleton role acquired", "role", role.Name, "epoch", st.Version)
-	wctx, wstop := context.WithCancel(ctx)
-	role.stop, role.ended, role.epoch = wstop, make(chan struct{}), st.Version
-	role.markConfirmed(asked)
-	go func(ended chan struct{}) {
-		defer close(ended)
-		role.Work(wctx, st.Version)
-	}(role.ended)
+	role.Peer.Log.Info("singleton role acquired", "role", role.Name, "epoch", state.Version)
+	workCtx, cancelWork := context.WithCancel(ctx)
+	role.cancelWork, role.workDone, role.epoch = cancelWork, make(chan struct{}), state.Version
+	role.markConfirmed(startedAt)
+	go func(done chan struct{}) {
+		defer close(done)
+		role.Work(workCtx, state.Version)
+	}(role.workDone)
 }
 
+// release stops Work and waits for it to return.
 func (role *Role) release() {
-	if role.stop == nil {
+	if role.cancelWork == nil {
 		return
 	}
-	role.stop()
-	<-role.ended
-	role.stop = nil
+	role.cancelWork()
+	<-role.workDone
+	role.cancelWork = nil
 	role.Peer.Log.Info("singleton role released", "role", role.Name)
 }
--- a/internal/coordination/singleton/singleton_test.go
+++ b/internal/coordination/singleton/singleton_test.go
@@ -10,34 +10,35 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestEpochGuard: an epoch below the highest seen is refused, wherever that was seen.
+// TestEpochGuard checks that an epoch below the highest one is rejected, whether this node
+// or another one has seen that.
 func TestEpochGuard(t *testing.T) {
-	var f singleton.EpochGuard
-	if err := f.Admit(3); err != nil {
+	var guard singleton.EpochGuard
+	if err := guard.Admit(3); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Admit(3); err != nil {
+	if err := guard.Admit(3); err != nil {
 		t.Errorf("the same holder again: %v", err)
 	}
-	if err := f.Admit(2); code.Of(err) != code.OldEpoch {
+	if err := guard.Admit(2); code.Of(err) != code.OldEpoch {
 		t.Errorf("an old epoch: %v", err)
 	}
-	f.Observe(7)
-	if err := f.Admit(6); code.Of(err) != code.OldEpoch || f.Highest() != 7 {
-		t.Errorf("older than one heard of: %v, top %d", err, f.Highest())
+	guard.Observe(7)
+	if err := guard.Admit(6); code.Of(err) != code.OldEpoch || guard.Highest() != 7 {
+		t.Errorf("epoch lower than one observed by another node: %v, highest %d", err, guard.Highest())
 	}
-	f.Observe(1)
-	if f.Highest() != 7 {
-		t.Errorf("slipped back to %d", f.Highest())
+	guard.Observe(1)
+	if guard.Highest() != 7 {
+		t.Errorf("highest epoch went back to %d", guard.Highest())
 	}
 }
 
-// TestOrder: live edges by id; those of emptied zones last.
+// TestOrder checks that live edges are ordered by id, with those of drained zones last.
 func TestOrder(t *testing.T) {
-	v := &cluster.View{}
-	v.Spec = spec.Spec{EmptyZones: []string{"a"}}
+	view := &cluster.View{}
+	view.Spec = spec.Spec{EmptyZones: []string{"a"}}
 	got := ""
-	for _, m := range singleton.SuccessionOrder(v, []*wire.Member{
+	for _, m := range singleton.SuccessionOrder(view, []*wire.Member{
 		{Id: "e3", Role: "edge", Zone: "c", Live: true},
 		{Id: "e1", Role: "edge", Zone: "a", Live: true},
 		{Id: "e2", Role: "edge", Zone: "b", Live: true},
