--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -1,9 +1,8 @@
-// Package broadcast disseminates versioned items to every member: down a tree of relays
-// that is formed anew for each message, and by anti-entropy. The sender splits its
-// targets, in zone order, among up to Params.Fanout children, and each child does the
-// same with its part. A child that does not answer in time is skipped and its part goes
-// on through the next node in it. Digests exchanged with a few random members repair
-// whatever a lost message left behind.
+// Package broadcast disseminates versioned items to every member, through a relay tree that
+// is built for each message and by anti-entropy. The sender splits its targets, sorted by
+// zone, among up to Params.Fanout children, and each child does the same with its subtree. A
+// child that does not answer in time is skipped, and the next node of its subtree becomes the
+// relay. Digests exchanged with a few random members repair the effects of lost messages.
 package broadcast
 
 import (
@@ -22,19 +21,19 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Params are the tree's shape and times.
+// Params configure the relay tree and anti-entropy.
 type Params struct {
 	Fanout         int
-	Timeout        time.Duration // for a child and all below it
-	TimeoutStep    time.Duration // less of it at each level
+	Timeout        time.Duration // for a child with its whole subtree
+	TimeoutStep    time.Duration // reduction of Timeout at each level of the tree
 	MinTimeout     time.Duration
 	DigestInterval time.Duration
-	// Partners is how many members a node compares digests with, at any one time;
-	// after so many digests (Change) one of them is replaced.
+	// Partners is the number of members with which a node compares digests at a time. One
+	// of them is replaced after every PartnerLifetime digests.
 	Partners, PartnerLifetime int
 }
 
-// DefaultParams are the design's.
+// DefaultParams are the parameters specified by the design.
 var DefaultParams = Params{
 	Fanout:          4,
 	Timeout:         400 * time.Millisecond,
@@ -45,22 +44,22 @@
 	PartnerLifetime: 16,
 }
 
-// Broadcaster holds the newest item of each topic and key that this node has received.
+// Broadcaster sends and receives items and keeps the latest item of each topic and key.
 type Broadcaster struct {
 	params   Params
 	peer     *peer.Peer
 	members  func() []*wire.Member
 	mu       sync.Mutex
 	items    map[string]*wire.Item
-	sum      uint64 // over the heads of all
+	sum      uint64 // of the version hashes of all items
 	handlers map[string]func(*wire.Item) error
-	applying chan struct{} // full while somebody takes items
-	// The digest loop's own.
+	applying chan struct{} // semaphore: holds one element while items are applied
+	// partners and ticks are used by the digest loop only.
 	partners []string
 	ticks    int
 }
 
-// New makes a broadcaster and handles News and Digest calls on pr.
+// New creates a broadcaster and registers its handlers for News and Digest calls on pr.
 func New(params Params, pr *peer.Peer, members func() []*wire.Member) *Broadcaster {
 	broadcaster := &Broadcaster{
 		params:   params,
@@ -75,22 +74,23 @@
 	return broadcaster
 }
 
-// Handle sets what happens with new items of a topic. An item whose handler fails is
-// neither kept nor confirmed, and will be offered again. Handlers are set before the node
-// starts.
-func (broadcaster *Broadcaster) Handle(topic string, f func(*wire.Item) error) {
-	broadcaster.handlers[topic] = f
+// Handle registers the handler for new items of a topic. If the handler fails, the item is
+// neither kept nor acknowledged, so it is offered again. Handlers must be registered before
+// the node starts.
+func (broadcaster *Broadcaster) Handle(topic string, handler func(*wire.Item) error) {
+	broadcaster.handlers[topic] = handler
 }
 
+// itemName is the key of an item in maps and digests.
 func itemName(i *wire.Item) string { return i.Topic + "/" + i.Key }
 
-// Apply keeps the items that are newer than those held, and reports whether all are held
-// now.
+// Apply stores the items that are newer than the stored ones and passes them to their
+// handlers. It reports whether no handler failed.
 func (broadcaster *Broadcaster) Apply(items []*wire.Item) bool {
-	// One taker at a time, so that handlers see each topic in rising order.
+	// Calls are serialized so that handlers see the versions of each topic in ascending order.
 	broadcaster.applying <- struct{}{}
 	defer func() { <-broadcaster.applying }()
-	all := true
+	allApplied := true
 	for _, i := range items {
 		broadcaster.mu.Lock()
 		old := broadcaster.items[itemName(i)]
@@ -98,42 +98,43 @@
 		if old != nil && !wire.Newer(i, old) {
 			continue
 		}
-		if f := broadcaster.handlers[i.Topic]; f != nil {
-			if err := handle(f, i); err != nil {
+		if handler := broadcaster.handlers[i.Topic]; handler != nil {
+			if err := handle(handler, i); err != nil {
 				broadcaster.peer.Log.Warn("update not applied", "topic", i.Topic, "key", i.Key, "err", err)
-				all = false
+				allApplied = false
 				continue
 			}
 		}
 		if !i.Brief {
 			broadcaster.mu.Lock()
 			if old != nil {
-				v, _ := digestOf(old)
-				broadcaster.sum -= v
+				versionHash, _ := hashItem(old)
+				broadcaster.sum -= versionHash
 			}
-			v, _ := digestOf(i)
-			broadcaster.sum += v
+			versionHash, _ := hashItem(i)
+			broadcaster.sum += versionHash
 			broadcaster.items[itemName(i)] = i
 			broadcaster.mu.Unlock()
 		}
 	}
-	return all
+	return allApplied
 }
 
-// handle gives an item to its handler as it was published.
-func handle(f func(*wire.Item) error, i *wire.Item) error {
+// handle passes an item to its handler with the body decompressed.
+func handle(handler func(*wire.Item) error, i *wire.Item) error {
 	if len(i.CompressedBody) == 0 {
-		return f(i)
+		return handler(i)
 	}
 	body, err := wire.Decompress(i.CompressedBody)
 	if err != nil {
 		return err
 	}
-	return f(&wire.Item{Topic: i.Topic, Key: i.Key, Epoch: i.Epoch, Seq: i.Seq, Brief: i.Brief, Body: body})
+	return handler(&wire.Item{Topic: i.Topic, Key: i.Key, Epoch: i.Epoch, Seq: i.Seq, Brief: i.Brief, Body: body})
 }
 
-// compress puts large bodies into the form in which they are sent and kept. A node of a
-// release that does not know it confirms no such item and gets it from its source.
+// compress replaces large bodies with compressed ones, which are both sent and stored. A node
+// of an older release that does not support compressed bodies does not acknowledge such an
+// item and reads it from its source instead.
 func compress(items []*wire.Item) []*wire.Item {
 	out := make([]*wire.Item, len(items))
 	for n, i := range items {
@@ -148,15 +149,15 @@
 	return out
 }
 
-// Latest is the newest item received of a topic and key.
+// Latest returns the latest item received for a topic and key, or nil.
 func (broadcaster *Broadcaster) Latest(topic, key string) *wire.Item {
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
 	return broadcaster.items[topic+"/"+key]
 }
 
-// Publish applies the items here and sends them to all other live members. It returns the
-// ids of those known to have applied them.
+// Publish applies the items locally and sends them to all other live members. It returns the
+// ids of the members that have acknowledged applying them.
 func (broadcaster *Broadcaster) Publish(ctx context.Context, items ...*wire.Item) []string {
 	var accepted []string
 	items = compress(items)
@@ -166,6 +167,7 @@
 	return append(accepted, broadcaster.push(ctx, items, broadcaster.otherMembers(), broadcaster.params.Timeout)...)
 }
 
+// otherMembers returns the other live members, sorted by zone and id.
 func (broadcaster *Broadcaster) otherMembers() []*wire.Member {
 	var out []*wire.Member
 	for _, m := range broadcaster.members() {
@@ -182,65 +184,65 @@
 	return out
 }
 
-// relay applies items and forwards them to its part of the tree.
+// relay applies the received items and forwards them to this node's subtree.
 func (broadcaster *Broadcaster) relay(ctx context.Context, q *wire.Req) (*wire.Resp, error) {
-	n := q.GetNews()
+	news := q.GetNews()
 	var accepted []string
-	if broadcaster.Apply(n.Items) {
+	if broadcaster.Apply(news.Items) {
 		accepted = append(accepted, broadcaster.peer.Self.Id)
 	}
-	wait := max(
-		time.Duration(n.WaitMs)*time.Millisecond-broadcaster.params.TimeoutStep,
+	timeout := max(
+		time.Duration(news.WaitMs)*time.Millisecond-broadcaster.params.TimeoutStep,
 		broadcaster.params.MinTimeout,
 	)
-	accepted = append(accepted, broadcaster.push(ctx, n.Items, n.Targets, wait)...)
+	accepted = append(accepted, broadcaster.push(ctx, news.Items, news.Targets, timeout)...)
 	return &wire.Resp{Op: &wire.Resp_News{News: &wire.NewsAck{Took: accepted}}}, nil
 }
 
-// push splits targets among children and gathers who has applied the items. It returns in
-// time even if a child hangs; its part of the targets is then reached in the background
-// through the next node in it.
+// push splits the targets among children and collects the ids of the members that have
+// applied the items. It returns by the timeout even if a child hangs; the rest of that
+// child's subtree is then reached in the background through the next node in it.
 func (broadcaster *Broadcaster) push(
 	ctx context.Context,
 	items []*wire.Item,
 	targets []*wire.Member,
-	wait time.Duration,
+	timeout time.Duration,
 ) []string {
-	parts := split(targets, broadcaster.params.Fanout)
-	ch := make(chan []string, len(targets)+len(parts))
-	bg := context.WithoutCancel(ctx)
-	for _, subtree := range parts {
+	subtrees := split(targets, broadcaster.params.Fanout)
+	results := make(chan []string, len(targets)+len(subtrees))
+	background := context.WithoutCancel(ctx)
+	for _, subtree := range subtrees {
 		go func() {
 			for len(subtree) > 0 {
 				child, rest := subtree[0], subtree[1:]
 				r, err := broadcaster.peer.CallFor(
-					bg,
-					wait,
+					background,
+					timeout,
 					child.Addr,
 					&wire.Req{
 						Op: &wire.Req_News{
-							News: &wire.News{Items: items, Targets: rest, WaitMs: wait.Milliseconds()},
+							News: &wire.News{Items: items, Targets: rest, WaitMs: timeout.Milliseconds()},
 						},
 					},
 				)
 				if err == nil {
-					ch <- r.GetNews().GetTook()
+					results <- r.GetNews().GetTook()
 					return
 				}
-				broadcaster.peer.Log.Debug("relay skipped", "child", child.Id, "err", err)
+				broadcaster.peer.Log.Debug("relay did not answer and is skipped", "child", child.Id, "err", err)
 				subtree = rest
 			}
-			ch <- nil
+			results <- nil
 		}()
 	}
 	var accepted []string
-	t := time.NewTimer(wait)
-	defer t.Stop()
-	for range parts {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for range subtrees {
 		select {
-		case ids := <-ch:
+		case ids := <-results:
 			accepted = append(accepted, ids...)
-		case <-t.C:
+		case <-timer.C:
 			return accepted
 		case <-ctx.Done():
 			return accepted
@@ -249,7 +251,7 @@
 	return accepted
 }
 
-// split divides a list in zone order into at most n runs of like length.
+// split divides a list into at most n consecutive parts of nearly equal length.
 func split(list []*wire.Member, n int) [][]*wire.Member {
 	var out [][]*wire.Member
 	for i := 0; i < n && len(list) > 0; i++ {
@@ -260,188 +262,200 @@
 	return out
 }
 
-// Run exchanges digests with one of a few partners at each interval, until ctx ends.
+// Run exchanges digests with one of the partners at each interval until ctx is canceled.
 func (broadcaster *Broadcaster) Run(ctx context.Context) {
 	loop.Every(ctx, broadcaster.params.DigestInterval, nil, func(ctx context.Context) {
-		if m := broadcaster.partner(); m != nil {
+		if m := broadcaster.selectPartner(); m != nil {
 			broadcaster.repair(ctx, m.Addr)
 		}
 	})
 }
 
-// partner selects one of the partners. They are a few random members, so that the
-// connections of a node do not grow with their number; now and then one is replaced, so
-// that in time every two nodes compare.
-func (broadcaster *Broadcaster) partner() *wire.Member {
-	ms := broadcaster.members()
-	at := map[string]*wire.Member{}
+// selectPartner returns a random one of the current partners, or nil. The partners are a few
+// random members, so that the number of connections does not grow with the cluster. One is
+// replaced periodically, so that over time every pair of nodes compares digests.
+func (broadcaster *Broadcaster) selectPartner() *wire.Member {
+	members := broadcaster.members()
+	liveByID := map[string]*wire.Member{}
 	for _, id := range broadcaster.partners {
-		at[id] = nil
+		liveByID[id] = nil
 	}
-	for _, m := range ms {
-		if _, ok := at[m.Id]; ok && m.Live {
-			at[m.Id] = m
+	for _, m := range members {
+		if _, ok := liveByID[m.Id]; ok && m.Live {
+			liveByID[m.Id] = m
 		}
 	}
-	broadcaster.partners = slices.DeleteFunc(broadcaster.partners, func(id string) bool { return at[id] == nil })
+	broadcaster.partners = slices.DeleteFunc(
+		broadcaster.partners,
+		func(id string) bool { return liveByID[id] == nil },
+	)
 	if broadcaster.ticks++; broadcaster.ticks%max(broadcaster.params.PartnerLifetime, 1) == 0 &&
 		len(broadcaster.partners) > 0 {
 		broadcaster.partners = broadcaster.partners[1:]
 	}
-	// Most members are live; where they aren't, the next tick draws on.
-	most := broadcaster.params.Partners
-	for attempt := 0; len(broadcaster.partners) < most && attempt < 8*most && len(ms) > 0; attempt++ {
-		m := ms[rand.IntN(len(ms))]
+	// The number of attempts is bounded, since few members may be live; the next tick adds
+	// the partners that are still missing.
+	wanted := broadcaster.params.Partners
+	for attempt := 0; len(broadcaster.partners) < wanted && attempt < 8*wanted && len(members) > 0; attempt++ {
+		m := members[rand.IntN(len(members))]
 		if m.Live && m.Id != broadcaster.peer.Self.Id && !slices.Contains(broadcaster.partners, m.Id) {
 			broadcaster.partners = append(broadcaster.partners, m.Id)
-			at[m.Id] = m
+			liveByID[m.Id] = m
 		}
 	}
 	if len(broadcaster.partners) == 0 {
 		return nil
 	}
-	return at[broadcaster.partners[rand.IntN(len(broadcaster.partners))]]
+	return liveByID[broadcaster.partners[rand.IntN(len(broadcaster.partners))]]
 }
 
-// repair is anti-entropy with one peer: afterwards both hold the same items. Its messages
-// grow with the differences and not with the items held: first the sum of all heads; if
-// that differs, the sums of buckets; then the heads in the buckets that differ.
+// repair runs anti-entropy with one peer, after which both hold the same items. The size of
+// its messages depends mainly on the differences rather than on the number of items: it
+// compares the sum of the hashes of all items, then the sums of each bucket if the total
+// differs, then the versions of the items in the buckets that differ.
 func (broadcaster *Broadcaster) repair(ctx context.Context, addr string) {
 	r, err := broadcaster.peer.CallFor(
 		ctx,
 		broadcaster.params.DigestInterval,
 		addr,
-		&wire.Req{Op: &wire.Req_Digest{Digest: &wire.Digest{Ask: true, Sum: broadcaster.total()}}},
+		&wire.Req{Op: &wire.Req_Digest{Digest: &wire.Digest{Ask: true, Sum: broadcaster.totalSum()}}},
 	)
 	if err != nil {
 		return
 	}
 	broadcaster.Apply(r.GetDigest().GetItems())
-	theirs := r.GetDigest().GetSums()
-	if len(theirs) == 0 {
+	remoteSums := r.GetDigest().GetSums()
+	if len(remoteSums) == 0 {
 		return
 	}
-	q := &wire.Digest{Of: uint32(len(theirs))}
-	for i, s := range broadcaster.sums(len(theirs)) {
-		if s != theirs[i] {
+	q := &wire.Digest{Of: uint32(len(remoteSums))}
+	for i, sum := range broadcaster.bucketSums(len(remoteSums)) {
+		if sum != remoteSums[i] {
 			q.Buckets = append(q.Buckets, uint32(i))
 		}
 	}
 	if len(q.Buckets) == 0 {
 		return
 	}
-	q.Heads = broadcaster.headsIn(q)
+	q.Heads = broadcaster.headsInBuckets(q)
 	request := &wire.Req{Op: &wire.Req_Digest{Digest: q}}
 	if r, err = broadcaster.peer.CallFor(ctx, broadcaster.params.DigestInterval, addr, request); err != nil {
 		return
 	}
 	broadcaster.Apply(r.GetDigest().GetItems())
-	var lack []*wire.Item
-	for _, w := range r.GetDigest().GetWant() {
-		if i := broadcaster.Latest(w.Topic, w.Key); i != nil {
-			lack = append(lack, i)
+	var missing []*wire.Item
+	for _, wanted := range r.GetDigest().GetWant() {
+		if i := broadcaster.Latest(wanted.Topic, wanted.Key); i != nil {
+			missing = append(missing, i)
 		}
 	}
-	if len(lack) > 0 {
+	if len(missing) > 0 {
 		_, _ = broadcaster.peer.CallFor(
 			ctx,
 			broadcaster.params.DigestInterval,
 			addr,
-			&wire.Req{Op: &wire.Req_News{News: &wire.News{Items: lack}}},
+			&wire.Req{Op: &wire.Req_News{News: &wire.News{Items: missing}}},
 		)
 	}
 }
 
-// digestOf hashes an item's name and version, and its name alone.
-func digestOf(i *wire.Item) (ver, key uint64) {
+// hashItem returns a hash of an item's name and version, and one of its name alone.
+func hashItem(i *wire.Item) (versionHash, nameHash uint64) {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, itemName(i))
-	key = h.Sum64()
-	var v [16]byte
-	binary.BigEndian.PutUint64(v[:], i.Epoch)
-	binary.BigEndian.PutUint64(v[8:], i.Seq)
-	h.Write(v[:])
-	return h.Sum64(), key
+	nameHash = h.Sum64()
+	var version [16]byte
+	binary.BigEndian.PutUint64(version[:], i.Epoch)
+	binary.BigEndian.PutUint64(version[8:], i.Seq)
+	h.Write(version[:])
+	return h.Sum64(), nameHash
 }
 
-func (broadcaster *Broadcaster) total() uint64 {
+// totalSum returns the sum of the version hashes of all items.
+func (broadcaster *Broadcaster) totalSum() uint64 {
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
 	return broadcaster.sum
 }
 
-// sums adds up the heads of each of n buckets.
-func (broadcaster *Broadcaster) sums(n int) []uint64 {
+// bucketSums returns the sum of the version hashes in each of n buckets. Items are assigned to
+// buckets by the hash of their name.
+func (broadcaster *Broadcaster) bucketSums(n int) []uint64 {
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
 	out := make([]uint64, n)
 	for _, i := range broadcaster.items {
-		v, k := digestOf(i)
-		out[k%uint64(n)] += v
+		versionHash, nameHash := hashItem(i)
+		out[nameHash%uint64(n)] += versionHash
 	}
 	return out
 }
 
-// inBuckets selects the items that a digest is about.
-func inBuckets(q *wire.Digest) func(*wire.Item) bool {
+// bucketFilter returns a predicate for the items in the buckets that a digest lists, or for
+// all items if it lists none.
+func bucketFilter(q *wire.Digest) func(*wire.Item) bool {
 	if len(q.Buckets) == 0 || q.Of == 0 {
 		return func(*wire.Item) bool { return true }
 	}
-	in := map[uint32]bool{}
+	listed := map[uint32]bool{}
 	for _, n := range q.Buckets {
-		in[n] = true
+		listed[n] = true
 	}
 	return func(i *wire.Item) bool {
-		_, k := digestOf(i)
-		return in[uint32(k%uint64(q.Of))]
+		_, nameHash := hashItem(i)
+		return listed[uint32(nameHash%uint64(q.Of))]
 	}
 }
 
-func (broadcaster *Broadcaster) headsIn(q *wire.Digest) []*wire.Item {
-	in := inBuckets(q)
+// headsInBuckets returns the names and versions of the items in the buckets that a digest
+// lists.
+func (broadcaster *Broadcaster) headsInBuckets(q *wire.Digest) []*wire.Item {
+	inBucket := bucketFilter(q)
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
 	var out []*wire.Item
 	for _, i := range broadcaster.items {
-		if in(i) {
+		if inBucket(i) {
 			out = append(out, &wire.Item{Topic: i.Topic, Key: i.Key, Epoch: i.Epoch, Seq: i.Seq})
 		}
 	}
 	return out
 }
 
-// perBucket is the average number of items in a bucket.
-const perBucket = 8
+// itemsPerBucket is the average number of items in a bucket.
+const itemsPerBucket = 8
 
+// answerDigest answers a digest with bucket sums if only the total was sent, or otherwise with
+// the items that are newer here and the names of those that are newer at the sender.
 func (broadcaster *Broadcaster) answerDigest(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-	d, a := q.GetDigest(), &wire.DigestAck{}
-	if d.Ask {
+	digest, answer := q.GetDigest(), &wire.DigestAck{}
+	if digest.Ask {
 		broadcaster.mu.Lock()
-		n, same := len(broadcaster.items), d.Sum == broadcaster.sum
+		n, same := len(broadcaster.items), digest.Sum == broadcaster.sum
 		broadcaster.mu.Unlock()
 		if !same {
-			a.Sums = broadcaster.sums(1 + n/perBucket)
+			answer.Sums = broadcaster.bucketSums(1 + n/itemsPerBucket)
 		}
-		return &wire.Resp{Op: &wire.Resp_Digest{Digest: a}}, nil
+		return &wire.Resp{Op: &wire.Resp_Digest{Digest: answer}}, nil
 	}
-	in := inBuckets(d)
+	inBucket := bucketFilter(digest)
 	broadcaster.mu.Lock()
 	defer broadcaster.mu.Unlock()
-	theirs := map[string]bool{}
-	for _, h := range d.Heads {
-		theirs[itemName(h)] = true
-		mine := broadcaster.items[itemName(h)]
+	remoteItems := map[string]bool{}
+	for _, head := range digest.Heads {
+		remoteItems[itemName(head)] = true
+		local := broadcaster.items[itemName(head)]
 		switch {
-		case mine == nil || wire.Newer(h, mine):
-			a.Want = append(a.Want, h)
-		case wire.Newer(mine, h):
-			a.Items = append(a.Items, mine)
+		case local == nil || wire.Newer(head, local):
+			answer.Want = append(answer.Want, head)
+		case wire.Newer(local, head):
+			answer.Items = append(answer.Items, local)
 		}
 	}
-	for n, i := range broadcaster.items {
-		if !theirs[n] && in(i) {
-			a.Items = append(a.Items, i)
+	for name, i := range broadcaster.items {
+		if !remoteItems[name] && inBucket(i) {
+			answer.Items = append(answer.Items, i)
 		}
 	}
-	return &wire.Resp{Op: &wire.Resp_Digest{Digest: a}}, nil
+	return &wire.Resp{Op: &wire.Resp_Digest{Digest: answer}}, nil
 }
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -18,19 +18,21 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-type town struct {
-	net     *memnet.Net
-	peers   []*peer.Peer
-	boards  []*broadcast.Broadcaster
-	mu      sync.Mutex
-	handled map[string]int // id/topic/key: times handled
-	list    []*wire.Member
+// testCluster is a set of nodes on an in-memory network.
+type testCluster struct {
+	net          *memnet.Net
+	peers        []*peer.Peer
+	broadcasters []*broadcast.Broadcaster
+	mu           sync.Mutex
+	handled      map[string]int // number of handler calls by id/topic/key
+	members      []*wire.Member
 }
 
-// newTown makes n nodes in three zones; the first deaf of them have no handler.
-func newTown(t *testing.T, n, deaf int) (*town, context.CancelFunc) {
+// newTestCluster starts n nodes in three zones. The first withoutHandler of them have no
+// handler.
+func newTestCluster(t *testing.T, n, withoutHandler int) (*testCluster, context.CancelFunc) {
 	ctx, stop := context.WithCancel(t.Context())
-	w := &town{net: memnet.New(1), handled: map[string]int{}}
+	cluster := &testCluster{net: memnet.New(1), handled: map[string]int{}}
 	for i := range n {
 		m := &wire.Member{
 			Id:   fmt.Sprintf("n%03d", i),
@@ -38,15 +40,15 @@
 			Zone: string(rune('a' + i%3)),
 			Live: true,
 		}
-		w.list = append(w.list, m)
-		pr := peer.New(m, w.net.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
-		broadcaster := broadcast.New(broadcast.DefaultParams, pr, func() []*wire.Member { return w.list })
-		if i >= deaf {
+		cluster.members = append(cluster.members, m)
+		pr := peer.New(m, cluster.net.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
+		broadcaster := broadcast.New(broadcast.DefaultParams, pr, func() []*wire.Member { return cluster.members })
+		if i >= withoutHandler {
 			for _, topic := range []string{"x", "brief"} {
 				broadcaster.Handle(topic, func(it *wire.Item) error {
-					w.mu.Lock()
-					w.handled[m.Id+"/"+it.Topic+"/"+it.Key]++
-					w.mu.Unlock()
+					cluster.mu.Lock()
+					cluster.handled[m.Id+"/"+it.Topic+"/"+it.Key]++
+					cluster.mu.Unlock()
 					return nil
 				})
 			}
@@ -54,159 +56,163 @@
 		if err := pr.Serve(ctx); err != nil {
 			t.Fatal(err)
 		}
-		w.peers, w.boards = append(w.peers, pr), append(w.boards, broadcaster)
+		cluster.peers, cluster.broadcasters = append(cluster.peers, pr), append(cluster.broadcasters, broadcaster)
 	}
-	return w, func() {
+	return cluster, func() {
 		stop()
-		for _, pr := range w.peers {
+		for _, pr := range cluster.peers {
 			pr.Close()
 		}
 		time.Sleep(time.Minute)
 	}
 }
 
-func (w *town) count(topic, key string) (n, most int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, m := range w.list {
-		c := w.handled[m.Id+"/"+topic+"/"+key]
+// count returns how many nodes have handled an item and the highest number of handler calls
+// on one node.
+func (cluster *testCluster) count(topic, key string) (n, highest int) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for _, m := range cluster.members {
+		c := cluster.handled[m.Id+"/"+topic+"/"+key]
 		if c > 0 {
 			n++
 		}
-		most = max(most, c)
+		highest = max(highest, c)
 	}
-	return n, most
+	return n, highest
 }
 
-// TestTree: everyone hears each item once, and the sender learns that they did.
+// TestTree checks that every node handles each item once and that the sender receives all
+// acknowledgements.
 func TestTree(t *testing.T) {
 	for _, n := range []int{1, 2, 12, 50, 200} {
 		synctest.Test(t, func(t *testing.T) {
-			w, end := newTown(t, n, 0)
+			cluster, end := newTestCluster(t, n, 0)
 			defer end()
-			accepted := w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
-			if got, most := w.count("x", "k"); got != n || most != 1 || len(accepted) != n {
-				t.Errorf("%d nodes: heard by %d, up to %d times, confirmed by %d", n, got, most, len(accepted))
+			accepted := cluster.broadcasters[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
+			if got, highest := cluster.count("x", "k"); got != n || highest != 1 || len(accepted) != n {
+				t.Errorf("%d nodes: handled by %d, up to %d times, acknowledged by %d", n, got, highest, len(accepted))
 			}
 		})
 	}
 }
 
-// TestRelayDies: with relays departed or hanging, all others hear within half a
-// second, and a hanging one hears once it is back.
+// TestRelayDies checks that all other nodes receive an item within half a second if relays
+// are down or hang, and that a hanging relay receives it once it is reachable again.
 func TestRelayDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, end := newTown(t, 50, 0)
+		cluster, end := newTestCluster(t, 50, 0)
 		defer end()
-		// Members in zone order; the first of a quarter is a relay of the root.
-		w.peers[3].Close() // n003, zone a: refused
-		for _, m := range w.list {
+		// Members are sorted by zone, and the first node of each quarter is a child of the root.
+		cluster.peers[3].Close() // n003 in zone a refuses connections
+		for _, m := range cluster.members {
 			if m.Id != "n016" {
-				w.net.SetPartitioned("h16", m.Addr, true) // zone b: hangs
+				cluster.net.SetPartitioned("h16", m.Addr, true) // n016 in zone b hangs
 			}
 		}
-		at := time.Now()
-		w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
+		start := time.Now()
+		cluster.broadcasters[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
 		synctest.Wait()
-		for n := 0; n < 48; n, _ = w.count("x", "k") {
+		for n := 0; n < 48; n, _ = cluster.count("x", "k") {
 			time.Sleep(10 * time.Millisecond)
-			if time.Since(at) > 3*time.Second {
-				t.Fatalf("heard by %d of 48", n)
+			if time.Since(start) > 3*time.Second {
+				t.Fatalf("handled by %d of 48", n)
 			}
 		}
-		if d := time.Since(at); d > 500*time.Millisecond {
-			t.Errorf("the last heard after %s", d)
+		if d := time.Since(start); d > 500*time.Millisecond {
+			t.Errorf("the last node received the item after %s", d)
 		}
-		for _, m := range w.list {
-			w.net.SetPartitioned("h16", m.Addr, false)
+		for _, m := range cluster.members {
+			cluster.net.SetPartitioned("h16", m.Addr, false)
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		wg.Go(func() { w.boards[16].Run(ctx) })
+		wg.Go(func() { cluster.broadcasters[16].Run(ctx) })
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
 		}
 		stop()
 		wg.Wait()
-		if n, _ := w.count("x", "k"); n != 49 {
-			t.Errorf("after the cut %d of 49 have heard", n)
+		if n, _ := cluster.count("x", "k"); n != 49 {
+			t.Errorf("after the partition has healed, %d of 49 have handled the item", n)
 		}
 	})
 }
 
-// TestBrief: an item that is out of date at once is not offered again, also
-// not by a node that has no use for its topic.
+// TestBrief checks that a transient (brief) item is not offered again by anti-entropy, not
+// even by a node without a handler for its topic.
 func TestBrief(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, end := newTown(t, 6, 2)
+		cluster, end := newTestCluster(t, 6, 2)
 		defer end()
-		w.list[5].Live = false // joins later
-		w.boards[3].Publish(t.Context(), &wire.Item{Topic: "brief", Key: "k", Seq: 1, Brief: true})
-		w.list[5].Live = true
+		cluster.members[5].Live = false // joins later
+		cluster.broadcasters[3].Publish(t.Context(), &wire.Item{Topic: "brief", Key: "k", Seq: 1, Brief: true})
+		cluster.members[5].Live = true
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		for _, broadcaster := range w.boards {
+		for _, broadcaster := range cluster.broadcasters {
 			wg.Go(func() { broadcaster.Run(ctx) })
 		}
 		time.Sleep(20 * time.Second)
 		stop()
 		wg.Wait()
-		if n, most := w.count("brief", "k"); n != 3 || most != 1 {
-			t.Errorf("heard by %d of 3, up to %d times", n, most)
+		if n, highest := cluster.count("brief", "k"); n != 3 || highest != 1 {
+			t.Errorf("handled by %d of 3, up to %d times", n, highest)
 		}
 	})
 }
 
-// TestBriefWithoutOrder: an item that is out of date at once is heard whatever epoch and
-// number it has beside earlier ones of its key, as its sender's clock may have gone back.
+// TestBriefWithoutOrder checks that a transient (brief) item is handled even if its epoch and
+// sequence number are lower than those of earlier items of its key, since its sender's clock
+// may have been set back.
 func TestBriefWithoutOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, end := newTown(t, 4, 0)
+		cluster, end := newTestCluster(t, 4, 0)
 		defer end()
 		for i, epoch := range []uint64{9, 3, 0, 0} {
-			w.boards[1].Publish(t.Context(), &wire.Item{Topic: "brief", Key: "k", Epoch: epoch, Seq: 1, Brief: true})
-			if n, most := w.count("brief", "k"); n != 4 || most != i+1 {
-				t.Errorf("epoch %d: heard by %d of 4, %d times", epoch, n, most)
+			cluster.broadcasters[1].Publish(t.Context(), &wire.Item{Topic: "brief", Key: "k", Epoch: epoch, Seq: 1, Brief: true})
+			if n, highest := cluster.count("brief", "k"); n != 4 || highest != i+1 {
+				t.Errorf("epoch %d: handled by %d of 4, %d times", epoch, n, highest)
 			}
 		}
 	})
 }
 
-// TestNoSlipBack: an older item changes nothing, whichever way it comes.
-func TestNoSlipBack(t *testing.T) {
+// TestOlderItemIgnored checks that an item with a lower epoch does not replace a later one.
+func TestOlderItemIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, end := newTown(t, 2, 0)
+		cluster, end := newTestCluster(t, 2, 0)
 		defer end()
-		w.boards[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 2, Seq: 1}})
-		w.boards[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 1, Seq: 9}})
-		if i := w.boards[0].Latest("x", "k"); i.Epoch != 2 {
+		cluster.broadcasters[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 2, Seq: 1}})
+		cluster.broadcasters[0].Apply([]*wire.Item{{Topic: "x", Key: "k", Epoch: 1, Seq: 9}})
+		if i := cluster.broadcasters[0].Latest("x", "k"); i.Epoch != 2 {
 			t.Errorf("epoch %d", i.Epoch)
 		}
-		if _, most := w.count("x", "k"); most != 1 {
-			t.Errorf("handled %d times", most)
+		if _, highest := cluster.count("x", "k"); highest != 1 {
+			t.Errorf("handled %d times", highest)
 		}
 	})
 }
 
-// TestReach measures how long an item takes to reach all, and what it costs,
-// with up to 2 ms on each way. The bound is the brief's two seconds.
+// TestReach measures the time and the number of messages to deliver an item to all nodes with
+// a network delay of up to 2 ms each way. The specified limit is two seconds.
 func TestReach(t *testing.T) {
 	for _, n := range []int{12, 50, 200} {
 		synctest.Test(t, func(t *testing.T) {
-			w, end := newTown(t, n, 0)
+			cluster, end := newTestCluster(t, n, 0)
 			defer end()
-			w.net.Delay(2 * time.Millisecond)
+			cluster.net.Delay(2 * time.Millisecond)
 			sent := func() (s uint64) {
-				for _, pr := range w.peers {
+				for _, pr := range cluster.peers {
 					s += pr.Sent()
 				}
 				return s
 			}
-			before, at := sent(), time.Now()
-			accepted := w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
-			d := time.Since(at)
+			before, start := sent(), time.Now()
+			accepted := cluster.broadcasters[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1})
+			d := time.Since(start)
 			t.Logf(
-				"%3d nodes: %3d confirmed after %s, %d messages",
+				"%3d nodes: %3d acknowledged after %s, %d messages",
 				n,
 				len(accepted),
 				d.Round(100*time.Microsecond),
@@ -217,51 +223,52 @@
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var wg sync.WaitGroup
-			for _, broadcaster := range w.boards {
+			for _, broadcaster := range cluster.broadcasters {
 				wg.Go(func() { broadcaster.Run(ctx) })
 			}
 			before = sent()
 			time.Sleep(10 * time.Second)
-			t.Logf("%3d nodes: %.1f digest messages a node and second", n, float64(sent()-before)/10/float64(n))
+			t.Logf("%3d nodes: %.1f digest messages per node and second", n, float64(sent()-before)/10/float64(n))
 			stop()
 			wg.Wait()
 		})
 	}
 }
 
-// TestLargeBody: a large body is sent and kept compressed, by the tree and by repair, and
-// each handler gets it as it was published; a small one is left as it is.
+// TestLargeBody checks that a large body is sent and stored compressed by the relay tree and
+// by anti-entropy, that each handler receives the original body, and that a small body is not
+// compressed.
 func TestLargeBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, end := newTown(t, 20, 0)
+		cluster, end := newTestCluster(t, 20, 0)
 		defer end()
 		large := bytes.Repeat([]byte(`{"name":"route","kind":"stream"},`), 1000)
 		var got [20][]byte
-		for i, b := range w.boards {
+		for i, b := range cluster.broadcasters {
 			b.Handle("large", func(it *wire.Item) error {
-				w.mu.Lock()
-				defer w.mu.Unlock()
+				cluster.mu.Lock()
+				defer cluster.mu.Unlock()
 				got[i] = it.Body
 				return nil
 			})
 		}
-		// The last one is cut off while the tree sends, and is repaired later.
+		// The last node is partitioned while the item is published and repaired later.
 		for i := range 19 {
-			w.net.SetPartitioned(fmt.Sprintf("h%d", i), "h19", true)
+			cluster.net.SetPartitioned(fmt.Sprintf("h%d", i), "h19", true)
 		}
-		w.boards[0].Publish(t.Context(), &wire.Item{Topic: "large", Key: "k", Seq: 1, Body: large})
-		w.boards[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1, Body: []byte("small")})
+		cluster.broadcasters[0].Publish(t.Context(), &wire.Item{Topic: "large", Key: "k", Seq: 1, Body: large})
+		cluster.broadcasters[0].Publish(t.Context(), &wire.Item{Topic: "x", Key: "k", Seq: 1, Body: []byte("small")})
 		time.Sleep(5 * time.Second)
 		for i := range 19 {
-			w.net.SetPartitioned(fmt.Sprintf("h%d", i), "h19", false)
+			cluster.net.SetPartitioned(fmt.Sprintf("h%d", i), "h19", false)
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		go w.boards[19].Run(ctx)
+		go cluster.broadcasters[19].Run(ctx)
 		time.Sleep(30 * time.Second)
 		stop()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for i, b := range w.boards {
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		for i, b := range cluster.broadcasters {
 			if !bytes.Equal(got[i], large) {
 				t.Errorf("node %d got %d bytes of %d", i, len(got[i]), len(large))
 			}
--- a/internal/coordination/broadcast/digest_test.go
+++ b/internal/coordination/broadcast/digest_test.go
@@ -19,115 +19,118 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// pair is two boards whose traffic is counted.
-type pair struct {
-	boards [2]*broadcast.Broadcaster
-	peers  [2]*peer.Peer
-	bytes  atomic.Int64
-	calls  atomic.Int64
+// countedPair is two broadcasters whose network traffic is counted.
+type countedPair struct {
+	broadcasters [2]*broadcast.Broadcaster
+	peers        [2]*peer.Peer
+	bytes        atomic.Int64
+	calls        atomic.Int64
 }
 
-type meter struct {
+// countingConn counts the bytes and calls written to a connection.
+type countingConn struct {
 	net.Conn
-	params *pair
+	counters *countedPair
 }
 
-func (m meter) Write(b []byte) (int, error) {
-	m.params.bytes.Add(int64(len(b)))
-	m.params.calls.Add(1)
-	return m.Conn.Write(b)
+func (c countingConn) Write(b []byte) (int, error) {
+	c.counters.bytes.Add(int64(len(b)))
+	c.counters.calls.Add(1)
+	return c.Conn.Write(b)
 }
 
-func newPair(t *testing.T) (*pair, func()) {
+func newPair(t *testing.T) (*countedPair, func()) {
 	ctx, stop := context.WithCancel(t.Context())
-	nw, w := memnet.New(1), &pair{}
+	network, pair := memnet.New(1), &countedPair{}
 	list := []*wire.Member{{Id: "x", Addr: "hx", Zone: "a", Live: true}, {Id: "y", Addr: "hy", Zone: "a", Live: true}}
 	for i, m := range list {
-		host := nw.Host(m.Addr)
+		host := network.Host(m.Addr)
 		dial := host.Dial
 		host.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			c, err := dial(ctx, addr)
 			if err != nil {
 				return nil, err
 			}
-			return meter{c, w}, nil
+			return countingConn{c, pair}, nil
 		}
 		listen := host.Listen
 		host.Listen = func(addr string) (net.Listener, error) {
 			l, err := listen(addr)
-			return meters{l, w}, err
+			return countingListener{l, pair}, err
 		}
-		w.peers[i] = peer.New(m, host, transport.DefaultParams, hclog.NewNullLogger())
-		w.boards[i] = broadcast.New(broadcast.DefaultParams, w.peers[i], func() []*wire.Member { return list })
-		if err := w.peers[i].Serve(ctx); err != nil {
+		pair.peers[i] = peer.New(m, host, transport.DefaultParams, hclog.NewNullLogger())
+		pair.broadcasters[i] = broadcast.New(broadcast.DefaultParams, pair.peers[i], func() []*wire.Member { return list })
+		if err := pair.peers[i].Serve(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return w, func() {
+	return pair, func() {
 		stop()
-		for _, pr := range w.peers {
+		for _, pr := range pair.peers {
 			pr.Close()
 		}
 		time.Sleep(time.Minute)
 	}
 }
 
-type meters struct {
+// countingListener accepts connections that count their traffic.
+type countingListener struct {
 	net.Listener
-	params *pair
+	counters *countedPair
 }
 
-func (m meters) Accept() (net.Conn, error) {
-	c, err := m.Listener.Accept()
+func (l countingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return meter{c, m.params}, nil
+	return countingConn{c, l.counters}, nil
 }
 
-// once has the first board compare with the second one time.
-func (w *pair) once(t *testing.T) int64 {
-	w.bytes.Store(0)
+// exchangeDigest lets the first broadcaster run one digest exchange with the second and
+// returns the number of bytes sent.
+func (pair *countedPair) exchangeDigest(t *testing.T) int64 {
+	pair.bytes.Store(0)
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	wg.Go(func() { w.boards[0].Run(ctx) })
+	wg.Go(func() { pair.broadcasters[0].Run(ctx) })
 	time.Sleep(broadcast.DefaultParams.DigestInterval / 2)
 	stop()
 	wg.Wait()
-	return w.bytes.Load()
+	return pair.bytes.Load()
 }
 
 func item(i int, seq uint64) *wire.Item {
 	return &wire.Item{Topic: "runner", Key: fmt.Sprintf("r%04d", i), Seq: seq, Body: make([]byte, 200)}
 }
 
-// TestDigestSize: two boards that are alike compare in a few bytes, however much is
-// on them; where some items differ, what is sent grows with these, and both have
-// them afterwards.
+// TestDigestSize checks that two broadcasters with equal items exchange only a few bytes,
+// independent of the number of items. If some items differ, the traffic is bounded by their
+// number, and both hold the same items afterwards.
 func TestDigestSize(t *testing.T) {
 	for _, n := range []int{10, 1300} {
 		synctest.Test(t, func(t *testing.T) {
-			w, end := newPair(t)
+			pair, end := newPair(t)
 			defer end()
-			for _, broadcaster := range w.boards {
+			for _, broadcaster := range pair.broadcasters {
 				for i := range n {
 					broadcaster.Apply([]*wire.Item{item(i, 1)})
 				}
 			}
-			if got := w.once(t); got > 200 {
-				t.Errorf("%d items alike: %d bytes", n, got)
+			if got := pair.exchangeDigest(t); got > 200 {
+				t.Errorf("%d equal items: %d bytes", n, got)
 			}
-			// One is older there, one here, one is there only, one here only.
-			w.boards[0].Apply([]*wire.Item{item(1, 2), item(n, 1)})
-			w.boards[1].Apply([]*wire.Item{item(2, 7), item(n+1, 1)})
-			if got, most := w.once(t), int64(4*200+n*5/2+1500); got > most {
-				t.Errorf("%d items, four differ: %d bytes, wanted at most %d", n, got, most)
+			// On each side one item is newer and one is missing.
+			pair.broadcasters[0].Apply([]*wire.Item{item(1, 2), item(n, 1)})
+			pair.broadcasters[1].Apply([]*wire.Item{item(2, 7), item(n+1, 1)})
+			if got, limit := pair.exchangeDigest(t), int64(4*200+n*5/2+1500); got > limit {
+				t.Errorf("%d items, four differ: %d bytes, wanted at most %d", n, got, limit)
 			}
-			for i, broadcaster := range w.boards {
+			for i, broadcaster := range pair.broadcasters {
 				for _, missing := range []*wire.Item{item(1, 2), item(2, 7), item(n, 1), item(n+1, 1)} {
 					if h := broadcaster.Latest(missing.Topic, missing.Key); h.GetSeq() != missing.Seq {
 						t.Errorf(
-							"%d items: board %d has %s at %d, not %d",
+							"%d items: node %d has %s at %d, not %d",
 							n,
 							i,
 							missing.Key,
@@ -137,21 +140,21 @@
 					}
 				}
 			}
-			if got := w.once(t); got > 200 {
-				t.Errorf("%d items, mended: %d bytes", n, got)
+			if got := pair.exchangeDigest(t); got > 200 {
+				t.Errorf("%d items after repair: %d bytes", n, got)
 			}
 		})
 	}
 }
 
-// TestDigestOfOlder: a neighbour of the version before sends all its heads at once,
-// and is given what it lacks and what is wanted of it.
+// TestDigestOfOlder checks the answer to a node of an older release, which sends the versions
+// of all its items at once: the items that it lacks and the names of those that it has newer.
 func TestDigestOfOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, end := newPair(t)
+		pair, end := newPair(t)
 		defer end()
-		w.boards[1].Apply([]*wire.Item{item(1, 2), item(2, 1), item(3, 1)})
-		r, err := w.peers[0].Call(
+		pair.broadcasters[1].Apply([]*wire.Item{item(1, 2), item(2, 1), item(3, 1)})
+		r, err := pair.peers[0].Call(
 			t.Context(),
 			"hy",
 			&wire.Req{
@@ -170,17 +173,17 @@
 		}
 		d := r.GetDigest()
 		if len(d.Items) != 2 || len(d.Want) != 1 || d.Want[0].Key != "r0002" {
-			t.Errorf("told %v, wanted %v", d.Items, d.Want)
+			t.Errorf("items %v, wanted %v", d.Items, d.Want)
 		}
 	})
 }
 
-// TestPartners: a node compares with a few others at a time, so that its
-// connections do not grow with the nodes, and in time with all of them.
+// TestPartners checks that a node exchanges digests with only a few others at a time, so that
+// its connections do not grow with the cluster, and with all of them over time.
 func TestPartners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 60
-		nw := memnet.New(1)
+		network := memnet.New(1)
 		var list []*wire.Member
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
@@ -191,7 +194,7 @@
 			list = append(list, &wire.Member{Id: fmt.Sprintf("n%02d", i), Addr: fmt.Sprintf("h%d", i), Live: true})
 		}
 		for i, m := range list {
-			pr := peer.New(m, nw.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
+			pr := peer.New(m, network.Host(m.Addr), transport.DefaultParams, hclog.NewNullLogger())
 			broadcaster := broadcast.New(broadcast.DefaultParams, pr, func() []*wire.Member { return list })
 			if i == 0 {
 				first = broadcaster
@@ -214,13 +217,14 @@
 		minute := int(time.Minute / params.DigestInterval)
 		time.Sleep(time.Minute)
 		mu.Lock()
-		if got, most := len(asked), params.Partners+minute/params.PartnerLifetime+1; got > most ||
+		if got, limit := len(asked), params.Partners+minute/params.PartnerLifetime+1; got > limit ||
 			got < params.Partners {
-			t.Errorf("%d nodes asked in a minute, wanted %d to %d", got, params.Partners, most)
+			t.Errorf("%d nodes asked in a minute, wanted %d to %d", got, params.Partners, limit)
 		}
 		mu.Unlock()
-		// Partners are drawn at random: by reckoning, about one run in a hundred misses a node
-		// in an hour, and next to none misses two or needs more than two hours.
+		// Partners are selected at random. By calculation, about one run in a hundred misses a
+		// node within an hour; the probability of missing two nodes or of needing more than two
+		// hours is negligible.
 		time.Sleep(time.Hour)
 		mu.Lock()
 		if missed := n - 1 - len(asked); missed > 1 {
