--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -89,7 +89,7 @@
 			{"a short queue", time.Second, constant(30 * time.Millisecond), " control acknowledgements requests"},
 			{"a queue", time.Second, constant(100 * time.Millisecond), " control acknowledgements"},
 			{"a long queue", time.Second, constant(time.Second), " control"},
-			{"gone for two windows", 210 * time.Millisecond, constant(time.Millisecond), all},
+			{"no queue for two windows", 210 * time.Millisecond, constant(time.Millisecond), all},
 		} {
 			if got := play(step.span, step.wait); got != step.want {
 				t.Errorf("%s: admitted classes are%s, want%s", step.name, got, step.want)
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -180,7 +180,7 @@
 	h.outdated = true
 	h.mu.Unlock()
 	if first {
-		h.peer.Log.Error("the data folder was put back from a copy", "core", c.Addr, "err", err)
+		h.peer.Log.Error("data folder was restored from a copy", "core", c.Addr, "err", err)
 	}
 }
 
