--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -84,8 +84,8 @@
 // itemName is the key of an item in maps and digests.
 func itemName(i *wire.Item) string { return i.Topic + "/" + i.Key }
 
-// Apply stores the items that are newer than the stored ones and passes them to their
-// handlers. It reports whether no handler failed.
+// Apply passes the items that are newer than the stored ones to their handlers and stores
+// them, except for brief items, which are never stored. It reports whether no handler failed.
 func (broadcaster *Broadcaster) Apply(items []*wire.Item) bool {
 	// Calls are serialized so that handlers see the versions of each topic in ascending order.
 	broadcaster.applying <- struct{}{}
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -120,6 +120,7 @@
 	return time.Since(role.confirmedAt)
 }
 
+// markConfirmed records a check begun at startedAt that showed this epoch to be the latest.
 func (role *Role) markConfirmed(startedAt time.Time) {
 	role.mu.Lock()
 	role.confirmedAt = startedAt
@@ -141,6 +142,7 @@
 	role.Epochs.Observe(state.Version)
 }
 
+// key is the key of the register that holds the role's epoch.
 func (role *Role) key() string { return keys.Singleton(role.Name) }
 
 // SuccessionOrder lists the live edges in the order in which they may acquire the role: by
