--- a/internal/coordination/core/keys.go
+++ b/internal/coordination/core/keys.go
@@ -4,21 +4,21 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// Lister pages through the keys that a disk holds.
-type Lister interface {
+// KeyLister returns the keys on a disk page by page.
+type KeyLister interface {
 	Keys(kind wire.List_Kind, after string, limit int, want func(string) bool) ([]*wire.Row, error)
 }
 
-// MaxPage bounds one page of keys.
-const MaxPage = 1000
+// MaxKeysPerPage is the maximum number of keys in one page.
+const MaxKeysPerPage = 1000
 
-// List answers List calls from a disk; want narrows them.
-func List(d Lister, q *wire.List, want func(string) bool) (*wire.Resp, error) {
-	n := int(q.Limit)
-	if n <= 0 || n > MaxPage {
-		n = MaxPage
+// ListKeys answers a List request from a disk; want filters the keys.
+func ListKeys(lister KeyLister, request *wire.List, want func(string) bool) (*wire.Resp, error) {
+	limit := int(request.Limit)
+	if limit <= 0 || limit > MaxKeysPerPage {
+		limit = MaxKeysPerPage
 	}
-	rows, err := d.Keys(q.Kind, q.After, n, want)
+	rows, err := lister.Keys(request.Kind, request.After, limit, want)
 	if err != nil {
 		return nil, err
 	}
