--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -182,7 +182,7 @@
 			)
 			// A machine with a hung disk responds but is of no use to its set.
 			hungFor := time.Duration(response.GetHello().GetSelf().GetDiskHungMs()) * time.Millisecond
-			answers <- answer{m.Ident, err == nil && hungFor < lease.HungDisk}
+			answers <- answer{m.Ident, err == nil && hungFor < lease.HungDiskTimeout}
 		}()
 	}
 	presence := map[string]membership.Presence{}
--- a/internal/coordination/core/table.go
+++ b/internal/coordination/core/table.go
@@ -60,7 +60,7 @@
 		}
 		mergeMembers(members, answer.ack.GetMembers())
 	}
-	if err := c.table.Complete(slices.Collect(maps.Values(members))); err != nil {
+	if err := c.table.MarkComplete(slices.Collect(maps.Values(members))); err != nil {
 		c.Log.Warn("failed to record members", "err", err)
 		return
 	}
@@ -74,7 +74,7 @@
 // by an empty one.
 func (c *Core) resetDiskState() {
 	c.acceptor.Reset()
-	if err := c.table.Rerecord(); err != nil {
+	if err := c.table.PersistAll(); err != nil {
 		c.Log.Warn("failed to record members", "err", err)
 	}
 }
