--- a/internal/coordination/core/retire_test.go
+++ b/internal/coordination/core/retire_test.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// storeSet is a set of stores of these names.
+// storeSet returns a set of stores with the given names.
 func storeSet(ids ...string) []spec.Machine {
 	var set []spec.Machine
 	for _, id := range ids {
@@ -23,179 +23,180 @@
 	return set
 }
 
-// membersOf are live members of these names, but for those that are away.
+// membersOf returns live members with the given names, except for the one that is away.
 func membersOf(away string, ids ...string) map[string]*wire.Member {
-	out := map[string]*wire.Member{}
+	members := map[string]*wire.Member{}
 	for _, id := range ids {
-		out[id] = &wire.Member{Id: id, Addr: id, Role: "store", Ident: "i" + id, Live: id != away}
+		members[id] = &wire.Member{Id: id, Addr: id, Role: "store", Ident: "i" + id, Live: id != away}
 	}
-	return out
+	return members
 }
 
-// TestRetireStore: refused for good is what the sets can't bear; who is away at the
-// moment only puts it off.
+// TestRetireStore checks that a removal is rejected permanently if the sets would become too small,
+// and only temporarily if too few stores are live at the moment.
 func TestRetireStore(t *testing.T) {
 	for _, tc := range []struct {
-		what  string
-		r     spec.Cluster
+		name  string
+		state spec.Cluster
 		known map[string]*wire.Member
 		want  code.Code
 	}{
 		{
-			"as many as the copies",
+			"as many stores as copies",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3")},
 			membersOf("", "s1", "s2", "s3"),
 			code.BelowCopies,
 		},
 		{
-			"one more",
+			"one store more than copies",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.OK,
 		},
 		{
-			"one more, and another away",
+			"one more, another store away",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("s3", "s1", "s2", "s3", "s4"),
 			code.FewLive,
 		},
 		{
-			"one more, and another never heard",
+			"one more, another store never seen",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("", "s1", "s2", "s4"),
 			code.FewLive,
 		},
 		{
-			"one more, and it is away itself",
+			"one more, the store itself away",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("s1", "s1", "s2", "s3", "s4"),
 			code.OK,
 		},
 		{
-			"another retired before",
+			"another store already retired",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3", "s4"), Retired: []string{"s2"}},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.BelowCopies,
 		},
 		{
-			"another being taken in",
+			"another store being admitted",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3"), NextStores: storeSet("s1", "s2", "s3", "s4")},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.FewLive,
 		},
 		{
-			"another heard of, and not taken in yet",
+			"another store seen but not admitted yet",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3")},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.FewLive,
 		},
 		{
-			"another whose identity was let go",
+			"another store with a removed identity",
 			spec.Cluster{Stores: storeSet("s1", "s2", "s3"), Used: []string{"is4"}},
 			membersOf("", "s1", "s2", "s3", "s4"),
 			code.BelowCopies,
 		},
 		{
-			"a stranger",
+			"an unknown store",
 			spec.Cluster{Stores: storeSet("s5", "s2", "s3", "s4")},
 			membersOf("", "s5", "s2", "s3", "s4"),
 			code.NotSeen,
 		},
 		{
-			"in no set, and heard of",
+			"in no set, but seen",
 			spec.Cluster{Stores: storeSet("s5", "s2", "s3")},
 			membersOf("", "s1", "s5", "s2", "s3"),
 			code.OK,
 		},
 		{
-			"five copies",
+			"five stores for five copies",
 			spec.Cluster{Copies: 5, Stores: storeSet("s1", "s2", "s3", "s4", "s5")},
 			membersOf("", "s1", "s2", "s3", "s4", "s5"),
 			code.BelowCopies,
 		},
 	} {
-		err := retireStore(&tc.r, "s1", tc.known)
-		if got := code.Of(err); got != tc.want || slices.Contains(tc.r.Retired, "s1") != (tc.want == code.OK) {
-			t.Errorf("%s: %v, retired %v; want %s", tc.what, err, tc.r.Retired, tc.want.Name())
+		err := retireStore(&tc.state, "s1", tc.known)
+		if got := code.Of(err); got != tc.want || slices.Contains(tc.state.Retired, "s1") != (tc.want == code.OK) {
+			t.Errorf("%s: %v, retired %v; want %s", tc.name, err, tc.state.Retired, tc.want.Name())
 		}
 	}
 }
 
-// TestRetiredBounded: the names that are remembered have a bound, and one that is
-// still in a set is never forgotten.
+// TestRetiredBounded checks that the number of retired names is bounded and that a name still in a
+// set is never dropped.
 func TestRetiredBounded(t *testing.T) {
-	r := spec.Cluster{Stores: storeSet("s0", "s1", "s2", "s3")}
-	if err := retireStore(&r, "s0", membersOf("", "s0", "s1", "s2", "s3")); err != nil {
+	state := spec.Cluster{Stores: storeSet("s0", "s1", "s2", "s3")}
+	if err := retireStore(&state, "s0", membersOf("", "s0", "s1", "s2", "s3")); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 * maxRetired {
 		id := fmt.Sprint("gone", i)
-		if err := retireStore(&r, id, membersOf("", id)); err != nil {
+		if err := retireStore(&state, id, membersOf("", id)); err != nil {
 			t.Fatal(id, err)
 		}
-		if !slices.Contains(r.Retired, "s0") || !slices.Contains(r.Retired, id) {
-			t.Fatalf("after %s: %v", id, r.Retired)
+		if !slices.Contains(state.Retired, "s0") || !slices.Contains(state.Retired, id) {
+			t.Fatalf("after %s: %v", id, state.Retired)
 		}
 	}
-	if len(r.Retired) != maxRetired {
-		t.Errorf("%d names are remembered", len(r.Retired))
+	if len(state.Retired) != maxRetired {
+		t.Errorf("%d retired names are kept", len(state.Retired))
 	}
 }
 
-// TestTouch: a process is steady only a second after it was last out of contact or
-// stood still, whether its monotonic clock stood still with it or not.
-func TestTouch(t *testing.T) {
-	synctest.Test(t, testTouch)
+// TestContactTracker checks that contact counts as established only one second after the process
+// was last out of contact or paused, whether or not its monotonic clock was paused with it.
+func TestContactTracker(t *testing.T) {
+	synctest.Test(t, testContactTracker)
 }
 
-func testTouch(t *testing.T) {
+func testContactTracker(t *testing.T) {
 	start := time.Now()
-	// Of a suspended machine the time of day alone goes on.
+	// On a suspended machine only the wall clock advances.
 	var suspended time.Duration
 	at := func(ms int) clock.Moment {
 		time.Sleep(time.Until(start.Add(time.Duration(ms) * time.Millisecond)))
 		return clock.Now(func() time.Time { return time.Now().Add(suspended) })
 	}
-	check := func(tc *contactTracker, ms int, valid, want bool) {
+	expectEstablished := func(tc *contactTracker, ms int, valid, want bool) {
 		t.Helper()
 		if got := tc.established(at(ms), valid); got != want {
-			t.Errorf("at %d ms, lease %t: steady %t", ms, valid, got)
+			t.Errorf("at %d ms, lease %t: established %t", ms, valid, got)
 		}
 	}
 	tracker := &contactTracker{}
 	for ms := 500; ms <= 2000; ms += 500 {
 		tracker.check(at(ms), true)
 	}
-	check(tracker, 2400, true, true)
-	check(tracker, 2400, false, false)
-	// It stood still: seen before the next check, and after it.
-	check(tracker, 22000, true, false)
+	expectEstablished(tracker, 2400, true, true)
+	expectEstablished(tracker, 2400, false, false)
+	// The process was paused: detected before the next check, and after it.
+	expectEstablished(tracker, 22000, true, false)
 	tracker.check(at(22000), true)
-	check(tracker, 22001, true, false)
+	expectEstablished(tracker, 22001, true, false)
 	for ms := 22500; ms <= 24000; ms += 500 {
 		tracker.check(at(ms), true)
-		check(tracker, ms+1, true, ms+1 > 23000)
+		expectEstablished(tracker, ms+1, true, ms+1 > 23000)
 	}
-	// It was out of contact.
+	// The process was out of contact.
 	tracker.check(at(24500), false)
 	tracker.check(at(25000), true)
-	check(tracker, 25400, true, false)
+	expectEstablished(tracker, 25400, true, false)
 	tracker.check(at(25500), true)
-	check(tracker, 25501, true, true)
-	// It was suspended: seen before the next check, and after it.
+	expectEstablished(tracker, 25501, true, true)
+	// The machine was suspended: detected before the next check, and after it.
 	suspended = time.Minute
-	check(tracker, 25600, true, false)
+	expectEstablished(tracker, 25600, true, false)
 	tracker.check(at(26000), true)
 	for ms := 26500; ms <= 28000; ms += 500 {
 		tracker.check(at(ms), true)
-		check(tracker, ms+1, true, ms+1 > 27000)
+		expectEstablished(tracker, ms+1, true, ms+1 > 27000)
 	}
-	// Its time of day was set back.
+	// The wall clock was set back.
 	suspended = -time.Hour
-	check(tracker, 28100, true, true)
+	expectEstablished(tracker, 28100, true, true)
 }
 
-// TestAdmitRefusals: who is away or unknown at the moment, and who can't be admitted.
+// TestAdmitRefusals checks the error codes for machines that are away or unknown at the moment and
+// for machines that cannot be admitted.
 func TestAdmitRefusals(t *testing.T) {
 	known := func(away string) []*wire.Member {
 		var out []*wire.Member
@@ -214,8 +215,8 @@
 		{"s1", "", code.InSet},
 		{"s5", "", code.UsedIdentity},
 	} {
-		r := spec.Cluster{Stores: storeSet("s1", "s2", "s3"), Used: []string{"is5"}}
-		if err := (&Core{}).admit(&r, membership.Stores, setOrder{ID: tc.id}, known(tc.away)); code.Of(
+		state := spec.Cluster{Stores: storeSet("s1", "s2", "s3"), Used: []string{"is5"}}
+		if err := (&Core{}).admit(&state, membership.Stores, setRequest{ID: tc.id}, known(tc.away)); code.Of(
 			err,
 		) != tc.want {
 			t.Errorf("%s with %q away: %v, want %s", tc.id, tc.away, err, tc.want.Name())
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -13,52 +13,52 @@
 	"damsontiller/internal/transport/code"
 )
 
-// The register first holds both sets, and every quorum is then a majority of each;
-// then all keys are brought to the machines of the new set that lack them; then the
-// new set stands alone. Each step may be done twice, so it does not matter who does
-// it, nor that it is only one.
+// A change of a set has three steps. The register first holds both sets, and every quorum is a
+// majority of each. Then all keys are transferred to the machines of the new set that lack them.
+// Finally the new set remains alone. Each step is idempotent, so it does not matter which core
+// executes it or whether several do.
 
 // isReconciler reports whether this core runs the reconcilers.
-func (c *Core) isReconciler(v *cluster.View) bool {
-	self := observed(c.Peer.Member(0))
-	return membership.IsReconciler(&v.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
+func (c *Core) isReconciler(view *cluster.View) bool {
+	self := memberFromWire(c.Peer.Member(0))
+	return membership.IsReconciler(&view.Cluster, self.Machine, c.members(membership.Cores.Role())) && c.Lease.Valid()
 }
 
-// advanceChange takes a change of a set one step further: the keys are transferred to the
-// next set, then it becomes the only one. No machine needs to be waited for: before the
-// change goes on, a majority of the old set refuses whoever acts on that set alone. The
-// cores do because they have confirmed the change; the stores do, for each key that moves,
-// because they have sent what they had of it under the change.
-func (c *Core) advanceChange(ctx context.Context, v *cluster.View, set membership.Set, change membership.Change) {
+// advanceChange takes a change of a set one step further: it transfers the keys to the next set,
+// which then becomes the only one. It need not wait for every machine: before the change proceeds,
+// a majority of the old set rejects requests that act on that set alone. The cores do so because
+// they have confirmed the change; the stores do so for each moved key because they have sent their
+// copies of it under the change.
+func (c *Core) advanceChange(ctx context.Context, view *cluster.View, set membership.Set, change membership.Change) {
 	var ready bool
 	if set == membership.Cores {
-		ready = c.confirmed(v)
+		ready = c.coresConfirmed(view)
 	} else {
-		ready = c.keysTransferred(ctx, v, change)
+		ready = c.keysTransferred(ctx, view, change)
 	}
 	if ready {
 		c.finishChange(ctx, set, change)
 	}
 }
 
-// confirmed reports whether a majority of the old cores has the change in force. The
-// spec's is their only register, and finishing the change writes it to both sets.
-func (c *Core) confirmed(v *cluster.View) bool {
+// coresConfirmed reports whether a majority of the old cores has the change in force. The spec is
+// the only register of the cores, and finishing the change writes it to both sets.
+func (c *Core) coresConfirmed(view *cluster.View) bool {
 	versions := map[string]uint64{c.Peer.Ident(): c.Cluster.Now().Version}
 	for _, m := range c.members(membership.Cores.Role()) {
 		ident := m.Machine.Ident
 		versions[ident] = max(versions[ident], m.Confirmed)
 	}
-	return membership.Confirmed(v.Cluster.Cores, versions, v.CoresVersion)
+	return membership.Confirmed(view.Cluster.Cores, versions, view.CoresVersion)
 }
 
-// keysTransferred has the keys transferred to the next stores, and reports whether they
-// are. It runs at each renewal; a failed attempt is not repeated at once.
-func (c *Core) keysTransferred(ctx context.Context, v *cluster.View, change membership.Change) bool {
+// keysTransferred transfers the keys to the next stores and reports whether all are transferred. It
+// runs at each renewal, so a failed attempt is not retried before retryInterval has elapsed.
+func (c *Core) keysTransferred(ctx context.Context, view *cluster.View, change membership.Change) bool {
 	if time.Since(c.reconciler.lastTransferFailure) < retryInterval {
 		return false
 	}
-	if err := c.transferKeys(ctx, v, change); err != nil {
+	if err := c.transferKeys(ctx, view, change); err != nil {
 		moved := c.reconciler.keysMoved.Load()
 		c.Log.Info("keys not transferred yet", "set", membership.Stores, "moved", moved, "err", err)
 		c.reconciler.lastTransferFailure = time.Now()
@@ -67,74 +67,78 @@
 	return true
 }
 
-// transferTimeout is how long one call waits for a store to have its keys. The transfer
-// goes on after it.
+// transferTimeout is how long one call waits for a store to receive its keys. The transfer
+// continues after the timeout.
 const transferTimeout = 2 * time.Second
 
-// transferKeys has each store of the next set fetch the keys that it receives.
-func (c *Core) transferKeys(ctx context.Context, v *cluster.View, change membership.Change) error {
+// transferKeys makes each store of the next set fetch the keys that it receives.
+func (c *Core) transferKeys(ctx context.Context, view *cluster.View, change membership.Change) error {
 	type answer struct {
-		a   *wire.FillAck
+		ack *wire.FillAck
 		err error
 	}
 	rate := c.params.MoveRate
-	if v.SelfManaged {
-		// A set that lacks a machine is in more danger than the traffic is in haste.
+	if view.SelfManaged {
+		// Restoring the redundancy of a set that lacks a machine takes priority over the latency of
+		// the traffic.
 		rate = 0
 	}
-	gainers := change.Receivers(v.Copies())
-	ch := make(chan answer, len(gainers))
-	for _, m := range gainers {
+	receivers := change.Receivers(view.Copies())
+	answers := make(chan answer, len(receivers))
+	for _, m := range receivers {
 		go func() {
-			order := &wire.Fill{Spec: v.StoresVersion, Sets: v.StoresDigest(), Rate: int32(rate)}
-			r, err := c.Peer.CallWithTimeout(
+			fill := &wire.Fill{Spec: view.StoresVersion, Sets: view.StoresDigest(), Rate: int32(rate)}
+			response, err := c.Peer.CallWithTimeout(
 				ctx,
 				transferTimeout+time.Second,
 				m.Addr,
-				&wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: order}},
+				&wire.Req{Ident: m.Ident, Op: &wire.Req_Fill{Fill: fill}},
 			)
 			if err != nil {
 				err = fmt.Errorf("%s: %w", m.ID, err)
 			}
-			ch <- answer{r.GetFill(), err}
+			answers <- answer{response.GetFill(), err}
 		}()
 	}
 	var keys int64
-	var last error
-	for range gainers {
-		a := <-ch
-		keys += a.a.GetKeys()
+	var lastErr error
+	for range receivers {
+		reply := <-answers
+		keys += reply.ack.GetKeys()
 		switch {
-		case a.err != nil:
-			last = a.err
-		case !a.a.GetWhole():
-			last = code.New(code.SetChanging, "keys are on their way")
+		case reply.err != nil:
+			lastErr = reply.err
+		case !reply.ack.GetWhole():
+			lastErr = code.New(code.SetChanging, "keys are on their way")
 		}
 	}
 	c.reconciler.keysMoved.Store(keys)
-	return last
+	return lastErr
 }
 
+// finishTimeout bounds the change of the register that finishes a change of a set.
+const finishTimeout = 3 * time.Second
+
 // finishChange makes the next set the only one.
 func (c *Core) finishChange(ctx context.Context, set membership.Set, change membership.Change) {
-	ctx, stop := context.WithTimeout(ctx, 3*time.Second)
-	defer stop()
-	ver, raw, err := c.Cluster.Change(ctx, 0, func(r *spec.Cluster) error {
-		return membership.FinishChange(r, set, change)
+	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
+	defer cancel()
+	version, raw, err := c.Cluster.Change(ctx, 0, func(updated *spec.Cluster) error {
+		return membership.FinishChange(updated, set, change)
 	})
 	if err != nil {
 		if !errors.Is(err, cluster.ErrNoChange) {
-			c.Log.Warn("set change not finished", "set", set, "err", err)
+			c.Log.Warn("failed to finish set change", "set", set, "err", err)
 		}
 		return
 	}
 	moved := c.reconciler.keysMoved.Load()
-	c.Log.Info("set changed", "set", set, "version", ver, "machines", len(change.Next), "moved", moved)
-	c.broadcastAsync(ctx, ver, raw)
+	c.Log.Info("set change finished", "set", set, "version", version, "machines", len(change.Next), "moved", moved)
+	c.broadcastAsync(ctx, version, raw)
 }
 
 // broadcastAsync broadcasts a version in the background.
-func (c *Core) broadcastAsync(ctx context.Context, ver uint64, raw []byte) {
+func (c *Core) broadcastAsync(ctx context.Context, version uint64, raw []byte) {
 	ctx = context.WithoutCancel(ctx)
-	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, ver, raw) })
+	c.Go(ctx, func(ctx context.Context) { c.broadcastSpec(ctx, version, raw) })
 }
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -171,7 +171,7 @@
 	if remaining := time.Duration(request.RemainingMs)*time.Millisecond - waited; request.RemainingMs > 0 {
 		if remaining <= 0 {
 			// The deadline of the caller has passed.
-			peer.Admission.Expired()
+			peer.Admission.CountExpired()
 			return nil
 		}
 		if mayWait(request) {
@@ -182,7 +182,7 @@
 	}
 	peer.process(ctx, serveCost(call))
 	answer := peer.serve(ctx, request)
-	peer.Admission.Hold(int64(len(answer)))
+	peer.Admission.Reserve(int64(len(answer)))
 	heldBytes += int64(len(answer))
 	return answer
 }
