--- a/cmd/damsontiller-control/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -87,7 +87,7 @@
 }
 
 func serve(args []string) error {
-	if file := os.Getenv(platform.Env); file != "" && len(args) == 0 {
+	if file := os.Getenv(platform.ConfigPathEnv); file != "" && len(args) == 0 {
 		return onPlatform(file)
 	}
 	fs := flag.NewFlagSet("damsontiller-control serve", flag.ContinueOnError)
--- a/cmd/damsontiller-control/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -20,15 +20,15 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Need("core"); err != nil {
+	if err := s.CheckRole("core"); err != nil {
 		return err
 	}
 	p, err := startup.Platform(s, s.Bind.Control)
 	if err != nil {
 		return err
 	}
-	cp := core.Params{Zones: s.ZoneList(), Copies: s.Copies(), AckTimeout: time.Second, MoveRate: 500}
-	if s.Founds() {
+	cp := core.Params{Zones: s.ZoneList(), Copies: s.ReplicationFactor(), AckTimeout: time.Second, MoveRate: 500}
+	if s.IsFounder() {
 		cp.InitialCoreAddrs = s.Peers()
 	}
 	return runCore(
--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -24,7 +24,7 @@
 func main() { os.Exit(startup.Exit(run(os.Args[1:]))) }
 
 func run(args []string) error {
-	if file := os.Getenv(platform.Env); file != "" && len(args) == 2 && args[0] == "-role" {
+	if file := os.Getenv(platform.ConfigPathEnv); file != "" && len(args) == 2 && args[0] == "-role" {
 		return onPlatform(file, args[1])
 	}
 	fs := flag.NewFlagSet("damsontiller-data", flag.ContinueOnError)
--- a/cmd/damsontiller-data/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -22,10 +22,10 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Need(role); err != nil {
+	if err := s.CheckRole(role); err != nil {
 		return err
 	}
-	p, err := startup.Platform(s, s.Own())
+	p, err := startup.Platform(s, s.StatusAddr())
 	if err != nil {
 		return err
 	}
@@ -78,8 +78,8 @@
 	x := web.New(log)
 	e.Routes(x)
 	go func() { served <- front.Serve(sig, s.Grace()-time.Second) }()
-	go func() { served <- platform.Side(side, open, s.Bind.Ready, platform.Ready(may)) }()
-	go func() { served <- platform.Side(side, open, p.HTTP, x) }()
+	go func() { served <- platform.ServeAuxiliary(side, open, s.Bind.Ready, platform.ReadinessHandler(may)) }()
+	go func() { served <- platform.ServeAuxiliary(side, open, p.HTTP, x) }()
 	// The seeds may change before any has answered.
 	startup.Reseed(ctx, s, e.Node, signals.Reloads())
 	started := make(chan error, 1)
--- a/cmd/internal/startup/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -15,14 +15,14 @@
 func Platform(s *platform.Params, http string) (*Process, error) {
 	// A machine that is away for half of the time after which it counts as away
 	// for good is no member any more, and holds nobody up.
-	lasts := s.Contact() / 2
-	p := &Process{ID: s.ID, Listen: s.Listen(), HTTP: http, Zone: s.Zone, Data: s.Data, Level: "info",
+	lasts := s.ContactTimeout() / 2
+	p := &Process{ID: s.ID, Listen: s.ListenAddr(), HTTP: http, Zone: s.Zone, Data: s.Data, Level: "info",
 		Seeds: strings.Join(
 			s.Peers(),
 			",",
-		), MinFree: s.MinFree(), Renew: lasts / 3, Lasts: lasts, OrphanTimeout: 10 * time.Second}
+		), MinFree: s.MinFreeMiB(), Renew: lasts / 3, Lasts: lasts, OrphanTimeout: 10 * time.Second}
 	p.OrphanTimeout = max(p.OrphanTimeout, p.Lasts)
-	s.Fit()
+	s.SetMemoryLimit()
 	return p, p.check()
 }
 
--- a/internal/kit/soak/machine.go
+++ b/internal/kit/soak/machine.go
@@ -125,7 +125,7 @@
 	fmt.Fprintf(log, "---- life %d\n", m.lives)
 	program, args := m.command()
 	cmd := exec.Command(program, args...)
-	cmd.Env = []string{platform.Env + "=" + m.settings(), "GORACE=" + os.Getenv("GORACE")}
+	cmd.Env = []string{platform.ConfigPathEnv + "=" + m.settings(), "GORACE=" + os.Getenv("GORACE")}
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
--- a/internal/kit/soak/process_test.go
+++ b/internal/kit/soak/process_test.go
@@ -76,7 +76,7 @@
 	if role == "core" {
 		p.cmd = exec.Command(filepath.Join(programs, "damsontiller-control"), "serve")
 	}
-	p.cmd.Env = []string{platform.Env + "=" + p.pipe}
+	p.cmd.Env = []string{platform.ConfigPathEnv + "=" + p.pipe}
 	if stderr != nil {
 		p.cmd.Stderr = stderr
 	} else {
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -31,15 +31,17 @@
 	maxRevision = 1 << 53
 )
 
-// TooMany tells that the platform takes no more calls for now.
-type TooMany struct{ Wait time.Duration }
+// RateLimitError tells that the platform takes no more calls for now.
+type RateLimitError struct{ RetryAfter time.Duration }
 
-func (e *TooMany) Error() string { return fmt.Sprintf("too many calls, come back in %s", e.Wait) }
+func (e *RateLimitError) Error() string {
+	return fmt.Sprintf("too many calls, come back in %s", e.RetryAfter)
+}
 
 // Reader reads the list, page by page.
 type Reader struct {
-	Addr string
-	Web  *http.Client
+	Addr   string
+	Client *http.Client
 
 	// No call is made before; the reading goroutine's own.
 	notBefore time.Time
@@ -47,7 +49,7 @@
 
 // New makes a reader; a page that does not come soon will not come.
 func New(addr string) *Reader {
-	return &Reader{Addr: addr, Web: &http.Client{
+	return &Reader{Addr: addr, Client: &http.Client{
 		Timeout: 800 * time.Millisecond,
 		Transport: &http.Transport{
 			MaxIdleConns:        1,
@@ -62,12 +64,12 @@
 // none is made until it does. One goroutine reads at a time.
 func (l *Reader) List(ctx context.Context) ([]endpoints.Runner, error) {
 	if d := time.Until(l.notBefore); d > 0 {
-		return nil, &TooMany{Wait: d}
+		return nil, &RateLimitError{RetryAfter: d}
 	}
 	all, err := l.pages(ctx)
-	var m *TooMany
+	var m *RateLimitError
 	if errors.As(err, &m) {
-		l.notBefore = time.Now().Add(m.Wait)
+		l.notBefore = time.Now().Add(m.RetryAfter)
 	}
 	return all, err
 }
@@ -109,7 +111,7 @@
 	if err != nil {
 		return nil, code.New(code.Garbled, "list: %w", err)
 	}
-	r, err := l.Web.Do(q)
+	r, err := l.Client.Do(q)
 	if err != nil {
 		return nil, code.New(code.Unreachable, "list: %w", err)
 	}
@@ -125,7 +127,7 @@
 		if err != nil || !(s >= 0 && s < 60) {
 			s = 0.5
 		}
-		return nil, &TooMany{Wait: platform.Ms(s * 1000)}
+		return nil, &RateLimitError{RetryAfter: platform.Ms(s * 1000)}
 	case r.StatusCode != http.StatusOK:
 		return nil, code.New(code.Unreachable, "list: %s", r.Status)
 	}
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -41,7 +41,7 @@
 }
 
 func reader(p answers) *Reader {
-	return &Reader{Addr: "10.0.0.1:80", Web: &http.Client{Transport: p}}
+	return &Reader{Addr: "10.0.0.1:80", Client: &http.Client{Transport: p}}
 }
 
 func item(id string) string {
@@ -148,8 +148,8 @@
 		).List(
 			t.Context(),
 		)
-		var m *TooMany
-		if !errors.As(err, &m) || m.Wait != want {
+		var m *RateLimitError
+		if !errors.As(err, &m) || m.RetryAfter != want {
 			t.Errorf("429 with %q: %v", after, err)
 		}
 	}
@@ -163,14 +163,14 @@
 			calls++
 			return status, http.Header{"Retry-After": {"5"}}, `{"instances":[` + item("i-1") + `]}`
 		})
-		var m *TooMany
+		var m *RateLimitError
 		for _, c := range []struct {
 			after time.Duration
 			calls int
 			wait  time.Duration
 		}{{0, 1, 5 * time.Second}, {time.Second, 1, 4 * time.Second}, {3900 * time.Millisecond, 1, 100 * time.Millisecond}} {
 			time.Sleep(c.after)
-			if _, err := r.List(t.Context()); !errors.As(err, &m) || calls != c.calls || m.Wait != c.wait {
+			if _, err := r.List(t.Context()); !errors.As(err, &m) || calls != c.calls || m.RetryAfter != c.wait {
 				t.Errorf("after %s more: %d calls, %v", c.after, calls, err)
 			}
 		}
--- a/internal/platform/fuzz_settings_test.go
+++ b/internal/platform/fuzz_settings_test.go
@@ -14,22 +14,22 @@
 			return
 		}
 		for _, role := range []string{"core", "store", "edge"} {
-			_ = p.Need(role)
+			_ = p.CheckRole(role)
 		}
-		if p.Contact() <= 0 || p.Grace() <= 0 || Ms(p.Bounds.SyncS*1000) <= 0 {
-			t.Errorf("contact %s, grace %s, sync %v", p.Contact(), p.Grace(), p.Bounds.SyncS)
+		if p.ContactTimeout() <= 0 || p.Grace() <= 0 || Ms(p.Bounds.SyncS*1000) <= 0 {
+			t.Errorf("contact %s, grace %s, sync %v", p.ContactTimeout(), p.Grace(), p.Bounds.SyncS)
 		}
-		if n := p.Copies(); n < 1 || n%2 == 0 {
+		if n := p.ReplicationFactor(); n < 1 || n%2 == 0 {
 			t.Errorf("%d copies", n)
 		}
-		if !(p.Platform.RatePerS > 0) || p.MinFree() < 0 {
-			t.Errorf("rate %v, least free %d", p.Platform.RatePerS, p.MinFree())
+		if !(p.Platform.RatePerS > 0) || p.MinFreeMiB() < 0 {
+			t.Errorf("rate %v, least free %d", p.Platform.RatePerS, p.MinFreeMiB())
 		}
-		if p.Listen() == p.Own() || len(p.Peers()) != len(p.Seeds) || len(p.ZoneList()) == 0 {
+		if p.ListenAddr() == p.StatusAddr() || len(p.Peers()) != len(p.Seeds) || len(p.ZoneList()) == 0 {
 			t.Errorf(
 				"listens at %s, tells of itself at %s, %d peers of %d seeds",
-				p.Listen(),
-				p.Own(),
+				p.ListenAddr(),
+				p.StatusAddr(),
 				len(p.Peers()),
 				len(p.Seeds),
 			)
--- a/internal/platform/params.go
+++ b/internal/platform/params.go
@@ -18,8 +18,8 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// Env names the variable that holds the settings file's path.
-const Env = "DAMSONTILLER_CONFIG"
+// ConfigPathEnv names the variable that holds the settings file's path.
+const ConfigPathEnv = "DAMSONTILLER_CONFIG"
 
 // Params are the fields of the settings file that the product needs; others are
 // left aside. figures may be integers or fractions.
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// Need checks the fields that one role needs beside the others.
-func (p *Params) Need(role string) error {
+// CheckRole checks the fields that one role needs beside the others.
+func (p *Params) CheckRole(role string) error {
 	type field struct{ name, addr string }
 	var need []field
 	switch role {
@@ -173,11 +173,11 @@
 	return nil
 }
 
-// Listen is where this node hears the others.
-func (p *Params) Listen() string { return p.inner(p.IP, 0) }
+// ListenAddr is where this node hears the others.
+func (p *Params) ListenAddr() string { return p.inner(p.IP, 0) }
 
-// Own is where this process tells its own status and figures.
-func (p *Params) Own() string { return p.inner(p.IP, 1) }
+// StatusAddr is where this process tells its own status and figures.
+func (p *Params) StatusAddr() string { return p.inner(p.IP, 1) }
 
 func (p *Params) inner(ip string, n int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(p.Ports[0]+n))
@@ -193,8 +193,8 @@
 	return out
 }
 
-// Founds reports whether this core is one of those that form the first set.
-func (p *Params) Founds() bool { return p.Initial && slices.Contains(p.Peers(), p.Listen()) }
+// IsFounder reports whether this core is one of those that form the first set.
+func (p *Params) IsFounder() bool { return p.Initial && slices.Contains(p.Peers(), p.ListenAddr()) }
 
 // ZoneList is every zone, in one order.
 func (p *Params) ZoneList() []string {
@@ -206,11 +206,11 @@
 	return out
 }
 
-// Copies is how many stores hold a key so that a majority outlives the losses given.
-func (p *Params) Copies() int { return 2*p.Tolerance.Machines + 1 }
+// ReplicationFactor is how many stores hold a key so that a majority outlives the losses given.
+func (p *Params) ReplicationFactor() int { return 2*p.Tolerance.Machines + 1 }
 
-// Contact is how long nothing may happen to a machine that is in touch.
-func (p *Params) Contact() time.Duration { return Ms(p.Bounds.ContactMs) }
+// ContactTimeout is how long nothing may happen to a machine that is in touch.
+func (p *Params) ContactTimeout() time.Duration { return Ms(p.Bounds.ContactMs) }
 
 // Quota are the bounds of the tenants' quotas; what the settings leave out keeps its default.
 func (p *Params) Quota() quota.Params {
--- a/internal/platform/params_test.go
+++ b/internal/platform/params_test.go
@@ -57,25 +57,25 @@
 		t.Fatal(err)
 	}
 	for _, role := range []string{"core", "store", "edge"} {
-		if err := p.Need(role); err != nil {
+		if err := p.CheckRole(role); err != nil {
 			t.Errorf("%s: %v", role, err)
 		}
 	}
-	if p.Listen() != "10.1.0.34:7380" || p.Own() != "10.1.0.34:7381" {
-		t.Errorf("listens at %s, tells of itself at %s", p.Listen(), p.Own())
+	if p.ListenAddr() != "10.1.0.34:7380" || p.StatusAddr() != "10.1.0.34:7381" {
+		t.Errorf("listens at %s, tells of itself at %s", p.ListenAddr(), p.StatusAddr())
 	}
 	if s := strings.Join(p.Peers(), " "); s != "10.1.0.34:7380 10.2.0.37:7380" {
 		t.Errorf("peers %s", s)
 	}
-	if !p.Founds() || p.Copies() != 5 || strings.Join(p.ZoneList(), " ") != "a b" || p.MinFree() != 8 {
-		t.Errorf("founds %v, copies %d, zones %v, min free %d", p.Founds(), p.Copies(), p.ZoneList(), p.MinFree())
+	if !p.IsFounder() || p.ReplicationFactor() != 5 || strings.Join(p.ZoneList(), " ") != "a b" || p.MinFreeMiB() != 8 {
+		t.Errorf("founds %v, copies %d, zones %v, min free %d", p.IsFounder(), p.ReplicationFactor(), p.ZoneList(), p.MinFreeMiB())
 	}
-	if p.Grace() != 8500*time.Millisecond || p.Contact() != 3*time.Second || p.Bounds.SyncS != 4.3 {
-		t.Errorf("grace %s, contact %s, sync %v", p.Grace(), p.Contact(), p.Bounds.SyncS)
+	if p.Grace() != 8500*time.Millisecond || p.ContactTimeout() != 3*time.Second || p.Bounds.SyncS != 4.3 {
+		t.Errorf("grace %s, contact %s, sync %v", p.Grace(), p.ContactTimeout(), p.Bounds.SyncS)
 	}
 	// Only at the first start of all, and only those whom all are given.
 	for _, c := range [][2]string{{"initial-start = true", "initial-start = false"}, {`ip = "10.1.0.34"`, `ip = "10.1.0.35"`}} {
-		if q, err := Load(write(t, strings.Replace(settings, c[0], c[1], 1))); err != nil || q.Founds() {
+		if q, err := Load(write(t, strings.Replace(settings, c[0], c[1], 1))); err != nil || q.IsFounder() {
 			t.Errorf("%s: founds, %v", c[1], err)
 		}
 	}
@@ -134,7 +134,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Need(c.role); code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), c.names) {
+		if err := p.CheckRole(c.role); code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("%s without %s: %v", c.role, c.names, err)
 		}
 	}
--- a/internal/platform/ready.go
+++ b/internal/platform/ready.go
@@ -6,8 +6,8 @@
 	"damsontiller/internal/coordination/web"
 )
 
-// Ready answers the platform's question whether this node may be sent callers.
-func Ready(may func() error) http.Handler {
+// ReadinessHandler answers the platform's question whether this node may be sent callers.
+func ReadinessHandler(may func() error) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/readiness", func(w http.ResponseWriter, _ *http.Request) {
 		if err := may(); err != nil {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -12,16 +12,16 @@
 	"damsontiller/internal/transport/listen"
 )
 
-// Fit keeps the process within the memory given, with space for what the collector
+// SetMemoryLimit keeps the process within the memory given, with space for what the collector
 // does not see: stacks, buffers of the kernel, the program itself.
-func (p *Params) Fit() {
+func (p *Params) SetMemoryLimit() {
 	if m := p.Limits.MemoryMB; m > 0 {
 		debug.SetMemoryLimit(int64(m * 0.6 * (1 << 20)))
 	}
 }
 
-// MinFree is the free disk, in MiB, below which no new key is taken.
-func (p *Params) MinFree() int64 { return int64(p.Limits.DiskMB / 16) }
+// MinFreeMiB is the free disk, in MiB, below which no new key is taken.
+func (p *Params) MinFreeMiB() int64 { return int64(p.Limits.DiskMB / 16) }
 
 // missed is how long the platform may go on sending new callers after this node
 // stopped calling itself ready: it asks each second, and twice.
@@ -79,8 +79,8 @@
 	return serve(ctx, s, ln, func() { f.draining.Store(true) }, min(missed, grace/2), grace)
 }
 
-// Side serves a small handler beside the front until ctx ends.
-func Side(ctx context.Context, open listen.Opener, addr string, h http.Handler) error {
+// ServeAuxiliary serves a small handler beside the front until ctx ends.
+func ServeAuxiliary(ctx context.Context, open listen.Opener, addr string, h http.Handler) error {
 	ln, err := open.TCP(ctx, net.ListenConfig{}, addr)
 	if err != nil {
 		return err
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -19,7 +19,7 @@
 // TestReady: the node's own report, on the platform's question only.
 func TestReady(t *testing.T) {
 	var why error
-	h := Ready(func() error { return why })
+	h := ReadinessHandler(func() error { return why })
 	ask := func(path string) int {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
