--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -18,36 +18,44 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Bounds of one reading of the list.
+// Bounds of one read of the list.
 const (
-	maxPages = 256
-	maxPage  = 4 << 20
+	maxPages     = 256
+	maxPageBytes = 4 << 20
 )
 
-// Bounds of an entry's figures.
+// Bounds of the numbers of an entry.
 const (
 	maxCapacity = 1 << 20
 	maxWarmupMs = 24 * 3600 * 1000
 	maxRevision = 1 << 53
 )
 
-// RateLimitError tells that the platform takes no more calls for now.
+// Bounds of the Retry-After header of a 429 response.
+const (
+	maxRetryAfterSeconds     = 60
+	defaultRetryAfterSeconds = 0.5 // of a missing or malformed header
+)
+
+// RateLimitError reports that the platform rejected a call with status 429. RetryAfter is the time
+// until the next call is allowed.
 type RateLimitError struct{ RetryAfter time.Duration }
 
 func (e *RateLimitError) Error() string {
-	return fmt.Sprintf("too many calls, come back in %s", e.RetryAfter)
+	return fmt.Sprintf("discovery rate limit reached; retry in %s", e.RetryAfter)
 }
 
-// Reader reads the list, page by page.
+// Reader reads the list of runners page by page. It must not be used by several goroutines at once.
 type Reader struct {
 	Addr   string
 	Client *http.Client
 
-	// No call is made before; the reading goroutine's own.
+	// notBefore is the end of the wait that the last 429 response asked for.
 	notBefore time.Time
 }
 
-// New makes a reader; a page that does not come soon will not come.
+// New returns a Reader of the discovery API at addr. The request timeout is short because a page
+// that is late usually does not arrive at all.
 func New(addr string) *Reader {
 	return &Reader{Addr: addr, Client: &http.Client{
 		Timeout: 800 * time.Millisecond,
@@ -60,93 +68,94 @@
 	}}
 }
 
-// List reads all pages. Once the platform has said that it takes no more calls,
-// none is made until it does. One goroutine reads at a time.
-func (l *Reader) List(ctx context.Context) ([]endpoints.Runner, error) {
-	if d := time.Until(l.notBefore); d > 0 {
+// List reads all pages. After a 429 response it returns a *RateLimitError without a call until
+// the wait that the platform asked for has passed.
+func (r *Reader) List(ctx context.Context) ([]endpoints.Runner, error) {
+	if d := time.Until(r.notBefore); d > 0 {
 		return nil, &RateLimitError{RetryAfter: d}
 	}
-	all, err := l.pages(ctx)
-	var m *RateLimitError
-	if errors.As(err, &m) {
-		l.notBefore = time.Now().Add(m.RetryAfter)
+	all, err := r.pages(ctx)
+	var rateLimit *RateLimitError
+	if errors.As(err, &rateLimit) {
+		r.notBefore = time.Now().Add(rateLimit.RetryAfter)
 	}
 	return all, err
 }
 
-func (l *Reader) pages(ctx context.Context) ([]endpoints.Runner, error) {
+func (r *Reader) pages(ctx context.Context) ([]endpoints.Runner, error) {
 	var out []endpoints.Runner
 	seen := map[string]bool{}
 	token := ""
 	for range maxPages {
-		p, err := l.read(ctx, token)
+		p, err := r.read(ctx, token)
 		if err != nil {
 			return nil, err
 		}
 		for i := range p.Runners {
-			r, ok := p.Runners[i].runner()
-			// The list may move on between two pages, and show a runner twice.
-			if ok && !seen[r.ID] {
-				seen[r.ID] = true
-				out = append(out, r)
+			runner, ok := p.Runners[i].runner()
+			// The list may change between two pages, so that a runner appears on both.
+			if ok && !seen[runner.ID] {
+				seen[runner.ID] = true
+				out = append(out, runner)
 			}
 		}
 		if p.Next == nil || *p.Next == "" {
 			return out, nil
 		}
 		if *p.Next == token {
-			return nil, code.New(code.Garbled, "list: page %q leads to itself", token)
+			return nil, code.New(code.Garbled, "list: page %q has its own token as next-token", token)
 		}
 		token = *p.Next
 	}
 	return nil, code.New(code.TooLarge, "list: more than %d pages", maxPages)
 }
 
-func (l *Reader) read(ctx context.Context, token string) (*page, error) {
-	u := "http://" + l.Addr + "/instances"
+func (r *Reader) read(ctx context.Context, token string) (*page, error) {
+	u := "http://" + r.Addr + "/instances"
 	if token != "" {
 		u += "?page-token=" + url.QueryEscape(token)
 	}
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
 		return nil, code.New(code.Garbled, "list: %w", err)
 	}
-	r, err := l.Client.Do(q)
+	resp, err := r.Client.Do(req)
 	if err != nil {
 		return nil, code.New(code.Unreachable, "list: %w", err)
 	}
-	defer r.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxPage+1))
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes+1))
 	switch {
 	case err != nil:
 		return nil, code.New(code.Unreachable, "list: %w", err)
-	case len(b) > maxPage:
-		return nil, code.New(code.TooLarge, "list: a page of more than %d bytes", maxPage)
-	case r.StatusCode == http.StatusTooManyRequests:
-		s, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64)
-		if err != nil || !(s >= 0 && s < 60) {
-			s = 0.5
+	case len(body) > maxPageBytes:
+		return nil, code.New(code.TooLarge, "list: a page of more than %d bytes", maxPageBytes)
+	case resp.StatusCode == http.StatusTooManyRequests:
+		seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+		if err != nil || !(seconds >= 0 && seconds < maxRetryAfterSeconds) {
+			seconds = defaultRetryAfterSeconds
 		}
-		return nil, &RateLimitError{RetryAfter: platform.Ms(s * 1000)}
-	case r.StatusCode != http.StatusOK:
-		return nil, code.New(code.Unreachable, "list: %s", r.Status)
+		return nil, &RateLimitError{RetryAfter: platform.Ms(seconds * 1000)}
+	case resp.StatusCode != http.StatusOK:
+		return nil, code.New(code.Unreachable, "list: %s", resp.Status)
 	}
 	p := &page{}
-	if err := p.UnmarshalJSON(b); err != nil {
+	if err := p.UnmarshalJSON(body); err != nil {
 		return nil, code.New(code.Garbled, "list: %w", err)
 	}
 	return p, nil
 }
 
-// within bounds a figure, so that it can be changed into an integer.
-func within(f, least, most float64) float64 { return min(max(f, least), most) }
+// clamp limits f to the range from low to high, so that its conversion to an integer is defined.
+func clamp(f, low, high float64) float64 { return min(max(f, low), high) }
 
-// runner translates an entry; one that names no runner at an address is none.
+// runner converts an entry. It reports false for an entry without an ID, a service or a valid
+// address, or with names that are not UTF-8.
 func (e *entry) runner() (endpoints.Runner, bool) {
 	if e.ID == "" || e.Service == "" || spec.Addr(e.Addr) != nil {
 		return endpoints.Runner{}, false
 	}
-	// The nodes tell each other of runners by name, and the wire takes UTF-8 only.
+	// The nodes exchange these names, and the protocol between them carries only UTF-8.
 	if !utf8.ValidString(e.ID) || !utf8.ValidString(e.Service) || !utf8.ValidString(e.Zone) {
 		return endpoints.Runner{}, false
 	}
@@ -156,15 +165,15 @@
 		Addr:              e.Addr,
 		Zone:              e.Zone,
 		Revision:          e.Revision,
-		Capacity:          int(within(e.Capacity, 1, maxCapacity)),
+		Capacity:          int(clamp(e.Capacity, 1, maxCapacity)),
 		Draining:          e.State == "draining",
-		WarmupRemainingMs: int64(within(e.WarmupMs, 0, maxWarmupMs)),
+		WarmupRemainingMs: int64(clamp(e.WarmupMs, 0, maxWarmupMs)),
 	}
 	for _, m := range e.Models {
 		if r.Models == nil {
 			r.Models = map[string]int64{}
 		}
-		r.Models[m.Name] = int64(within(m.Revision, -maxRevision, maxRevision))
+		r.Models[m.Name] = int64(clamp(m.Revision, -maxRevision, maxRevision))
 	}
 	return r, true
 }
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -15,44 +15,46 @@
 	"damsontiller/internal/transport/code"
 )
 
-// answers speaks as the platform would; nothing leaves the process.
-type answers func(token string) (int, http.Header, string)
+// fakeDiscovery is a RoundTripper that answers in place of the platform; it returns the status,
+// headers and body for a page token. Status 0 stands for a refused connection.
+type fakeDiscovery func(token string) (int, http.Header, string)
 
-func (p answers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f fakeDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path != "/instances" || r.Method != http.MethodGet {
-		return nil, fmt.Errorf("asked for %s %s", r.Method, r.URL)
+		return nil, fmt.Errorf("unexpected request %s %s", r.Method, r.URL)
 	}
 	if err := r.Context().Err(); err != nil {
 		return nil, err
 	}
-	s, h, b := p(r.URL.Query().Get("page-token"))
-	if s == 0 {
+	status, header, body := f(r.URL.Query().Get("page-token"))
+	if status == 0 {
 		return nil, errors.New("refused")
 	}
-	if h == nil {
-		h = http.Header{}
+	if header == nil {
+		header = http.Header{}
 	}
 	return &http.Response{
-		StatusCode: s,
-		Status:     http.StatusText(s),
-		Header:     h,
-		Body:       io.NopCloser(strings.NewReader(b)),
+		StatusCode: status,
+		Status:     http.StatusText(status),
+		Header:     header,
+		Body:       io.NopCloser(strings.NewReader(body)),
 	}, nil
 }
 
-func reader(p answers) *Reader {
-	return &Reader{Addr: "10.0.0.1:80", Client: &http.Client{Transport: p}}
+func newTestReader(f fakeDiscovery) *Reader {
+	return &Reader{Addr: "10.0.0.1:80", Client: &http.Client{Transport: f}}
 }
 
+// item returns the JSON entry of a runner.
 func item(id string) string {
 	return `{"target-service":"s","address":"10.128.0.9:8080","zone":"a","revision":"v1","capacity":64,` +
 		`"condition":"in_service","cold-remaining-ms":0,"later":{"x":[1]},"instance-id":"` + id + `"}`
 }
 
-// TestPages: pages are read to the last, a runner seen on two counts once, an
-// entry that names no runner is left aside.
+// TestPages checks that all pages are read, that a runner on two pages is returned once, and that
+// an incomplete entry is skipped.
 func TestPages(t *testing.T) {
-	r := reader(func(token string) (int, http.Header, string) {
+	r := newTestReader(func(token string) (int, http.Header, string) {
 		switch token {
 		case "":
 			return 200, nil, `{"instances":[` + item(
@@ -73,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := func(id string) endpoints.Runner {
+	runner := func(id string) endpoints.Runner {
 		return endpoints.Runner{
 			ID:       id,
 			Service:  "s",
@@ -84,8 +86,8 @@
 		}
 	}
 	want := []endpoints.Runner{
-		one("i-1"),
-		one("i-2"),
+		runner("i-1"),
+		runner("i-2"),
 		{
 			ID:                "i-3",
 			Service:           "s",
@@ -103,11 +105,12 @@
 	}
 }
 
-// TestNotRead: what is no list gives no part of one.
+// TestNotRead checks that a failed read returns an error and no part of the list, and that a 429
+// response gives the wait of its Retry-After header or the default.
 func TestNotRead(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		p    answers
+		fake fakeDiscovery
 		want code.Code
 	}{
 		{"refused", func(string) (int, http.Header, string) { return 0, nil, "" }, code.Unreachable},
@@ -122,7 +125,7 @@
 		},
 		{
 			"long",
-			func(string) (int, http.Header, string) { return 200, nil, strings.Repeat(" ", maxPage+1) },
+			func(string) (int, http.Header, string) { return 200, nil, strings.Repeat(" ", maxPageBytes+1) },
 			code.TooLarge,
 		},
 		{"second page", func(tok string) (int, http.Header, string) {
@@ -132,45 +135,45 @@
 			return 500, nil, ""
 		}, code.Unreachable},
 	} {
-		all, err := reader(c.p).List(t.Context())
+		all, err := newTestReader(c.fake).List(t.Context())
 		if code.Of(err) != c.want || all != nil {
 			t.Errorf("%s: %v, %v", c.name, all, err)
 		}
 	}
-	waits := map[string]time.Duration{
+	wantWaits := map[string]time.Duration{
 		"0.25":  250 * time.Millisecond,
 		"":      500 * time.Millisecond,
 		"never": 500 * time.Millisecond,
 	}
-	for after, want := range waits {
-		_, err := reader(
-			func(string) (int, http.Header, string) { return 429, http.Header{"Retry-After": {after}}, "" },
+	for retryAfter, want := range wantWaits {
+		_, err := newTestReader(
+			func(string) (int, http.Header, string) { return 429, http.Header{"Retry-After": {retryAfter}}, "" },
 		).List(
 			t.Context(),
 		)
-		var m *RateLimitError
-		if !errors.As(err, &m) || m.RetryAfter != want {
-			t.Errorf("429 with %q: %v", after, err)
+		var rateLimit *RateLimitError
+		if !errors.As(err, &rateLimit) || rateLimit.RetryAfter != want {
+			t.Errorf("429 with %q: %v", retryAfter, err)
 		}
 	}
 }
 
-// TestBackoff: after the platform's word no call is made until the time it said.
+// TestBackoff checks that after a 429 response no call is made until its Retry-After has passed.
 func TestBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls, status := 0, 429
-		r := reader(func(string) (int, http.Header, string) {
+		r := newTestReader(func(string) (int, http.Header, string) {
 			calls++
 			return status, http.Header{"Retry-After": {"5"}}, `{"instances":[` + item("i-1") + `]}`
 		})
-		var m *RateLimitError
+		var rateLimit *RateLimitError
 		for _, c := range []struct {
 			after time.Duration
 			calls int
 			wait  time.Duration
 		}{{0, 1, 5 * time.Second}, {time.Second, 1, 4 * time.Second}, {3900 * time.Millisecond, 1, 100 * time.Millisecond}} {
 			time.Sleep(c.after)
-			if _, err := r.List(t.Context()); !errors.As(err, &m) || calls != c.calls || m.RetryAfter != c.wait {
+			if _, err := r.List(t.Context()); !errors.As(err, &rateLimit) || calls != c.calls || rateLimit.RetryAfter != c.wait {
 				t.Errorf("after %s more: %d calls, %v", c.after, calls, err)
 			}
 		}
--- a/internal/platform/discovery/fuzz_page_test.go
+++ b/internal/platform/discovery/fuzz_page_test.go
@@ -8,8 +8,8 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// FuzzPage: whatever a page of the platform's list holds, it is refused or gives
-// runners that can be named on the wire, reached and counted with.
+// FuzzPage checks that any page is either rejected or gives runners with names that can be encoded,
+// valid addresses and numbers within their bounds.
 func FuzzPage(f *testing.F) {
 	f.Add([]byte(`{"instances":[` + item("i-1") + `,{"instance-id":"i-9"}],"next-token":"p&2"}`))
 	f.Add(
@@ -30,16 +30,16 @@
 				continue
 			}
 			if r.ID == "" || r.Service == "" || spec.Addr(r.Addr) != nil {
-				t.Errorf("a runner that can't be named or reached: %+v", r)
+				t.Errorf("runner without ID, service or valid address: %+v", r)
 			}
 			if !utf8.ValidString(r.ID) || !utf8.ValidString(r.Service) || !utf8.ValidString(r.Zone) {
-				t.Errorf("names that the wire can't carry: %+v", r)
+				t.Errorf("runner names are not UTF-8: %+v", r)
 			}
 			if warmup := time.Duration(r.WarmupRemainingMs) * time.Millisecond; r.Capacity < 1 ||
 				r.Capacity > maxCapacity ||
 				warmup < 0 ||
 				warmup > 24*time.Hour {
-				t.Errorf("room %d, cold for %s", r.Capacity, warmup)
+				t.Errorf("capacity %d, warm-up time %s", r.Capacity, warmup)
 			}
 		}
 	})
--- a/internal/platform/discovery/wire.go
+++ b/internal/platform/discovery/wire.go
@@ -2,7 +2,7 @@
 
 //go:generate go tool easyjson wire.go
 
-// page is a page of the platform's list of runners.
+// page is one page of the runner list of the platform's discovery API.
 //
 //easyjson:json
 type page struct {
@@ -10,6 +10,7 @@
 	Next    *string `json:"next-token"`
 }
 
+// entry describes one runner.
 type entry struct {
 	ID       string  `json:"instance-id"`
 	Service  string  `json:"target-service"`
@@ -22,6 +23,7 @@
 	Models   []model `json:"model-list"`
 }
 
+// model is a model that a runner serves.
 type model struct {
 	Name     string  `json:"name"`
 	Revision float64 `json:"revision"`
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -1,4 +1,4 @@
-// Package headers reads and writes the platform's HTTP headers of proxied requests.
+// Package headers reads and writes the HTTP headers that the platform defines for proxied requests.
 package headers
 
 import (
@@ -15,98 +15,99 @@
 	"damsontiller/internal/transport/code"
 )
 
-// The headers of the platform.
+// Names of the HTTP headers.
 const (
-	hAttempt            = "X-Damsontiller-Attempt-Id"
-	hWait               = "X-Damsontiller-Time-Remaining"
-	hSubject            = "X-Damsontiller-Affinity-Key"
-	hPrefix             = "X-Damsontiller-Prompt-Prefix"
-	hTokens             = "X-Damsontiller-Token-Counts"
-	headerPrecedence    = "X-Damsontiller-Precedence"
-	hProgram            = "X-Damsontiller-Program-Id"
-	hEnds               = "X-Damsontiller-Program-Time-Remaining"
-	hBudget             = "X-Damsontiller-Token-Budget"
-	hPrevious           = "X-Damsontiller-Previous-Turn"
-	hTarget             = "X-Damsontiller-Target-Instance"
-	hSeal               = "X-Damsontiller-Server-Seal"
-	hNotRun             = "X-Damsontiller-Not-Executed"
-	headerColdRemaining = "X-Damsontiller-Cold-Remaining"
-	hLastEvent          = "Last-Event-Id"
-	hCredential         = "X-Api-Key"
-	hTenant             = "X-Damsontiller-Subscriber"
-	hOperation          = "X-Damsontiller-Operation-Key"
+	headerAttempt              = "X-Damsontiller-Attempt-Id"
+	headerTimeRemaining        = "X-Damsontiller-Time-Remaining"
+	headerAffinityKey          = "X-Damsontiller-Affinity-Key"
+	headerPromptPrefix         = "X-Damsontiller-Prompt-Prefix"
+	headerTokenCounts          = "X-Damsontiller-Token-Counts"
+	headerPrecedence           = "X-Damsontiller-Precedence"
+	headerProgram              = "X-Damsontiller-Program-Id"
+	headerProgramTimeRemaining = "X-Damsontiller-Program-Time-Remaining"
+	headerTokenBudget          = "X-Damsontiller-Token-Budget"
+	headerPreviousTurn         = "X-Damsontiller-Previous-Turn"
+	headerTargetInstance       = "X-Damsontiller-Target-Instance"
+	headerServerSeal           = "X-Damsontiller-Server-Seal"
+	headerNotExecuted          = "X-Damsontiller-Not-Executed"
+	headerColdRemaining        = "X-Damsontiller-Cold-Remaining"
+	headerLastEventID          = "Last-Event-Id"
+	headerAPIKey               = "X-Api-Key"
+	headerSubscriber           = "X-Damsontiller-Subscriber"
+	headerOperationKey         = "X-Damsontiller-Operation-Key"
 )
 
-// MaxPrecedence is the last rank that a runner knows.
+// MaxPrecedence is the highest precedence value that runners accept.
 const MaxPrecedence = 9
 
-// maxCount bounds a count of tokens, so that sums of many can't overflow.
-const maxCount = 1 << 40
+// maxTokenCount is the maximum of a single token count. Sums of many counts do not overflow int64.
+const maxTokenCount = 1 << 40
 
-// Codec spells proxied requests in the platform's headers.
+// Codec converts between proxied requests and the platform's headers. It implements proxy.Headers.
 type Codec struct{}
 
 var _ proxy.Headers = Codec{}
 
-// ReadRequest fills a job from a request's head.
-func (Codec) ReadRequest(r *http.Request, j *proxy.Job) error {
+// ReadRequest sets the fields of job from the headers of a request.
+func (Codec) ReadRequest(r *http.Request, job *proxy.Job) error {
 	h := r.Header
-	if j.Attempt = h.Get(hAttempt); j.Attempt == "" {
-		return code.New(code.NoHeader, "%s is missing", hAttempt)
+	if job.Attempt = h.Get(headerAttempt); job.Attempt == "" {
+		return code.New(code.NoHeader, "%s is missing", headerAttempt)
 	}
-	for _, k := range []string{hAttempt, hProgram, hOperation} {
+	for _, k := range []string{headerAttempt, headerProgram, headerOperationKey} {
 		if len(h.Get(k)) > proxy.MaxName {
 			return code.New(code.BadHeader, "%s: a name over %d bytes", k, proxy.MaxName)
 		}
 	}
-	// They become parts of keys, and the wire between the nodes takes UTF-8 only.
-	for _, k := range []string{hAttempt, hProgram, hPrevious} {
+	// These values become parts of keys, and the protocol between the nodes carries only UTF-8.
+	for _, k := range []string{headerAttempt, headerProgram, headerPreviousTurn} {
 		if !utf8.ValidString(h.Get(k)) {
 			return code.New(code.BadHeader, "%s: %q is not UTF-8", k, h.Get(k))
 		}
 	}
-	j.Program, j.PreviousAttempt = h.Get(hProgram), h.Get(hPrevious)
-	j.AffinityKey, j.OperationKey = h.Get(hSubject), h.Get(hOperation)
+	job.Program, job.PreviousAttempt = h.Get(headerProgram), h.Get(headerPreviousTurn)
+	job.AffinityKey, job.OperationKey = h.Get(headerAffinityKey), h.Get(headerOperationKey)
 	var err error
-	if j.CallerTimeout, err = span(h, hWait); err != nil {
+	if job.CallerTimeout, err = parseMilliseconds(h, headerTimeRemaining); err != nil {
 		return err
 	}
-	// Nothing here rests on it, but a runner is not sent what can't be read.
-	if _, err = span(h, hEnds); err != nil {
+	// The value is not used here, but a malformed one must not reach a runner.
+	if _, err = parseMilliseconds(h, headerProgramTimeRemaining); err != nil {
 		return err
 	}
-	if v := h.Get(hBudget); v != "" {
-		if j.TokenBudget, err = count(hBudget, v); err != nil {
+	if v := h.Get(headerTokenBudget); v != "" {
+		if job.TokenBudget, err = parseCount(headerTokenBudget, v); err != nil {
 			return err
 		}
 	}
-	if v := h.Get(hTokens); v != "" {
-		in, most, ok := strings.Cut(v, ",")
+	if v := h.Get(headerTokenCounts); v != "" {
+		prompt, output, ok := strings.Cut(v, ",")
 		if !ok {
-			return code.New(code.BadHeader, "%s: %q is not two counts", hTokens, v)
+			return code.New(code.BadHeader, "%s: %q is not two counts", headerTokenCounts, v)
 		}
-		if j.PromptTokens, err = count(hTokens, in); err != nil {
+		if job.PromptTokens, err = parseCount(headerTokenCounts, prompt); err != nil {
 			return err
 		}
-		if j.MaxOutputTokens, err = count(hTokens, most); err != nil {
+		if job.MaxOutputTokens, err = parseCount(headerTokenCounts, output); err != nil {
 			return err
 		}
 	}
-	j.PromptParts, err = parts(h.Get(hPrefix))
+	job.PromptParts, err = parsePromptParts(h.Get(headerPromptPrefix))
 	return err
 }
 
-func count(name, v string) (int64, error) {
+// parseCount parses the token count v of the header name.
+func parseCount(name, v string) (int64, error) {
 	n, err := strconv.ParseInt(strings.TrimSpace(v), 10, 64)
-	if err != nil || n < 0 || n > maxCount {
+	if err != nil || n < 0 || n > maxTokenCount {
 		return 0, code.New(code.BadHeader, "%s: %q is not a count", name, v)
 	}
 	return n, nil
 }
 
-// span reads milliseconds. A caller that has none left says 0, which is not the
-// same as saying nothing.
-func span(h http.Header, name string) (time.Duration, error) {
+// parseMilliseconds parses the header name as a number of milliseconds. It returns 0 if the
+// header is missing and at least 1 ns otherwise, so that a remaining time of 0 differs from none.
+func parseMilliseconds(h http.Header, name string) (time.Duration, error) {
 	v := h.Get(name)
 	if v == "" {
 		return 0, nil
@@ -118,7 +119,8 @@
 	return max(time.Nanosecond, platform.Ms(min(f, math.MaxInt32))), nil
 }
 
-func parts(v string) ([]proxy.PromptPart, error) {
+// parsePromptParts parses a comma-separated list of ID:TOKENS.
+func parsePromptParts(v string) ([]proxy.PromptPart, error) {
 	if v == "" {
 		return nil, nil
 	}
@@ -126,52 +128,52 @@
 	for s := range strings.SplitSeq(v, ",") {
 		id, n, ok := strings.Cut(strings.TrimSpace(s), ":")
 		if !ok || id == "" {
-			return nil, code.New(code.BadHeader, "%s: %q is not ID:TOKENS", hPrefix, s)
+			return nil, code.New(code.BadHeader, "%s: %q is not ID:TOKENS", headerPromptPrefix, s)
 		}
-		t, err := count(hPrefix, n)
+		tokens, err := parseCount(headerPromptPrefix, n)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, proxy.PromptPart{ID: id, Tokens: t})
+		out = append(out, proxy.PromptPart{ID: id, Tokens: tokens})
 	}
 	return out, nil
 }
 
-// WriteRequest writes what goes to a runner beside the caller's own headers.
-func (Codec) WriteRequest(h http.Header, j *proxy.Job, to *endpoints.Runner, left time.Duration, precedence int) {
-	h.Set(hAttempt, j.Attempt)
-	h.Set(hTarget, to.ID)
-	// A runner learns whose request it is by our word alone, and never by which credential.
-	h.Del(hCredential)
-	h.Del(hTenant)
-	if j.Tenant != nil {
-		h.Set(hTenant, j.Tenant.Name)
+// WriteRequest adds the platform's headers to the caller's headers of a request to a runner.
+func (Codec) WriteRequest(h http.Header, job *proxy.Job, runner *endpoints.Runner, timeLeft time.Duration, precedence int) {
+	h.Set(headerAttempt, job.Attempt)
+	h.Set(headerTargetInstance, runner.ID)
+	// A runner receives the tenant name from this server only, and never the caller's credential.
+	h.Del(headerAPIKey)
+	h.Del(headerSubscriber)
+	if job.Tenant != nil {
+		h.Set(headerSubscriber, job.Tenant.Name)
 	}
-	if left > 0 {
-		h.Set(hWait, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	if timeLeft > 0 {
+		h.Set(headerTimeRemaining, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10))
 	}
 	h.Set(headerPrecedence, strconv.Itoa(min(max(precedence, 0), MaxPrecedence)))
 }
 
-// Credential is the credential that a request carries.
-func (Codec) Credential(r *http.Request) string { return r.Header.Get(hCredential) }
+// Credential returns the API key of a request.
+func (Codec) Credential(r *http.Request) string { return r.Header.Get(headerAPIKey) }
 
-// WriteRepeat makes the head of a recorded answer one to a job.
-func (Codec) WriteRepeat(h http.Header, j *proxy.Job) { h.Set(hAttempt, j.Attempt) }
+// WriteRepeat sets the attempt ID of job in the headers of a recorded response.
+func (Codec) WriteRepeat(h http.Header, job *proxy.Job) { h.Set(headerAttempt, job.Attempt) }
 
-// WriteResume asks a runner to begin after an event.
-func (Codec) WriteResume(h http.Header, after string) { h.Set(hLastEvent, after) }
+// WriteResume asks a runner to resume the event stream after the given event ID.
+func (Codec) WriteResume(h http.Header, after string) { h.Set(headerLastEventID, after) }
 
-// ReadResponse reads an answer's head. Only the runner's own report, or that it is not the
-// runner meant, states that the job did not run.
+// ReadResponse reads the headers of a response. A job counts as not run only if the runner
+// reports that or reports that the request was meant for another runner.
 func (Codec) ReadResponse(r *http.Response) proxy.ResponseInfo {
-	w := proxy.ResponseInfo{
-		Attempt:     r.Header.Get(hAttempt),
-		Sealed:      r.Header.Get(hSeal) != "",
+	info := proxy.ResponseInfo{
+		Attempt:     r.Header.Get(headerAttempt),
+		Sealed:      r.Header.Get(headerServerSeal) != "",
 		OtherRunner: r.StatusCode == http.StatusMisdirectedRequest,
 	}
-	w.NotRun = w.OtherRunner || r.Header.Get(hNotRun) != ""
-	// A figure that can't be read is none: it only says how long to be careful.
-	w.WarmupRemaining, _ = span(r.Header, headerColdRemaining)
-	return w
+	info.NotRun = info.OtherRunner || r.Header.Get(headerNotExecuted) != ""
+	// A malformed value is ignored: it only limits how long the runner is treated as cold.
+	info.WarmupRemaining, _ = parseMilliseconds(r.Header, headerColdRemaining)
+	return info
 }
--- a/internal/platform/headers/headers_test.go
+++ b/internal/platform/headers/headers_test.go
@@ -13,7 +13,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-func head(kv ...string) http.Header {
+// header returns the headers given as pairs of name and value.
+func header(kv ...string) http.Header {
 	h := http.Header{}
 	for i := 0; i < len(kv); i += 2 {
 		h.Set(kv[i], kv[i+1])
@@ -21,34 +22,34 @@
 	return h
 }
 
-// TestRead: each header has its place in the job.
+// TestRead checks that each request header sets its field of the job.
 func TestRead(t *testing.T) {
 	var j proxy.Job
 	err := Codec{}.ReadRequest(
-		&http.Request{Header: head(
-			hAttempt,
+		&http.Request{Header: header(
+			headerAttempt,
 			"9c41",
-			hWait,
+			headerTimeRemaining,
 			"4000",
-			hSubject,
+			headerAffinityKey,
 			"17",
 			"X-Damsontiller-Model",
 			"m",
-			hTokens,
+			headerTokenCounts,
 			"1460,80",
-			hPrefix,
+			headerPromptPrefix,
 			"5c1e07a2:800,91bd3f06:410",
-			hProgram,
+			headerProgram,
 			"p",
 			"X-Damsontiller-Session-Id",
 			"s",
-			hEnds,
+			headerProgramTimeRemaining,
 			"5200.5",
-			hBudget,
+			headerTokenBudget,
 			"1088",
-			hPrevious,
+			headerPreviousTurn,
 			"40c8",
-			hLastEvent,
+			headerLastEventID,
 			"12",
 		)},
 		&j,
@@ -65,43 +66,44 @@
 	if !reflect.DeepEqual(j, want) {
 		t.Errorf("read %+v, want %+v", j, want)
 	}
-	// A caller with no time left does not say nothing.
+	// A remaining time of 0 differs from a missing header.
 	j = proxy.Job{}
-	if err := (Codec{}).ReadRequest(&http.Request{Header: head(hAttempt, "a", hWait, "0")}, &j); err != nil ||
+	if err := (Codec{}).ReadRequest(&http.Request{Header: header(headerAttempt, "a", headerTimeRemaining, "0")}, &j); err != nil ||
 		j.CallerTimeout <= 0 ||
 		j.CallerTimeout > time.Millisecond {
 		t.Errorf("no time left: %s, %v", j.CallerTimeout, err)
 	}
 }
 
-// TestReadWrong: what can't be read is named.
+// TestReadWrong checks that the error for a malformed header has the right code and names the
+// header.
 func TestReadWrong(t *testing.T) {
 	for _, c := range []struct {
 		name, value string
 		want        code.Code
 	}{
-		{hAttempt, "", code.NoHeader},
-		{hAttempt, strings.Repeat("a", proxy.MaxName+1), code.BadHeader},
-		{hProgram, strings.Repeat("p", proxy.MaxName+1), code.BadHeader},
-		{hAttempt, "a\xff", code.BadHeader},
-		{hProgram, "p\xff", code.BadHeader},
-		{hPrevious, "p\xff", code.BadHeader},
-		{hBudget, "9223372036854775807", code.BadHeader},
-		{hWait, "soon", code.BadHeader},
-		{hWait, "-1", code.BadHeader},
-		{hWait, "NaN", code.BadHeader},
-		{hEnds, "x", code.BadHeader},
-		{hBudget, "1.5", code.BadHeader},
-		{hBudget, "-3", code.BadHeader},
-		{hTokens, "1460", code.BadHeader},
-		{hTokens, "a,80", code.BadHeader},
-		{hTokens, "1460,", code.BadHeader},
-		{hPrefix, "5c1e07a2", code.BadHeader},
-		{hPrefix, ":800", code.BadHeader},
-		{hPrefix, "5c:x", code.BadHeader},
-		{hPrefix, "5c:800,", code.BadHeader},
+		{headerAttempt, "", code.NoHeader},
+		{headerAttempt, strings.Repeat("a", proxy.MaxName+1), code.BadHeader},
+		{headerProgram, strings.Repeat("p", proxy.MaxName+1), code.BadHeader},
+		{headerAttempt, "a\xff", code.BadHeader},
+		{headerProgram, "p\xff", code.BadHeader},
+		{headerPreviousTurn, "p\xff", code.BadHeader},
+		{headerTokenBudget, "9223372036854775807", code.BadHeader},
+		{headerTimeRemaining, "soon", code.BadHeader},
+		{headerTimeRemaining, "-1", code.BadHeader},
+		{headerTimeRemaining, "NaN", code.BadHeader},
+		{headerProgramTimeRemaining, "x", code.BadHeader},
+		{headerTokenBudget, "1.5", code.BadHeader},
+		{headerTokenBudget, "-3", code.BadHeader},
+		{headerTokenCounts, "1460", code.BadHeader},
+		{headerTokenCounts, "a,80", code.BadHeader},
+		{headerTokenCounts, "1460,", code.BadHeader},
+		{headerPromptPrefix, "5c1e07a2", code.BadHeader},
+		{headerPromptPrefix, ":800", code.BadHeader},
+		{headerPromptPrefix, "5c:x", code.BadHeader},
+		{headerPromptPrefix, "5c:800,", code.BadHeader},
 	} {
-		h := head(hAttempt, "a")
+		h := header(headerAttempt, "a")
 		h.Set(c.name, c.value)
 		err := Codec{}.ReadRequest(&http.Request{Header: h}, &proxy.Job{})
 		if code.Of(err) != c.want || !strings.Contains(err.Error(), c.name) || code.Of(err).Status() != 400 {
@@ -110,22 +112,22 @@
 	}
 }
 
-// TestSend: the runner meant, the time left and the rank, under the caller's name
-// of the try.
+// TestSend checks that a request to a runner carries the target runner, the remaining time and
+// the bounded precedence, and keeps the caller's attempt ID.
 func TestSend(t *testing.T) {
 	for _, c := range []struct {
-		left       time.Duration
-		precedence int
-		wait       string
-		want       string
+		timeLeft       time.Duration
+		precedence     int
+		wantTime       string
+		wantPrecedence string
 	}{
 		{1500 * time.Millisecond, 3, "1500", "3"},
 		{time.Microsecond, -1, "1", "0"},
 		{time.Second, 40, "1000", "9"},
 	} {
-		h := head(hAttempt, "a", hWait, "9999", headerPrecedence, "7")
-		Codec{}.WriteRequest(h, &proxy.Job{Attempt: "a"}, &endpoints.Runner{ID: "i-1"}, c.left, c.precedence)
-		if want := head(hAttempt, "a", hTarget, "i-1", hWait, c.wait, headerPrecedence, c.want); !reflect.DeepEqual(
+		h := header(headerAttempt, "a", headerTimeRemaining, "9999", headerPrecedence, "7")
+		Codec{}.WriteRequest(h, &proxy.Job{Attempt: "a"}, &endpoints.Runner{ID: "i-1"}, c.timeLeft, c.precedence)
+		if want := header(headerAttempt, "a", headerTargetInstance, "i-1", headerTimeRemaining, c.wantTime, headerPrecedence, c.wantPrecedence); !reflect.DeepEqual(
 			h,
 			want,
 		) {
@@ -139,8 +141,8 @@
 	}
 }
 
-// TestTenantHeaders: what a runner learns of a request's tenant is our own word, whatever the
-// caller sent, and never the credential; the key of an operation goes along.
+// TestTenantHeaders checks that the tenant name sent to a runner is the one set by the server,
+// not the caller's, that the API key is removed, and that the operation key is forwarded.
 func TestTenantHeaders(t *testing.T) {
 	for _, c := range []struct {
 		tenant *spec.Tenant
@@ -149,38 +151,39 @@
 		{nil, ""},
 		{&spec.Tenant{Name: "north"}, "north"},
 	} {
-		h := head(hAttempt, "a", hCredential, "k-secret", hTenant, "another", hOperation, "k-5512")
+		h := header(headerAttempt, "a", headerAPIKey, "k-secret", headerSubscriber, "another", headerOperationKey, "k-5512")
 		j := &proxy.Job{Attempt: "a", Tenant: c.tenant}
 		if err := (Codec{}).ReadRequest(&http.Request{Header: h}, j); err != nil || j.OperationKey != "k-5512" {
 			t.Fatalf("operation %q, %v", j.OperationKey, err)
 		}
 		Codec{}.WriteRequest(h, j, &endpoints.Runner{ID: "i-1"}, time.Second, 3)
-		if h.Get(hCredential) != "" || h.Get(hTenant) != c.want || h.Get(hOperation) != "k-5512" {
+		if h.Get(headerAPIKey) != "" || h.Get(headerSubscriber) != c.want || h.Get(headerOperationKey) != "k-5512" {
 			t.Errorf("tenant %v: sent %v", c.tenant, h)
 		}
 	}
 	h := http.Header{}
 	Codec{}.WriteRepeat(h, &proxy.Job{Attempt: "b"})
-	if h.Get(hAttempt) != "b" {
-		t.Errorf("a repeat has the head %v", h)
+	if h.Get(headerAttempt) != "b" {
+		t.Errorf("repeated response has the headers %v", h)
 	}
 }
 
-// TestReadResponse: only the runner's own report says that it did not run the job.
+// TestReadResponse checks that only an explicit report of a runner, or status 421, marks a job as
+// not run; other error statuses do not.
 func TestReadResponse(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		h      http.Header
 		want   proxy.ResponseInfo
 	}{
-		{200, head(hAttempt, "a", hSeal, "3e1b"), proxy.ResponseInfo{Attempt: "a", Sealed: true}},
-		{503, head(hNotRun, "1"), proxy.ResponseInfo{NotRun: true}},
+		{200, header(headerAttempt, "a", headerServerSeal, "3e1b"), proxy.ResponseInfo{Attempt: "a", Sealed: true}},
+		{503, header(headerNotExecuted, "1"), proxy.ResponseInfo{NotRun: true}},
 		{503, nil, proxy.ResponseInfo{}},
 		{429, nil, proxy.ResponseInfo{}},
-		{400, head(hNotRun, "1"), proxy.ResponseInfo{NotRun: true}},
-		{421, head("X-Damsontiller-Instance-Id", "i-2"), proxy.ResponseInfo{NotRun: true, OtherRunner: true}},
-		{200, head(headerColdRemaining, "2500"), proxy.ResponseInfo{WarmupRemaining: 2500 * time.Millisecond}},
-		{200, head(headerColdRemaining, "long"), proxy.ResponseInfo{}},
+		{400, header(headerNotExecuted, "1"), proxy.ResponseInfo{NotRun: true}},
+		{421, header("X-Damsontiller-Instance-Id", "i-2"), proxy.ResponseInfo{NotRun: true, OtherRunner: true}},
+		{200, header(headerColdRemaining, "2500"), proxy.ResponseInfo{WarmupRemaining: 2500 * time.Millisecond}},
+		{200, header(headerColdRemaining, "long"), proxy.ResponseInfo{}},
 	} {
 		if got := (Codec{}).ReadResponse(&http.Response{StatusCode: c.status, Header: c.h}); got != c.want {
 			t.Errorf("%d %v: %+v, want %+v", c.status, c.h, got, c.want)
