--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -28,7 +28,7 @@
 const (
 	maxCapacity = 1 << 20
 	maxWarmupMs = 24 * 3600 * 1000
-	maxRevision = 1 << 53
+	maxRevision = 1 << 53 // integers up to this are exact in a float64
 )
 
 // Bounds of the Retry-After header of a 429 response.
@@ -55,7 +55,7 @@
 }
 
 // New returns a Reader of the discovery API at addr. The request timeout is short because a page
-// that is late usually does not arrive at all.
+// that is late is not expected to arrive at all.
 func New(addr string) *Reader {
 	return &Reader{Addr: addr, Client: &http.Client{
 		Timeout: 800 * time.Millisecond,
--- a/internal/platform/fuzz_settings_test.go
+++ b/internal/platform/fuzz_settings_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzSettings: whatever the settings file holds, it is refused or gives figures
-// that every role can go by.
+// FuzzSettings checks that any settings file is either rejected or gives values that every role can
+// use.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(settings))
 	f.Add([]byte("node-name = 1"))
@@ -20,14 +20,14 @@
 			t.Errorf("contact %s, grace %s, sync %v", p.ContactTimeout(), p.Grace(), p.Bounds.SyncS)
 		}
 		if n := p.ReplicationFactor(); n < 1 || n%2 == 0 {
-			t.Errorf("%d copies", n)
+			t.Errorf("replication factor %d", n)
 		}
 		if !(p.Platform.RatePerS > 0) || p.MinFreeMiB() < 0 {
-			t.Errorf("rate %v, least free %d", p.Platform.RatePerS, p.MinFreeMiB())
+			t.Errorf("rate %v, minimum free disk %d MiB", p.Platform.RatePerS, p.MinFreeMiB())
 		}
 		if p.ListenAddr() == p.StatusAddr() || len(p.Peers()) != len(p.Seeds) || len(p.ZoneList()) == 0 {
 			t.Errorf(
-				"listens at %s, tells of itself at %s, %d peers of %d seeds",
+				"listen address %s, status address %s, %d peers of %d seeds",
 				p.ListenAddr(),
 				p.StatusAddr(),
 				len(p.Peers()),
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -107,6 +107,7 @@
 
 // parseMilliseconds parses the header name as a number of milliseconds. It returns 0 if the
 // header is missing and at least 1 ns otherwise, so that a remaining time of 0 differs from none.
+// Larger values are reduced to math.MaxInt32 milliseconds.
 func parseMilliseconds(h http.Header, name string) (time.Duration, error) {
 	v := h.Get(name)
 	if v == "" {
@@ -140,7 +141,9 @@
 }
 
 // WriteRequest adds the platform's headers to the caller's headers of a request to a runner.
-func (Codec) WriteRequest(h http.Header, job *proxy.Job, runner *endpoints.Runner, timeLeft time.Duration, precedence int) {
+func (Codec) WriteRequest(
+	h http.Header, job *proxy.Job, runner *endpoints.Runner, timeLeft time.Duration, precedence int,
+) {
 	h.Set(headerAttempt, job.Attempt)
 	h.Set(headerTargetInstance, runner.ID)
 	// A runner receives the tenant name from this server only, and never the caller's credential.
--- a/internal/platform/params_test.go
+++ b/internal/platform/params_test.go
@@ -41,18 +41,19 @@
 rate-per-s = 40
 `
 
-func write(t *testing.T, s string) string {
-	f := filepath.Join(t.TempDir(), "boot.toml")
-	if err := os.WriteFile(f, []byte(s), 0o600); err != nil {
+// writeSettings writes a settings file and returns its path.
+func writeSettings(t *testing.T, text string) string {
+	path := filepath.Join(t.TempDir(), "boot.toml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return path
 }
 
-// TestLoad: fields are read, figures may be integers or fractions; what the product does not know
-// is left aside, what the file leaves out has the page's figure.
+// TestLoad checks that fields are read, that numbers may be integers or fractions, that unknown
+// fields are ignored, and that missing fields have the documented defaults.
 func TestLoad(t *testing.T) {
-	p, err := Load(write(t, settings+"\n[later]\nnew = [1, \"x\"]\n"))
+	p, err := Load(writeSettings(t, settings+"\n[later]\nnew = [1, \"x\"]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,29 +63,29 @@
 		}
 	}
 	if p.ListenAddr() != "10.1.0.34:7380" || p.StatusAddr() != "10.1.0.34:7381" {
-		t.Errorf("listens at %s, tells of itself at %s", p.ListenAddr(), p.StatusAddr())
+		t.Errorf("listen address %s, status address %s", p.ListenAddr(), p.StatusAddr())
 	}
 	if s := strings.Join(p.Peers(), " "); s != "10.1.0.34:7380 10.2.0.37:7380" {
 		t.Errorf("peers %s", s)
 	}
 	if !p.IsFounder() || p.ReplicationFactor() != 5 || strings.Join(p.ZoneList(), " ") != "a b" || p.MinFreeMiB() != 8 {
-		t.Errorf("founds %v, copies %d, zones %v, min free %d", p.IsFounder(), p.ReplicationFactor(), p.ZoneList(), p.MinFreeMiB())
+		t.Errorf("founder %v, replication factor %d, zones %v, min free %d", p.IsFounder(), p.ReplicationFactor(), p.ZoneList(), p.MinFreeMiB())
 	}
 	if p.Grace() != 8500*time.Millisecond || p.ContactTimeout() != 3*time.Second || p.Bounds.SyncS != 4.3 {
 		t.Errorf("grace %s, contact %s, sync %v", p.Grace(), p.ContactTimeout(), p.Bounds.SyncS)
 	}
-	// Only at the first start of all, and only those whom all are given.
+	// A core is a founder only at the initial start and only if it is one of the seed nodes.
 	for _, c := range [][2]string{{"initial-start = true", "initial-start = false"}, {`ip = "10.1.0.34"`, `ip = "10.1.0.35"`}} {
-		if q, err := Load(write(t, strings.Replace(settings, c[0], c[1], 1))); err != nil || q.IsFounder() {
-			t.Errorf("%s: founds, %v", c[1], err)
+		if q, err := Load(writeSettings(t, strings.Replace(settings, c[0], c[1], 1))); err != nil || q.IsFounder() {
+			t.Errorf("%s: founder, or error %v", c[1], err)
 		}
 	}
 }
 
-// TestLoadWrong: a missing or wrong field is named, under the number that ends a
-// start with exit code 2.
+// TestLoadWrong checks that the error for a missing or invalid field names the field and has the
+// code that ends a start with exit status 2.
 func TestLoadWrong(t *testing.T) {
-	for _, c := range []struct{ old, new, names string }{
+	for _, c := range []struct{ old, new, field string }{
 		{`node-name = "core-a-1"`, ``, "node-name"},
 		{`node-name = "core-a-1"`, `node-name = "a/b"`, "node-name"},
 		{`node-name = "core-a-1"`, `node-name = 7`, "node-name"},
@@ -110,19 +111,19 @@
 		{`machines = 2`, `machines = 4611686018427387904`, "fault-tolerance"},
 		{`[limits]`, `[limits`, "line"},
 	} {
-		s := strings.Replace(settings, c.old, c.new, 1)
-		if s == settings {
-			t.Fatalf("%q is not there", c.old)
+		text := strings.Replace(settings, c.old, c.new, 1)
+		if text == settings {
+			t.Fatalf("%q is not in the settings", c.old)
 		}
-		_, err := Load(write(t, s))
-		if code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%q: %v does not name %s", c.new, err, c.names)
+		_, err := Load(writeSettings(t, text))
+		if code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), c.field) {
+			t.Errorf("%q: %v does not name %s", c.new, err, c.field)
 		}
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); code.Of(err) != code.BadFlag {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
-	for _, c := range []struct{ role, old, names string }{
+	for _, c := range []struct{ role, old, field string }{
 		{"core", `control = "10.1.0.34:8144"`, "bind-addresses.control"},
 		{"core", `data-directory = "/data/my-core"`, "data-directory"},
 		{"store", `data-directory = "/data/my-core"`, "data-directory"},
@@ -130,44 +131,44 @@
 		{"edge", `readiness = "10.1.0.34:8141"`, "bind-addresses.readiness"},
 		{"edge", `address = "10.200.0.100:8142"`, "platform-api.address"},
 	} {
-		p, err := Load(write(t, strings.Replace(settings, c.old, "", 1)))
+		p, err := Load(writeSettings(t, strings.Replace(settings, c.old, "", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.CheckRole(c.role); code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%s without %s: %v", c.role, c.names, err)
+		if err := p.CheckRole(c.role); code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), c.field) {
+			t.Errorf("%s without %s: %v", c.role, c.field, err)
 		}
 	}
 }
 
-// TestPoll: a changed file is given once, a broken one is not and is read again
-// once it is complete.
+// TestPoll checks that a changed file is reported once, and that an invalid one is reported as an
+// error at each poll until it is complete. A reload signal sent before Watch began must count.
 func TestPoll(t *testing.T) {
-	f := write(t, settings)
-	p, err := Load(f)
+	path := writeSettings(t, settings)
+	p, err := Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	received, wrong := 0, 0
+	changes, failures := 0, 0
 	w := p.watcher(func(q *Params) {
-		received++
+		changes++
 		if q.ID != "core-a-1" {
-			t.Errorf("told of %q", q.ID)
+			t.Errorf("settings of node %q", q.ID)
 		}
-	}, func(error) { wrong++ })
-	put := func(s string, at int64) {
-		if err := os.WriteFile(f, []byte(s), 0o600); err != nil {
+	}, func(error) { failures++ })
+	update := func(text string, modTime int64) {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Chtimes(f, time.Unix(at, 0), time.Unix(at, 0)); err != nil {
+		if err := os.Chtimes(path, time.Unix(modTime, 0), time.Unix(modTime, 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i, c := range []struct {
-		body            string
-		at              int64
-		force           bool
-		received, wrong int
+		text              string
+		modTime           int64 // Unix seconds
+		force             bool
+		changes, failures int
 	}{
 		{"", 0, false, 0, 0},
 		{"", 0, true, 1, 0},
@@ -177,24 +178,24 @@
 		{"", 0, false, 2, 2},
 		{settings, 3000, false, 3, 2},
 	} {
-		if c.body != "" {
-			put(c.body, c.at)
+		if c.text != "" {
+			update(c.text, c.modTime)
 		}
 		w.poll(c.force)
-		if received != c.received || wrong != c.wrong {
-			t.Errorf("step %d: told %d, wrong %d, want %d, %d", i, received, wrong, c.received, c.wrong)
+		if changes != c.changes || failures != c.failures {
+			t.Errorf("step %d: %d changes, %d errors, want %d, %d", i, changes, failures, c.changes, c.failures)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	p.Watch(ctx, nil, func(*Params) {}, func(error) {})
-	// The order to reload that came before anybody watched counts.
+	// A signal that is pending when Watch begins triggers a reload.
 	reloads := make(chan os.Signal, 1)
 	reloads <- syscall.SIGHUP
 	ctx, stop = context.WithTimeout(t.Context(), 10*time.Second)
-	before := received
-	p.Watch(ctx, reloads, func(*Params) { received++; stop() }, func(err error) { t.Error(err); stop() })
-	if received != before+1 {
-		t.Errorf("told %d times of an order to reload", received-before)
+	before := changes
+	p.Watch(ctx, reloads, func(*Params) { changes++; stop() }, func(err error) { t.Error(err); stop() })
+	if changes != before+1 {
+		t.Errorf("%d changes reported after one reload signal, want 1", changes-before)
 	}
 }
--- a/internal/platform/resting.go
+++ b/internal/platform/resting.go
@@ -11,117 +11,122 @@
 	"damsontiller/internal/transport/loop"
 )
 
-// The limits that hold where the operator's configuration names none.
+// Default limits, used if the operator's configuration sets none.
 const (
 	defaultIdle   = time.Minute
 	defaultHeader = 10 * time.Second
 )
 
 const (
-	// expireInterval is how often connections and limits are looked at.
+	// expireInterval is the interval between checks of the connections and the limits.
 	expireInterval = time.Second
-	// updateDelay bounds how long a client goes by a limit that has been replaced here.
+	// updateDelay bounds the time during which a client still applies a limit after the limit was
+	// replaced on this node.
 	updateDelay = 10 * time.Second
 )
 
-// idleLimiter closes callers' connections on which no entire request head has come for
-// the idle limit and the header limit together, counted from the accept or from the last
-// answer. A limit that has been replaced still holds for the connections that began to
-// rest under it, so a change closes none that its client may yet take up.
+// idleLimiter closes callers' connections that do not receive a complete request header within
+// the sum of the idle limit and the header limit. The time counts from the accept or from the
+// last response. A replaced limit remains in force for the connections that became idle under
+// it, so that a change does not close a connection that its client may still reuse. Connections
+// with a request in progress are not closed.
 type idleLimiter struct {
 	limits func() spec.Limits
 
-	mu      sync.Mutex
-	resting map[net.Conn]time.Time // since when
-	current time.Duration
-	former  []formerLimit
+	mu        sync.Mutex
+	idleSince map[net.Conn]time.Time
+	current   time.Duration
+	replaced  []replacedLimit
 }
 
-// formerLimit is a limit that was replaced.
-type formerLimit struct {
+// replacedLimit is a previous limit that is still in force.
+type replacedLimit struct {
 	limit time.Duration
-	until time.Time // it holds so long
+	until time.Time // end of its validity
 }
 
 func newIdleLimiter(limits func() spec.Limits) *idleLimiter {
-	return &idleLimiter{limits: limits, resting: map[net.Conn]time.Time{}}
+	return &idleLimiter{limits: limits, idleSince: map[net.Conn]time.Time{}}
 }
 
-// connState follows the state of each connection. The server calls one active once the
-// head of a request has been read.
+// connState is the ConnState hook of the server. A connection becomes active once the header of a
+// request has been read.
 func (l *idleLimiter) connState(c net.Conn, s http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch s {
 	case http.StateNew, http.StateIdle:
-		l.resting[c] = time.Now()
+		l.idleSince[c] = time.Now()
 	default:
-		delete(l.resting, c)
+		delete(l.idleSince, c)
 	}
 }
 
-// run sweeps until ctx ends.
+// run closes expired connections at each expireInterval until ctx ends.
 func (l *idleLimiter) run(ctx context.Context) {
 	loop.Every(ctx, expireInterval, nil, func(context.Context) { l.expire(time.Now()) })
 }
 
-// expire closes the connections that have rested for too long.
+// expire closes the connections that have been idle for too long.
 func (l *idleLimiter) expire(now time.Time) {
-	limit := restLimit(l.limits())
+	limit := idleTimeout(l.limits())
 	for _, c := range l.expired(now, limit) {
 		_ = c.Close()
 	}
 }
 
-// expired takes out the connections that have rested longer than any limit that holds.
+// expired removes and returns the connections that have been idle for longer than every limit in
+// force.
 func (l *idleLimiter) expired(now time.Time, limit time.Duration) []net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.replace(now, limit)
-	longest := l.longest(now)
+	l.update(now, limit)
+	longest := l.longestLimit(now)
 	var out []net.Conn
-	for c, since := range l.resting {
+	for c, since := range l.idleSince {
 		if now.Sub(since) > longest {
 			out = append(out, c)
-			delete(l.resting, c)
+			delete(l.idleSince, c)
 		}
 	}
 	return out
 }
 
-// replace puts a limit in force and keeps the one before for as long as it holds.
-func (l *idleLimiter) replace(now time.Time, limit time.Duration) {
+// update sets the current limit. The previous one remains in force for its own duration plus
+// updateDelay.
+func (l *idleLimiter) update(now time.Time, limit time.Duration) {
 	if limit == l.current {
 		return
 	}
 	if l.current > 0 {
-		l.former = append(l.former, formerLimit{l.current, now.Add(l.current + updateDelay)})
+		l.replaced = append(l.replaced, replacedLimit{l.current, now.Add(l.current + updateDelay)})
 	}
 	l.current = limit
 }
 
-// longest is the longest limit that holds, and forgets those that don't any more.
-func (l *idleLimiter) longest(now time.Time) time.Duration {
+// longestLimit returns the longest limit in force and removes the replaced limits that are no
+// longer valid.
+func (l *idleLimiter) longestLimit(now time.Time) time.Duration {
 	longest := l.current
-	kept := l.former[:0]
-	for _, f := range l.former {
+	remaining := l.replaced[:0]
+	for _, f := range l.replaced {
 		if now.Before(f.until) {
-			kept = append(kept, f)
+			remaining = append(remaining, f)
 			longest = max(longest, f.limit)
 		}
 	}
-	l.former = kept
+	l.replaced = remaining
 	return longest
 }
 
-// restLimit is how long a connection may go without an entire request head.
-func restLimit(t spec.Limits) time.Duration {
+// idleTimeout returns the maximum time of a connection without a complete request header.
+func idleTimeout(limits spec.Limits) time.Duration {
 	idle, header := defaultIdle, defaultHeader
-	if t.IdleMs > 0 {
-		idle = time.Duration(t.IdleMs) * time.Millisecond
+	if limits.IdleMs > 0 {
+		idle = time.Duration(limits.IdleMs) * time.Millisecond
 	}
-	if t.HeaderMs > 0 {
-		header = time.Duration(t.HeaderMs) * time.Millisecond
+	if limits.HeaderMs > 0 {
+		header = time.Duration(limits.HeaderMs) * time.Millisecond
 	}
 	return idle + header
 }
--- a/internal/platform/resting_test.go
+++ b/internal/platform/resting_test.go
@@ -16,22 +16,22 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// frontRig is a front with limits that a test may change.
-type frontRig struct {
+// frontFixture is a Front with limits that a test can change.
+type frontFixture struct {
 	t      *testing.T
 	net    *memnet.Net
 	limits atomic.Pointer[spec.Limits]
 }
 
-func newFrontRig(t *testing.T, limits spec.Limits) *frontRig {
-	r := &frontRig{t: t, net: memnet.New(1)}
+func newFrontFixture(t *testing.T, limits spec.Limits) *frontFixture {
+	r := &frontFixture{t: t, net: memnet.New(1)}
 	r.set(limits)
 	ln, err := r.net.Host("edge").Listen("edge")
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
-	f := &Front{Handler: http.HandlerFunc(whole), Limits: func() spec.Limits { return *r.limits.Load() }}
+	handler := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
+	f := &Front{Handler: http.HandlerFunc(handler), Limits: func() spec.Limits { return *r.limits.Load() }}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- f.serve(ctx, ln, time.Second) }()
@@ -42,9 +42,9 @@
 	return r
 }
 
-func (r *frontRig) set(limits spec.Limits) { r.limits.Store(&limits) }
+func (r *frontFixture) set(limits spec.Limits) { r.limits.Store(&limits) }
 
-func (r *frontRig) dial() net.Conn {
+func (r *frontFixture) dial() net.Conn {
 	r.t.Helper()
 	c, err := r.net.Host("caller").Dial(r.t.Context(), "edge")
 	if err != nil {
@@ -54,20 +54,21 @@
 	return c
 }
 
-// request asks once on a connection; the head may take a while.
-func request(c net.Conn, head time.Duration) error {
+// request sends one request on a connection and reads the response. headerTime is the duration of
+// sending the request header.
+func request(c net.Conn, headerTime time.Duration) error {
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: e"); err != nil {
 		return err
 	}
-	time.Sleep(head)
+	time.Sleep(headerTime)
 	if _, err := io.WriteString(c, "dge\r\n\r\n"); err != nil {
 		return err
 	}
-	_, err := answer(c, nil)
+	_, err := readResponse(c, nil)
 	return err
 }
 
-// closed reports whether the other side closes a connection within a time.
+// closed reports whether the peer closes a connection within the given time.
 func closed(c net.Conn, within time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	_, err := bufio.NewReader(c).Peek(1)
@@ -79,16 +80,16 @@
 	return spec.Limits{IdleMs: idle.Milliseconds(), HeaderMs: header.Milliseconds()}
 }
 
-// TestIdleLimit: a connection that has rested for four fifths of the limit in force when
-// its rest began, or at any time since, is served also where the head of its next request
-// takes as long as it may.
+// TestIdleLimit checks that a connection is still served after it was idle for four fifths of any
+// limit in force since it became idle, even if the header of the next request takes almost as long
+// as the header limit.
 func TestIdleLimit(t *testing.T) {
 	long, short := limits(200*time.Second, 15*time.Second), limits(5*time.Second, 3*time.Second)
 	for _, c := range []struct {
-		name          string
-		before, after spec.Limits
-		changeAt      time.Duration // from the start of the rest
-		rest, head    time.Duration
+		name             string
+		before, after    spec.Limits
+		changeAt         time.Duration // from the start of the idle time
+		idle, headerTime time.Duration
 	}{
 		{"none named", spec.Limits{}, spec.Limits{}, 0, 48 * time.Second, 9 * time.Second},
 		{"long", long, long, 0, 160 * time.Second, 14 * time.Second},
@@ -101,7 +102,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newFrontRig(t, c.before)
+				r := newFrontFixture(t, c.before)
 				conn := r.dial()
 				time.Sleep(20 * time.Second)
 				if c.changeAt < 0 {
@@ -109,34 +110,34 @@
 					time.Sleep(-c.changeAt)
 				}
 				if c.before.IdleMs == short.IdleMs {
-					// One that was never asked on would be closed by now.
+					// A connection without a request would have been closed by now.
 					conn = r.dial()
 				}
 				if err := request(conn, 0); err != nil {
 					t.Fatal(err)
 				}
-				rest := c.rest
+				idle := c.idle
 				if c.changeAt >= 0 {
 					time.Sleep(c.changeAt)
 					r.set(c.after)
-					rest -= c.changeAt
+					idle -= c.changeAt
 				}
-				time.Sleep(rest)
-				if err := request(conn, c.head); err != nil {
-					t.Errorf("after %s of rest: %v", c.rest, err)
+				time.Sleep(idle)
+				if err := request(conn, c.headerTime); err != nil {
+					t.Errorf("after %s of idle time: %v", c.idle, err)
 				}
 			})
 		})
 	}
 }
 
-// TestIdleClosed: a connection without an entire request head is closed once the limits
-// that hold are over, be it unresponsive, recent or sending its head for ever; a lowered limit
-// holds in the end, and a request under way is left alone.
+// TestIdleClosed checks that a connection without a complete request header is closed after the
+// limits in force, whether it is unused, idle after a request or sends an endless header. A lowered
+// limit must apply after the replaced one has expired.
 func TestIdleClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFrontRig(t, limits(5*time.Second, 3*time.Second))
-		unread, used, endless := r.dial(), r.dial(), r.dial()
+		r := newFrontFixture(t, limits(5*time.Second, 3*time.Second))
+		unused, used, endless := r.dial(), r.dial(), r.dial()
 		if err := request(used, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -148,7 +149,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
-		for name, c := range map[string]net.Conn{"fresh": unread, "used": used, "endless": endless} {
+		for name, c := range map[string]net.Conn{"fresh": unused, "used": used, "endless": endless} {
 			if !closed(c, 10*time.Second) {
 				t.Errorf("%s: still open after the limits", name)
 			}
@@ -162,7 +163,7 @@
 			t.Fatal(err)
 		}
 		if !closed(late, 10*time.Second) {
-			t.Error("the former limit still holds")
+			t.Error("the replaced limit is still in force")
 		}
 	})
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -12,40 +12,45 @@
 	"damsontiller/internal/transport/listen"
 )
 
-// SetMemoryLimit keeps the process within the memory given, with space for what the collector
-// does not see: stacks, buffers of the kernel, the program itself.
+// memoryLimitFraction is the part of the configured memory that the Go runtime may use. The rest is
+// left for memory outside the runtime's limit: stacks, kernel buffers and the program itself.
+const memoryLimitFraction = 0.6
+
+// SetMemoryLimit sets the memory limit of the Go runtime from the setting limits.memory-mb.
 func (p *Params) SetMemoryLimit() {
 	if m := p.Limits.MemoryMB; m > 0 {
-		debug.SetMemoryLimit(int64(m * 0.6 * (1 << 20)))
+		debug.SetMemoryLimit(int64(m * memoryLimitFraction * (1 << 20)))
 	}
 }
 
-// MinFreeMiB is the free disk, in MiB, below which no new key is taken.
+// MinFreeMiB returns the free disk space in MiB below which new keys are rejected: 1/16 of the
+// setting limits.disk-mb.
 func (p *Params) MinFreeMiB() int64 { return int64(p.Limits.DiskMB / 16) }
 
-// missed is how long the platform may go on sending new callers after this node
-// stopped calling itself ready: it asks each second, and twice.
-const missed = 3 * time.Second
+// deregistrationDelay bounds the time during which the platform sends new callers after this node
+// stopped reporting itself ready: the probe runs each second and must fail twice.
+const deregistrationDelay = 3 * time.Second
 
-// Front is the callers' listener: it opens before the node is ready and outlives its
-// stop, as the platform is late to learn of either.
+// Front is the server for callers. It listens before the node is ready and for a time after the
+// node has begun to stop, because the platform detects both with a delay.
 type Front struct {
 	Addr    string
 	Open    listen.Opener
 	Handler http.Handler
-	// Limits are those of the configuration in force; nil means none.
+	// Limits returns the limits of the current configuration; nil means the defaults.
 	Limits    func() spec.Limits
 	listening atomic.Bool
 	draining  atomic.Bool
 }
 
-// Listening reports whether callers can connect.
+// Listening reports whether the server accepts connections.
 func (f *Front) Listening() bool { return f.listening.Load() }
 
-// Draining reports whether the node is to end.
+// Draining reports whether the server has begun to stop.
 func (f *Front) Draining() bool { return f.draining.Load() }
 
-// ServeHTTP tells callers to come on another connection once the node is to end.
+// ServeHTTP passes the request to Handler. While the server drains, it also asks the caller to
+// close the connection.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -53,8 +58,9 @@
 	f.Handler.ServeHTTP(w, r)
 }
 
-// Serve takes callers until ctx ends, goes on until the platform has missed this
-// node, then lets what runs end until grace after ctx's end.
+// Serve listens on Addr and serves callers until ctx ends. It continues until the platform has
+// stopped sending new callers, then closes the listener. Requests in progress may run until the
+// time grace after the end of ctx.
 func (f *Front) Serve(ctx context.Context, grace time.Duration) error {
 	ln, err := f.Open.TCP(ctx, net.ListenConfig{}, f.Addr)
 	if err != nil {
@@ -70,48 +76,53 @@
 		limits = func() spec.Limits { return spec.Limits{} }
 	}
 	idle := newIdleLimiter(limits)
-	// The limiter outlives ctx: connections rest until the last of them is closed.
-	sweeping, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	go idle.run(sweeping)
-	// The server's own timers are fixed at its start, so they are off.
-	s := &http.Server{Handler: f, ConnState: idle.connState, MaxHeaderBytes: 128 << 10}
-	return serve(ctx, s, ln, func() { f.draining.Store(true) }, min(missed, grace/2), grace)
+	// The limiter outlives ctx because connections may be idle until the server has stopped.
+	limiterCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	go idle.run(limiterCtx)
+	// The timeouts of http.Server cannot change after its start, so they are not set.
+	server := &http.Server{Handler: f, ConnState: idle.connState, MaxHeaderBytes: 128 << 10}
+	return serve(ctx, server, ln, func() { f.draining.Store(true) }, min(deregistrationDelay, grace/2), grace)
 }
 
-// ServeAuxiliary serves a small handler beside the front until ctx ends.
+// ServeAuxiliary serves a handler for probes or status on addr, apart from the callers' server,
+// until ctx ends.
 func ServeAuxiliary(ctx context.Context, open listen.Opener, addr string, h http.Handler) error {
 	ln, err := open.TCP(ctx, net.ListenConfig{}, addr)
 	if err != nil {
 		return err
 	}
-	s := &http.Server{
+	server := &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: 5 * time.Second,
 		IdleTimeout:       time.Minute,
 		MaxHeaderBytes:    16 << 10,
 	}
-	return serve(ctx, s, ln, func() {}, 0, 0)
+	return serve(ctx, server, ln, func() {}, 0, 0)
 }
 
-func serve(ctx context.Context, s *http.Server, ln net.Listener, leave func(), stay, grace time.Duration) error {
+// serve runs server on ln until ctx ends. It then calls onStop, keeps accepting connections for
+// drainDelay and shuts the server down within grace of the end of ctx.
+func serve(
+	ctx context.Context, server *http.Server, ln net.Listener, onStop func(), drainDelay, grace time.Duration,
+) error {
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(ln) }()
+	go func() { ended <- server.Serve(ln) }()
 	select {
 	case err := <-ended:
 		return err
 	case <-ctx.Done():
 	}
-	leave()
-	gctx, stop := context.WithTimeout(context.WithoutCancel(ctx), grace)
-	defer stop()
+	onStop()
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
+	defer cancel()
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(stay):
+	case <-time.After(drainDelay):
 	}
-	if err := s.Shutdown(gctx); err != nil {
-		return s.Close()
+	if err := server.Shutdown(shutdownCtx); err != nil {
+		return server.Close()
 	}
 	return nil
 }
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -16,35 +16,36 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// TestReady: the node's own report, on the platform's question only.
+// TestReady checks the status of the readiness probe for a ready and a stopping node, and that other
+// paths are not served.
 func TestReady(t *testing.T) {
-	var why error
-	h := ReadinessHandler(func() error { return why })
-	ask := func(path string) int {
+	var notReady error
+	h := ReadinessHandler(func() error { return notReady })
+	probe := func(path string) int {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		return w.Code
 	}
-	if got := ask("/v1/readiness"); got != 200 {
+	if got := probe("/v1/readiness"); got != 200 {
 		t.Errorf("ready: %d", got)
 	}
-	why = code.New(code.Stopping, "x")
-	if got := ask("/v1/readiness"); got != 503 {
+	notReady = code.New(code.Stopping, "x")
+	if got := probe("/v1/readiness"); got != 503 {
 		t.Errorf("stopping: %d", got)
 	}
-	if got := ask("/v1/other"); got != 404 {
-		t.Errorf("another question: %d", got)
+	if got := probe("/v1/other"); got != 404 {
+		t.Errorf("other path: %d", got)
 	}
 }
 
-// TestFrontStop: once stopped, ingress still takes those whom the platform sends
-// until it has missed the node, tells them to come elsewhere next time, then
-// takes nobody; what runs ends, unless it outlasts the grace.
+// TestFrontStop checks the stop of a Front. It still serves new callers with Connection: close until
+// the platform has stopped sending them, and then accepts no connections. A request in progress
+// completes unless it takes longer than the grace time.
 func TestFrontStop(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		takes time.Duration
-		whole bool
+		name      string
+		duration  time.Duration // of the request in progress
+		completes bool
 	}{{"ends", 6 * time.Second, true}, {"outlasts", 9 * time.Second, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -55,7 +56,7 @@
 				}
 				f := &Front{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if r.URL.Path == "/long" {
-						time.Sleep(c.takes)
+						time.Sleep(c.duration)
 					}
 					_, _ = io.WriteString(w, "whole")
 				})}
@@ -63,19 +64,19 @@
 				served := make(chan error, 1)
 				go func() { served <- f.serve(ctx, ln, 7*time.Second) }()
 				get := func(path string) (*http.Response, error) {
-					nc, err := n.Host("caller").Dial(t.Context(), "edge")
+					conn, err := n.Host("caller").Dial(t.Context(), "edge")
 					if err != nil {
 						return nil, err
 					}
-					defer nc.Close()
-					q, _ := http.NewRequest(http.MethodGet, "http://edge"+path, nil)
-					if err := q.Write(nc); err != nil {
+					defer conn.Close()
+					req, _ := http.NewRequest(http.MethodGet, "http://edge"+path, nil)
+					if err := req.Write(conn); err != nil {
 						return nil, err
 					}
-					return answer(nc, q)
+					return readResponse(conn, req)
 				}
 				if r, err := get("/"); err != nil || r.Close || f.Draining() {
-					t.Errorf("in service: %v, %v", r, err)
+					t.Errorf("before the stop: %v, %v", r, err)
 				}
 				long := make(chan error, 1)
 				go func() { _, err := get("/long"); long <- err }()
@@ -83,34 +84,35 @@
 				stop()
 				time.Sleep(2900 * time.Millisecond)
 				if r, err := get("/"); err != nil || !r.Close || !f.Draining() {
-					t.Errorf("while the platform is late: %v, %v", r, err)
+					t.Errorf("before the platform has detected the stop: %v, %v", r, err)
 				}
 				time.Sleep(time.Second)
 				if r, err := get("/"); err == nil {
-					t.Errorf("after that it still takes callers: %v", r)
+					t.Errorf("still accepts callers after the delay: %v", r)
 				}
-				if err := <-long; (err == nil) != c.whole {
-					t.Errorf("what ran: %v", err)
+				if err := <-long; (err == nil) != c.completes {
+					t.Errorf("request in progress: %v", err)
 				}
 				if err := <-served; err != nil {
 					t.Error(err)
 				}
-				// What outlasted the grace is still asleep.
-				time.Sleep(c.takes)
+				// A handler that took longer than the grace time is still sleeping.
+				time.Sleep(c.duration)
 				synctest.Wait()
 			})
 		})
 	}
 }
 
-func answer(nc net.Conn, q *http.Request) (*http.Response, error) {
-	r, err := http.ReadResponse(bufio.NewReader(nc), q)
+// readResponse reads a response and checks that its body is complete.
+func readResponse(conn net.Conn, req *http.Request) (*http.Response, error) {
+	r, err := http.ReadResponse(bufio.NewReader(conn), req)
 	if err != nil {
 		return nil, err
 	}
 	b, err := io.ReadAll(r.Body)
 	if err == nil && string(b) != "whole" {
-		err = errors.New("not whole")
+		err = errors.New("response body is incomplete")
 	}
 	return r, err
 }
