--- a/internal/coordination/core/operators.go
+++ b/internal/coordination/core/operators.go
@@ -36,7 +36,7 @@
 	e.GET("/v1/explain", c.explain)
 	e.GET("/v1/members", c.getMembers)
 	e.GET("/v1/health", c.getHealth)
-	metrics.Routes(e, func() []metrics.Row {
+	metrics.Routes(e, func() []metrics.Sample {
 		live := 0
 		for _, m := range c.Lease.Members() {
 			if m.Live {
@@ -44,9 +44,9 @@
 			}
 		}
 		return append(
-			metrics.Node(c.Cluster.Now().Version, c.Peer.Sent()),
-			metrics.Row{Name: "members_live", Help: "Nodes whose lease runs.", Value: float64(live)},
-			metrics.Row{
+			metrics.NodeSamples(c.Cluster.Now().Version, c.Peer.Sent()),
+			metrics.Sample{Name: "members_live", Help: "Nodes whose lease runs.", Value: float64(live)},
+			metrics.Sample{
 				Name:  "keys_moved",
 				Help:  "Keys moved in the last change of a set.",
 				Value: float64(c.reconciler.keysMoved.Load()),
@@ -92,7 +92,7 @@
 // writeError responds with an error. If the request was not rejected but cannot be carried out now,
 // the response tells the client when to retry.
 func writeError(x echo.Context, err error) error {
-	return writeFailure(x, web.Of(err))
+	return writeFailure(x, web.FailureOf(err))
 }
 
 // retryAfterSeconds is the Retry-After header of a response to a temporary failure.
@@ -114,9 +114,9 @@
 	var options struct {
 		Force bool `json:"force"`
 	}
-	body, err := web.Body(x, maxRequestBytes)
+	body, err := web.ReadBody(x, maxRequestBytes)
 	if err == nil && len(body) > 0 {
-		err = web.Strict(body, &options)
+		err = web.DecodeStrict(body, &options)
 	}
 	if err != nil {
 		return writeError(x, err)
@@ -204,7 +204,7 @@
 	result, err := c.changeOnce(ctx, expect, requestOperation(x), edit)
 	switch {
 	case err != nil:
-		failure := web.Of(err)
+		failure := web.FailureOf(err)
 		if code.Of(err) == code.SpecConflict {
 			failure.Version = result.Version
 		}
--- a/internal/coordination/core/policies.go
+++ b/internal/coordination/core/policies.go
@@ -134,7 +134,7 @@
 }
 
 func readRequest(x echo.Context, into interface{ UnmarshalJSON([]byte) error }) error {
-	body, err := web.Body(x, spec.MaxBytes)
+	body, err := web.ReadBody(x, spec.MaxBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -75,8 +75,8 @@
 	defer cancel()
 	observation := c.observe(view, set)
 	decision := membership.Decide(observation)
-	if len(decision.Ask) > 0 {
-		observation.Presence = c.probe(ctx, observation, decision.Ask)
+	if len(decision.Probe) > 0 {
+		observation.Presence = c.probe(ctx, observation, decision.Probe)
 		decision = membership.Decide(observation)
 	}
 	if decision.Wait {
@@ -122,7 +122,7 @@
 			first = time.Now()
 		}
 		firstSeen[ident] = first
-		members[i].KnownFor = time.Since(first)
+		members[i].OutsideFor = time.Since(first)
 	}
 	tracker.firstSeen = firstSeen
 	return members
@@ -182,7 +182,7 @@
 			)
 			// A machine with a hung disk responds but is of no use to its set.
 			hungFor := time.Duration(response.GetHello().GetSelf().GetDiskHungMs()) * time.Millisecond
-			answers <- answer{m.Ident, err == nil && hungFor < lease.HungDisk}
+			answers <- answer{m.Ident, err == nil && hungFor < lease.HungDiskTimeout}
 		}()
 	}
 	presence := map[string]membership.Presence{}
--- a/internal/coordination/core/setorders.go
+++ b/internal/coordination/core/setorders.go
@@ -55,11 +55,11 @@
 		return web.Fail(x, err)
 	}
 	var request setRequest
-	body, err := web.Body(x, maxRequestBytes)
+	body, err := web.ReadBody(x, maxRequestBytes)
 	if err != nil {
 		return writeError(x, err)
 	}
-	if err := web.Strict(body, &request); err != nil {
+	if err := web.DecodeStrict(body, &request); err != nil {
 		return writeError(x, err)
 	}
 	list, err := c.queryMemberList(x.Request().Context())
--- a/internal/platform/ready.go
+++ b/internal/platform/ready.go
@@ -12,7 +12,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readiness", func(w http.ResponseWriter, _ *http.Request) {
 		if err := check(); err != nil {
-			http.Error(w, web.Of(err).Name, http.StatusServiceUnavailable)
+			http.Error(w, web.FailureOf(err).Name, http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
