--- a/internal/platform/fuzz_settings_test.go
+++ b/internal/platform/fuzz_settings_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzSettings: whatever the settings file holds, it is refused or gives figures
-// that every role can go by.
+// FuzzSettings checks that any settings file is either rejected or gives values that every role can
+// use.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(settings))
 	f.Add([]byte("node-name = 1"))
@@ -14,22 +14,22 @@
 			return
 		}
 		for _, role := range []string{"core", "store", "edge"} {
-			_ = p.Need(role)
+			_ = p.CheckRole(role)
 		}
-		if p.Contact() <= 0 || p.Grace() <= 0 || Ms(p.Bounds.SyncS*1000) <= 0 {
-			t.Errorf("contact %s, grace %s, sync %v", p.Contact(), p.Grace(), p.Bounds.SyncS)
+		if p.ContactTimeout() <= 0 || p.Grace() <= 0 || Ms(p.Bounds.SyncS*1000) <= 0 {
+			t.Errorf("contact %s, grace %s, sync %v", p.ContactTimeout(), p.Grace(), p.Bounds.SyncS)
 		}
-		if n := p.Copies(); n < 1 || n%2 == 0 {
-			t.Errorf("%d copies", n)
+		if n := p.ReplicationFactor(); n < 1 || n%2 == 0 {
+			t.Errorf("replication factor %d", n)
 		}
-		if !(p.Platform.RatePerS > 0) || p.MinFree() < 0 {
-			t.Errorf("rate %v, least free %d", p.Platform.RatePerS, p.MinFree())
+		if !(p.Platform.RatePerS > 0) || p.MinFreeMiB() < 0 {
+			t.Errorf("rate %v, minimum free disk %d MiB", p.Platform.RatePerS, p.MinFreeMiB())
 		}
-		if p.Listen() == p.Own() || len(p.Peers()) != len(p.Seeds) || len(p.ZoneList()) == 0 {
+		if p.ListenAddr() == p.StatusAddr() || len(p.Peers()) != len(p.Seeds) || len(p.ZoneList()) == 0 {
 			t.Errorf(
-				"listens at %s, tells of itself at %s, %d peers of %d seeds",
-				p.Listen(),
-				p.Own(),
+				"listen address %s, status address %s, %d peers of %d seeds",
+				p.ListenAddr(),
+				p.StatusAddr(),
 				len(p.Peers()),
 				len(p.Seeds),
 			)
