--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -32,17 +32,17 @@
 	// StoresVersion is the version that last changed the sets of stores. It is the same on all
 	// processes, unless the value was written by a release that did not record it.
 	StoresVersion uint64
-	// CoresVersion is the same for the sets of cores.
+	// CoresVersion is like StoresVersion, for the sets of cores.
 	CoresVersion uint64
 	spec.Cluster
 	raw        []byte
 	compressed func() []byte // raw in the compressed form used on the wire
 }
 
-// Copies is the number of stores that hold each key.
+// Copies returns the number of stores that hold each key.
 func (view *View) Copies() int { return Copies(&view.Cluster) }
 
-// Copies is the number of stores that hold each key of a cluster.
+// Copies returns the number of stores that hold each key of a cluster.
 func Copies(cluster *spec.Cluster) int {
 	if cluster.Copies > 0 {
 		return cluster.Copies
@@ -50,7 +50,7 @@
 	return defaultCopies
 }
 
-// Raw is the register's value.
+// Raw returns the register's value.
 func (view *View) Raw() []byte { return view.raw }
 
 // Cluster holds the version in force in this process. Its methods may be called concurrently.
@@ -84,11 +84,11 @@
 	return cluster
 }
 
-// Now is the version in force.
+// Now returns the version in force.
 func (cluster *Cluster) Now() *View { return cluster.current.Load() }
 
-// Newest is the newest version known: the version in force, or a later one that is not on the disk
-// yet. Votes and confirmations of this process must not be based on it.
+// Newest returns the newest version known: the version in force, or a later one that is not on the
+// disk yet. Votes and confirmations of this process must not be based on it.
 func (cluster *Cluster) Newest() *View {
 	now := cluster.Now()
 	if unsaved := cluster.unsaved.Load(); unsaved != nil && unsaved.Version > now.Version {
@@ -178,7 +178,7 @@
 	return false
 }
 
-// Cores returns the voters of the spec register: two groups during a change of the set.
+// Cores returns the voters of the spec register, in two groups during a change of the set.
 func (view *View) Cores() register.Set {
 	set := register.Set{replicas(view.Cluster.Cores)}
 	if len(view.NextCores) > 0 {
@@ -195,7 +195,7 @@
 	return out
 }
 
-// Stores returns the voters of one key: two groups during a change of the set, or nil if fewer
+// Stores returns the voters of one key, in two groups during a change of the set, or nil if fewer
 // stores have an identity than the key has replicas.
 func (view *View) Stores(key string) register.Set {
 	holders := Holders(view.Cluster.Stores, key, view.Copies())
@@ -250,8 +250,8 @@
 	return holders
 }
 
-// MaxHolders is the largest number of a key's replicas that could be on a subset of the machines of
-// a set.
+// MaxHolders returns the largest number of a key's replicas that could be on a subset of the
+// machines of a set.
 func MaxHolders(set, subset []spec.Machine, copies int) int {
 	machinesInZone, subsetInZone := map[string]int{}, map[string]int{}
 	for _, m := range set {
--- a/internal/coordination/cluster/hello.go
+++ b/internal/coordination/cluster/hello.go
@@ -24,7 +24,7 @@
 	return ack, nil
 }
 
-// HelloAck is the answer to a hello, with the cluster in the form that the hello accepts.
+// HelloAck returns the answer to a hello, with the cluster in the form that the hello accepts.
 func (view *View) HelloAck(self *wire.Member, hello *wire.Hello) *wire.HelloAck {
 	ack := &wire.HelloAck{Self: self, Formed: view.Version > 0, ClusterVer: view.Version}
 	switch {
--- a/internal/coordination/cluster/since.go
+++ b/internal/coordination/cluster/since.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// storesSince is the version that last changed the sets of stores. If the register does not record
+// storesSince returns the version that last changed the sets of stores. If the register does not record
 // it, this is the first version at which this process has seen these sets.
 func storesSince(previous, view *View) uint64 {
 	if view.StoresSince > 0 {
@@ -60,7 +60,7 @@
 	return view.Version
 }
 
-// coresSince is the same for the sets of cores.
+// coresSince is like storesSince, for the sets of cores.
 func coresSince(previous, view *View) uint64 {
 	if view.CoresSince > 0 {
 		return view.CoresSince
--- a/internal/coordination/core/acknowledgement.go
+++ b/internal/coordination/core/acknowledgement.go
@@ -182,8 +182,8 @@
 	})
 }
 
-// unlistedNodes stands for nodes that are no longer listed by the cores in the list of nodes that
-// an acknowledgement waits for.
+// unlistedNodes represents all nodes that the cores no longer list. It is an entry in the list of
+// nodes that an acknowledgement waits for.
 const unlistedNodes = "(nodes no longer listed)"
 
 func (c *Core) portRefused(ctx context.Context, addr string) bool {
--- a/internal/coordination/core/contact.go
+++ b/internal/coordination/core/contact.go
@@ -59,7 +59,7 @@
 	return tracker.lastLost.IsZero() || now.Monotonic().Sub(tracker.lastLost) > contactStableAfter
 }
 
-// currentMoment is the present time on this core's clocks.
+// currentMoment returns the present time on this core's clocks.
 func (c *Core) currentMoment() clock.Moment { return clock.Now(c.Proposer.Clock) }
 
 // checkContact is the background task that updates the contact tracker.
--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -82,8 +82,9 @@
 	wakeups map[membership.Set]loop.Wakeup
 	// nonMembers has a tracker for each set. The map is never modified.
 	nonMembers map[membership.Set]*nonMemberTracker
-	// lastNewStoreUnixNano is when a store outside the present and next set was last seen for the
-	// first time, in Unix nanoseconds; seenIdentities holds the identities seen so far.
+	// lastNewStoreUnixNano is the time, in Unix nanoseconds, at which the latest previously unknown
+	// store outside the present and next sets made contact; seenIdentities holds the identities of
+	// those seen so far.
 	lastNewStoreUnixNano atomic.Int64
 	seenIdentities       sync.Map
 	keysMoved            atomic.Int64 // in the current change of a set
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -193,7 +193,7 @@
 	return presence
 }
 
-// unresponsiveFor is how long a machine has been without contact. A machine that this core has
+// unresponsiveFor returns how long a machine has been without contact. A machine that this core has
 // never seen counts as unresponsive since the start of this core.
 func (c *Core) unresponsiveFor(observation membership.Observation, ident string) time.Duration {
 	shortest := time.Since(c.startedAt)
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -20,14 +20,14 @@
 	// machine.
 	maxRetired = 256
 	// membershipKnownAfter is the uptime after which a core has seen every node that is in contact.
-	// It equals the length of a lease, in which a node renews several times.
+	// A node renews its lease at least twice in this time.
 	membershipKnownAfter = 2500 * time.Millisecond
 	// admissionWindow is the time without contact up to which a store outside the sets may still be
 	// admitted.
 	admissionWindow = 30 * time.Second
 )
 
-// Retire has a store emptied and removed. Repeating the request for a store that is being removed
+// Retire requests the removal of a store, whose keys are then transferred to other stores. Repeating the request for a store that is being removed
 // or already removed has no effect. Permanent rejections are based on the register; temporary ones,
 // based on the nodes live at this moment, have code.FewLive or code.NotSeen.
 func (c *Core) Retire(ctx context.Context, id string) error {
--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -67,8 +67,8 @@
 	return true
 }
 
-// transferTimeout is how long one call waits for a store to receive its keys. The transfer
-// continues after the timeout.
+// transferTimeout is the time after which a store answers a transfer request even if it has not
+// received all of its keys yet. The transfer continues after the answer.
 const transferTimeout = 2 * time.Second
 
 // transferKeys makes each store of the next set fetch the keys that it receives.
@@ -80,7 +80,7 @@
 	rate := c.params.MoveRate
 	if view.SelfManaged {
 		// Restoring the redundancy of a set that lacks a machine takes priority over the latency of
-		// the traffic.
+		// client requests.
 		rate = 0
 	}
 	receivers := change.Receivers(view.Copies())
--- a/internal/coordination/core/table.go
+++ b/internal/coordination/core/table.go
@@ -67,7 +67,8 @@
 	c.Log.Info("lease table is complete again", "members", len(members))
 }
 
-// minCoresToComplete is the smallest number of cores for which all cores but one know every lease.
+// minCoresToComplete is the smallest number of cores for which all cores but one together know every
+// lease.
 const minCoresToComplete = 3
 
 // resetDiskState discards the state that this process caches from its disk, which has been replaced
--- a/internal/coordination/core/voting.go
+++ b/internal/coordination/core/voting.go
@@ -28,8 +28,8 @@
 		return nil
 	}
 	handle := func(_ context.Context, request *wire.Req) (*wire.Resp, error) {
-		// A request that the version of a newer set excludes is either rejected or on the disk by
-		// the time another process asks for everything on this machine.
+		// When another process lists the keys of this machine for a transfer, each request that
+		// acts on an older set has been either rejected or written to the disk.
 		defer node.Gate.Begin()()
 		if !node.MayVote() {
 			return nil, code.New(code.NotVoting, "%s has not joined yet", node.Peer.Self.Id)
@@ -50,7 +50,8 @@
 
 // CheckVersion rejects a request whose sender acts on an older spec than the latest that this
 // machine has synced: a strict request after any change, other requests only after a change of the
-// sets. An accept may finish what was begun under a promise.
+// sets. A strict accept is checked like other requests, so that it can complete a change whose
+// ballot has been promised already.
 func CheckVersion(node *node.Node, request *wire.Req) error {
 	view := node.Cluster.Now()
 	if membership.Stale(view, request.Spec) ||
--- a/internal/coordination/lease/contact.go
+++ b/internal/coordination/lease/contact.go
@@ -40,8 +40,8 @@
 }
 
 // unresponsive returns for how long a member has been unresponsive. It is the time since its
-// last renewal, or since the last grant that it received if that exceeds the lease duration,
-// plus the time for which its disk has hung if that reaches HungDiskTimeout.
+// last renewal, or since the last grant that it received if that is longer and at least the
+// lease duration, plus the time for which its disk has hung if that reaches HungDiskTimeout.
 func (t *Table) unresponsive(e *entry) time.Duration { return t.unresponsiveAt(e, time.Now()) }
 
 // unresponsiveAt is unresponsive at a given time.
--- a/internal/coordination/lease/contact_test.go
+++ b/internal/coordination/lease/contact_test.go
@@ -162,10 +162,10 @@
 	})
 }
 
-// TestRaisedAfterSilence checks that recordAnswer returns the time since the previous answer. A
+// TestTimeSincePreviousAnswer checks that recordAnswer returns the time since the previous answer. A
 // node that has received no answer from a core machine for the lease duration uses it to renew
 // again immediately, so that it is live there without delay.
-func TestRaisedAfterSilence(t *testing.T) {
+func TestTimeSincePreviousAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &memberList{}
 		if silence := list.recordAnswer(&wire.RenewAck{GrantedMs: 5}); silence != 0 {
--- a/internal/coordination/lease/departed.go
+++ b/internal/coordination/lease/departed.go
@@ -216,7 +216,7 @@
 // holds the lock for both.
 func (t *Table) beginRecording(m *wire.Member) { t.recording[key(m)]++ }
 
-// endRecording ends what beginRecording has begun.
+// endRecording permits the deletion of the record again.
 func (t *Table) endRecording(m *wire.Member) {
 	if t.recording[key(m)]--; t.recording[key(m)] == 0 {
 		delete(t.recording, key(m))
--- a/internal/coordination/lease/departed_test.go
+++ b/internal/coordination/lease/departed_test.go
@@ -17,7 +17,7 @@
 func keepNone(*wire.Member) bool { return false }
 
 // TestDepartedRemoved checks that departed members in excess of MaxDeparted are removed, those
-// unresponsive for longest first, and that members that are wanted, live or only recently
+// unresponsive for longest first, and that members that are to be kept, live or only recently
 // departed stay. The marker that the table is incomplete is written to disk before the first
 // removal.
 func TestDepartedRemoved(t *testing.T) {
@@ -68,9 +68,9 @@
 	})
 }
 
-// TestIncompleteNoteFirst checks that no member is removed if the incomplete marker cannot be
+// TestIncompleteMarkerFirst checks that no member is removed if the incomplete marker cannot be
 // synced.
-func TestIncompleteNoteFirst(t *testing.T) {
+func TestIncompleteMarkerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := newMemoryDisk()
 		tb := table(t, disk)
--- a/internal/coordination/lease/table.go
+++ b/internal/coordination/lease/table.go
@@ -266,7 +266,7 @@
 	return &wire.Resp{Op: &wire.Resp_Renew{Renew: t.buildAnswer(renewal)}}, nil
 }
 
-// supersededBy is the answer to an earlier incarnation: the number of the incarnation that
+// supersededBy returns the answer to an earlier incarnation: the number of the incarnation that
 // holds the lease.
 func supersededBy(e *entry) *wire.Resp {
 	later := &wire.Member{Id: e.member.Id, Inc: e.member.Inc}
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -309,7 +309,7 @@
 
 func (p *plan) absent(m spec.Machine) bool { return p.Presence[m.Ident] == Absent }
 
-// admitNewcomer replaces the machine with the newcomer's name at its previous address, or
+// admitNewcomer lets a newcomer replace the machine that has its name at another address, or
 // else an absent machine, preferably in the newcomer's zone. If there is neither, the
 // newcomer becomes a candidate. It returns false if the presence of a machine that the
 // newcomer could replace is uncertain.
@@ -457,7 +457,7 @@
 	p := newPlan(o)
 	zones := map[string]bool{}
 	for _, m := range eligibleNewcomers(o) {
-		// Of several stores with the same name, the latest start is sorted first and wins.
+		// Of several stores with the same name, the one with the latest start is sorted first and kept.
 		taken := slices.ContainsFunc(
 			p.next,
 			func(s spec.Machine) bool { return s.ID == m.Machine.ID || s.Addr == m.Machine.Addr },
--- a/internal/coordination/node/node.go
+++ b/internal/coordination/node/node.go
@@ -137,7 +137,7 @@
 
 // discoverFromSeeds asks the seeds and the known cores in parallel for the version of their
 // cluster, fetches the newest from one of them and applies it. It reports whether any of them
-// has a cluster.
+// has a cluster and this process has one in force.
 func (n *Node) discoverFromSeeds(ctx context.Context) bool {
 	view := n.Cluster.Now()
 	found := false
@@ -211,7 +211,8 @@
 	firstRetryDelay  = 20 * time.Millisecond
 	maxDiscoverDelay = 100 * time.Millisecond
 	maxJoinDelay     = 250 * time.Millisecond
-	// firstJoinTimeout bounds the first attempts to join. It doubles every 4 attempts, twice.
+	// firstJoinTimeout bounds each of the first 4 attempts to join. The timeout doubles for the
+	// next 4 attempts, and again for all later ones.
 	firstJoinTimeout = 250 * time.Millisecond
 	// A waiting node logs once per this number of attempts.
 	discoverLogAttempts = 40
@@ -284,7 +285,8 @@
 const voteWithoutLease = time.Second
 
 // MayVote reports whether this process may take part in the rounds of a register. It normally
-// waits for a lease first, because the cores detect that the folder is older than it was.
+// waits for a lease first, because the cores refuse one if the folder was restored from an older
+// copy.
 func (n *Node) MayVote() bool {
 	return n.FreshFolder || n.leaseGranted.Load() || time.Since(n.startedAt) >= voteWithoutLease
 }
--- a/internal/coordination/peer/admission.go
+++ b/internal/coordination/peer/admission.go
@@ -30,7 +30,7 @@
 	return admission.Requests
 }
 
-// voteClass separates votes on the register of the cluster from votes on registers of requests.
+// voteClass separates votes on the register of the cluster from votes on all other registers.
 func voteClass(key string) admission.Class {
 	if key == keys.Cluster {
 		return admission.Control
--- a/internal/coordination/peer/peer_test.go
+++ b/internal/coordination/peer/peer_test.go
@@ -15,9 +15,9 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// TestNeighbours: a message of a later version with unknown fields is accepted. Messages of an
+// TestRequestChecks: a message of a later version with unknown fields is accepted. Messages of an
 // outdated version, for another identity or of an unserved kind are rejected with a code.
-func TestNeighbours(t *testing.T) {
+func TestRequestChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
 		a := peer.New(
@@ -31,10 +31,10 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		h := transport.NewClient(n.Host("b"), transport.DefaultParams, nil)
-		defer h.Close()
+		client := transport.NewClient(n.Host("b"), transport.DefaultParams, nil)
+		defer client.Close()
 		send := func(q *wire.Req, tail []byte) code.Code {
-			b, err := h.Call(t.Context(), "a", append(wire.MustEncode(q), tail...))
+			b, err := client.Call(t.Context(), "a", append(wire.MustEncode(q), tail...))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/coordination/storeclient/client.go
+++ b/internal/coordination/storeclient/client.go
@@ -152,7 +152,7 @@
 	return state, ver, err
 }
 
-// Change applies f to a register at a majority. If it fails with code.OutcomeUnknown, the
+// Change applies update to a register at a majority. If it fails with code.OutcomeUnknown, the
 // change may have been applied.
 func (client *Client) Change(ctx context.Context, key string, update register.UpdateFunc) (register.State, error) {
 	return client.change(ctx, key, false, update)
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -31,8 +31,8 @@
 // temporary failure. Accept fails with EMFILE when the process or the machine runs out of file
 // descriptors, for example when all nodes dial at once. A server that ended its loop at the
 // first failure of any kind kept running but served no further calls and reported nothing; in
-// an incident, a confirmed change could not be read and service did not recover. The only
-// failure of the simulated network is the closed listener.
+// an incident, a confirmed change could not be read and service did not recover. A listener of the
+// simulated network fails only once it is closed, so the test wraps one.
 func TestDescriptorsExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(1)
@@ -46,11 +46,11 @@
 			func(_ context.Context, call *transport.Call) []byte { return call.Body }, func(error) { reported++ })
 		defer server.Close()
 		time.Sleep(4 * time.Second)
-		hub := transport.NewClient(network.Host("c"), transport.DefaultParams, nil)
-		defer hub.Close()
+		client := transport.NewClient(network.Host("c"), transport.DefaultParams, nil)
+		defer client.Close()
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		if got, err := hub.Call(ctx, "s", []byte("x")); err != nil || string(got) != "x" {
+		if got, err := client.Call(ctx, "s", []byte("x")); err != nil || string(got) != "x" {
 			t.Errorf("a call after the listener recovered: %q, %v", got, err)
 		}
 		if reported == 0 || listener.attempts > 100 {
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -129,10 +129,10 @@
 			}
 			defer ln.Close()
 			peer := newReorderingPeer(ln, seed)
-			h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
-			defer h.Close()
-			answered, lost := concurrentCalls(t, h, 12, 25)
-			h.Close()
+			client := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
+			defer client.Close()
+			answered, lost := concurrentCalls(t, client, 12, 25)
+			client.Close()
 			ln.Close()
 			// Frames still in transit must not be delivered.
 			time.Sleep(time.Second)
@@ -152,7 +152,7 @@
 
 // concurrentCalls makes sequences of calls concurrently and checks that each call receives its
 // own answer.
-func concurrentCalls(t *testing.T, h *transport.Client, sequences, each int) (answered, lost int) {
+func concurrentCalls(t *testing.T, client *transport.Client, sequences, each int) (answered, lost int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for sequence := range sequences {
@@ -160,7 +160,7 @@
 			for i := range each {
 				body := fmt.Sprintf("call %d of sequence %d", i, sequence)
 				ctx, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
-				a, err := h.Call(ctx, "s", []byte(body))
+				a, err := client.Call(ctx, "s", []byte(body))
 				stop()
 				mu.Lock()
 				switch {
@@ -213,9 +213,9 @@
 						c.Close()
 					}
 				}()
-				h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
-				defer h.Close()
-				a, err := h.Call(t.Context(), "s", body)
+				client := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
+				defer client.Close()
+				a, err := client.Call(t.Context(), "s", body)
 				if err == nil || !errors.Is(err, transport.ErrLost) {
 					t.Errorf("answer %v truncated at %d: %q, %v", answer, at, a, err)
 				}
@@ -248,9 +248,9 @@
 			_, _ = c.Write(wireFrame(wireCall, id, []byte("a call")))
 			_, _ = io.Copy(io.Discard, c)
 		}()
-		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
-		defer h.Close()
-		if b, err := h.Call(t.Context(), "s", []byte("x")); !errors.Is(err, transport.ErrLost) ||
+		client := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
+		defer client.Close()
+		if b, err := client.Call(t.Context(), "s", []byte("x")); !errors.Is(err, transport.ErrLost) ||
 			code.Of(err) != code.Garbled {
 			t.Errorf("%q, %v", b, err)
 		}
--- a/internal/transport/batch_test.go
+++ b/internal/transport/batch_test.go
@@ -63,11 +63,11 @@
 		c, err := tcp.Dial(ctx, addr)
 		return countingConn{c, &n}, err
 	}}} {
-		h := transport.NewClient(net, transport.DefaultParams, nil)
+		client := transport.NewClient(net, transport.DefaultParams, nil)
 		makeConcurrentCalls(t, func(ctx context.Context, b []byte) ([]byte, error) {
-			return h.Call(ctx, ln.Addr().String(), b)
+			return client.Call(ctx, ln.Addr().String(), b)
 		})
-		h.Close()
+		client.Close()
 	}
 	if n.Load() == 0 {
 		t.Error("no write was counted")
@@ -80,9 +80,9 @@
 			t.Fatal(err)
 		}
 		s := transport.Serve(t.Context(), ln, transport.DefaultParams, echo, func(err error) { t.Error(err) })
-		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
-		makeConcurrentCalls(t, func(ctx context.Context, b []byte) ([]byte, error) { return h.Call(ctx, "s", b) })
-		h.Close()
+		client := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
+		makeConcurrentCalls(t, func(ctx context.Context, b []byte) ([]byte, error) { return client.Call(ctx, "s", b) })
+		client.Close()
 		s.Close()
 		// Frames still in transit must not be delivered.
 		time.Sleep(time.Second)
@@ -111,12 +111,12 @@
 			c, err := dial(ctx, addr)
 			return countingConn{c, &sent}, err
 		}
-		h := transport.NewClient(host, transport.DefaultParams, nil)
+		client := transport.NewClient(host, transport.DefaultParams, nil)
 		n.Freeze("c")
 		var wg sync.WaitGroup
 		call := func() {
 			wg.Go(func() {
-				if _, err := h.Call(t.Context(), "s", []byte("x")); err != nil {
+				if _, err := client.Call(t.Context(), "s", []byte("x")); err != nil {
 					t.Error(err)
 				}
 			})
@@ -135,7 +135,7 @@
 		if sent.Load() > 2 {
 			t.Errorf("20 calls took %d writes", sent.Load())
 		}
-		h.Close()
+		client.Close()
 		s.Close()
 	})
 }
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -46,15 +46,15 @@
 	defer s.Close()
 	var n atomic.Int64
 	tcp := transport.TCP(transport.DefaultParams, listen.Opener{})
-	h := transport.NewClient(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	client := transport.NewClient(transport.Net{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := tcp.Dial(ctx, addr)
 		return countingConn{c, &n}, err
 	}}, transport.DefaultParams, nil)
-	defer h.Close()
+	defer client.Close()
 	body := make([]byte, 300)
 	addr := ln.Addr().String()
 	one := func(b *testing.B) {
-		if _, err := h.Call(b.Context(), addr, body); err != nil {
+		if _, err := client.Call(b.Context(), addr, body); err != nil {
 			b.Error(err)
 		}
 	}
--- a/internal/transport/hub.go
+++ b/internal/transport/hub.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// readBuffer is the size in bytes of a connection's read buffer. It is sufficient for headers
+// readBufferBytes is the size of a connection's read buffer. It is sufficient for headers
 // and small bodies; a large body is read directly into its own memory. Each connection has a
 // buffer, and a core has a connection to every node.
-const readBuffer = 4 << 10
+const readBufferBytes = 4 << 10
 
 // ErrRefused means that no process listens at the address: the one that did has exited.
 var ErrRefused = errors.New("port refused")
@@ -300,7 +300,7 @@
 
 // read delivers answers to their calls until the connection ends.
 func (conn *clientConn) read(maxBodyBytes int) {
-	r := bufio.NewReaderSize(conn.netConn, readBuffer)
+	r := bufio.NewReaderSize(conn.netConn, readBufferBytes)
 	for {
 		f, err := readFrame(r, maxBodyBytes)
 		if err == nil && f.kind == kindCall {
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -64,11 +64,11 @@
 			}
 			return n
 		}
-		h := transport.NewClient(host, transport.DefaultParams, nil)
-		defer h.Close()
+		client := transport.NewClient(host, transport.DefaultParams, nil)
+		defer client.Close()
 		ask := func(addr string) {
 			t.Helper()
-			if b, err := h.Call(t.Context(), addr, []byte("x")); err != nil || string(b) != "x" {
+			if b, err := client.Call(t.Context(), addr, []byte("x")); err != nil || string(b) != "x" {
 				t.Errorf("%s: %q, %v", addr, b, err)
 			}
 		}
@@ -124,15 +124,15 @@
 		}
 		p := transport.DefaultParams
 		p.IdleTimeout = time.Second
-		h := transport.NewClient(n.Host("c"), p, nil)
-		defer h.Close()
+		client := transport.NewClient(n.Host("c"), p, nil)
+		defer client.Close()
 		var wg sync.WaitGroup
 		for i := range peers {
 			wg.Go(func() {
 				for range 200 {
 					// About the time when the connection is closed.
 					time.Sleep(time.Second + time.Duration(i)*time.Microsecond)
-					if _, err := h.Call(t.Context(), fmt.Sprintf("s%d", i), []byte("x")); err != nil {
+					if _, err := client.Call(t.Context(), fmt.Sprintf("s%d", i), []byte("x")); err != nil {
 						t.Errorf("s%d: %v", i, err)
 					}
 				}
--- a/internal/transport/logqueue/logqueue_test.go
+++ b/internal/transport/logqueue/logqueue_test.go
@@ -42,9 +42,9 @@
 	})
 }
 
-// TestNobodyReads: lines that are not read do not block the writer. Lines beyond the bound are
+// TestUnreadLog: lines that are not read do not block the writer. Lines beyond the bound are
 // dropped, and their number is reported once the log is read again.
-func TestNobodyReads(t *testing.T) {
+func TestUnreadLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipe{opened: make(chan struct{})}
 		q := logqueue.New(p)
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -15,9 +15,9 @@
 func NewWakeup() Wakeup { return make(Wakeup, 1) }
 
 // Notify wakes the loop. It never blocks.
-func (k Wakeup) Notify() {
+func (wakeup Wakeup) Notify() {
 	select {
-	case k <- struct{}{}:
+	case wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -181,7 +181,7 @@
 	}
 	w := &writer{conn: c, queue: out, done: ctx.Done(), end: end}
 	go w.run()
-	r := bufio.NewReaderSize(c, readBuffer)
+	r := bufio.NewReaderSize(c, readBufferBytes)
 	for {
 		f, err := readFrame(r, s.params.MaxBodyBytes)
 		if err != nil {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -73,9 +73,9 @@
 			if errorCount.Load() != 1 || lastCode.Load() != tc.want {
 				t.Errorf("%s: %d failures, code %v, want %v", tc.what, errorCount.Load(), lastCode.Load(), tc.want)
 			}
-			h := transport.NewClient(n.Host("d"), transport.DefaultParams, nil)
-			defer h.Close()
-			if b, err := h.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
+			client := transport.NewClient(n.Host("d"), transport.DefaultParams, nil)
+			defer client.Close()
+			if b, err := client.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
 				t.Errorf("%s: the next call got %q, %v", tc.what, b, err)
 			}
 		})
@@ -102,9 +102,9 @@
 			b[2] = 2 // an answer
 			_, _ = c.Write(b)
 		}()
-		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
-		defer h.Close()
-		if _, err := h.Call(t.Context(), "s", nil); code.Of(err) != code.WireVersion {
+		client := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
+		defer client.Close()
+		if _, err := client.Call(t.Context(), "s", nil); code.Of(err) != code.WireVersion {
 			t.Errorf("got %v", err)
 		}
 		ln.Close()
@@ -116,22 +116,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
 		partitions := &transport.Partitions{}
-		h := transport.NewClient(n.Host("c"), transport.DefaultParams, partitions)
-		defer h.Close()
-		if _, err := h.Call(t.Context(), "s", nil); !errors.Is(err, transport.ErrRefused) {
+		client := transport.NewClient(n.Host("c"), transport.DefaultParams, partitions)
+		defer client.Close()
+		if _, err := client.Call(t.Context(), "s", nil); !errors.Is(err, transport.ErrRefused) {
 			t.Errorf("no listener: %v", err)
 		}
 		var errorCount atomic.Int64
 		var lastCode atomic.Value
 		s := echo(t, n.Host("s"), "s", &errorCount, &lastCode)
-		if b, err := h.Call(t.Context(), "s", []byte("a")); err != nil || string(b) != "a" {
+		if b, err := client.Call(t.Context(), "s", []byte("a")); err != nil || string(b) != "a" {
 			t.Errorf("%q %v", b, err)
 		}
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		partitions.Set([]string{"s"})
 		began := time.Now()
-		if _, err := h.Call(ctx, "s", nil); !errors.Is(err, transport.ErrLost) || time.Since(began) != time.Second {
+		if _, err := client.Call(ctx, "s", nil); !errors.Is(err, transport.ErrLost) || time.Since(began) != time.Second {
 			t.Errorf("partition: %v after %s", err, time.Since(began))
 		}
 		if partitions.Swallowed() != 1 {
@@ -139,7 +139,7 @@
 		}
 		partitions.Set(nil)
 		s.Close()
-		if _, err := h.Call(t.Context(), "s", nil); err == nil || errors.Is(err, context.Canceled) {
+		if _, err := client.Call(t.Context(), "s", nil); err == nil || errors.Is(err, context.Canceled) {
 			t.Errorf("closed: %v", err)
 		}
 	})
@@ -159,16 +159,16 @@
 		func(_ context.Context, call *transport.Call) []byte { return call.Body },
 		func(error) {},
 	)
-	h := transport.NewClient(transport.TCP(transport.DefaultParams, listen.Opener{}), transport.DefaultParams, nil)
-	defer h.Close()
+	client := transport.NewClient(transport.TCP(transport.DefaultParams, listen.Opener{}), transport.DefaultParams, nil)
+	defer client.Close()
 	big := make([]byte, 1<<20)
-	if b, err := h.Call(t.Context(), addr, big); err != nil || len(b) != len(big) {
+	if b, err := client.Call(t.Context(), addr, big); err != nil || len(b) != len(big) {
 		t.Errorf("%d bytes, %v", len(b), err)
 	}
 	s.Close()
 	for {
 		// The first call may use the old connection while it is being closed.
-		if _, err := h.Call(t.Context(), addr, nil); errors.Is(err, transport.ErrRefused) {
+		if _, err := client.Call(t.Context(), addr, nil); errors.Is(err, transport.ErrRefused) {
 			break
 		} else if !errors.Is(err, transport.ErrLost) {
 			t.Fatalf("got %v", err)
@@ -193,10 +193,10 @@
 			time.Sleep(time.Second)
 			return b
 		}, func(error) {})
-		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
-		defer h.Close()
+		client := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
+		defer client.Close()
 		for range 3 {
-			go func() { _, _ = h.Call(t.Context(), "s", nil) }()
+			go func() { _, _ = client.Call(t.Context(), "s", nil) }()
 		}
 		synctest.Wait()
 		if running.Load() != 3 {
@@ -224,22 +224,22 @@
 			dials++
 			return dial(ctx, addr)
 		}
-		h := transport.NewClient(host, transport.DefaultParams, &transport.Partitions{})
-		defer h.Close()
+		client := transport.NewClient(host, transport.DefaultParams, &transport.Partitions{})
+		defer client.Close()
 		call := func() {
-			if b, err := h.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
+			if b, err := client.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
 				t.Errorf("%q %v", b, err)
 			}
 		}
-		h.Drop("s", time.Second) // no connection yet
+		client.Drop("s", time.Second) // no connection yet
 		call()
-		h.Drop("s", time.Second)
+		client.Drop("s", time.Second)
 		call()
 		if dials != 1 {
 			t.Errorf("%d dials while it is in use", dials)
 		}
 		time.Sleep(2 * time.Second)
-		h.Drop("s", time.Second)
+		client.Drop("s", time.Second)
 		call()
 		if dials != 2 {
 			t.Errorf("%d dials after it was dropped", dials)
--- a/internal/transport/usertimeout.go
+++ b/internal/transport/usertimeout.go
@@ -10,9 +10,9 @@
 const tcpUserTimeout = 0x12
 
 // setUserTimeout makes the system close a connection if sent bytes stay unacknowledged for d.
-// Retransmissions back off exponentially: without it, bytes written during a network partition,
-// and every later call on the connection, may wait as long again after the partition has
-// healed. A peer whose process is frozen keeps its connections, because its system still
+// Retransmissions back off exponentially. Without this option, a connection written to during a
+// network partition may stay blocked after the partition has healed for as long as the partition
+// lasted, and so do all later calls on it. A peer whose process is frozen keeps its connections, because its system still
 // acknowledges.
 func setUserTimeout(c syscall.RawConn, d time.Duration) error {
 	if d <= 0 {
