--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -75,7 +75,7 @@
 	params Params
 
 	mu           sync.Mutex
-	heldBytes    int64
+	heldBytes    int64         // of admitted calls and their answers
 	standingWait time.Duration // minimum wait of the last complete window
 	windowStart  time.Time
 	minWait      time.Duration // in the current window
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestRelayDies checks that all other nodes receive an item within half a second if relays
+// TestFailedRelay checks that all other nodes receive an item within half a second if relays
 // are down or hang, and that a hanging relay receives it once it is reachable again.
-func TestRelayDies(t *testing.T) {
+func TestFailedRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, end := newTestCluster(t, 50, 0)
 		defer end()
--- a/internal/coordination/cluster/cluster.go
+++ b/internal/coordination/cluster/cluster.go
@@ -87,8 +87,8 @@
 // Now returns the version in force.
 func (cluster *Cluster) Now() *View { return cluster.current.Load() }
 
-// Newest returns the newest version known: the version in force, or a later one that is not on the
-// disk yet. Votes and confirmations of this process must not be based on it.
+// Newest returns the newest version known: the version in force, or a later one that is not on
+// the disk yet. Votes and confirmations of this process must not be based on it.
 func (cluster *Cluster) Newest() *View {
 	now := cluster.Now()
 	if unsaved := cluster.unsaved.Load(); unsaved != nil && unsaved.Version > now.Version {
--- a/internal/coordination/core/bootstrap.go
+++ b/internal/coordination/core/bootstrap.go
@@ -67,7 +67,7 @@
 		}
 		if set != nil {
 			c.Cluster.SetInitialVoters(set)
-			// Only one core proposes per attempt, in list order, because concurrent proposals would
+			// The cores take turns by attempt, in list order, because concurrent proposals would
 			// outbid each other's ballots. Later cores propose only if the earlier ones do not.
 			if attempt%max(len(peers), 1) == selfIndex {
 				if err := c.proposeFirstVersion(ctx, set); err != nil {
--- a/internal/coordination/core/retire.go
+++ b/internal/coordination/core/retire.go
@@ -27,9 +27,10 @@
 	admissionWindow = 30 * time.Second
 )
 
-// Retire requests the removal of a store, whose keys are then transferred to other stores. Repeating the request for a store that is being removed
-// or already removed has no effect. Permanent rejections are based on the register; temporary ones,
-// based on the nodes live at this moment, have code.FewLive or code.NotSeen.
+// Retire requests the removal of a store, whose keys are then transferred to other stores.
+// Repeating the request for a store that is being removed or already removed has no effect.
+// Permanent rejections are based on the register; temporary ones, based on the nodes live at
+// this moment, have code.FewLive or code.NotSeen.
 func (c *Core) Retire(ctx context.Context, id string) error {
 	list, err := c.queryMemberList(ctx)
 	if err != nil {
--- a/internal/coordination/core/voting.go
+++ b/internal/coordination/core/voting.go
@@ -49,9 +49,9 @@
 }
 
 // CheckVersion rejects a request whose sender acts on an older spec than the latest that this
-// machine has synced: a strict request after any change, other requests only after a change of the
-// sets. A strict accept is checked like other requests, so that it can complete a change whose
-// ballot has been promised already.
+// machine has synced: a strict request after any change, other requests only after a change of
+// the sets of stores. A strict accept is checked like other requests, so that it can complete a
+// change whose ballot has been promised already.
 func CheckVersion(node *node.Node, request *wire.Req) error {
 	view := node.Cluster.Now()
 	if membership.Stale(view, request.Spec) ||
--- a/internal/coordination/lease/departed_test.go
+++ b/internal/coordination/lease/departed_test.go
@@ -48,15 +48,15 @@
 		if err := tb.RemoveDeparted(keep); err != nil {
 			t.Error(err)
 		}
-		left := map[string]bool{}
+		remaining := map[string]bool{}
 		for _, m := range tb.List() {
-			left[m.Id] = true
+			remaining[m.Id] = true
 		}
-		if len(left) != MaxDeparted+2 {
-			t.Errorf("%d members are left", len(left))
+		if len(remaining) != MaxDeparted+2 {
+			t.Errorf("%d members are left", len(remaining))
 		}
 		for i, want := range map[int]bool{0: true, 1: false, 2: true, 3: false, 10: false, 11: true, departed - 1: true, 5000: true} {
-			if left[node(i).Id] != want {
+			if remaining[node(i).Id] != want {
 				t.Errorf("%s is listed: %v", node(i).Id, !want)
 			}
 		}
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -23,8 +23,8 @@
 type Params struct {
 	RenewInterval time.Duration // time between renewals
 	Duration      time.Duration // lifetime of a lease after a renewal
-	// OrphanTimeout is the time after which whatever an unresponsive node left running is no
-	// longer counted.
+	// OrphanTimeout is the time without contact after which the jobs that a node may still be
+	// running are no longer counted, and its entry may be removed from the member tables.
 	OrphanTimeout time.Duration
 }
 
--- a/internal/coordination/membership/cores_model_test.go
+++ b/internal/coordination/membership/cores_model_test.go
@@ -47,8 +47,8 @@
 type proposer struct {
 	view *cluster.Cluster
 	op   *proposal
-	// confirmed holds the version that each identity has confirmed to this reconciler;
-	// observed is the view on which it bases the change.
+	// A proposer may also act as the reconciler: confirmed holds the version that each identity
+	// has confirmed to it, and observed is the view on which it bases the change of the set.
 	confirmed map[string]uint64
 	observed  *cluster.View
 	// resumeAt is the cluster version at which a paused proposer resumes.
--- a/internal/coordination/membership/plan.go
+++ b/internal/coordination/membership/plan.go
@@ -310,9 +310,9 @@
 func (p *plan) absent(m spec.Machine) bool { return p.Presence[m.Ident] == Absent }
 
 // admitNewcomer lets a newcomer replace the machine that has its name at another address, or
-// else an absent machine, preferably in the newcomer's zone. If there is neither, the
-// newcomer becomes a candidate. It returns false if the presence of a machine that the
-// newcomer could replace is uncertain.
+// else an absent machine, preferably in the newcomer's zone. If there is neither, the newcomer
+// becomes a candidate. It returns false if the presence of a machine that the newcomer could
+// replace is uncertain.
 func (p *plan) admitNewcomer(m Member) bool {
 	if i := slices.IndexFunc(p.next, func(s spec.Machine) bool { return s.ID == m.Machine.ID }); i >= 0 {
 		p.replaceRelocated(i, m)
--- a/internal/coordination/singleton/singleton_test.go
+++ b/internal/coordination/singleton/singleton_test.go
@@ -10,8 +10,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestEpochGuard checks that an epoch below the highest one is rejected, whether this node
-// or another one has seen that.
+// TestEpochGuard checks that an epoch below the highest one is rejected, whether this node or
+// another one has seen the highest one.
 func TestEpochGuard(t *testing.T) {
 	var guard singleton.EpochGuard
 	if err := guard.Admit(3); err != nil {
--- a/internal/transport/answers_test.go
+++ b/internal/transport/answers_test.go
@@ -134,7 +134,7 @@
 			answered, lost := concurrentCalls(t, client, 12, 25)
 			client.Close()
 			ln.Close()
-			// Frames still in transit must not be delivered.
+			// Waits for the frames still in transit, which must not be delivered.
 			time.Sleep(time.Second)
 			if answered == 0 || lost == 0 {
 				t.Errorf("seed %d: %d answered, %d lost: the test needs some of each", seed, answered, lost)
--- a/internal/transport/batch_test.go
+++ b/internal/transport/batch_test.go
@@ -84,7 +84,7 @@
 		makeConcurrentCalls(t, func(ctx context.Context, b []byte) ([]byte, error) { return client.Call(ctx, "s", b) })
 		client.Close()
 		s.Close()
-		// Frames still in transit must not be delivered.
+		// Waits for the frames still in transit, which must not be delivered.
 		time.Sleep(time.Second)
 	})
 }
--- a/internal/transport/usertimeout.go
+++ b/internal/transport/usertimeout.go
@@ -11,9 +11,9 @@
 
 // setUserTimeout makes the system close a connection if sent bytes stay unacknowledged for d.
 // Retransmissions back off exponentially. Without this option, a connection written to during a
-// network partition may stay blocked after the partition has healed for as long as the partition
-// lasted, and so do all later calls on it. A peer whose process is frozen keeps its connections, because its system still
-// acknowledges.
+// network partition may stay blocked, together with all later calls on it, for as long after the
+// partition has healed as the partition lasted. A peer whose process is frozen keeps its
+// connections, because its system still acknowledges.
 func setUserTimeout(c syscall.RawConn, d time.Duration) error {
 	if d <= 0 {
 		return nil
