--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -27,8 +27,8 @@
 	// a new one.
 	Ident() string
 	ReplaceIdentity(why string) error
-	// SetAside does the same and keeps what the folder holds for AdoptSetAside.
-	SetAside(why string) error
+	// ReplaceIdentityKeepingBlobs does the same and keeps what the folder holds for ImportRetiredBlobs.
+	ReplaceIdentityKeepingBlobs(why string) error
 	// MeasureDisk measures the disk.
 	MeasureDisk()
 	DiskStates
--- a/internal/coordination/core/persistence.go
+++ b/internal/coordination/core/persistence.go
@@ -43,15 +43,15 @@
 
 // DiskStates is what a data folder tells of itself.
 type DiskStates interface {
-	// Status says what is wrong with the disk; HungFor for how long it has answered nothing.
+	// Status says what is wrong with the disk; StallDuration for how long it has answered nothing.
 	Status() string
-	HungFor() time.Duration
+	StallDuration() time.Duration
 	FolderState() *wire.FolderState
 }
 
 // DiskState is what a lease's renewals state of a data folder.
 func DiskState(d DiskStates) lease.DiskState {
-	return lease.DiskState{Status: d.Status(), HungFor: d.HungFor(), Folder: d.FolderState()}
+	return lease.DiskState{Status: d.Status(), HungFor: d.StallDuration(), Folder: d.FolderState()}
 }
 
 const clusterKey = "realm"
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -53,7 +53,11 @@
 }
 
 func (o *folderOwner) replaceOutdated() error {
-	err := o.replaceIdentity(o.node.Cluster.Now(), "the folder was put back from a copy", o.disk.SetAside)
+	err := o.replaceIdentity(
+		o.node.Cluster.Now(),
+		"the folder was put back from a copy",
+		o.disk.ReplaceIdentityKeepingBlobs,
+	)
 	if err == nil {
 		o.node.Lease.ResetFolder()
 	}
--- a/internal/dataplane/store/cooldowns_test.go
+++ b/internal/dataplane/store/cooldowns_test.go
@@ -84,7 +84,7 @@
 		acc(keys.Cooldown("runner/b"), 1, 1, 3000)
 		want("the next", map[string]int64{k: 60000, keys.Cooldown("runner/b"): 3000})
 		time.Sleep(20 * time.Second)
-		if err := v.Tick(); err != nil {
+		if err := v.SaveUptime(); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
--- a/internal/dataplane/store/store.go
+++ b/internal/dataplane/store/store.go
@@ -147,7 +147,7 @@
 	s.Go(ctx, func(ctx context.Context) { core.WatchRemoval(ctx, s.Node, s.engine, s.resetState) })
 	s.Go(ctx, func(ctx context.Context) {
 		loop.Every(ctx, 5*time.Second, nil, func(context.Context) {
-			if err := s.engine.Tick(); err != nil {
+			if err := s.engine.SaveUptime(); err != nil {
 				s.Log.Error("failed to save uptime", "err", err)
 			}
 		})
@@ -167,7 +167,7 @@
 // from a copy.
 func (s *Store) adoptSetAside(ctx context.Context) {
 	loop.Every(ctx, adoptInterval, nil, func(ctx context.Context) {
-		switch n, err := s.engine.AdoptSetAside(ctx); {
+		switch n, err := s.engine.ImportRetiredBlobs(ctx); {
 		case err != nil:
 			s.Log.Warn("import of blobs set aside is incomplete", "taken", n, "err", err)
 		case n > 0:
@@ -198,7 +198,7 @@
 // expire removes the values of registers past their retention, and deletes the registers
 // whose tombstones are past theirs.
 func (s *Store) expire() {
-	expired, err := s.engine.OlderThan(maxExpired, s.retention)
+	expired, err := s.engine.RegistersOlderThan(maxExpired, s.retention)
 	n := 0
 	for _, k := range expired {
 		keep := s.retention(k)
--- a/internal/dataplane/store/transfer.go
+++ b/internal/dataplane/store/transfer.go
@@ -357,7 +357,7 @@
 		var present bool
 		var err error
 		if kind == wire.List_BLOBS {
-			present, _, err = s.engine.BlobTimeLeft(k)
+			present, _, err = s.engine.BlobRetentionLeft(k)
 		} else {
 			var r *wire.Rec
 			if r, err = s.engine.Load(k); err == nil {
--- a/internal/kit/sim/disk.go
+++ b/internal/kit/sim/disk.go
@@ -27,8 +27,8 @@
 // unmount lets a process that was killed end: its disk answers again, for nobody.
 func (m *Machine) unmount() {
 	if m.disk.fs != nil {
-		m.disk.fs.Stall(false)
-		m.disk.fs.Slow(0)
+		m.disk.fs.SetStalled(false)
+		m.disk.fs.SetDelay(0)
 	}
 }
 
@@ -36,9 +36,9 @@
 	if d.fs == nil {
 		return
 	}
-	d.fs.Full(d.full)
-	d.fs.Stall(d.stalled)
-	d.fs.Slow(d.delay)
+	d.fs.SetFull(d.full)
+	d.fs.SetStalled(d.stalled)
+	d.fs.SetDelay(d.delay)
 }
 
 // fault changes what a machine's disk does wrong.
--- a/internal/state/storage/aside.go
+++ b/internal/state/storage/aside.go
@@ -58,9 +58,9 @@
 	return err
 }
 
-// AdoptSetAside takes over the blobs of data that SetAside kept, and then forgets that
+// ImportRetiredBlobs takes over the blobs of data that ReplaceIdentityKeepingBlobs kept, and then forgets that
 // there are any. It returns how many it took. Until ctx ends it may take long.
-func (engine *Engine) AdoptSetAside(ctx context.Context) (blobs int, err error) {
+func (engine *Engine) ImportRetiredBlobs(ctx context.Context) (blobs int, err error) {
 	engine.instanceMutex.RLock()
 	names := engine.identity.Adopt
 	engine.instanceMutex.RUnlock()
--- a/internal/state/storage/blob.go
+++ b/internal/state/storage/blob.go
@@ -21,8 +21,8 @@
 	return engine.uptimeBefore + time.Since(engine.start)
 }
 
-// Tick saves the uptime. What a crash loses of it only retains blobs longer.
-func (engine *Engine) Tick() error {
+// SaveUptime saves the uptime. What a crash loses of it only retains blobs longer.
+func (engine *Engine) SaveUptime() error {
 	return engine.put(uptimeKey, binary.BigEndian.AppendUint64(nil, uint64(engine.Uptime())))
 }
 
--- a/internal/state/storage/bulk.go
+++ b/internal/state/storage/bulk.go
@@ -144,8 +144,8 @@
 	return len(take), err
 }
 
-// BlobTimeLeft tells how long a blob still has here; none, if it is not here.
-func (engine *Engine) BlobTimeLeft(key string) (bool, time.Duration, error) {
+// BlobRetentionLeft tells how long a blob still has here; none, if it is not here.
+func (engine *Engine) BlobRetentionLeft(key string) (bool, time.Duration, error) {
 	g, err := engine.GetBlob(key)
 	if err != nil || g.State == wire.Got_NONE {
 		return false, 0, err
--- a/internal/state/storage/engine.go
+++ b/internal/state/storage/engine.go
@@ -216,7 +216,7 @@
 
 // Close closes the folder.
 func (engine *Engine) Close() error {
-	err := engine.Tick()
+	err := engine.SaveUptime()
 	engine.instanceMutex.Lock()
 	close(engine.closed)
 	old := engine.current
--- a/internal/state/storage/engine_test.go
+++ b/internal/state/storage/engine_test.go
@@ -296,7 +296,7 @@
 			}
 		}
 		expire := func(keep time.Duration) int {
-			keys, err := engine.OlderThan(100, func(string) time.Duration { return keep })
+			keys, err := engine.RegistersOlderThan(100, func(string) time.Duration { return keep })
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/state/storage/faultfs/faultfs.go
+++ b/internal/state/storage/faultfs/faultfs.go
@@ -60,23 +60,23 @@
 // New makes a file system over inner that does not fail yet.
 func New(inner vfs.FS) *FS { return &FS{FS: inner, fail: map[point]error{}} }
 
-// Full sets whether the disk has no space: a write takes half of its bytes and says
+// SetFull sets whether the disk has no space: a write takes half of its bytes and says
 // that there is no space left.
-func (f *FS) Full(on bool) {
+func (f *FS) SetFull(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = on
 }
 
-// Slow lets each call take longer.
-func (f *FS) Slow(delay time.Duration) {
+// SetDelay lets each call take longer.
+func (f *FS) SetDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = delay
 }
 
-// Stall sets whether the disk answers nothing. Calls wait until it does again.
-func (f *FS) Stall(on bool) {
+// SetStalled sets whether the disk answers nothing. Calls wait until it does again.
+func (f *FS) SetStalled(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -95,22 +95,22 @@
 	f.fail[point{kind, f.count[kind] + n}] = err
 }
 
-// FailOn lets the next call of a kind on a file whose name has part in it fail.
-func (f *FS) FailOn(kind Kind, half string, err error) {
+// FailNextOnFile lets the next call of a kind on a file whose name has part in it fail.
+func (f *FS) FailNextOnFile(kind Kind, half string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.named = append(f.named, named{kind: kind, half: half, err: err})
 }
 
-// FailAlways lets each call of a kind on a file whose name has part in it fail, until Heal.
-func (f *FS) FailAlways(kind Kind, half string, err error) {
+// FailAlwaysOnFile lets each call of a kind on a file whose name has part in it fail, until ClearFileFaults.
+func (f *FS) FailAlwaysOnFile(kind Kind, half string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.named = append(f.named, named{kind: kind, half: half, err: err, lasting: true})
 }
 
-// Heal ends all failures of named files.
-func (f *FS) Heal() {
+// ClearFileFaults ends all failures of named files.
+func (f *FS) ClearFileFaults() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.named = nil
@@ -220,8 +220,8 @@
 	return f.count[kind]
 }
 
-// At has on called at each call, with its number among those of its kind.
-func (f *FS) At(on func(kind Kind, n int)) {
+// OnCall has on called at each call, with its number among those of its kind.
+func (f *FS) OnCall(on func(kind Kind, n int)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.at = on
--- a/internal/state/storage/faults_test.go
+++ b/internal/state/storage/faults_test.go
@@ -56,8 +56,8 @@
 // closed closes an engine, whatever its disk does.
 func closed(t *testing.T, engine *storage.Engine, fs *faultfs.FS) {
 	t.Helper()
-	fs.Full(false)
-	fs.Stall(false)
+	fs.SetFull(false)
+	fs.SetStalled(false)
 	time.Sleep(time.Second)
 	if err := engine.Close(); err != nil {
 		t.Error(err)
@@ -75,7 +75,7 @@
 		engine := open(t, fs, "s1")
 		saved(t, engine, "caught", 1)
 		saved(t, engine, "other", 1)
-		fs.Full(true)
+		fs.SetFull(true)
 		at := time.Now()
 		if err := engine.Save("caught", record(2)); code.Of(err) != code.WriteUncertain {
 			t.Errorf("the write that met the full disk: %v", err)
@@ -105,7 +105,7 @@
 		if s := engine.Status(); s != "disk full, no writes taken" {
 			t.Errorf("status %q", s)
 		}
-		fs.Full(false)
+		fs.SetFull(false)
 		time.Sleep(time.Second)
 		if s := engine.Status(); strings.Contains(s, "no writes taken") {
 			t.Errorf("with room again: %q", s)
@@ -137,7 +137,7 @@
 		fs := faultfs.New(vfs.NewCrashableMem())
 		engine := open(t, fs, "s1")
 		saved(t, engine, "k0", 1)
-		fs.Stall(true)
+		fs.SetStalled(true)
 		const callers, queueBound = 3000, 1024
 		answers := make(chan error, callers+1)
 		// The writer is at one write, so that exactly the queue is left for the others.
@@ -170,7 +170,7 @@
 		if d := time.Since(at); d > 0 || !strings.Contains(engine.Status(), "disk does not answer") {
 			t.Errorf("refusals took %s, status %q", d, engine.Status())
 		}
-		fs.Stall(false)
+		fs.SetStalled(false)
 		saved(t, engine, "k0", 4)
 		closed(t, engine, fs)
 	})
@@ -231,15 +231,15 @@
 		saved(t, engine, "k", 1)
 		saved(t, engine, "other", 1)
 		fs.FailNext(faultfs.Sync, 1, syscall.EIO)
-		fs.At(func(kind faultfs.Kind, _ int) {
+		fs.OnCall(func(kind faultfs.Kind, _ int) {
 			if kind == faultfs.Sync {
-				fs.Full(true)
+				fs.SetFull(true)
 			}
 		})
 		if err := engine.Save("k", record(2)); code.Of(err) != code.DiskFailure {
 			t.Errorf("the write whose sync failed: %v", err)
 		}
-		fs.At(nil)
+		fs.OnCall(nil)
 		for range 20 {
 			if n := promised(t, engine, "k"); n != 1 {
 				t.Fatalf("an unsynced promise of %d is read", n)
@@ -252,7 +252,7 @@
 		if engine.Status() == "" {
 			t.Error("operators are not told")
 		}
-		fs.Full(false)
+		fs.SetFull(false)
 		saved(t, engine, "k", 3)
 		saved(t, engine, "other", 3)
 		closed(t, engine, fs)
@@ -263,8 +263,8 @@
 // for, and keeps its identity; one of another machine is still refused at once.
 func TestOpenWaits(t *testing.T) {
 	for name, injectFault := range map[string]func(*faultfs.FS, bool){
-		"full":    func(fs *faultfs.FS, on bool) { fs.Full(on) },
-		"stalled": func(fs *faultfs.FS, on bool) { fs.Stall(on) },
+		"full":    func(fs *faultfs.FS, on bool) { fs.SetFull(on) },
+		"stalled": func(fs *faultfs.FS, on bool) { fs.SetStalled(on) },
 		"fails": func(fs *faultfs.FS, _ bool) {
 			for n := range 3 {
 				fs.FailNext(faultfs.Write, 3*n+1, syscall.EIO)
@@ -321,16 +321,16 @@
 			fs := faultfs.New(vfs.NewCrashableMem())
 			engine := open(t, fs, "s1")
 			saved(t, engine, "k", 1)
-			fs.Full(!stall)
-			fs.Stall(stall)
+			fs.SetFull(!stall)
+			fs.SetStalled(stall)
 			_ = engine.Save("k", record(2))
 			at := time.Now()
 			_ = engine.Close()
 			if d := time.Since(at); d > 15*time.Second {
 				t.Errorf("closing took %s", d)
 			}
-			fs.Full(false)
-			fs.Stall(false)
+			fs.SetFull(false)
+			fs.SetStalled(false)
 			time.Sleep(time.Minute)
 		})
 	}
@@ -344,14 +344,14 @@
 		engine := open(t, fs, "s1")
 		a := register.NewAcceptor(engine)
 		time.Sleep(time.Hour)
-		fs.Full(true)
+		fs.SetFull(true)
 		c := &wire.Cell{Ver: 1, Val: []byte("x"), Ops: []uint64{5}, Timed: true}
 		if _, err := a.Accept(&wire.Acc{Key: "k", Ballot: &wire.Ballot{N: 1}, Cell: c}); code.Of(
 			err,
 		) != code.WriteUncertain {
 			t.Errorf("accepted on a full disk: %v", err)
 		}
-		fs.Full(false)
+		fs.SetFull(false)
 		time.Sleep(10 * time.Second)
 		view, err := a.Read(&wire.Look{Key: "k"})
 		if err != nil || view.Accepted.GetN() != 1 {
@@ -418,7 +418,7 @@
 				val := make([]byte, 200<<10)
 				for i := range 60 {
 					if i%20 == 10 {
-						fs.FailOn(kind, chunk, syscall.EIO)
+						fs.FailNextOnFile(kind, chunk, syscall.EIO)
 					}
 					r := record(i + 1)
 					r.Cell = &wire.Cell{Val: val}
@@ -441,7 +441,7 @@
 		fs := faultfs.New(vfs.NewCrashableMem())
 		engine := open(t, fs, "s1")
 		saved(t, engine, "k", 1)
-		fs.Stall(true)
+		fs.SetStalled(true)
 		_ = engine.Save("k", record(2))
 		at := time.Now()
 		if err := engine.Save("another", record(1)); code.Of(err) != code.DiskStalled {
--- a/internal/state/storage/flush_test.go
+++ b/internal/state/storage/flush_test.go
@@ -46,7 +46,7 @@
 					t.Error(err)
 				}
 			}()
-			fs.FailOn(kind, "MANIFEST", syscall.EIO)
+			fs.FailNextOnFile(kind, "MANIFEST", syscall.EIO)
 			for i := range 40 {
 				r := record(i + 2)
 				r.Cell = &wire.Cell{Val: make([]byte, 200<<10)}
--- a/internal/state/storage/folder.go
+++ b/internal/state/storage/folder.go
@@ -210,9 +210,11 @@
 // identity. Data set aside earlier are removed: no process will ask for them.
 func (engine *Engine) ReplaceIdentity(why string) error { return engine.replaceWith(why, false) }
 
-// SetAside does the same, and notes that the blobs among the data are to be taken over
-// (AdoptSetAside).
-func (engine *Engine) SetAside(why string) error { return engine.replaceWith(why, true) }
+// ReplaceIdentityKeepingBlobs does the same, and notes that the blobs among the data are to be taken over
+// (ImportRetiredBlobs).
+func (engine *Engine) ReplaceIdentityKeepingBlobs(why string) error {
+	return engine.replaceWith(why, true)
+}
 
 func (engine *Engine) replaceWith(why string, adopt bool) error {
 	engine.opening <- struct{}{}
--- a/internal/state/storage/model_test.go
+++ b/internal/state/storage/model_test.go
@@ -49,8 +49,8 @@
 	answered := w.answered
 	w.mu.Unlock()
 	w.mem = w.mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: rnd.IntN(100), RNG: rnd})
-	fs.Full(false)
-	fs.Stall(false)
+	fs.SetFull(false)
+	fs.SetStalled(false)
 	go func() { _ = old.Close() }()
 	w.start(t, id)
 	r, err := w.v.Load("k")
@@ -130,9 +130,9 @@
 		w := voters[id]
 		switch rnd.IntN(8) {
 		case 0, 1:
-			w.fs.Full(true)
+			w.fs.SetFull(true)
 		case 2:
-			w.fs.Stall(true)
+			w.fs.SetStalled(true)
 		case 3:
 			w.fs.FailNext(faultfs.Write, 1+rnd.IntN(4), syscall.EIO)
 		case 4:
@@ -140,14 +140,14 @@
 		case 5:
 			w.crash(t, id, rnd)
 		default:
-			w.fs.Full(false)
-			w.fs.Stall(false)
+			w.fs.SetFull(false)
+			w.fs.SetStalled(false)
 		}
 		time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 	}
 	for _, w := range voters {
-		w.fs.Full(false)
-		w.fs.Stall(false)
+		w.fs.SetFull(false)
+		w.fs.SetStalled(false)
 	}
 	<-ctx.Done()
 	wg.Wait()
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -71,10 +71,10 @@
 	return engine.writeRecords(voteTimeout, edit{key: registerPrefix + key, value: wire.MustEncode(r)})
 }
 
-// OlderThan lists up to limit registers last written longer ago than keep returns for
+// RegistersOlderThan lists up to limit registers last written longer ago than keep returns for
 // their key; never those for which it returns 0. A record of a release that did not date
 // its writes counts from now on.
-func (engine *Engine) OlderThan(limit int, keep func(key string) time.Duration) ([]string, error) {
+func (engine *Engine) RegistersOlderThan(limit int, keep func(key string) time.Duration) ([]string, error) {
 	var out, undated []string
 	now := engine.Uptime()
 	err := engine.scan(registerPrefix, "", func(k string, raw []byte) (bool, error) {
--- a/internal/state/storage/reserve_test.go
+++ b/internal/state/storage/reserve_test.go
@@ -139,20 +139,20 @@
 	}{
 		{
 			// The new database stands where the old one stood, so it is healed soon after.
-			"the database can't be read", func(fs *faultfs.FS) { fs.FailAlways(faultfs.Read, "MANIFEST", syscall.EIO) },
-			(*faultfs.FS).Heal, 62 * time.Second, false,
+			"the database can't be read", func(fs *faultfs.FS) { fs.FailAlwaysOnFile(faultfs.Read, "MANIFEST", syscall.EIO) },
+			(*faultfs.FS).ClearFileFaults, 62 * time.Second, false,
 		},
 		{
-			"the identity can't be read", func(fs *faultfs.FS) { fs.FailAlways(faultfs.Read, "IDENT", syscall.EIO) },
+			"the identity can't be read", func(fs *faultfs.FS) { fs.FailAlwaysOnFile(faultfs.Read, "IDENT", syscall.EIO) },
 			func(*faultfs.FS) {}, 0, false,
 		},
 		{
-			"for half a minute", func(fs *faultfs.FS) { fs.FailAlways(faultfs.Read, "MANIFEST", syscall.EIO) },
-			(*faultfs.FS).Heal, 30 * time.Second, true,
+			"for half a minute", func(fs *faultfs.FS) { fs.FailAlwaysOnFile(faultfs.Read, "MANIFEST", syscall.EIO) },
+			(*faultfs.FS).ClearFileFaults, 30 * time.Second, true,
 		},
 		{
-			"no answer for ten minutes", func(fs *faultfs.FS) { fs.Stall(true) },
-			func(fs *faultfs.FS) { fs.Stall(false) }, 10 * time.Minute, true,
+			"no answer for ten minutes", func(fs *faultfs.FS) { fs.SetStalled(true) },
+			func(fs *faultfs.FS) { fs.SetStalled(false) }, 10 * time.Minute, true,
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -175,7 +175,7 @@
 			if same := engine.Ident() == was; same != tc.same {
 				t.Errorf("%s: the same identity: %v", tc.name, same)
 			}
-			fs.Heal()
+			fs.ClearFileFaults()
 			saved(t, engine, "k", 2)
 			if err := engine.Close(); err != nil {
 				t.Error(err)
--- a/internal/state/storage/sequence.go
+++ b/internal/state/storage/sequence.go
@@ -42,9 +42,9 @@
 	return binary.BigEndian.Uint64(b), nil
 }
 
-// HungFor is how long the disk has answered nothing though it was asked to write or sync;
+// StallDuration is how long the disk has answered nothing though it was asked to write or sync;
 // 0 where it has nothing to answer.
-func (engine *Engine) HungFor() time.Duration {
+func (engine *Engine) StallDuration() time.Duration {
 	i := engine.instance()
 	if i == nil {
 		return 0
--- a/internal/state/storage/sequence_test.go
+++ b/internal/state/storage/sequence_test.go
@@ -79,24 +79,24 @@
 		fs := faultfs.New(vfs.NewCrashableMem())
 		engine := open(t, fs, "s1")
 		time.Sleep(time.Minute)
-		if d := engine.HungFor(); d != 0 {
+		if d := engine.StallDuration(); d != 0 {
 			t.Errorf("at rest it hangs for %v", d)
 		}
-		fs.Slow(300 * time.Millisecond)
+		fs.SetDelay(300 * time.Millisecond)
 		saved(t, engine, "k", 1)
-		if d := engine.HungFor(); d > 300*time.Millisecond {
+		if d := engine.StallDuration(); d > 300*time.Millisecond {
 			t.Errorf("slow, it hangs for %v", d)
 		}
-		fs.Slow(0)
-		fs.Stall(true)
+		fs.SetDelay(0)
+		fs.SetStalled(true)
 		_ = engine.Save("k", record(2))
 		time.Sleep(20 * time.Second)
-		if d := engine.HungFor(); d < 20*time.Second || d > 25*time.Second {
+		if d := engine.StallDuration(); d < 20*time.Second || d > 25*time.Second {
 			t.Errorf("stalled, it hangs for %v", d)
 		}
-		fs.Stall(false)
+		fs.SetStalled(false)
 		time.Sleep(time.Second)
-		if d := engine.HungFor(); d != 0 {
+		if d := engine.StallDuration(); d != 0 {
 			t.Errorf("answering again it hangs for %v", d)
 		}
 		closed(t, engine, fs)
@@ -123,36 +123,36 @@
 		}
 		saved(t, engine, "vote", 7)
 		time.Sleep(30 * time.Minute)
-		if err := engine.Tick(); err != nil {
+		if err := engine.SaveUptime(); err != nil {
 			t.Fatal(err)
 		}
 		was := engine.Ident()
 		var mu sync.Mutex // the log and the manifest are synced at the same time
 		var crashed []*vfs.MemFS
-		fs.At(func(kind faultfs.Kind, _ int) {
+		fs.OnCall(func(kind faultfs.Kind, _ int) {
 			if kind == faultfs.Sync {
 				mu.Lock()
 				defer mu.Unlock()
 				crashed = append(crashed, mem.CrashClone(vfs.CrashCloneCfg{}))
 			}
 		})
-		if err := engine.SetAside("test"); err != nil {
+		if err := engine.ReplaceIdentityKeepingBlobs("test"); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := engine.AdoptSetAside(t.Context()); err != nil || n != adoptedBlobs {
+		if n, err := engine.ImportRetiredBlobs(t.Context()); err != nil || n != adoptedBlobs {
 			t.Fatalf("%d taken over, %v", n, err)
 		}
-		if n, err := engine.AdoptSetAside(t.Context()); err != nil || n != 0 {
+		if n, err := engine.ImportRetiredBlobs(t.Context()); err != nil || n != 0 {
 			t.Errorf("again %d are taken over, %v", n, err)
 		}
-		fs.At(nil)
+		fs.OnCall(nil)
 		mu.Lock()
 		defer mu.Unlock()
 		checkAdopted(t, engine, was, "without a loss of power")
 		old := 0
 		for i, state := range crashed {
 			after := open(t, state, "s1")
-			if _, err := after.AdoptSetAside(t.Context()); err != nil {
+			if _, err := after.ImportRetiredBlobs(t.Context()); err != nil {
 				t.Errorf("power gone at sync %d: %v", i, err)
 			}
 			if after.Ident() == was {
