--- a/internal/state/storage/access.go
+++ b/internal/state/storage/access.go
@@ -9,7 +9,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// read runs f on what has been synced.
+// read runs f on a snapshot of the synced data.
 func (engine *Engine) read(f func(pebble.Reader) error) error {
 	i, err := engine.acquire()
 	if err != nil {
@@ -19,18 +19,19 @@
 	return i.read(f)
 }
 
-// classify gives an error of the disk its number.
-func classify(doing string, err error) error {
-	var numbered *code.Failure
+// classify wraps a disk error with the matching error code. Errors that have a code
+// already are returned unchanged.
+func classify(operation string, err error) error {
+	var coded *code.Failure
 	switch {
-	case err == nil || errors.As(err, &numbered):
+	case err == nil || errors.As(err, &coded):
 		return err
 	case errors.Is(err, errNoSpace):
-		return code.New(code.DiskFull, "%s: %w", doing, err)
+		return code.New(code.DiskFull, "%s: %w", operation, err)
 	case errors.Is(err, errReadStalled), errors.Is(err, errSyncTimeout), errors.Is(err, errQueueFull):
-		return code.New(code.DiskStalled, "%s: %w", doing, err)
+		return code.New(code.DiskStalled, "%s: %w", operation, err)
 	}
-	return code.New(code.DiskFailure, "%s: %w", doing, err)
+	return code.New(code.DiskFailure, "%s: %w", operation, err)
 }
 
 func (engine *Engine) get(key string) (out []byte, err error) {
@@ -49,19 +50,19 @@
 	return out, classify("read", err)
 }
 
-// How long a caller waits for the sync of what it writes.
+// How long a caller waits for its write to be synced.
 const (
-	voteTimeout = 2 * time.Second
-	bulkTimeout = 10 * time.Second
+	writeTimeout     = 2 * time.Second
+	bulkWriteTimeout = 10 * time.Second
 )
 
 func (engine *Engine) put(key string, b []byte) error {
-	_, err := engine.write(voteTimeout, edit{key: key, value: b})
+	_, err := engine.write(writeTimeout, edit{key: key, value: b})
 	return err
 }
 
-// write syncs edits. An error leaves their outcome open where a write is handed back
-// with it; without one nothing was begun.
+// write applies edits and syncs them. If it returns both a write and an error, the
+// outcome of the write is unknown. If it returns an error alone, nothing was written.
 func (engine *Engine) write(limit time.Duration, edits ...edit) (*write, error) {
 	i, err := engine.acquire()
 	if err != nil {
@@ -75,24 +76,25 @@
 	return w, classify("write", err)
 }
 
-func (engine *Engine) scanAll(pre string, on func(k string, b []byte) error) error {
-	return engine.scan(pre, "", func(k string, b []byte) (bool, error) { return true, on(k, b) })
+func (engine *Engine) scanAll(prefix string, visit func(k string, b []byte) error) error {
+	return engine.scan(prefix, "", func(k string, b []byte) (bool, error) { return true, visit(k, b) })
 }
 
-// scan goes through the entries of a prefix after a key, as long as on says so.
-func (engine *Engine) scan(pre, after string, on func(k string, b []byte) (bool, error)) error {
-	low, end := prefixBounds(pre)
+// scan calls visit for each entry with the prefix whose key follows after, in key order,
+// until visit returns false or an error.
+func (engine *Engine) scan(prefix, after string, visit func(k string, b []byte) (bool, error)) error {
+	lower, upper := prefixBounds(prefix)
 	if after != "" {
-		low = append([]byte(pre+after), 0)
+		lower = append([]byte(prefix+after), 0)
 	}
 	return classify("scan", engine.read(func(r pebble.Reader) error {
-		it, err := r.NewIter(&pebble.IterOptions{LowerBound: low, UpperBound: end})
+		it, err := r.NewIter(&pebble.IterOptions{LowerBound: lower, UpperBound: upper})
 		if err != nil {
 			return err
 		}
 		more := true
 		for ok := it.First(); ok && more && err == nil; ok = it.Next() {
-			more, err = on(string(it.Key()), it.Value())
+			more, err = visit(string(it.Key()), it.Value())
 		}
 		return errors.Join(err, it.Close())
 	}))
--- a/internal/state/storage/aside.go
+++ b/internal/state/storage/aside.go
@@ -14,31 +14,32 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Data of an identity that was replaced are set aside in the folder. Where the folder was put
-// back from a copy they are taken over as well: not the registers, whose votes and promises
-// count for nothing any more, but the blobs, which are immutable, so that any replica of one
-// is as good as another. What no other store has any more is then not lost with the identity.
+// When an identity is replaced, its database is retired: it is renamed and stays in the folder.
+// If the folder was restored from a backup, the blobs of the retired database are imported into
+// the new one, so that blobs that no other store has are not lost with the identity. Blobs are
+// immutable, so any replica of a blob is valid. Registers are not imported, since the votes and
+// promises of the old identity are void.
 
-// setAsidePrefix begins the names of data set aside.
-const setAsidePrefix = "db.aside-"
+// retiredPrefix is the name prefix of retired databases.
+const retiredPrefix = "db.aside-"
 
-// adoptPageBytes is about how many bytes of blobs are taken over with one sync.
-const adoptPageBytes = 256 << 10
+// importBatchBytes is the approximate size of the blobs imported with one sync.
+const importBatchBytes = 256 << 10
 
-// setDataAside moves the database out of the way. It returns its new name. Where there is
-// none, power went after it was moved and before the new identity was written; then it is
-// the name of what was moved last, or empty.
-func (engine *Engine) setDataAside() (string, error) {
+// retireDatabase renames the database and returns its new name. If there is no database, a
+// power loss may have occurred between an earlier rename and the write of the new identity:
+// then it returns the name of the database retired last, or an empty string.
+func (engine *Engine) retireDatabase() (string, error) {
 	_, missing := engine.files.Stat(engine.path("db"))
-	last := ""
+	latest := ""
 	for n := 1; ; n++ {
-		name := fmt.Sprintf(setAsidePrefix+"%d", n)
+		name := fmt.Sprintf(retiredPrefix+"%d", n)
 		if _, err := engine.files.Stat(engine.path(name)); err == nil {
-			last = name
+			latest = name
 			continue
 		}
 		if missing != nil {
-			return last, nil
+			return latest, nil
 		}
 		if err := engine.files.Rename(engine.path("db"), engine.path(name)); err != nil {
 			return "", code.New(code.DiskFailure, "put aside: %w", err)
@@ -47,28 +48,29 @@
 	}
 }
 
-// removeSetAside removes all data set aside, but for those that are to be taken over.
-func (engine *Engine) removeSetAside() error {
+// removeRetired removes all retired databases except those still to be imported.
+func (engine *Engine) removeRetired() error {
 	names, err := engine.files.List(engine.params.Dir)
 	for _, name := range names {
-		if err == nil && strings.HasPrefix(name, setAsidePrefix) && !slices.Contains(engine.identity.Adopt, name) {
+		if err == nil && strings.HasPrefix(name, retiredPrefix) && !slices.Contains(engine.identity.PendingImports, name) {
 			err = engine.files.RemoveAll(engine.path(name))
 		}
 	}
 	return err
 }
 
-// ImportRetiredBlobs takes over the blobs of data that ReplaceIdentityKeepingBlobs kept, and then forgets that
-// there are any. It returns how many it took. Until ctx ends it may take long.
+// ImportRetiredBlobs copies the blobs of the databases that ReplaceIdentityKeepingBlobs
+// retired into the current database, and marks each of them as imported. It returns the
+// number of blobs imported. It can run for a long time; canceling ctx stops it.
 func (engine *Engine) ImportRetiredBlobs(ctx context.Context) (blobs int, err error) {
 	engine.instanceMutex.RLock()
-	names := engine.identity.Adopt
+	names := engine.identity.PendingImports
 	engine.instanceMutex.RUnlock()
 	for _, name := range names {
-		n, err := engine.adoptBlobs(ctx, name)
+		n, err := engine.importBlobs(ctx, name)
 		blobs += n
 		if err == nil {
-			err = engine.noteAdopted(name)
+			err = engine.markImported(name)
 		}
 		if err != nil {
 			return blobs, code.New(code.DiskFailure, "take over %s: %w", name, err)
@@ -77,17 +79,17 @@
 	return blobs, nil
 }
 
-// noteAdopted notes that data set aside need not be taken over any more.
-func (engine *Engine) noteAdopted(name string) error {
-	engine.opening <- struct{}{}
-	defer func() { <-engine.opening }()
-	noted := engine.identity
-	noted.Adopt = slices.DeleteFunc(slices.Clone(noted.Adopt), func(n string) bool { return n == name })
-	return engine.writeIdentity(noted)
+// markImported removes a retired database from the list of pending imports.
+func (engine *Engine) markImported(name string) error {
+	engine.openSemaphore <- struct{}{}
+	defer func() { <-engine.openSemaphore }()
+	updated := engine.identity
+	updated.PendingImports = slices.DeleteFunc(slices.Clone(updated.PendingImports), func(n string) bool { return n == name })
+	return engine.writeIdentity(updated)
 }
 
-// adoptBlobs copies the blobs of a database set aside.
-func (engine *Engine) adoptBlobs(ctx context.Context, name string) (taken int, err error) {
+// importBlobs copies the blobs of a retired database into the current one.
+func (engine *Engine) importBlobs(ctx context.Context, name string) (imported int, err error) {
 	dev := newDevice(engine.base)
 	options := engine.options(dev)
 	options.ReadOnly = true
@@ -100,43 +102,43 @@
 	if err != nil {
 		return 0, err
 	}
-	low, high := prefixBounds(blobPrefix)
-	it, err := db.NewIter(&pebble.IterOptions{LowerBound: low, UpperBound: high})
+	lower, upper := prefixBounds(blobPrefix)
+	it, err := db.NewIter(&pebble.IterOptions{LowerBound: lower, UpperBound: upper})
 	if err != nil {
 		return 0, err
 	}
 	defer func() { err = errors.Join(err, it.Close()) }()
-	var page []*wire.Copy
+	var batch []*wire.Copy
 	size := 0
 	flush := func() error {
-		n, err := engine.PutBlobs(page)
-		taken += n
-		page, size = nil, 0
+		n, err := engine.PutBlobs(batch)
+		imported += n
+		batch, size = nil, 0
 		return err
 	}
 	for ok := it.First(); ok; ok = it.Next() {
 		if ctx.Err() != nil || engine.isClosed() {
-			return taken, errors.Join(ctx.Err(), errClosed)
+			return imported, errors.Join(ctx.Err(), errClosed)
 		}
 		key := string(it.Key())[len(blobPrefix):]
 		blob, err := makeCopy(wire.List_BLOBS, key, it.Value(), uptime, true)
 		if err != nil {
-			return taken, err
+			return imported, err
 		}
-		page = append(page, blob)
-		if size += len(it.Value()); size < adoptPageBytes {
+		batch = append(batch, blob)
+		if size += len(it.Value()); size < importBatchBytes {
 			continue
 		}
 		if err := flush(); err != nil {
-			return taken, err
+			return imported, err
 		}
 	}
-	return taken, flush()
+	return imported, flush()
 }
 
-var errClosed = errors.New("the folder was closed meanwhile")
+var errClosed = errors.New("the folder was closed during the import")
 
-// readUptime is the uptime, in milliseconds, that a database has recorded.
+// readUptime returns the uptime recorded in a database, in milliseconds.
 func readUptime(db pebble.Reader) (int64, error) {
 	b, closer, err := db.Get([]byte(uptimeKey))
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -152,8 +154,9 @@
 	return int64(binary.BigEndian.Uint64(b) / 1e6), nil
 }
 
-// prefixBounds are the lower and upper bound of the keys with a prefix.
-func prefixBounds(prefix string) (low, high []byte) {
+// prefixBounds returns the inclusive lower and the exclusive upper bound of the keys with
+// a prefix.
+func prefixBounds(prefix string) (lower, upper []byte) {
 	last := len(prefix) - 1
 	return []byte(prefix), append([]byte(prefix[:last]), prefix[last]+1)
 }
--- a/internal/state/storage/blob.go
+++ b/internal/state/storage/blob.go
@@ -10,55 +10,55 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Blobs are immutable values with a keeping time. Time is the time this folder
-// has been open, so that neither a clock that jumps nor a night switched off
-// ever shortens a promise.
+// Blobs are immutable values with a retention time. Retention is measured in uptime, the
+// total time that this folder has been open, so that neither clock jumps nor downtime
+// shorten it.
 
-// Uptime is how long the folder has been open in all.
+// Uptime returns the total time that the folder has been open, across restarts.
 func (engine *Engine) Uptime() time.Duration {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return engine.uptimeBefore + time.Since(engine.start)
 }
 
-// SaveUptime saves the uptime. What a crash loses of it only retains blobs longer.
+// SaveUptime persists the uptime. Uptime lost in a crash only makes blobs be retained longer.
 func (engine *Engine) SaveUptime() error {
 	return engine.put(uptimeKey, binary.BigEndian.AppendUint64(nil, uint64(engine.Uptime())))
 }
 
-// PutBlob stores val for at least keep. Of two calls for one key the longer retention
-// holds.
-func (engine *Engine) PutBlob(key string, val []byte, keep time.Duration) error {
-	old, err := engine.blob(key)
+// PutBlob stores a blob for at least the retention time. If the key exists already, the longer
+// retention applies.
+func (engine *Engine) PutBlob(key string, value []byte, retention time.Duration) error {
+	existing, err := engine.blob(key)
 	if err != nil {
 		return err
 	}
 	if err := engine.admitNewKey(blobPrefix + key); err != nil {
 		return err
 	}
-	now := engine.Uptime().Milliseconds()
-	g := &wire.Got{State: wire.Got_HERE, Val: val, KeepMs: keep.Milliseconds(), AgeMs: now}
-	if old != nil && old.State == wire.Got_HERE && old.AgeMs+old.KeepMs >= now+g.KeepMs {
+	uptime := engine.Uptime().Milliseconds()
+	blob := &wire.Got{State: wire.Got_HERE, Val: value, KeepMs: retention.Milliseconds(), AgeMs: uptime}
+	if existing != nil && existing.State == wire.Got_HERE && existing.AgeMs+existing.KeepMs >= uptime+blob.KeepMs {
 		return nil
 	}
-	return engine.put(blobPrefix+key, wire.MustEncode(g))
+	return engine.put(blobPrefix+key, wire.MustEncode(blob))
 }
 
-// GetBlob reads a blob. One past its retention is reported as such even before it is
-// removed.
+// GetBlob reads a blob. A blob past its retention is reported as expired even if it has not
+// been removed yet.
 func (engine *Engine) GetBlob(key string) (*wire.Got, error) {
-	g, err := engine.blob(key)
+	blob, err := engine.blob(key)
 	if err != nil {
 		return nil, err
 	}
-	if g == nil {
+	if blob == nil {
 		return &wire.Got{}, nil
 	}
-	g.AgeMs = engine.Uptime().Milliseconds() - g.AgeMs
-	if g.State == wire.Got_HERE && g.AgeMs > g.KeepMs {
-		g.State, g.Val = wire.Got_PAST, nil
+	blob.AgeMs = engine.Uptime().Milliseconds() - blob.AgeMs
+	if blob.State == wire.Got_HERE && blob.AgeMs > blob.KeepMs {
+		blob.State, blob.Val = wire.Got_PAST, nil
 	}
-	return g, nil
+	return blob, nil
 }
 
 func (engine *Engine) blob(key string) (*wire.Got, error) {
@@ -66,37 +66,37 @@
 	if err != nil || b == nil {
 		return nil, err
 	}
-	g := &wire.Got{}
-	if err := proto.Unmarshal(b, g); err != nil {
+	blob := &wire.Got{}
+	if err := proto.Unmarshal(b, blob); err != nil {
 		return nil, code.New(code.DiskFailure, "blob %s: %w", key, err)
 	}
-	return g, nil
+	return blob, nil
 }
 
-// ExpireBlobs empties blobs past their retention and, after the retention of tombstones,
-// removes them.
-func (engine *Engine) ExpireBlobs() (emptied, forgotten int, err error) {
-	now := engine.Uptime().Milliseconds()
+// ExpireBlobs drops the values of blobs past their retention, and removes the remaining
+// tombstones after the tombstone retention.
+func (engine *Engine) ExpireBlobs() (emptied, removed int, err error) {
+	uptime := engine.Uptime().Milliseconds()
 	var edits []edit
-	err = engine.scanAll(blobPrefix, func(k string, raw []byte) error {
-		g := &wire.Got{}
-		if err := proto.Unmarshal(raw, g); err != nil {
-			return code.New(code.DiskFailure, "blob %s: %w", k, err)
+	err = engine.scanAll(blobPrefix, func(key string, encoded []byte) error {
+		blob := &wire.Got{}
+		if err := proto.Unmarshal(encoded, blob); err != nil {
+			return code.New(code.DiskFailure, "blob %s: %w", key, err)
 		}
-		over := now - g.AgeMs - g.KeepMs
+		overdue := uptime - blob.AgeMs - blob.KeepMs
 		switch {
-		case over > engine.params.TombstoneRetention.Milliseconds():
-			forgotten++
-			edits = append(edits, edit{key: k, deleted: true})
-		case over > 0 && g.State == wire.Got_HERE:
+		case overdue > engine.params.TombstoneRetention.Milliseconds():
+			removed++
+			edits = append(edits, edit{key: key, deleted: true})
+		case overdue > 0 && blob.State == wire.Got_HERE:
 			emptied++
-			g.State, g.Val = wire.Got_PAST, nil
-			edits = append(edits, edit{key: k, value: wire.MustEncode(g)})
+			blob.State, blob.Val = wire.Got_PAST, nil
+			edits = append(edits, edit{key: key, value: wire.MustEncode(blob)})
 		}
 		return nil
 	})
 	if err == nil && len(edits) > 0 {
-		_, err = engine.write(bulkTimeout, edits...)
+		_, err = engine.write(bulkWriteTimeout, edits...)
 	}
-	return emptied, forgotten, err
+	return emptied, removed, err
 }
--- a/internal/state/storage/bulk.go
+++ b/internal/state/storage/bulk.go
@@ -9,78 +9,79 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Many keys at once, for a store that brings copies to another.
+// Bulk operations on many keys, used to copy data from one store to another.
 
-// SelectFunc tells of a key whether its copy is wanted, and whether complete or only by name.
+// SelectFunc reports whether a key is wanted, and whether its value is to be included.
 type SelectFunc func(key string) (wanted, withValue bool)
 
-// Copies gives copies of a kind after a key, in order, until about so many bytes are
-// gathered. The last key examined is given where there are more.
+// Copies returns copies of the selected keys that follow after, in key order, up to about the
+// given number of bytes. If there are more keys, last is the last key returned, otherwise it is
+// empty.
 func (engine *Engine) Copies(
 	kind wire.List_Kind,
 	after string,
 	bytes int,
-	want SelectFunc,
+	selectKey SelectFunc,
 ) (out []*wire.Copy, last string, err error) {
-	pre := registerPrefix
+	prefix := registerPrefix
 	if kind == wire.List_BLOBS {
-		pre = blobPrefix
+		prefix = blobPrefix
 	}
 	now := engine.Uptime().Milliseconds()
 	size := 0
-	err = engine.scan(pre, after, func(k string, raw []byte) (bool, error) {
-		k = k[len(pre):]
-		wanted, withValue := want(k)
+	err = engine.scan(prefix, after, func(key string, encoded []byte) (bool, error) {
+		key = key[len(prefix):]
+		wanted, withValue := selectKey(key)
 		if !wanted {
 			return true, nil
 		}
-		c, err := makeCopy(kind, k, raw, now, withValue)
+		c, err := makeCopy(kind, key, encoded, now, withValue)
 		if err != nil || c == nil {
 			return true, err
 		}
 		out = append(out, c)
-		if size += len(k) + 16; withValue {
-			size += len(raw)
+		if size += len(key) + 16; withValue {
+			size += len(encoded)
 		}
 		if size >= bytes {
-			last = k
+			last = key
 		}
 		return last == "", nil
 	})
 	return out, last, err
 }
 
-// Copy gives one key's copy; nil where there is none.
+// Copy returns a copy of one key, or nil if the key does not exist.
 func (engine *Engine) Copy(kind wire.List_Kind, key string) (*wire.Copy, error) {
-	pre := registerPrefix
+	prefix := registerPrefix
 	if kind == wire.List_BLOBS {
-		pre = blobPrefix
+		prefix = blobPrefix
 	}
-	raw, err := engine.get(pre + key)
-	if err != nil || raw == nil {
+	encoded, err := engine.get(prefix + key)
+	if err != nil || encoded == nil {
 		return nil, err
 	}
-	return makeCopy(kind, key, raw, engine.Uptime().Milliseconds(), true)
+	return makeCopy(kind, key, encoded, engine.Uptime().Milliseconds(), true)
 }
 
-func makeCopy(kind wire.List_Kind, key string, raw []byte, now int64, withValue bool) (*wire.Copy, error) {
+func makeCopy(kind wire.List_Kind, key string, encoded []byte, uptime int64, withValue bool) (*wire.Copy, error) {
 	c := &wire.Copy{Key: key}
 	if kind == wire.List_BLOBS {
-		g := &wire.Got{}
-		if err := proto.Unmarshal(raw, g); err != nil {
+		blob := &wire.Got{}
+		if err := proto.Unmarshal(encoded, blob); err != nil {
 			return nil, code.New(code.DiskFailure, "blob %s: %w", key, err)
 		}
-		// That one is past is passed along: who asks for it gets that answer.
-		if g.AgeMs = now - g.AgeMs; g.State == wire.Got_HERE && g.AgeMs > g.KeepMs {
-			g.State, g.Val = wire.Got_PAST, nil
+		// An expired blob is copied as expired, so that a reader of it gets that answer.
+		if blob.AgeMs = uptime - blob.AgeMs; blob.State == wire.Got_HERE && blob.AgeMs > blob.KeepMs {
+			blob.State, blob.Val = wire.Got_PAST, nil
 		}
 		if withValue {
-			c.Got = g
+			c.Got = blob
 		}
 		return c, nil
 	}
 	r := &wire.Rec{}
-	if err := proto.Unmarshal(raw, r); err != nil {
+	if err := proto.Unmarshal(encoded, r); err != nil {
 		return nil, code.New(code.DiskFailure, "record %s: %w", key, err)
 	}
 	if r.Accepted == nil {
@@ -93,62 +94,64 @@
 	return c, nil
 }
 
-// SaveAll keeps many records with one sync.
+// SaveAll stores many records with one sync.
 func (engine *Engine) SaveAll(recs map[string]*wire.Rec) error {
 	if engine.NearlyFull() {
 		return code.New(code.DiskFull, "%d bytes are left", engine.space.free.Load())
 	}
-	at := engine.Uptime().Milliseconds()
+	uptime := engine.Uptime().Milliseconds()
 	edits := make([]edit, 0, len(recs))
 	for k, r := range recs {
-		r.AtMs = at
+		r.AtMs = uptime
 		edits = append(edits, edit{key: registerPrefix + k, value: wire.MustEncode(r)})
 	}
-	return engine.writeRecords(bulkTimeout, edits...)
+	return engine.writeRecords(bulkWriteTimeout, edits...)
 }
 
-// PutBlobs keeps many blobs, as another engine has them, with one sync. One that is
-// here already stays, if for no less time. It returns how many it took.
+// PutBlobs stores blobs copied from another engine with one sync. A blob that is stored here
+// already with the same or a longer retention is kept. It returns the number of blobs stored.
 func (engine *Engine) PutBlobs(all []*wire.Copy) (n int, err error) {
 	if engine.NearlyFull() {
 		return 0, code.New(code.DiskFull, "%d bytes are left", engine.space.free.Load())
 	}
 	now := engine.Uptime().Milliseconds()
-	take := map[string]*wire.Got{}
+	accepted := map[string]*wire.Got{}
 	for _, c := range all {
-		g := c.Got
-		if g == nil {
+		blob := c.Got
+		if blob == nil {
 			continue
 		}
-		old, err := engine.blob(c.Key)
+		existing, err := engine.blob(c.Key)
 		if err != nil {
 			return 0, err
 		}
-		// Both are counted by this engine's clock from here on. The end of one may lie
-		// before this engine began: its age is then more than the uptime.
-		at := now - g.AgeMs
-		if old != nil &&
-			(g.State != wire.Got_HERE || old.State == wire.Got_HERE && old.AgeMs+old.KeepMs >= at+g.KeepMs) {
+		// Convert the age to this engine's uptime. The blob may be older than this engine:
+		// storedAt is negative then.
+		storedAt := now - blob.AgeMs
+		if existing != nil &&
+			(blob.State != wire.Got_HERE ||
+				existing.State == wire.Got_HERE && existing.AgeMs+existing.KeepMs >= storedAt+blob.KeepMs) {
 			continue
 		}
-		take[c.Key] = &wire.Got{State: g.State, Val: g.Val, KeepMs: g.KeepMs, AgeMs: at}
+		accepted[c.Key] = &wire.Got{State: blob.State, Val: blob.Val, KeepMs: blob.KeepMs, AgeMs: storedAt}
 	}
-	if len(take) == 0 {
+	if len(accepted) == 0 {
 		return 0, nil
 	}
-	edits := make([]edit, 0, len(take))
-	for k, g := range take {
-		edits = append(edits, edit{key: blobPrefix + k, value: wire.MustEncode(g)})
+	edits := make([]edit, 0, len(accepted))
+	for k, blob := range accepted {
+		edits = append(edits, edit{key: blobPrefix + k, value: wire.MustEncode(blob)})
 	}
-	_, err = engine.write(bulkTimeout, edits...)
-	return len(take), err
+	_, err = engine.write(bulkWriteTimeout, edits...)
+	return len(accepted), err
 }
 
-// BlobRetentionLeft tells how long a blob still has here; none, if it is not here.
+// BlobRetentionLeft reports whether a blob is stored here, and how much of its retention is
+// left.
 func (engine *Engine) BlobRetentionLeft(key string) (bool, time.Duration, error) {
-	g, err := engine.GetBlob(key)
-	if err != nil || g.State == wire.Got_NONE {
+	blob, err := engine.GetBlob(key)
+	if err != nil || blob.State == wire.Got_NONE {
 		return false, 0, err
 	}
-	return true, time.Duration(g.KeepMs-g.AgeMs) * time.Millisecond, nil
+	return true, time.Duration(blob.KeepMs-blob.AgeMs) * time.Millisecond, nil
 }
--- a/internal/state/storage/device.go
+++ b/internal/state/storage/device.go
@@ -12,16 +12,16 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// Times and bounds of a device.
+// Timeouts and limits of a device.
 const (
-	// spaceRetryPause is the pause before a write that found no space is tried again.
-	spaceRetryPause = 50 * time.Millisecond
-	// readTimeout is how long a read waits for a disk that does not answer.
+	// spaceRetryInterval is the delay before a write that failed for lack of space is retried.
+	spaceRetryInterval = 50 * time.Millisecond
+	// readTimeout is how long a read waits for a disk that does not respond.
 	readTimeout = 500 * time.Millisecond
-	// maxReads bounds the reads that wait for the disk at the same time.
-	maxReads = 64
-	// refusalPause slows down background work that is tried again as soon as it fails.
-	refusalPause = 10 * time.Millisecond
+	// maxConcurrentReads limits the reads that wait for the disk at the same time.
+	maxConcurrentReads = 64
+	// fencedRetryDelay slows down background work that is retried as soon as it fails.
+	fencedRetryDelay = 10 * time.Millisecond
 )
 
 var (
@@ -30,107 +30,111 @@
 )
 
 // device is the file system that one instance of the database writes through. The database
-// must not see a disk without space, since it takes any failed write for the end of the
-// process; so a write that finds no space waits here until there is some. Any other
-// failure of a write or a sync fences the device: from then on it changes nothing, so that
-// a new instance can be opened on the same folder.
+// treats every failed write as fatal to the process, so it must not see a full disk: a write
+// that finds no space blocks here until there is some. Any other failure of a write or a sync
+// fences the device: it makes no further changes, so that a new instance can be opened on the
+// same folder.
 //
-// The database also ends the process, past any recovery, where its log can not be closed
-// or begun anew. So failures of the log are reported as success; whoever has committed
-// anything asks the device for its failure before relying on it.
+// The database also ends the process, without a chance to recover, if its log can't be closed
+// or a new log can't be created. Failures of the log are therefore reported as success, and
+// callers that commit must check the device for a failure before they rely on the commit.
 type device struct {
 	vfs.FS
-	withoutDatabase bool // there is no database behind it that needs to be shown what is not so
+	withoutDatabase bool // no database uses the device, so errors are always reported
 	fenced          chan struct{}
 
-	spaceWaiters atomic.Int32 // changes that wait for space
-	stalledReads atomic.Int32 // reads that the disk has not answered in time
-	discarding   atomic.Bool  // everything is said to go well, so that the database can be closed
+	spaceWaiters atomic.Int32 // changes that wait for disk space
+	stalledReads atomic.Int32 // reads that timed out and are still pending
+	discarding   atomic.Bool  // report success for discarded changes, so that the database can be closed
 	readSlots    chan struct{}
-	// releaseReserve makes space; it reports whether it did. nil: there is no reserve.
+	// releaseReserve frees the reserved disk space and reports whether it did. nil: there is no
+	// reserve.
 	releaseReserve func() bool
 
-	mu            sync.Mutex
-	onFailureFunc func(error) // called once, by whoever fences
-	cause         error       // of the fence
-	readErr       error       // of the last read that failed
-	inFlight      int         // changes handed to the disk and not answered
-	lastProgress  time.Time   // when it last answered one, or was handed the first
-	idle          chan struct{}
-	files         map[*deviceFile]struct{}
-	locks         map[*deviceLock]struct{}
+	mu             sync.Mutex
+	failureHandler func(error) // called once, when the device is fenced
+	fenceCause     error
+	readErr        error     // of the last read that failed
+	inFlight       int       // changes passed to the disk that have not completed
+	lastProgress   time.Time // when a change last completed, or the first one was started
+	idle           chan struct{}
+	files          map[*deviceFile]struct{}
+	locks          map[*deviceLock]struct{}
 }
 
 func newDevice(inner vfs.FS) *device {
 	d := &device{
 		FS:        inner,
 		fenced:    make(chan struct{}),
-		readSlots: make(chan struct{}, maxReads),
+		readSlots: make(chan struct{}, maxConcurrentReads),
 		files:     map[*deviceFile]struct{}{},
 		locks:     map[*deviceLock]struct{}{},
 	}
-	// Opening a database would wait for ever for background work that goes on failing.
+	// Otherwise opening a database would wait forever for background work that keeps failing.
 	d.discarding.Store(true)
 	return d
 }
 
-// newFolderDevice makes a device for the files beside the database.
+// newFolderDevice returns a device for the files next to the database.
 func newFolderDevice(inner vfs.FS) *device {
 	d := newDevice(inner)
 	d.withoutDatabase = true
 	return d
 }
 
-// opened ends the opening: from now on what was synced before a failure is to be read after it.
-func (d *device) opened() { d.discarding.Store(false) }
+// markOpened ends the opening phase: from now on, data synced before a failure must stay
+// readable after it.
+func (d *device) markOpened() { d.discarding.Store(false) }
 
-// onFailure has f called once the device is fenced, or now if it is.
+// onFailure registers f to be called when the device is fenced. It is called at once if the
+// device is fenced already.
 func (d *device) onFailure(f func(cause error)) {
 	d.mu.Lock()
-	cause := d.cause
-	d.onFailureFunc = f
+	cause := d.fenceCause
+	d.failureHandler = f
 	d.mu.Unlock()
 	if cause != nil {
 		f(cause)
 	}
 }
 
-// waitsForSpace reports whether a change waits for space.
+// waitsForSpace reports whether a change waits for disk space.
 func (d *device) waitsForSpace() bool { return d.spaceWaiters.Load() > 0 }
 
-// failure is what the device was fenced for, or nil.
+// failure returns the error that the device was fenced for, or nil.
 func (d *device) failure() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.cause
+	return d.fenceCause
 }
 
-// readFailure is the failure of the last read that failed, or nil.
+// readFailure returns the error of the last failed read, or nil.
 func (d *device) readFailure() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.readErr
 }
 
-// fence ends all changes through the device. The first cause counts.
+// fence stops all further changes through the device. Only the first cause is recorded.
 func (d *device) fence(cause error) {
 	d.mu.Lock()
-	first, tell := d.cause == nil, d.onFailureFunc
+	first, notify := d.fenceCause == nil, d.failureHandler
 	if first {
-		d.cause = cause
+		d.fenceCause = cause
 		close(d.fenced)
 	}
 	d.mu.Unlock()
-	if first && tell != nil {
-		tell(cause)
+	if first && notify != nil {
+		notify(cause)
 	}
 }
 
-// begin counts a change that is handed to the disk; false once fenced.
-func (d *device) begin() bool {
+// beginChange registers a change that is about to be passed to the disk. It returns false once
+// the device is fenced.
+func (d *device) beginChange() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cause != nil {
+	if d.fenceCause != nil {
 		return false
 	}
 	if d.inFlight == 0 {
@@ -140,8 +144,8 @@
 	return true
 }
 
-// hungFor is how long the disk has answered none of the changes that it was handed.
-func (d *device) hungFor() time.Duration {
+// stallDuration returns for how long the disk has completed none of its pending changes.
+func (d *device) stallDuration() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.inFlight == 0 {
@@ -150,7 +154,7 @@
 	return time.Since(d.lastProgress)
 }
 
-func (d *device) end() {
+func (d *device) endChange() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.inFlight--
@@ -161,8 +165,8 @@
 	}
 }
 
-// drained is closed once no change is in the hands of the disk any more. It is for a
-// fenced device, which takes no new ones.
+// drained returns a channel that is closed once no change is pending on the disk. It is meant
+// for a fenced device, which starts no new ones.
 func (d *device) drained() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,7 +181,7 @@
 	return d.idle
 }
 
-// release gives back the locks and files that a fenced instance still holds.
+// release frees the locks, and optionally closes the files, that a fenced instance still holds.
 func (d *device) release(withFiles bool) {
 	d.mu.Lock()
 	var toClose []io.Closer
@@ -195,16 +199,16 @@
 	}
 }
 
-// startDiscarding has a fenced device report success for changes that it discards. Its
-// database then completes whatever it is at, and can be closed.
+// startDiscarding makes a fenced device report success for the changes that it discards, so
+// that its database can complete pending work and be closed.
 func (d *device) startDiscarding() { d.discarding.Store(true) }
 
-// suppressesErrors reports whether a change that was discarded is reported as success.
+// suppressesErrors reports whether a discarded change is reported as success.
 func (d *device) suppressesErrors(log bool) bool {
 	return !d.withoutDatabase && (log || d.discarding.Load()) && d.failure() != nil
 }
 
-// fencedError is the answer of a fenced device.
+// fencedError returns the error for a change on a fenced device.
 func (d *device) fencedError() error {
 	if !d.discarding.Load() {
 		throttleFenced()
@@ -212,7 +216,8 @@
 	return errors.Join(errFenced, d.failure())
 }
 
-// throttle keeps background work that fails on a fenced device from trying again at once.
+// throttle delays background work that fails on a fenced device, so that it does not retry in a
+// tight loop.
 func (d *device) throttle(err error) {
 	if err != nil && d.failure() != nil {
 		throttleFenced()
@@ -220,23 +225,23 @@
 }
 
 func throttleFenced() {
-	sleep(refusalPause)
+	sleep(fencedRetryDelay)
 }
 
-// change runs a change on the disk, repeated for as long as there is no space.
-func (d *device) change(do func() error) error {
-	waiting := false
+// applyChange runs a change on the disk and retries it while the disk has no space.
+func (d *device) applyChange(operation func() error) error {
+	counted := false
 	defer func() {
-		if waiting {
+		if counted {
 			d.spaceWaiters.Add(-1)
 		}
 	}()
 	for {
-		if !d.begin() {
+		if !d.beginChange() {
 			return d.fencedError()
 		}
-		err := do()
-		d.end()
+		err := operation()
+		d.endChange()
 		if isNoSpace(err) && d.releaseReserve != nil && d.releaseReserve() {
 			continue
 		}
@@ -244,23 +249,23 @@
 		case err == nil || isBenign(err):
 			return err
 		case !isNoSpace(err), d.discarding.Load() && !d.withoutDatabase:
-			// Opening without space fails as a unit, and is tried again as a unit.
+			// Without space, the whole opening fails and is retried as a whole.
 			d.fence(err)
 			return err
 		}
-		if !waiting {
-			waiting = true
+		if !counted {
+			counted = true
 			d.spaceWaiters.Add(1)
 		}
-		if !d.sleep() {
+		if !d.waitForRetry() {
 			return d.fencedError()
 		}
 	}
 }
 
-// sleep waits until a change may be tried again; false once fenced.
-func (d *device) sleep() bool {
-	t := time.NewTimer(spaceRetryPause)
+// waitForRetry waits until a change may be retried. It returns false once the device is fenced.
+func (d *device) waitForRetry() bool {
+	t := time.NewTimer(spaceRetryInterval)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -270,75 +275,76 @@
 	}
 }
 
-// sync runs a sync on the disk. It is never repeated: a disk that failed one may have
-// dropped the data and report success for the next.
-func (d *device) sync(do func() error) error {
-	if !d.begin() {
+// sync runs a sync on the disk. It is never retried: a disk that failed a sync may have dropped
+// the data and still report success for the next one.
+func (d *device) sync(operation func() error) error {
+	if !d.beginChange() {
 		return d.fencedError()
 	}
-	err := do()
-	d.end()
+	err := operation()
+	d.endChange()
 	if err != nil {
 		d.fence(err)
 	}
 	return err
 }
 
-// isNoSpace: the disk took less than it was given, and may take the rest later.
+// isNoSpace reports whether the disk ran out of space, so that a retry may succeed later.
 func isNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// isBenign: an answer about names, which says nothing of the disk's health.
+// isBenign reports whether an error is about file names or handles and does not indicate a disk
+// failure.
 func isBenign(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrInvalid) ||
 		errors.Is(err, fs.ErrClosed)
 }
 
-// readWithTimeout runs a read that the disk may not answer. A result that comes too late
-// is passed to late.
-func readWithTimeout[T any](d *device, do func() (T, error), late func(T)) (T, error) {
-	var none T
+// readWithTimeout runs a read that may block. A result that arrives after the timeout is passed
+// to onLate.
+func readWithTimeout[T any](d *device, operation func() (T, error), onLate func(T)) (T, error) {
+	var zero T
 	if d.stalledReads.Load() > 0 {
 		throttleFenced()
-		return none, d.recordReadError(errReadStalled)
+		return zero, d.recordReadError(errReadStalled)
 	}
 	t := time.NewTimer(readTimeout)
 	defer t.Stop()
 	select {
 	case d.readSlots <- struct{}{}:
 	case <-t.C:
-		return none, d.recordReadError(errReadStalled)
+		return zero, d.recordReadError(errReadStalled)
 	}
-	type answer struct {
+	type result struct {
 		v   T
 		err error
 	}
-	answers := make(chan answer)
+	results := make(chan result)
 	abandoned := make(chan struct{})
 	go func() {
-		v, err := do()
+		v, err := operation()
 		<-d.readSlots
 		select {
-		case answers <- answer{v, err}:
+		case results <- result{v, err}:
 		case <-abandoned:
 			d.stalledReads.Add(-1)
-			if err == nil && late != nil {
-				late(v)
+			if err == nil && onLate != nil {
+				onLate(v)
 			}
 		}
 	}()
 	select {
-	case a := <-answers:
-		return a.v, d.recordReadError(a.err)
+	case r := <-results:
+		return r.v, d.recordReadError(r.err)
 	case <-t.C:
 		d.stalledReads.Add(1)
 		close(abandoned)
-		return none, d.recordReadError(errReadStalled)
+		return zero, d.recordReadError(errReadStalled)
 	}
 }
 
-// recordReadError remembers a read that failed, and returns its error.
+// recordReadError records a failed read and returns its error unchanged.
 func (d *device) recordReadError(err error) error {
 	if err == nil || errors.Is(err, io.EOF) || isBenign(err) {
 		return err
--- a/internal/state/storage/devicefile.go
+++ b/internal/state/storage/devicefile.go
@@ -14,11 +14,11 @@
 type deviceFile struct {
 	vfs.File
 	device *device
-	log    bool // the database does not survive a failure of it
+	log    bool // whether the database treats a failure of the file as fatal
 	once   sync.Once
 }
 
-// outcome is what the database is shown of a write or sync.
+// outcome returns the error of a write or sync that is reported to the database.
 func (f *deviceFile) outcome(err error) error {
 	if err != nil && f.device.suppressesErrors(f.log) {
 		return nil
@@ -26,41 +26,43 @@
 	return err
 }
 
-// Write writes all of p, however often the disk runs out of space meanwhile.
+// Write writes all of p, and waits whenever the disk runs out of space.
 func (f *deviceFile) Write(p []byte) (int, error) {
-	done := 0
-	err := f.device.change(func() error {
-		n, err := f.File.Write(p[done:])
-		done += max(n, 0)
+	written := 0
+	err := f.device.applyChange(func() error {
+		n, err := f.File.Write(p[written:])
+		written += max(n, 0)
 		return err
 	})
 	if err != nil && f.outcome(err) == nil {
 		return len(p), nil
 	}
-	return done, err
+	return written, err
 }
 
-// WriteAt does the same at an offset.
+// WriteAt is Write at an offset.
 func (f *deviceFile) WriteAt(p []byte, off int64) (int, error) {
-	done := 0
-	err := f.device.change(func() error {
-		n, err := f.File.WriteAt(p[done:], off+int64(done))
-		done += max(n, 0)
+	written := 0
+	err := f.device.applyChange(func() error {
+		n, err := f.File.WriteAt(p[written:], off+int64(written))
+		written += max(n, 0)
 		return err
 	})
-	return done, err
+	return written, err
 }
 
-// Preallocate asks for space in advance. Whether it is given shows at the write.
+// Preallocate reserves space in advance. Its errors are ignored, since a lack of space shows
+// when the file is written.
 func (f *deviceFile) Preallocate(off, length int64) error {
-	if f.device.begin() {
+	if f.device.beginChange() {
 		_ = f.File.Preallocate(off, length)
-		f.device.end()
+		f.device.endChange()
 	}
 	return nil
 }
 
-// Stat checks the file. A log is asked for its size as it is begun anew.
+// Stat returns information about the file. The database reads the size of a log when it starts
+// a new one, so a failure for a log is handled like a failed write.
 func (f *deviceFile) Stat() (vfs.FileInfo, error) {
 	info, err := f.File.Stat()
 	if err == nil || !f.log {
@@ -73,10 +75,10 @@
 // Sync syncs the file.
 func (f *deviceFile) Sync() error { return f.outcome(f.device.sync(f.File.Sync)) }
 
-// SyncData syncs what is in the file.
+// SyncData syncs the contents of the file.
 func (f *deviceFile) SyncData() error { return f.outcome(f.device.sync(f.File.SyncData)) }
 
-// SyncTo begins to sync the first bytes of a file.
+// SyncTo starts to sync the first length bytes of the file.
 func (f *deviceFile) SyncTo(length int64) (full bool, err error) {
 	err = f.device.sync(func() (err error) {
 		full, err = f.File.SyncTo(length)
@@ -85,34 +87,34 @@
 	return full, f.outcome(err)
 }
 
-// Read reads on.
+// Read reads from the current position.
 func (f *deviceFile) Read(p []byte) (int, error) {
 	n, err := f.File.Read(p)
 	return n, f.device.recordReadError(err)
 }
 
-// ReadAt reads at an offset. Its buffer is its own, since a read that the disk does
-// not answer in time is left behind.
+// ReadAt reads at an offset. It reads into a buffer that is not shared with the caller, since a
+// read that times out goes on in the background.
 func (f *deviceFile) ReadAt(p []byte, off int64) (int, error) {
-	type chunk struct {
+	type readResult struct {
 		b   []byte
 		err error
 	}
-	got, err := readWithTimeout(f.device, func() (chunk, error) {
+	result, err := readWithTimeout(f.device, func() (readResult, error) {
 		b := make([]byte, len(p))
 		n, err := f.File.ReadAt(b, off)
 		if errors.Is(err, io.EOF) {
-			return chunk{b[:n], err}, nil
+			return readResult{b[:n], err}, nil
 		}
-		return chunk{b[:n], nil}, err
+		return readResult{b[:n], nil}, err
 	}, nil)
-	if err != nil || got.err != nil {
-		f.device.throttle(errors.Join(err, got.err))
+	if err != nil || result.err != nil {
+		f.device.throttle(errors.Join(err, result.err))
 	}
 	if err != nil {
 		return 0, err
 	}
-	return copy(p, got.b), got.err
+	return copy(p, result.b), result.err
 }
 
 // Close closes the file.
@@ -129,7 +131,7 @@
 	return err
 }
 
-// nullFile stands for a file that could not be opened.
+// nullFile replaces a file that could not be opened. Writes to it succeed and are discarded.
 type nullFile struct{ vfs.File }
 
 func (*nullFile) Write(p []byte) (int, error) { return len(p), nil }
@@ -156,7 +158,7 @@
 
 func (*nullFile) Close() error { return nil }
 
-// nullFileInfo describes a file that holds nothing.
+// nullFileInfo describes an empty file.
 type nullFileInfo struct{}
 
 func (nullFileInfo) Name() string { return "" }
--- a/internal/state/storage/devicefs.go
+++ b/internal/state/storage/devicefs.go
@@ -12,28 +12,29 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
+// wrap returns an opened file as a file of the device.
 func (d *device) wrap(name string, f vfs.File, err error) (vfs.File, error) {
 	if err != nil {
 		return nil, err
 	}
-	w := &deviceFile{File: f, device: d, log: isLog(name)}
+	wrapped := &deviceFile{File: f, device: d, log: isLog(name)}
 	d.mu.Lock()
-	d.files[w] = struct{}{}
+	d.files[wrapped] = struct{}{}
 	d.mu.Unlock()
-	return w, nil
+	return wrapped, nil
 }
 
-// openWrite runs what opens a file for writing.
+// openWrite runs an operation that opens a file for writing.
 func (d *device) openWrite(name string, open func() (vfs.File, error)) (vfs.File, error) {
 	var f vfs.File
-	err := d.change(func() (err error) {
+	err := d.applyChange(func() (err error) {
 		f, err = open()
 		return err
 	})
 	if err != nil && d.suppressesErrors(isLog(name)) {
-		// A database that has lost its manifest begins a table for each flush that it
-		// tries again, without a pause of its own, for as long as it waits to be closed.
-		// Its other files may be begun with its mutex held, and must not wait.
+		// A database that has lost its manifest creates a new table for each flush that it
+		// retries, without a delay, while it waits to be closed. Creating its other files must
+		// not block, since that can happen with its mutex held.
 		if isTable(name) {
 			throttleFenced()
 		}
@@ -42,10 +43,10 @@
 	return d.wrap(name, f, err)
 }
 
-// isLog reports whether a file is one of the database's log.
+// isLog reports whether a file belongs to the database's write-ahead log.
 func isLog(name string) bool { return strings.HasSuffix(name, logSuffix) }
 
-// isTable reports whether a file is one of the database's tables.
+// isTable reports whether a file is a table of the database.
 func isTable(name string) bool { return strings.HasSuffix(name, tableSuffix) }
 
 const (
@@ -53,12 +54,12 @@
 	tableSuffix = ".sst"
 )
 
-// Create makes a file.
+// Create creates a file.
 func (d *device) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	return d.openWrite(name, func() (vfs.File, error) { return d.FS.Create(name, category) })
 }
 
-// OpenReadWrite opens a file, or makes it.
+// OpenReadWrite opens a file for reading and writing, and creates it if necessary.
 func (d *device) OpenReadWrite(
 	name string,
 	category vfs.DiskWriteCategory,
@@ -83,76 +84,77 @@
 	return d.wrap(name, f, err)
 }
 
-// OpenDir opens a folder, to sync it.
+// OpenDir opens a directory in order to sync it.
 func (d *device) OpenDir(name string) (vfs.File, error) {
 	f, err := d.FS.OpenDir(name)
-	w, err := d.wrap(name, f, d.recordReadError(err))
+	wrapped, err := d.wrap(name, f, d.recordReadError(err))
 	if err != nil {
 		return nil, err
 	}
-	// A new log is begun with a sync of its folder.
-	w.(*deviceFile).log = true
-	return w, nil
+	// The creation of a new log ends with a sync of its directory.
+	wrapped.(*deviceFile).log = true
+	return wrapped, nil
 }
 
-// List lists a folder.
+// List lists a directory.
 func (d *device) List(dir string) ([]string, error) {
 	names, err := d.FS.List(dir)
 	return names, d.recordReadError(err)
 }
 
-// Stat checks a file.
+// Stat returns information about a file.
 func (d *device) Stat(name string) (vfs.FileInfo, error) {
 	info, err := d.FS.Stat(name)
 	return info, d.recordReadError(err)
 }
 
-// Link makes a second name of a file.
+// Link creates a hard link.
 func (d *device) Link(from, to string) error {
-	return d.changeNames(func() error { return d.FS.Link(from, to) })
+	return d.changeDirectory(func() error { return d.FS.Link(from, to) })
 }
 
 // Rename renames a file.
 func (d *device) Rename(from, to string) error {
-	return d.changeNames(func() error { return d.FS.Rename(from, to) })
+	return d.changeDirectory(func() error { return d.FS.Rename(from, to) })
 }
 
-// MkdirAll makes a folder and those that lead to it.
+// MkdirAll creates a directory and its missing parents.
 func (d *device) MkdirAll(dir string, perm os.FileMode) error {
-	return d.changeNames(func() error { return d.FS.MkdirAll(dir, perm) })
+	return d.changeDirectory(func() error { return d.FS.MkdirAll(dir, perm) })
 }
 
-// changeNames hands a change of names to the disk.
-func (d *device) changeNames(do func() error) error {
-	err := d.change(do)
+// changeDirectory runs an operation that changes directory entries.
+func (d *device) changeDirectory(operation func() error) error {
+	err := d.applyChange(operation)
 	if err != nil && d.suppressesErrors(false) {
 		return nil
 	}
 	return err
 }
 
-// Remove removes a file. Failing to do so harms nothing.
+// Remove removes a file. A failure does not fence the device, since a file left over does no
+// harm.
 func (d *device) Remove(name string) error {
 	return d.remove(func() error { return d.FS.Remove(name) })
 }
 
-// RemoveAll removes a folder and all in it.
+// RemoveAll removes a directory and its contents. A failure does not fence the device.
 func (d *device) RemoveAll(name string) error {
 	return d.remove(func() error { return d.FS.RemoveAll(name) })
 }
 
-func (d *device) remove(do func() error) error {
-	if !d.begin() {
+func (d *device) remove(operation func() error) error {
+	if !d.beginChange() {
 		return d.fencedError()
 	}
-	defer d.end()
-	return do()
+	defer d.endChange()
+	return operation()
 }
 
 // Lock locks a file against other processes.
 func (d *device) Lock(name string) (io.Closer, error) {
 	var c io.Closer
-	err := d.change(func() (err error) {
+	err := d.applyChange(func() (err error) {
 		c, err = d.FS.Lock(name)
 		if err != nil && lockedByOther(err) {
 			err = &lockedError{err}
@@ -169,13 +171,14 @@
 	return l, nil
 }
 
-// lockedByOther tells a lock that somebody else has from a failure of the disk.
+// lockedByOther reports whether an error means that another process holds the lock, as opposed
+// to a disk failure.
 func lockedByOther(err error) bool {
-	var number syscall.Errno
-	return !errors.As(err, &number) || number == syscall.EAGAIN || number == syscall.EACCES
+	var errno syscall.Errno
+	return !errors.As(err, &errno) || errno == syscall.EAGAIN || errno == syscall.EACCES
 }
 
-// lockedError is a lock that somebody else has.
+// lockedError is returned for a lock that another process holds.
 type lockedError struct{ err error }
 
 func (e *lockedError) Error() string { return e.err.Error() }
@@ -184,17 +187,17 @@
 
 func (e *lockedError) Is(target error) bool { return target == fs.ErrExist }
 
-// Unwrap is the file system below.
+// Unwrap returns the underlying file system.
 func (d *device) Unwrap() vfs.FS { return d.FS }
 
-// deviceLock is a lock that is given back once.
+// deviceLock is a file lock that is released at most once.
 type deviceLock struct {
 	io.Closer
 	device *device
 	once   sync.Once
 }
 
-// Close gives the lock back.
+// Close releases the lock.
 func (l *deviceLock) Close() (err error) {
 	l.once.Do(func() {
 		l.device.mu.Lock()
--- a/internal/state/storage/diskspace.go
+++ b/internal/state/storage/diskspace.go
@@ -51,7 +51,7 @@
 		free = f
 	}
 	engine.space.free.Store(free)
-	engine.reserve.make(free, total, minFree)
+	engine.reserve.replenish(free, total, minFree)
 	engine.space.previousSlowestSync.Store(engine.space.slowestSync.Swap(0))
 }
 
@@ -63,14 +63,14 @@
 }
 
 // unavailable tells why no writes are taken at all; empty: they are.
-func (engine *Engine) unavailable() string {
+func (engine *Engine) unavailableReason() string {
 	i := engine.instance()
 	switch {
 	case i == nil, i.device.failure() != nil:
 		return "disk failed, no writes taken until the folder is open again"
 	case i.device.waitsForSpace():
 		return "disk full, no writes taken"
-	case i.syncing() >= voteTimeout, i.device.stalledReads.Load() > 0:
+	case i.currentSyncDuration() >= writeTimeout, i.device.stalledReads.Load() > 0:
 		return "disk does not answer, no writes taken"
 	}
 	return ""
@@ -79,7 +79,7 @@
 // Status tells operators what is wrong with the disk; empty: nothing.
 func (engine *Engine) Status() string {
 	var out []string
-	if s := engine.unavailable(); s != "" {
+	if s := engine.unavailableReason(); s != "" {
 		out = append(out, s)
 	}
 	if engine.NearlyFull() {
--- a/internal/state/storage/engine.go
+++ b/internal/state/storage/engine.go
@@ -50,8 +50,8 @@
 	// NewIdentity tells that the folder was empty or unreadable, and that the
 	// identity is therefore a new one which must not vote before admission.
 	NewIdentity bool
-	// withoutDatabase tells that the identity was made just now and has no database yet.
-	withoutDatabase bool
+	// createDatabase tells that the identity was made just now and has no database yet.
+	createDatabase bool
 
 	space   diskSpace
 	reserve *diskReserve
@@ -63,7 +63,7 @@
 	folderStart, openedSequence uint64
 	closed                      chan struct{}
 	// opening is full while somebody opens the folder or changes it for another.
-	opening chan struct{}
+	openSemaphore chan struct{}
 
 	mu           sync.Mutex
 	uptimeBefore time.Duration // uptime before this start
@@ -82,7 +82,7 @@
 		base:            p.FS,
 		start:           time.Now(),
 		closed:          make(chan struct{}),
-		opening:         make(chan struct{}, 1),
+		openSemaphore:   make(chan struct{}, 1),
 		uncertainWrites: map[string]*write{},
 	}
 	if engine.base == nil {
@@ -96,29 +96,29 @@
 		engine.params.Log = func(string, ...any) {}
 	}
 	engine.reserve = &diskReserve{fs: engine.base, path: engine.path(reserveName)}
-	engine.reserve.adopt()
-	if err := engine.openPatiently(); err != nil {
+	engine.reserve.detect()
+	if err := engine.openWithRetry(); err != nil {
 		return nil, err
 	}
 	engine.MeasureDisk()
 	return engine, nil
 }
 
-// unreadableAfter is how long a disk may fail reads at the start before what it holds is
+// readFailureTimeout is how long a disk may fail reads at the start before what it holds is
 // given up. A disk that answers nothing is waited for however long it takes: it takes no
 // new data either.
-const unreadableAfter = time.Minute
+const readFailureTimeout = time.Minute
 
-// openPatiently opens the folder, and waits for a disk that is full, does not answer or
+// openWithRetry opens the folder, and waits for a disk that is full, does not answer or
 // fails. Where a disk goes on failing reads the machine starts as a stranger.
-func (engine *Engine) openPatiently() error {
+func (engine *Engine) openWithRetry() error {
 	var unreadableSince time.Time
 	for {
 		engine.files = newFolderDevice(engine.base)
 		open := engine.openFolder
-		if !unreadableSince.IsZero() && time.Since(unreadableSince) >= unreadableAfter {
+		if !unreadableSince.IsZero() && time.Since(unreadableSince) >= readFailureTimeout {
 			// Where that fails as well, the next attempt comes after as long again.
-			open, unreadableSince = engine.openAsStranger, time.Time{}
+			open, unreadableSince = engine.openWithNewIdentity, time.Time{}
 		}
 		err := open()
 		if err == nil {
@@ -134,7 +134,7 @@
 		}
 		engine.params.Log("the disk fails, trying again to open the folder", "err", err)
 		engine.files.release(true)
-		sleep(reopenPause)
+		sleep(reopenInterval)
 	}
 }
 
@@ -176,7 +176,7 @@
 func (engine *Engine) options(dev *device) *pebble.Options {
 	o := &pebble.Options{
 		FS:     dev,
-		Logger: quiet{engine.params.Log, dev},
+		Logger: pebbleLogger{engine.params.Log, dev},
 		// The newest format, for its table writer: the older one pools channels,
 		// which simulated worlds in one test process must not share.
 		FormatMajorVersion: pebble.FormatNewest,
@@ -201,17 +201,17 @@
 
 // quiet forwards only the database's errors to the log. What the database calls fatal
 // fences its device and does not end the process.
-type quiet struct {
+type pebbleLogger struct {
 	log func(string, ...any)
 	dev *device
 }
 
-func (quiet) Infof(string, ...any)        {}
-func (q quiet) Errorf(f string, a ...any) { q.log("pebble", "err", fmt.Sprintf(f, a...)) }
-func (q quiet) Fatalf(f string, a ...any) {
+func (pebbleLogger) Infof(string, ...any)        {}
+func (l pebbleLogger) Errorf(f string, a ...any) { l.log("pebble", "err", fmt.Sprintf(f, a...)) }
+func (l pebbleLogger) Fatalf(f string, a ...any) {
 	err := fmt.Errorf("pebble: "+f, a...)
-	q.log("the database gave up", "err", err)
-	q.dev.fence(err)
+	l.log("the database gave up", "err", err)
+	l.dev.fence(err)
 }
 
 // Close closes the folder.
--- a/internal/state/storage/folder.go
+++ b/internal/state/storage/folder.go
@@ -24,7 +24,7 @@
 	Role   string `json:"role"`
 	Ident  string `json:"ident"`
 	// Adopt names data set aside whose blobs are to be taken over.
-	Adopt []string `json:"adopt,omitempty"`
+	PendingImports []string `json:"adopt,omitempty"`
 }
 
 // openFolder finds or creates the identity, and opens the database.
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// openAsStranger sets the data aside unread and begins anew under another identity.
-func (engine *Engine) openAsStranger() error {
+// openWithNewIdentity sets the data aside unread and begins anew under another identity.
+func (engine *Engine) openWithNewIdentity() error {
 	if err := engine.replaceIdentity("the disk goes on failing reads", false); err != nil {
 		return err
 	}
@@ -141,16 +141,16 @@
 // replaceIdentity sets the old data aside and writes a new identity. adopt notes that the
 // blobs among the data are to be taken over.
 func (engine *Engine) replaceIdentity(why string, adopt bool) error {
-	aside, err := engine.setDataAside()
+	aside, err := engine.retireDatabase()
 	if err != nil {
 		return err
 	}
-	engine.NewIdentity, engine.withoutDatabase = true, true
+	engine.NewIdentity, engine.createDatabase = true, true
 	made := identityFile{Format: Format, ID: engine.params.ID, Role: engine.params.Role, Ident: newIdentity()}
 	// What the identity before had not taken over yet is still to be.
-	made.Adopt = slices.Clone(engine.identity.Adopt)
-	if adopt && aside != "" && !slices.Contains(made.Adopt, aside) {
-		made.Adopt = append(made.Adopt, aside)
+	made.PendingImports = slices.Clone(engine.identity.PendingImports)
+	if adopt && aside != "" && !slices.Contains(made.PendingImports, aside) {
+		made.PendingImports = append(made.PendingImports, aside)
 	}
 	engine.params.Log("new identity", "why", why, "ident", made.Ident)
 	return engine.writeIdentity(made)
@@ -208,22 +208,22 @@
 
 // ReplaceIdentity sets the data aside and goes on with an empty database, under a new
 // identity. Data set aside earlier are removed: no process will ask for them.
-func (engine *Engine) ReplaceIdentity(why string) error { return engine.replaceWith(why, false) }
+func (engine *Engine) ReplaceIdentity(why string) error { return engine.switchIdentity(why, false) }
 
 // ReplaceIdentityKeepingBlobs does the same, and notes that the blobs among the data are to be taken over
 // (ImportRetiredBlobs).
 func (engine *Engine) ReplaceIdentityKeepingBlobs(why string) error {
-	return engine.replaceWith(why, true)
+	return engine.switchIdentity(why, true)
 }
 
-func (engine *Engine) replaceWith(why string, adopt bool) error {
-	engine.opening <- struct{}{}
-	defer func() { <-engine.opening }()
+func (engine *Engine) switchIdentity(why string, adopt bool) error {
+	engine.openSemaphore <- struct{}{}
+	defer func() { <-engine.openSemaphore }()
 	if err := engine.detach(); err != nil {
 		engine.params.Log("data not closed", "err", err)
 	}
 	engine.files = newFolderDevice(engine.base)
-	err := engine.removeSetAside()
+	err := engine.removeRetired()
 	if err == nil {
 		err = engine.replaceIdentity(why, adopt)
 	}
--- a/internal/state/storage/instance.go
+++ b/internal/state/storage/instance.go
@@ -32,9 +32,9 @@
 
 // What has become of a write.
 const (
-	queued    int32 = iota
-	taken           // the writer has it: it may reach the disk
-	withdrawn       // it has not been begun, and will not be
+	queued   int32 = iota
+	claimed        // the writer has it: it may reach the disk
+	canceled       // it has not been begun, and will not be
 )
 
 // write is one caller's edits, synced together.
@@ -76,7 +76,7 @@
 	onSync      func(time.Duration)
 	writes      chan *write
 	quit        chan struct{}
-	ended       chan struct{}
+	stopped     chan struct{}
 	syncStarted atomic.Int64 // one more than when, since began, the sync under way began; 0: none is
 	openedAt    time.Time
 	users       sync.WaitGroup // calls under way
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	dev.opened()
+	dev.markOpened()
 	if cause := dev.failure(); cause != nil {
 		dev.startDiscarding()
 		_ = db.Close()
@@ -110,7 +110,7 @@
 		device:   dev,
 		writes:   make(chan *write, maxQueued),
 		quit:     make(chan struct{}),
-		ended:    make(chan struct{}),
+		stopped:  make(chan struct{}),
 		openedAt: time.Now(),
 	}
 	i.newest = &view{Snapshot: db.NewSnapshot()}
@@ -135,7 +135,7 @@
 }
 
 // advance lets reads see what the database holds now.
-func (i *instance) advance() {
+func (i *instance) publishSnapshot() {
 	v := &view{Snapshot: i.db.NewSnapshot()}
 	v.users.Store(1)
 	i.mu.Lock()
@@ -146,7 +146,7 @@
 }
 
 // syncing is how long the sync under way has taken; 0 where none is.
-func (i *instance) syncing() time.Duration {
+func (i *instance) currentSyncDuration() time.Duration {
 	at := i.syncStarted.Load()
 	if at == 0 {
 		return 0
@@ -157,7 +157,7 @@
 // run commits writes, as many as wait in one sync, until the instance is closed or has
 // failed.
 func (i *instance) run() {
-	defer close(i.ended)
+	defer close(i.stopped)
 	for {
 		select {
 		case <-i.quit:
@@ -175,7 +175,7 @@
 	var ws []*write
 	size := 0
 	for more := true; more; {
-		if w.state.CompareAndSwap(queued, taken) {
+		if w.state.CompareAndSwap(queued, claimed) {
 			ws = append(ws, w)
 			size += w.size()
 		}
@@ -246,7 +246,7 @@
 		return err
 	}
 	_ = b.Close()
-	i.advance()
+	i.publishSnapshot()
 	i.sequence.Store(next)
 	return nil
 }
@@ -255,7 +255,7 @@
 // says. The write is given where it may have been begun: its outcome is known once it
 // is resolved.
 func (i *instance) submit(limit time.Duration, edits []edit) (*write, error) {
-	if err := i.rejection(limit); err != nil {
+	if err := i.rejectReason(limit); err != nil {
 		return nil, err
 	}
 	w := &write{edits: edits, done: make(chan error, 1), resolved: make(chan struct{})}
@@ -269,7 +269,7 @@
 	select {
 	case err := <-w.done:
 		return w, err
-	case <-i.ended:
+	case <-i.stopped:
 		return i.abandon(w, errFenced)
 	case <-t.C:
 		return i.abandon(w, errSyncTimeout)
@@ -284,13 +284,13 @@
 )
 
 // rejection tells why a write is not even begun.
-func (i *instance) rejection(limit time.Duration) error {
+func (i *instance) rejectReason(limit time.Duration) error {
 	switch {
 	case i.device.failure() != nil:
 		return errors.Join(errFenced, i.device.failure())
 	case i.device.waitsForSpace():
 		return errNoSpace
-	case i.syncing() >= limit:
+	case i.currentSyncDuration() >= limit:
 		return errSyncTimeout
 	}
 	return nil
@@ -298,7 +298,7 @@
 
 // abandon is the answer to a write that waits no longer.
 func (i *instance) abandon(w *write, why error) (*write, error) {
-	if w.state.CompareAndSwap(queued, withdrawn) {
+	if w.state.CompareAndSwap(queued, canceled) {
 		if i.device.waitsForSpace() {
 			why = errNoSpace
 		}
@@ -329,7 +329,7 @@
 	close(i.quit)
 	done := make(chan error, 1)
 	go func() {
-		<-i.ended
+		<-i.stopped
 		i.users.Wait()
 		i.newest.release()
 		done <- i.closeDB()
--- a/internal/state/storage/metadata.go
+++ b/internal/state/storage/metadata.go
@@ -7,7 +7,7 @@
 
 // DeleteMetadata forgets what SaveMetadata kept.
 func (engine *Engine) DeleteMetadata(key string) error {
-	_, err := engine.write(voteTimeout, edit{key: metadataPrefix + "n/" + key, deleted: true})
+	_, err := engine.write(writeTimeout, edit{key: metadataPrefix + "n/" + key, deleted: true})
 	return err
 }
 
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	r.AtMs = engine.Uptime().Milliseconds()
-	return engine.writeRecords(voteTimeout, edit{key: registerPrefix + key, value: wire.MustEncode(r)})
+	return engine.writeRecords(writeTimeout, edit{key: registerPrefix + key, value: wire.MustEncode(r)})
 }
 
 // RegistersOlderThan lists up to limit registers last written longer ago than keep returns for
@@ -108,7 +108,7 @@
 
 // DeleteRegister forgets a register altogether.
 func (engine *Engine) DeleteRegister(key string) error {
-	return engine.writeRecords(voteTimeout, edit{key: registerPrefix + key, deleted: true})
+	return engine.writeRecords(writeTimeout, edit{key: registerPrefix + key, deleted: true})
 }
 
 // Keys lists up to limit keys of a kind after a key, in order, with the ballots of
--- a/internal/state/storage/reopen.go
+++ b/internal/state/storage/reopen.go
@@ -10,24 +10,24 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// reopenPause is the time between two tries to open a folder on a disk that fails.
-const reopenPause = 500 * time.Millisecond
+// reopenInterval is the time between two tries to open a folder on a disk that fails.
+const reopenInterval = 500 * time.Millisecond
 
 // openDB opens the database through a device of its own and puts it to use.
 func (engine *Engine) openDB(dev *device) error {
-	if err := engine.awaitFolder(dev); err != nil {
+	if err := engine.waitForFolderLock(dev); err != nil {
 		return fmt.Errorf("%w: %w", errFolderLocked, err)
 	}
 	dev.releaseReserve = engine.reserve.release
 	options := engine.options(dev)
 	// An identity whose data have departed must not begin anew without them: they held what
 	// it had promised.
-	options.ErrorIfNotExists = !engine.withoutDatabase
+	options.ErrorIfNotExists = !engine.createDatabase
 	i, err := openInstance(engine.path("db"), dev, options)
 	if err != nil {
 		return err
 	}
-	engine.withoutDatabase = false
+	engine.createDatabase = false
 	i.beforeSync, i.onSync = engine.delaySync, engine.recordSync
 	go i.run()
 	engine.instanceMutex.Lock()
@@ -39,15 +39,15 @@
 }
 
 const (
-	// lockPatience is how long a folder may be in use by another process: the one before this
+	// lockTimeout is how long a folder may be in use by another process: the one before this
 	// may not have ended yet. One that ends instead is started again later and later.
-	lockPatience = 5 * time.Second
-	lockPause    = 20 * time.Millisecond
+	lockTimeout       = 5 * time.Second
+	lockRetryInterval = 20 * time.Millisecond
 )
 
-// awaitFolder waits until no other process has the folder open, for a while.
-func (engine *Engine) awaitFolder(dev *device) error {
-	until := time.Now().Add(lockPatience)
+// waitForFolderLock waits until no other process has the folder open, for a while.
+func (engine *Engine) waitForFolderLock(dev *device) error {
+	until := time.Now().Add(lockTimeout)
 	for told := false; ; told = true {
 		lock, err := pebble.LockDirectory(engine.params.Dir, dev)
 		if err == nil {
@@ -61,7 +61,7 @@
 		if !told {
 			engine.params.Log("folder in use by another process, waiting for it")
 		}
-		sleep(lockPause)
+		sleep(lockRetryInterval)
 	}
 }
 
@@ -72,15 +72,15 @@
 	// A change still in the disk's hands could be made later, in the midst of what the
 	// new instance writes.
 	<-old.device.drained()
-	for !engine.reopened(old) {
-		sleep(reopenPause)
+	for !engine.tryReopen(old) {
+		sleep(reopenInterval)
 	}
 }
 
 // reopened attempts that once. It reports whether nothing is left to be attempted.
-func (engine *Engine) reopened(old *instance) bool {
-	engine.opening <- struct{}{}
-	defer func() { <-engine.opening }()
+func (engine *Engine) tryReopen(old *instance) bool {
+	engine.openSemaphore <- struct{}{}
+	defer func() { <-engine.openSemaphore }()
 	if engine.isClosed() || engine.instance() != old {
 		return true
 	}
--- a/internal/state/storage/reserve.go
+++ b/internal/state/storage/reserve.go
@@ -26,19 +26,19 @@
 	fs   vfs.FS
 	path string
 
-	mu   sync.Mutex
-	held bool
-	used bool // released since, and not made anew
+	mu       sync.Mutex
+	present  bool
+	released bool // released since, and not made anew
 }
 
 // release removes the reserve. It reports whether there was one.
 func (r *diskReserve) release() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.held {
+	if !r.present {
 		return false
 	}
-	r.held, r.used = false, true
+	r.present, r.released = false, true
 	return r.fs.Remove(r.path) == nil
 }
 
@@ -46,34 +46,34 @@
 func (r *diskReserve) inUse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.used
+	return r.released
 }
 
 // adopt takes over the reserve of an earlier start.
-func (r *diskReserve) adopt() {
+func (r *diskReserve) detect() {
 	_, err := r.fs.Stat(r.path)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.held = err == nil
+	r.present = err == nil
 }
 
 // make makes the reserve where there is none and plenty of space: beyond its own size as
 // much as new keys need. Where the disk takes less than that it is left for the next time.
-func (r *diskReserve) make(free, total, minFree int64) {
+func (r *diskReserve) replenish(free, total, minFree int64) {
 	size := int64(reserveBytes)
 	if total > 0 {
 		size = min(size, total/reserveDiskDivisor)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.held || free < minFree+2*size {
+	if r.present || free < minFree+2*size {
 		return
 	}
 	if err := r.write(size); err != nil {
 		_ = r.fs.Remove(r.path)
 		return
 	}
-	r.held, r.used = true, false
+	r.present, r.released = true, false
 }
 
 // write writes the file, not a hole: it has to hold space.
--- a/internal/state/storage/sequence.go
+++ b/internal/state/storage/sequence.go
@@ -49,5 +49,5 @@
 	if i == nil {
 		return 0
 	}
-	return i.device.hungFor()
+	return i.device.stallDuration()
 }
