--- a/internal/state/storage/aside.go
+++ b/internal/state/storage/aside.go
@@ -52,7 +52,8 @@
 func (engine *Engine) removeRetired() error {
 	names, err := engine.files.List(engine.params.Dir)
 	for _, name := range names {
-		if err == nil && strings.HasPrefix(name, retiredPrefix) && !slices.Contains(engine.identity.PendingImports, name) {
+		if err == nil && strings.HasPrefix(name, retiredPrefix) &&
+			!slices.Contains(engine.identity.PendingImports, name) {
 			err = engine.files.RemoveAll(engine.path(name))
 		}
 	}
@@ -84,7 +85,10 @@
 	engine.openSemaphore <- struct{}{}
 	defer func() { <-engine.openSemaphore }()
 	updated := engine.identity
-	updated.PendingImports = slices.DeleteFunc(slices.Clone(updated.PendingImports), func(n string) bool { return n == name })
+	updated.PendingImports = slices.DeleteFunc(
+		slices.Clone(updated.PendingImports),
+		func(n string) bool { return n == name },
+	)
 	return engine.writeIdentity(updated)
 }
 
--- a/internal/state/storage/blob.go
+++ b/internal/state/storage/blob.go
@@ -78,20 +78,20 @@
 func (engine *Engine) ExpireBlobs() (emptied, removed int, err error) {
 	uptime := engine.Uptime().Milliseconds()
 	var edits []edit
-	err = engine.scanAll(blobPrefix, func(key string, encoded []byte) error {
+	err = engine.scanAll(blobPrefix, func(storedKey string, encoded []byte) error {
 		blob := &wire.Got{}
 		if err := proto.Unmarshal(encoded, blob); err != nil {
-			return code.New(code.DiskFailure, "blob %s: %w", key, err)
+			return code.New(code.DiskFailure, "blob %s: %w", storedKey, err)
 		}
 		overdue := uptime - blob.AgeMs - blob.KeepMs
 		switch {
 		case overdue > engine.params.TombstoneRetention.Milliseconds():
 			removed++
-			edits = append(edits, edit{key: key, deleted: true})
+			edits = append(edits, edit{key: storedKey, deleted: true})
 		case overdue > 0 && blob.State == wire.Got_HERE:
 			emptied++
 			blob.State, blob.Val = wire.Got_PAST, nil
-			edits = append(edits, edit{key: key, value: wire.MustEncode(blob)})
+			edits = append(edits, edit{key: storedKey, value: wire.MustEncode(blob)})
 		}
 		return nil
 	})
--- a/internal/state/storage/diskspace.go
+++ b/internal/state/storage/diskspace.go
@@ -9,60 +9,59 @@
 	"damsontiller/internal/transport/code"
 )
 
-// diskSpace watches how much space the disk has and how long it takes to sync.
+// diskSpace tracks the free space of the disk and the duration of its syncs.
 type diskSpace struct {
-	minFree             atomic.Int64 // free bytes below which no new key is taken
-	free                atomic.Int64 // at the last check; -1 where it can't be told
+	minFree             atomic.Int64 // free bytes below which new keys are rejected
+	free                atomic.Int64 // free bytes at the last check; -1 if unknown
 	slowestSync         atomic.Int64 // longest sync since the last check, nanoseconds
-	previousSlowestSync atomic.Int64 // the same, of the check before
-	// Faults of the rehearsal kit: pretended free bytes (-1: none pretended),
-	// and a delay of each sync.
+	previousSlowestSync atomic.Int64 // the same for the check before
+	// Faults injected by SimulateDisk: free bytes (-1: not simulated) and a delay of each sync
+	// in nanoseconds.
 	simulatedFree  atomic.Int64
 	simulatedDelay atomic.Int64
 }
 
-// minFreeDivisor is the fraction of a disk that is kept free of new keys at the most, as a
-// divisor: what suits a disk of gigabytes would be all there is of a small one.
+// minFreeDivisor limits the space kept free of new keys to this fraction of the disk: a reserve
+// that suits a disk of gigabytes would take up all of a small one.
 const minFreeDivisor = 8
 
-// SlowSync is the time for one sync above which a disk is called slow.
+// SlowSync is the duration of one sync above which a disk is reported as slow.
 const SlowSync = 500 * time.Millisecond
 
-// SimulateDisk makes the disk seem to have free bytes (-1: what it has) and every sync
-// take longer. Only the fault kit uses it.
+// SimulateDisk makes the disk report the given free bytes (-1: the actual value) and delays
+// every sync. Only fault injection uses it.
 func (engine *Engine) SimulateDisk(free int64, delay time.Duration) {
 	engine.space.simulatedFree.Store(free)
 	engine.space.simulatedDelay.Store(int64(delay))
 	engine.MeasureDisk()
 }
 
-// MeasureDisk measures the disk space; a background task calls it each second.
+// MeasureDisk measures the disk space. A background task calls it every second.
 func (engine *Engine) MeasureDisk() {
 	free, total, minFree := int64(-1), int64(0), engine.params.MinFree
-	if u, err := engine.base.GetDiskUsage(engine.params.Dir); err == nil {
-		free = int64(min(u.AvailBytes, 1<<62))
-		if u.TotalBytes > 0 {
-			total = int64(min(u.TotalBytes, 1<<62))
+	if usage, err := engine.base.GetDiskUsage(engine.params.Dir); err == nil {
+		free = int64(min(usage.AvailBytes, 1<<62))
+		if usage.TotalBytes > 0 {
+			total = int64(min(usage.TotalBytes, 1<<62))
 			minFree = min(minFree, total/minFreeDivisor)
 		}
 	}
 	engine.space.minFree.Store(minFree)
-	if f := engine.space.simulatedFree.Load(); f >= 0 {
-		free = f
+	if simulated := engine.space.simulatedFree.Load(); simulated >= 0 {
+		free = simulated
 	}
 	engine.space.free.Store(free)
 	engine.reserve.replenish(free, total, minFree)
 	engine.space.previousSlowestSync.Store(engine.space.slowestSync.Swap(0))
 }
 
-// NearlyFull reports whether the space left is reserved for the keys that are here
-// already.
+// NearlyFull reports whether the remaining space is reserved for keys that exist already.
 func (engine *Engine) NearlyFull() bool {
 	f := engine.space.free.Load()
 	return engine.reserve.inUse() || f >= 0 && f < engine.space.minFree.Load()
 }
 
-// unavailable tells why no writes are taken at all; empty: they are.
+// unavailableReason returns why all writes are rejected, or an empty string if they are not.
 func (engine *Engine) unavailableReason() string {
 	i := engine.instance()
 	switch {
@@ -76,32 +75,32 @@
 	return ""
 }
 
-// Status tells operators what is wrong with the disk; empty: nothing.
+// Status describes the problems of the disk to operators. It is empty if there are none.
 func (engine *Engine) Status() string {
-	var out []string
-	if s := engine.unavailableReason(); s != "" {
-		out = append(out, s)
+	var problems []string
+	if reason := engine.unavailableReason(); reason != "" {
+		problems = append(problems, reason)
 	}
 	if engine.NearlyFull() {
-		out = append(
-			out,
+		problems = append(
+			problems,
 			fmt.Sprintf("disk nearly full, %d MiB left, no new keys taken", engine.space.free.Load()>>20),
 		)
 	}
 	if d := time.Duration(max(engine.space.previousSlowestSync.Load(), engine.space.slowestSync.Load())); d > SlowSync {
-		out = append(out, fmt.Sprintf("disk slow, a sync took %s", d.Round(10*time.Millisecond)))
+		problems = append(problems, fmt.Sprintf("disk slow, a sync took %s", d.Round(10*time.Millisecond)))
 	}
-	return strings.Join(out, "; ")
+	return strings.Join(problems, "; ")
 }
 
-// simulatedDelay waits as long as the rehearsal kit says that a sync takes.
+// delaySync waits for the simulated sync delay.
 func (engine *Engine) delaySync() {
 	if d := engine.space.simulatedDelay.Load(); d > 0 {
 		sleep(time.Duration(d))
 	}
 }
 
-// recordSync records how long a sync took.
+// recordSync records the duration of a sync.
 func (engine *Engine) recordSync(took time.Duration) {
 	for d := int64(took); ; {
 		old := engine.space.slowestSync.Load()
@@ -111,8 +110,8 @@
 	}
 }
 
-// admitNewKey refuses a key that is new here while the disk is nearly full, with
-// code.DiskFull, so that the keys that are here can still be synced.
+// admitNewKey rejects a key that does not exist yet with code.DiskFull while the disk is nearly
+// full, so that updates of existing keys can still be synced.
 func (engine *Engine) admitNewKey(key string) error {
 	if !engine.NearlyFull() {
 		return nil
--- a/internal/state/storage/engine.go
+++ b/internal/state/storage/engine.go
@@ -1,5 +1,5 @@
-// Package storage keeps a process's state under its one data folder, on pebble.
-// What it says is kept has been synced.
+// Package storage persists a process's state in its data folder, using pebble. A write that has
+// returned without an error has been synced.
 package storage
 
 import (
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Format is the data folder's version.
+// Format is the version of the data folder's format.
 const Format = 1
 
 const (
@@ -30,52 +30,54 @@
 	ID   string // the machine's name, checked against the folder
 	Role string
 	FS   vfs.FS // nil means the real file system
-	// TombstoneRetention is how long a past turn is remembered as past.
+	// TombstoneRetention is how long an expired blob or register is remembered as expired.
 	TombstoneRetention time.Duration
-	// MinFree is the free bytes below which no new key is taken; on a small disk an
-	// eighth of it, where that is less.
+	// MinFree is the number of free bytes below which new keys are rejected. On a small disk
+	// the limit is an eighth of the disk, if that is less.
 	MinFree int64
 	Log     func(string, ...any)
 }
 
-// Engine is an open data folder. A disk that is full, does not answer or fails ends
-// neither it nor the process: meanwhile it refuses writes, with code.DiskFull,
-// code.DiskStalled or code.DiskFailure, serves reads from what was synced, and it recovers
-// by itself. Its methods may be called concurrently.
+// Engine is an open data folder. A disk that is full, does not respond or fails ends neither
+// the engine nor the process: it rejects writes with code.DiskFull, code.DiskStalled or
+// code.DiskFailure, serves reads from the synced data, and recovers by itself. Its methods may
+// be called concurrently.
 type Engine struct {
 	params   Params
 	base     vfs.FS
-	files    *device // the files beside the database
+	files    *device // the files next to the database
 	identity identityFile
-	// NewIdentity tells that the folder was empty or unreadable, and that the
-	// identity is therefore a new one which must not vote before admission.
+	// NewIdentity reports that the folder was empty or unreadable, so that the identity is new
+	// and must not vote before it has been admitted.
 	NewIdentity bool
-	// createDatabase tells that the identity was made just now and has no database yet.
+	// createDatabase reports that the identity is new and that its database does not exist yet.
 	createDatabase bool
 
 	space   diskSpace
 	reserve *diskReserve
 
-	instanceMutex sync.RWMutex // guards what follows
-	current       *instance    // nil while there is none
-	// folderStart is drawn anew by each opening of the folder and for each identity;
-	// openedSequence is how many groups of writes had been synced before.
+	instanceMutex sync.RWMutex // guards the fields up to openedSequence, and identity
+	current       *instance    // nil while no database is open
+	// folderStart is a random number chosen on each opening of the folder and for each new
+	// identity. openedSequence is the number of write groups that had been synced before.
 	folderStart, openedSequence uint64
 	closed                      chan struct{}
-	// opening is full while somebody opens the folder or changes it for another.
+	// openSemaphore holds an element while the folder is being reopened or its identity
+	// changed.
 	openSemaphore chan struct{}
 
 	mu           sync.Mutex
 	uptimeBefore time.Duration // uptime before this start
 	start        time.Time
-	// uncertainWrites are the records whose last write may or may not be on the disk. They are
-	// not written again before that is known and was read.
+	// uncertainWrites holds the last write of each record for which it is unknown whether the
+	// write reached the disk. Such a record is not written again until the outcome is known and
+	// the record has been read.
 	uncertainWrites map[string]*write
 }
 
-// Open opens or creates the folder. It refuses a folder of another machine or format, with
-// code.ForeignFolder or code.FolderVersion, and leaves it as it is. It waits for a disk
-// that is full, does not answer or fails.
+// Open opens or creates the folder. It rejects a folder of another machine or format with
+// code.ForeignFolder or code.FolderVersion, and leaves it unchanged. It retries while the disk
+// is full, does not respond or fails.
 func Open(p Params) (*Engine, error) {
 	engine := &Engine{
 		params:          p,
@@ -104,20 +106,20 @@
 	return engine, nil
 }
 
-// readFailureTimeout is how long a disk may fail reads at the start before what it holds is
-// given up. A disk that answers nothing is waited for however long it takes: it takes no
-// new data either.
+// readFailureTimeout is how long reads may fail at startup before the data on the disk is
+// considered lost. A disk that does not respond at all is waited for without a limit, since it
+// would accept no new data either.
 const readFailureTimeout = time.Minute
 
-// openWithRetry opens the folder, and waits for a disk that is full, does not answer or
-// fails. Where a disk goes on failing reads the machine starts as a stranger.
+// openWithRetry opens the folder, and retries while the disk is full, does not respond or
+// fails. If reads keep failing, it opens the folder with a new identity.
 func (engine *Engine) openWithRetry() error {
 	var unreadableSince time.Time
 	for {
 		engine.files = newFolderDevice(engine.base)
 		open := engine.openFolder
 		if !unreadableSince.IsZero() && time.Since(unreadableSince) >= readFailureTimeout {
-			// Where that fails as well, the next attempt comes after as long again.
+			// If this fails as well, the next attempt follows after another readFailureTimeout.
 			open, unreadableSince = engine.openWithNewIdentity, time.Time{}
 		}
 		err := open()
@@ -132,7 +134,7 @@
 		case unreadableSince.IsZero():
 			unreadableSince = time.Now()
 		}
-		engine.params.Log("the disk fails, trying again to open the folder", "err", err)
+		engine.params.Log("can't open the data folder, retrying", "err", err)
 		engine.files.release(true)
 		sleep(reopenInterval)
 	}
@@ -159,8 +161,8 @@
 	return engine.current
 }
 
-// acquire returns the instance in use, which is not closed before the caller has called
-// Done on its users.
+// acquire returns the current instance, which is not closed until the caller calls Done on its
+// users.
 func (engine *Engine) acquire() (*instance, error) {
 	engine.instanceMutex.RLock()
 	defer engine.instanceMutex.RUnlock()
@@ -171,36 +173,36 @@
 	return engine.current, nil
 }
 
-// options keep the database small. Machines have as little as 72 MB of memory and 128 MB
-// of disk, and store tens of MB.
+// options returns settings that keep the database small: machines have as little as 72 MB of
+// memory and 128 MB of disk, and store tens of MB.
 func (engine *Engine) options(dev *device) *pebble.Options {
-	o := &pebble.Options{
+	options := &pebble.Options{
 		FS:     dev,
 		Logger: pebbleLogger{engine.params.Log, dev},
-		// The newest format, for its table writer: the older one pools channels,
-		// which simulated worlds in one test process must not share.
+		// The newest format is used for its table writer: the older one pools channels, which
+		// simulated clusters in one test process must not share.
 		FormatMajorVersion: pebble.FormatNewest,
 		CacheSize:          4 << 20,
-		// What a crash leaves in the log, up to two of these, is read and written anew
-		// before the folder is open; each log takes a tenth more of the disk at once,
-		// and one that has ended waits to be used again.
+		// After a crash, up to two memtables of log data are read and rewritten before the
+		// folder is open. In addition, each log preallocates a tenth more disk space, and a
+		// finished log is kept for reuse.
 		MemTableSize:        2 << 20,
 		MaxManifestFileSize: 1 << 20,
 		MaxOpenFiles:        256,
-		// A level more at sizes like these, and small files: a compaction then needs
-		// only a few MB of space for what it makes beside what it replaces.
+		// At these sizes there is one more level, and files are small, so that a compaction
+		// needs only a few MB of space for its output in addition to its input.
 		LBaseMaxBytes:               8 << 20,
 		CompactionConcurrencyRange:  func() (int, int) { return 1, 1 },
 		MemTableStopWritesThreshold: 2,
 	}
-	for i := range o.TargetFileSizes {
-		o.TargetFileSizes[i] = 2 << 20
+	for i := range options.TargetFileSizes {
+		options.TargetFileSizes[i] = 2 << 20
 	}
-	return o
+	return options
 }
 
-// quiet forwards only the database's errors to the log. What the database calls fatal
-// fences its device and does not end the process.
+// pebbleLogger forwards only the database's errors to the log. An error that the database
+// considers fatal fences its device and does not end the process.
 type pebbleLogger struct {
 	log func(string, ...any)
 	dev *device
@@ -210,7 +212,7 @@
 func (l pebbleLogger) Errorf(f string, a ...any) { l.log("pebble", "err", fmt.Sprintf(f, a...)) }
 func (l pebbleLogger) Fatalf(f string, a ...any) {
 	err := fmt.Errorf("pebble: "+f, a...)
-	l.log("the database gave up", "err", err)
+	l.log("fatal database error", "err", err)
 	l.dev.fence(err)
 }
 
--- a/internal/state/storage/faultfs/faultfs.go
+++ b/internal/state/storage/faultfs/faultfs.go
@@ -1,6 +1,5 @@
-// Package faultfs is a file system that fails as set: a disk without space, one that
-// answers nothing, one that is slow, and one that fails a single write or sync. It is
-// for tests only.
+// Package faultfs provides a file system with fault injection for tests: a full disk, a disk
+// that does not respond, a slow disk, and single or repeated failures of calls.
 package faultfs
 
 import (
@@ -16,66 +15,67 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// Kind is what a call asks the disk for.
+// Kind is the kind of a file system call.
 type Kind int
 
 // The kinds of calls.
 const (
-	Read   Kind = iota // opens for reading and reads
-	Write              // takes bytes, or makes or renames a file
-	Sync               // syncs a file or a folder
+	Read   Kind = iota // opens a file for reading, or reads
+	Write              // writes data, or creates or renames a file
+	Sync               // syncs a file or a directory
 	Remove             // removes a file
 )
 
-// FS is a file system that can be set to fail.
+// FS is a file system with fault injection.
 type FS struct {
 	vfs.FS
-	mu      sync.Mutex
-	full    bool
-	delay   time.Duration
-	stalled chan struct{} // closed once the disk answers again; nil: it does
-	count   [Remove + 1]int
-	fail    map[point]error
-	named   []named
-	at      func(kind Kind, n int)
-	// capacity bounds the bytes of all files; 0: it does not. used are those of each.
+	mu         sync.Mutex
+	full       bool
+	delay      time.Duration
+	stalled    chan struct{} // closed when the disk responds again; nil while it is not stalled
+	calls      [Remove + 1]int
+	callFaults map[callNumber]error
+	fileFaults []fileFault
+	onCall     func(kind Kind, n int)
+	// capacity limits the total bytes of all files; 0: no limit. used has the bytes of each
+	// file.
 	capacity int64
 	used     map[string]int64
 }
 
-// named is a failure that waits for a call on a certain file.
-type named struct {
-	kind    Kind
-	half    string
-	err     error
-	lasting bool // it fails each such call
+// fileFault is a failure of calls on files whose names contain namePart.
+type fileFault struct {
+	kind      Kind
+	namePart  string
+	err       error
+	permanent bool // whether it fails each matching call, not just the next one
 }
 
-// point is one call: the n-th of its kind.
-type point struct {
+// callNumber identifies a call: the n-th of its kind.
+type callNumber struct {
 	kind Kind
 	n    int
 }
 
-// New makes a file system over inner that does not fail yet.
-func New(inner vfs.FS) *FS { return &FS{FS: inner, fail: map[point]error{}} }
+// New returns a file system on top of inner that injects no faults yet.
+func New(inner vfs.FS) *FS { return &FS{FS: inner, callFaults: map[callNumber]error{}} }
 
-// SetFull sets whether the disk has no space: a write takes half of its bytes and says
-// that there is no space left.
+// SetFull sets whether the disk is full. Writes to a full disk write half of their bytes and
+// fail with ENOSPC.
 func (f *FS) SetFull(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = on
 }
 
-// SetDelay lets each call take longer.
+// SetDelay sets a delay for each call.
 func (f *FS) SetDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = delay
 }
 
-// SetStalled sets whether the disk answers nothing. Calls wait until it does again.
+// SetStalled sets whether the disk is stalled. Calls block until it is not stalled any more.
 func (f *FS) SetStalled(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,35 +88,37 @@
 	}
 }
 
-// FailNext lets the n-th call of a kind from now on fail with err; the next is 1.
+// FailNext makes the n-th call of a kind from now on fail with err; the next call is number 1.
 func (f *FS) FailNext(kind Kind, n int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fail[point{kind, f.count[kind] + n}] = err
+	f.callFaults[callNumber{kind, f.calls[kind] + n}] = err
 }
 
-// FailNextOnFile lets the next call of a kind on a file whose name has part in it fail.
-func (f *FS) FailNextOnFile(kind Kind, half string, err error) {
+// FailNextOnFile makes the next call of a kind on a file whose name contains namePart fail with
+// err.
+func (f *FS) FailNextOnFile(kind Kind, namePart string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.named = append(f.named, named{kind: kind, half: half, err: err})
+	f.fileFaults = append(f.fileFaults, fileFault{kind: kind, namePart: namePart, err: err})
 }
 
-// FailAlwaysOnFile lets each call of a kind on a file whose name has part in it fail, until ClearFileFaults.
-func (f *FS) FailAlwaysOnFile(kind Kind, half string, err error) {
+// FailAlwaysOnFile makes each call of a kind on a file whose name contains namePart fail with
+// err, until ClearFileFaults is called.
+func (f *FS) FailAlwaysOnFile(kind Kind, namePart string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.named = append(f.named, named{kind: kind, half: half, err: err, lasting: true})
+	f.fileFaults = append(f.fileFaults, fileFault{kind: kind, namePart: namePart, err: err, permanent: true})
 }
 
-// ClearFileFaults ends all failures of named files.
+// ClearFileFaults removes the faults set with FailNextOnFile and FailAlwaysOnFile.
 func (f *FS) ClearFileFaults() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.named = nil
+	f.fileFaults = nil
 }
 
-// SetCapacity bounds the bytes that files written from now on may hold together.
+// SetCapacity limits the total bytes of the files written from now on.
 func (f *FS) SetCapacity(bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +128,7 @@
 	}
 }
 
-// Used is how many bytes files hold together since SetCapacity.
+// Used returns the total bytes of the files written since SetCapacity.
 func (f *FS) Used() (total int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,16 +138,16 @@
 	return total
 }
 
-// take counts bytes that a file is to hold more. The error is ENOSPC where they don't fit.
-func (f *FS) take(name string, n int) error {
+// allocate adds bytes to the usage of a file. It returns ENOSPC if they exceed the capacity.
+func (f *FS) allocate(name string, n int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.capacity == 0 {
 		return nil
 	}
 	total := int64(n)
-	for _, held := range f.used {
-		total += held
+	for _, size := range f.used {
+		total += size
 	}
 	if total > f.capacity {
 		return syscall.ENOSPC
@@ -154,8 +156,8 @@
 	return nil
 }
 
-// moved counts a file's bytes, or those of all in a folder, under another name.
-func (f *FS) moved(from, to string) {
+// renameUsage moves the usage of a file, or of all files in a directory, to another name.
+func (f *FS) renameUsage(from, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, n := range f.used {
@@ -166,15 +168,16 @@
 	}
 }
 
-// bounded reports whether there is a capacity.
-func (f *FS) bounded() bool {
+// hasCapacity reports whether a capacity is set.
+func (f *FS) hasCapacity() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.capacity > 0
 }
 
-// freed forgets the bytes of a file that is removed or begun anew, or of all in a folder.
-func (f *FS) freed(name string) {
+// releaseUsage drops the usage of a file that is removed or truncated, or of all files in a
+// directory.
+func (f *FS) releaseUsage(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for other := range f.used {
@@ -184,7 +187,7 @@
 	}
 }
 
-// GetDiskUsage tells what SetCapacity has set.
+// GetDiskUsage reports the capacity set with SetCapacity, if any.
 func (f *FS) GetDiskUsage(dir string) (vfs.DiskUsage, error) {
 	f.mu.Lock()
 	capacity := f.capacity
@@ -198,51 +201,53 @@
 	}, nil
 }
 
-// failure takes what a call is to fail with; nil: nothing.
-func (f *FS) failure(p point, name string) error {
-	for i, n := range f.named {
-		if n.kind == p.kind && strings.Contains(name, n.half) {
-			if !n.lasting {
-				f.named = slices.Delete(f.named, i, i+1)
+// takeFault returns the error that a call is to fail with, or nil, and removes a fault that
+// applies only once.
+func (f *FS) takeFault(p callNumber, name string) error {
+	for i, fault := range f.fileFaults {
+		if fault.kind == p.kind && strings.Contains(name, fault.namePart) {
+			if !fault.permanent {
+				f.fileFaults = slices.Delete(f.fileFaults, i, i+1)
 			}
-			return n.err
+			return fault.err
 		}
 	}
-	err := f.fail[p]
-	delete(f.fail, p)
+	err := f.callFaults[p]
+	delete(f.callFaults, p)
 	return err
 }
 
-// Count is the number of calls of a kind so far.
+// Count returns the number of calls of a kind so far.
 func (f *FS) Count(kind Kind) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.count[kind]
+	return f.calls[kind]
 }
 
-// OnCall has on called at each call, with its number among those of its kind.
-func (f *FS) OnCall(on func(kind Kind, n int)) {
+// OnCall sets a hook that is called at each call with its kind and its number among the calls
+// of that kind.
+func (f *FS) OnCall(hook func(kind Kind, n int)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at = on
+	f.onCall = hook
 }
 
-// call counts a call, and waits and fails as set.
+// call counts a call, and applies the configured delays and faults.
 func (f *FS) call(kind Kind, name string) error {
 	f.mu.Lock()
-	f.count[kind]++
-	n, at := f.count[kind], f.at
+	f.calls[kind]++
+	n, onCall := f.calls[kind], f.onCall
 	f.mu.Unlock()
-	if at != nil {
-		at(kind, n)
+	if onCall != nil {
+		onCall(kind, n)
 	}
 	f.mu.Lock()
-	err, delay := f.failure(point{kind, n}, name), f.delay
+	err, delay := f.takeFault(callNumber{kind, n}, name), f.delay
 	f.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	f.wait()
+	f.waitWhileStalled()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil && f.full && kind == Write {
@@ -251,8 +256,8 @@
 	return err
 }
 
-// wait returns once the disk answers.
-func (f *FS) wait() {
+// waitWhileStalled returns once the disk is not stalled.
+func (f *FS) waitWhileStalled() {
 	for {
 		f.mu.Lock()
 		stalled := f.stalled
@@ -264,89 +269,90 @@
 	}
 }
 
-func (f *FS) opened(kind Kind, name string, open func() (vfs.File, error)) (vfs.File, error) {
+func (f *FS) openFile(kind Kind, name string, open func() (vfs.File, error)) (vfs.File, error) {
 	if err := f.call(kind, name); err != nil {
 		return nil, err
 	}
-	got, err := open()
+	inner, err := open()
 	if err != nil {
 		return nil, err
 	}
-	return &file{File: got, fs: f, name: name}, nil
+	return &file{File: inner, fs: f, name: name}, nil
 }
 
-// Create makes a file.
+// Create creates a file.
 func (f *FS) Create(name string, c vfs.DiskWriteCategory) (vfs.File, error) {
-	return f.opened(Write, name, func() (vfs.File, error) {
-		f.freed(name)
+	return f.openFile(Write, name, func() (vfs.File, error) {
+		f.releaseUsage(name)
 		return f.FS.Create(name, c)
 	})
 }
 
-// OpenReadWrite opens a file for both.
+// OpenReadWrite opens a file for reading and writing.
 func (f *FS) OpenReadWrite(name string, c vfs.DiskWriteCategory, opts ...vfs.OpenOption) (vfs.File, error) {
-	return f.opened(Write, name, func() (vfs.File, error) { return f.FS.OpenReadWrite(name, c, opts...) })
+	return f.openFile(Write, name, func() (vfs.File, error) { return f.FS.OpenReadWrite(name, c, opts...) })
 }
 
-// ReuseForWrite renames a file and opens it.
+// ReuseForWrite renames a file and opens it for writing.
 func (f *FS) ReuseForWrite(from, to string, c vfs.DiskWriteCategory) (vfs.File, error) {
-	return f.opened(Write, to, func() (vfs.File, error) {
-		f.freed(from)
+	return f.openFile(Write, to, func() (vfs.File, error) {
+		f.releaseUsage(from)
 		return f.FS.ReuseForWrite(from, to, c)
 	})
 }
 
 // Open opens a file for reading.
 func (f *FS) Open(name string, opts ...vfs.OpenOption) (vfs.File, error) {
-	return f.opened(Read, name, func() (vfs.File, error) { return f.FS.Open(name, opts...) })
+	return f.openFile(Read, name, func() (vfs.File, error) { return f.FS.Open(name, opts...) })
 }
 
-// OpenDir opens a folder.
+// OpenDir opens a directory.
 func (f *FS) OpenDir(name string) (vfs.File, error) {
-	return f.opened(Read, name, func() (vfs.File, error) { return f.FS.OpenDir(name) })
+	return f.openFile(Read, name, func() (vfs.File, error) { return f.FS.OpenDir(name) })
 }
 
-func (f *FS) change(kind Kind, name string, do func() error) error {
+func (f *FS) runCall(kind Kind, name string, operation func() error) error {
 	if err := f.call(kind, name); err != nil {
 		return err
 	}
-	return do()
+	return operation()
 }
 
 // Rename renames a file.
 func (f *FS) Rename(from, to string) error {
-	return f.change(Write, to, func() error {
-		f.moved(from, to)
+	return f.runCall(Write, to, func() error {
+		f.renameUsage(from, to)
 		return f.FS.Rename(from, to)
 	})
 }
 
-// Link makes a second name.
+// Link creates a hard link.
 func (f *FS) Link(from, to string) error {
-	return f.change(Write, to, func() error { return f.FS.Link(from, to) })
+	return f.runCall(Write, to, func() error { return f.FS.Link(from, to) })
 }
 
-// MkdirAll makes a folder; one that is there takes no space.
+// MkdirAll creates a directory. It counts as a read if the directory exists, since no space is
+// needed then.
 func (f *FS) MkdirAll(dir string, perm os.FileMode) error {
 	kind := Write
 	if _, err := f.FS.Stat(dir); err == nil {
 		kind = Read
 	}
-	return f.change(kind, dir, func() error { return f.FS.MkdirAll(dir, perm) })
+	return f.runCall(kind, dir, func() error { return f.FS.MkdirAll(dir, perm) })
 }
 
 // Remove removes a file.
 func (f *FS) Remove(name string) error {
-	return f.change(Remove, name, func() error {
-		f.freed(name)
+	return f.runCall(Remove, name, func() error {
+		f.releaseUsage(name)
 		return f.FS.Remove(name)
 	})
 }
 
-// RemoveAll removes a folder.
+// RemoveAll removes a directory and its contents.
 func (f *FS) RemoveAll(name string) error {
-	return f.change(Remove, name, func() error {
-		f.freed(name)
+	return f.runCall(Remove, name, func() error {
+		f.releaseUsage(name)
 		return f.FS.RemoveAll(name)
 	})
 }
@@ -359,7 +365,7 @@
 	return f.FS.Lock(name)
 }
 
-// Unwrap is the file system below.
+// Unwrap returns the underlying file system.
 func (f *FS) Unwrap() vfs.FS { return f.FS }
 
 // file is an open file.
@@ -369,14 +375,14 @@
 	name string
 }
 
-// half writes half of p where there is no space for all.
-func (f *file) half(p []byte, err error, write func([]byte) (int, error)) (int, error) {
+// writePartially writes all of p, or only half of it if err is set, and then returns err.
+func (f *file) writePartially(p []byte, err error, write func([]byte) (int, error)) (int, error) {
 	if err == nil {
 		return write(p)
 	}
-	n, werr := write(p[:len(p)/2])
-	if werr != nil {
-		return n, werr
+	n, writeErr := write(p[:len(p)/2])
+	if writeErr != nil {
+		return n, writeErr
 	}
 	return n, err
 }
@@ -384,16 +390,16 @@
 func (f *file) Write(p []byte) (int, error) {
 	err := f.fs.call(Write, f.name)
 	if err == nil {
-		err = f.fs.take(f.name, len(p))
+		err = f.fs.allocate(f.name, len(p))
 	}
-	if errors.Is(err, syscall.ENOSPC) && f.fs.bounded() {
+	if errors.Is(err, syscall.ENOSPC) && f.fs.hasCapacity() {
 		return 0, err
 	}
-	return f.half(p, err, f.File.Write)
+	return f.writePartially(p, err, f.File.Write)
 }
 
 func (f *file) WriteAt(p []byte, off int64) (int, error) {
-	return f.half(p, f.fs.call(Write, f.name), func(b []byte) (int, error) { return f.File.WriteAt(b, off) })
+	return f.writePartially(p, f.fs.call(Write, f.name), func(b []byte) (int, error) { return f.File.WriteAt(b, off) })
 }
 
 func (f *file) Read(p []byte) (int, error) {
@@ -410,12 +416,12 @@
 	return f.File.ReadAt(p, off)
 }
 
-func (f *file) Sync() error { return f.fs.change(Sync, f.name, f.File.Sync) }
+func (f *file) Sync() error { return f.fs.runCall(Sync, f.name, f.File.Sync) }
 
-func (f *file) SyncData() error { return f.fs.change(Sync, f.name, f.File.SyncData) }
+func (f *file) SyncData() error { return f.fs.runCall(Sync, f.name, f.File.SyncData) }
 
 func (f *file) SyncTo(length int64) (full bool, err error) {
-	err = f.fs.change(Sync, f.name, func() (err error) {
+	err = f.fs.runCall(Sync, f.name, func() (err error) {
 		full, err = f.File.SyncTo(length)
 		return err
 	})
--- a/internal/state/storage/folder.go
+++ b/internal/state/storage/folder.go
@@ -17,55 +17,55 @@
 	"damsontiller/internal/transport/code"
 )
 
-// identityFile is the folder's identity file.
+// identityFile is the content of the folder's identity file.
 type identityFile struct {
 	Format int    `json:"format"`
 	ID     string `json:"id"`
 	Role   string `json:"role"`
 	Ident  string `json:"ident"`
-	// Adopt names data set aside whose blobs are to be taken over.
+	// PendingImports names retired databases whose blobs are still to be imported.
 	PendingImports []string `json:"adopt,omitempty"`
 }
 
-// openFolder finds or creates the identity, and opens the database.
+// openFolder reads or creates the identity, and opens the database.
 func (engine *Engine) openFolder() error {
 	if err := engine.files.MkdirAll(engine.params.Dir, 0o755); err != nil {
 		return code.New(code.DiskFailure, "data folder: %w", err)
 	}
-	// The entries that lead to the folder must last too, or all in it goes
+	// The directory entries leading to the folder must be synced too, since the folder is lost
 	// with them.
 	for dir := engine.params.Dir; dir != engine.files.PathDir(dir); dir = engine.files.PathDir(dir) {
 		if err := engine.syncDir(engine.files.PathDir(dir)); err != nil {
 			return code.New(code.DiskFailure, "data folder: %w", err)
 		}
 	}
-	known, err := engine.readIdentity()
+	exists, err := engine.readIdentity()
 	if err != nil {
 		return err
 	}
-	if !known {
+	if !exists {
 		if err := engine.replaceIdentity("the folder holds no identity", false); err != nil {
 			return err
 		}
 	}
 	dev := newDevice(engine.base)
 	err = engine.openDB(dev)
-	if failed := errors.Join(dev.failure(), dev.readFailure()); err != nil && failed != nil {
-		// The disk's failure says nothing about the data.
-		engine.files.fence(failed)
+	if diskErr := errors.Join(dev.failure(), dev.readFailure()); err != nil && diskErr != nil {
+		// A disk failure says nothing about the integrity of the data.
+		engine.files.fence(diskErr)
 		if dev.failure() == nil {
 			_ = engine.files.recordReadError(dev.readFailure())
 		}
 		dev.release(true)
 	}
 	if err != nil && engine.files.failure() == nil {
-		// Someone else holding the folder is no reason to take a new identity.
+		// A folder in use by another process is no reason to create a new identity.
 		if errors.Is(err, pebble.ErrDBAlreadyExists) || engine.NewIdentity || errors.Is(err, errFolderLocked) {
 			return code.New(code.DiskFailure, "data folder: %w", err)
 		}
-		// A forgetful voter breaks agreement: what can't be read is put aside
-		// and the machine comes back as a stranger.
-		engine.params.Log("data can't be read, taking a new identity", "err", err)
+		// A voter that has lost its promises violates agreement. The unreadable data is
+		// therefore retired, and the machine continues with a new identity.
+		engine.params.Log("data can't be read, creating a new identity", "err", err)
 		dev.release(true)
 		_, missing := engine.files.Stat(engine.path("db"))
 		if err := engine.replaceIdentity("the data can't be read", missing != nil); err != nil {
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// openWithNewIdentity sets the data aside unread and begins anew under another identity.
+// openWithNewIdentity retires the data without reading it, and opens an empty database with a
+// new identity.
 func (engine *Engine) openWithNewIdentity() error {
 	if err := engine.replaceIdentity("the disk goes on failing reads", false); err != nil {
 		return err
@@ -138,25 +139,25 @@
 	return true, nil
 }
 
-// replaceIdentity sets the old data aside and writes a new identity. adopt notes that the
-// blobs among the data are to be taken over.
-func (engine *Engine) replaceIdentity(why string, adopt bool) error {
-	aside, err := engine.retireDatabase()
+// replaceIdentity retires the database and writes a new identity. importBlobs records that the
+// blobs of the retired database are to be imported.
+func (engine *Engine) replaceIdentity(reason string, importBlobs bool) error {
+	retired, err := engine.retireDatabase()
 	if err != nil {
 		return err
 	}
 	engine.NewIdentity, engine.createDatabase = true, true
-	made := identityFile{Format: Format, ID: engine.params.ID, Role: engine.params.Role, Ident: newIdentity()}
-	// What the identity before had not taken over yet is still to be.
-	made.PendingImports = slices.Clone(engine.identity.PendingImports)
-	if adopt && aside != "" && !slices.Contains(made.PendingImports, aside) {
-		made.PendingImports = append(made.PendingImports, aside)
-	}
-	engine.params.Log("new identity", "why", why, "ident", made.Ident)
-	return engine.writeIdentity(made)
+	created := identityFile{Format: Format, ID: engine.params.ID, Role: engine.params.Role, Ident: newIdentity()}
+	// Imports that the previous identity had not completed are still pending.
+	created.PendingImports = slices.Clone(engine.identity.PendingImports)
+	if importBlobs && retired != "" && !slices.Contains(created.PendingImports, retired) {
+		created.PendingImports = append(created.PendingImports, retired)
+	}
+	engine.params.Log("created a new identity", "why", reason, "ident", created.Ident)
+	return engine.writeIdentity(created)
 }
 
-// writeIdentity puts another identity file in place, and syncs it.
+// writeIdentity replaces the identity file atomically and syncs it.
 func (engine *Engine) writeIdentity(identity identityFile) error {
 	b, _ := json.Marshal(identity)
 	f, err := engine.files.Create(engine.path("IDENT.new"), vfs.WriteCategoryUnspecified)
@@ -166,8 +167,8 @@
 	if _, err = f.Write(b); err == nil {
 		err = f.Sync()
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = engine.files.Rename(engine.path("IDENT.new"), engine.path("IDENT"))
@@ -199,33 +200,36 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Ident is the identity that this folder stands for.
+// Ident returns the identity of the folder.
 func (engine *Engine) Ident() string {
 	engine.instanceMutex.RLock()
 	defer engine.instanceMutex.RUnlock()
 	return engine.identity.Ident
 }
 
-// ReplaceIdentity sets the data aside and goes on with an empty database, under a new
-// identity. Data set aside earlier are removed: no process will ask for them.
-func (engine *Engine) ReplaceIdentity(why string) error { return engine.switchIdentity(why, false) }
+// ReplaceIdentity retires the database and continues with an empty one under a new identity.
+// Databases retired earlier are removed, since no process asks for them any more.
+func (engine *Engine) ReplaceIdentity(reason string) error {
+	return engine.switchIdentity(reason, false)
+}
 
-// ReplaceIdentityKeepingBlobs does the same, and notes that the blobs among the data are to be taken over
-// (ImportRetiredBlobs).
-func (engine *Engine) ReplaceIdentityKeepingBlobs(why string) error {
-	return engine.switchIdentity(why, true)
+// ReplaceIdentityKeepingBlobs does the same as ReplaceIdentity, and records that the blobs of
+// the retired database are to be imported (ImportRetiredBlobs).
+func (engine *Engine) ReplaceIdentityKeepingBlobs(reason string) error {
+	return engine.switchIdentity(reason, true)
 }
 
-func (engine *Engine) switchIdentity(why string, adopt bool) error {
+// switchIdentity closes the database, replaces the identity and opens an empty database.
+func (engine *Engine) switchIdentity(reason string, importBlobs bool) error {
 	engine.openSemaphore <- struct{}{}
 	defer func() { <-engine.openSemaphore }()
 	if err := engine.detach(); err != nil {
-		engine.params.Log("data not closed", "err", err)
+		engine.params.Log("failed to close the database", "err", err)
 	}
 	engine.files = newFolderDevice(engine.base)
 	err := engine.removeRetired()
 	if err == nil {
-		err = engine.replaceIdentity(why, adopt)
+		err = engine.replaceIdentity(reason, importBlobs)
 	}
 	if err != nil {
 		return code.New(code.DiskFailure, "renew: %w", err)
--- a/internal/state/storage/instance.go
+++ b/internal/state/storage/instance.go
@@ -11,16 +11,16 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// Bounds of the writer.
+// Limits of the writer.
 const (
-	// maxQueued bounds the writes that wait for the writer. More are refused.
-	maxQueued = 1024
-	// maxGroup bounds the writes that share one sync.
-	maxGroup = 256
-	// maxGroupBytes ends a group early.
+	// maxQueuedWrites limits the writes that wait for the writer. Further writes are rejected.
+	maxQueuedWrites = 1024
+	// maxGroupWrites limits the writes that share one sync.
+	maxGroupWrites = 256
+	// maxGroupBytes is the size at which a group of writes is complete.
 	maxGroupBytes = 512 << 10
-	// closeWait is how long closing waits for a disk that does not answer.
-	closeWait = 5 * time.Second
+	// closeTimeout is how long closing waits for a disk that does not respond.
+	closeTimeout = 5 * time.Second
 )
 
 // edit sets one entry, or deletes it.
@@ -30,20 +30,20 @@
 	deleted bool
 }
 
-// What has become of a write.
+// States of a write.
 const (
 	queued   int32 = iota
-	claimed        // the writer has it: it may reach the disk
-	canceled       // it has not been begun, and will not be
+	claimed        // picked up by the writer: it may reach the disk
+	canceled       // will not be written
 )
 
-// write is one caller's edits, synced together.
+// write is a set of edits by one caller that are synced together.
 type write struct {
 	edits []edit
 	state atomic.Int32
-	done  chan error // holds one answer
-	// resolved is closed once the outcome can be read: from then on views either have
-	// the edits or never will.
+	done  chan error // receives one result
+	// resolved is closed once the outcome can be read: from then on, views either include the
+	// edits or never will.
 	resolved chan struct{}
 }
 
@@ -54,11 +54,11 @@
 	return n
 }
 
-// view is what had been synced at one moment. Reads go through a view, never to the
-// database itself, which shows writes that the disk has not synced yet.
+// view is a snapshot of the synced data. Reads use a view and never the database itself, which
+// also shows writes that have not been synced yet.
 type view struct {
 	*pebble.Snapshot
-	users atomic.Int32 // and one for being the newest
+	users atomic.Int32 // reference count, including one while it is the newest view
 }
 
 func (v *view) release() {
@@ -67,29 +67,29 @@
 	}
 }
 
-// instance is a database that is open, with its one writer. A failed instance writes
-// nothing any more; what it had synced can still be read until another takes its place.
+// instance is an open database with a single writer. After a failure it accepts no more writes,
+// but its synced data can still be read until another instance replaces it.
 type instance struct {
 	db          *pebble.DB
 	device      *device
-	beforeSync  func() // of each sync; for the rehearsal kit
+	beforeSync  func() // called before each sync, for fault injection
 	onSync      func(time.Duration)
 	writes      chan *write
 	quit        chan struct{}
 	stopped     chan struct{}
-	syncStarted atomic.Int64 // one more than when, since began, the sync under way began; 0: none is
+	syncStarted atomic.Int64 // start of the current sync in nanoseconds since openedAt, plus one; 0: no sync is running
 	openedAt    time.Time
-	users       sync.WaitGroup // calls under way
-	sequence    atomic.Uint64  // groups of writes synced, of all instances of the folder
+	users       sync.WaitGroup // running calls
+	sequence    atomic.Uint64  // write groups synced by all instances of the folder
 
 	mu        sync.Mutex
 	newest    *view
-	uncertain []*write // of a failed instance: what nobody knows the outcome of
+	uncertain []*write // writes of a failed instance whose outcome is unknown
 }
 
 // openInstance opens the database in dir through dev.
 func openInstance(dir string, dev *device, o *pebble.Options) (i *instance, err error) {
-	// The database panics where it finds no way to go on.
+	// The database panics on errors that it can't handle.
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("open: %v", r)
@@ -108,7 +108,7 @@
 	i = &instance{
 		db:       db,
 		device:   dev,
-		writes:   make(chan *write, maxQueued),
+		writes:   make(chan *write, maxQueuedWrites),
 		quit:     make(chan struct{}),
 		stopped:  make(chan struct{}),
 		openedAt: time.Now(),
@@ -124,7 +124,7 @@
 	return i, nil
 }
 
-// read runs f on what has been synced by now. The instance is not closed meanwhile.
+// read runs f on the newest view. The instance is not closed before f returns.
 func (i *instance) read(f func(pebble.Reader) error) error {
 	i.mu.Lock()
 	v := i.newest
@@ -134,7 +134,7 @@
 	return f(v.Snapshot)
 }
 
-// advance lets reads see what the database holds now.
+// publishSnapshot makes the current contents of the database visible to reads.
 func (i *instance) publishSnapshot() {
 	v := &view{Snapshot: i.db.NewSnapshot()}
 	v.users.Store(1)
@@ -145,17 +145,17 @@
 	old.release()
 }
 
-// syncing is how long the sync under way has taken; 0 where none is.
+// currentSyncDuration returns how long the current sync has been running, or 0 if there is
+// none.
 func (i *instance) currentSyncDuration() time.Duration {
-	at := i.syncStarted.Load()
-	if at == 0 {
+	started := i.syncStarted.Load()
+	if started == 0 {
 		return 0
 	}
-	return time.Since(i.openedAt) - time.Duration(at-1)
+	return time.Since(i.openedAt) - time.Duration(started-1)
 }
 
-// run commits writes, as many as wait in one sync, until the instance is closed or has
-// failed.
+// run commits writes until the instance is closed or has failed. Queued writes share a sync.
 func (i *instance) run() {
 	defer close(i.stopped)
 	for {
@@ -170,16 +170,16 @@
 	}
 }
 
-// commitGroup commits a write together with those that wait behind it.
+// commitGroup commits a write together with those queued behind it.
 func (i *instance) commitGroup(w *write) {
-	var ws []*write
+	var group []*write
 	size := 0
 	for more := true; more; {
 		if w.state.CompareAndSwap(queued, claimed) {
-			ws = append(ws, w)
+			group = append(group, w)
 			size += w.size()
 		}
-		if len(ws) >= maxGroup || size >= maxGroupBytes {
+		if len(group) >= maxGroupWrites || size >= maxGroupBytes {
 			break
 		}
 		select {
@@ -188,20 +188,20 @@
 			more = false
 		}
 	}
-	if len(ws) == 0 {
+	if len(group) == 0 {
 		return
 	}
-	at := time.Now()
-	i.syncStarted.Store(int64(at.Sub(i.openedAt)) + 1)
-	err := i.commit(ws)
+	startedAt := time.Now()
+	i.syncStarted.Store(int64(startedAt.Sub(i.openedAt)) + 1)
+	err := i.commit(group)
 	i.syncStarted.Store(0)
-	i.onSync(time.Since(at))
+	i.onSync(time.Since(startedAt))
 	if err != nil {
 		i.mu.Lock()
-		i.uncertain = append(i.uncertain, ws...)
+		i.uncertain = append(i.uncertain, group...)
 		i.mu.Unlock()
 	}
-	for _, w := range ws {
+	for _, w := range group {
 		if err == nil {
 			close(w.resolved)
 		}
@@ -209,10 +209,11 @@
 	}
 }
 
-// commit returns once the writes are synced and can be read, or may be lost.
-func (i *instance) commit(ws []*write) (err error) {
-	// The database panics where its log can't be written, and after a failure that it
-	// takes for the end of the process it says that all went well.
+// commit returns once the writes are synced and visible to reads, or with an error if they may
+// be lost.
+func (i *instance) commit(group []*write) (err error) {
+	// The database panics if its log can't be written. After a failure that it considers fatal
+	// to the process, it reports success.
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("commit: %v", r)
@@ -221,7 +222,7 @@
 	}()
 	i.beforeSync()
 	b := i.db.NewBatch()
-	for _, w := range ws {
+	for _, w := range group {
 		for _, e := range w.edits {
 			if e.deleted {
 				err = b.Delete([]byte(e.key), nil)
@@ -251,11 +252,10 @@
 	return nil
 }
 
-// submit hands edits to the writer and waits for their sync, for as long as limit
-// says. The write is given where it may have been begun: its outcome is known once it
-// is resolved.
-func (i *instance) submit(limit time.Duration, edits []edit) (*write, error) {
-	if err := i.rejectReason(limit); err != nil {
+// submit passes edits to the writer and waits for their sync until the timeout. It returns the
+// write if it may have been started: its outcome is known once it is resolved.
+func (i *instance) submit(timeout time.Duration, edits []edit) (*write, error) {
+	if err := i.rejectReason(timeout); err != nil {
 		return nil, err
 	}
 	w := &write{edits: edits, done: make(chan error, 1), resolved: make(chan struct{})}
@@ -264,7 +264,7 @@
 	default:
 		return nil, errQueueFull
 	}
-	t := time.NewTimer(limit)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case err := <-w.done:
@@ -276,44 +276,44 @@
 	}
 }
 
-// Why a write was not begun, or not answered in time.
+// Reasons why a write was not started or not completed in time.
 var (
 	errNoSpace     = errors.New("the disk has no space")
 	errQueueFull   = errors.New("too many writes wait for the disk")
 	errSyncTimeout = errors.New("the disk has not synced in time")
 )
 
-// rejection tells why a write is not even begun.
-func (i *instance) rejectReason(limit time.Duration) error {
+// rejectReason returns why a write can't be started, or nil.
+func (i *instance) rejectReason(timeout time.Duration) error {
 	switch {
 	case i.device.failure() != nil:
 		return errors.Join(errFenced, i.device.failure())
 	case i.device.waitsForSpace():
 		return errNoSpace
-	case i.currentSyncDuration() >= limit:
+	case i.currentSyncDuration() >= timeout:
 		return errSyncTimeout
 	}
 	return nil
 }
 
-// abandon is the answer to a write that waits no longer.
-func (i *instance) abandon(w *write, why error) (*write, error) {
+// abandon stops waiting for a write. A write that is still queued is canceled.
+func (i *instance) abandon(w *write, reason error) (*write, error) {
 	if w.state.CompareAndSwap(queued, canceled) {
 		if i.device.waitsForSpace() {
-			why = errNoSpace
+			reason = errNoSpace
 		}
-		return nil, why
+		return nil, reason
 	}
 	select {
 	case err := <-w.done:
 		return w, err
 	default:
-		return w, why
+		return w, reason
 	}
 }
 
-// resolve ends the uncertainty about the writes of a failed instance, once another has been
-// opened from what the disk holds.
+// resolve marks the uncertain writes of a failed instance as resolved, after another instance
+// has been opened from the data on the disk.
 func (i *instance) resolve() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -323,8 +323,8 @@
 	i.uncertain = nil
 }
 
-// close closes the database once no view is read any more. A disk that does not answer
-// is not waited for: the device is fenced, and what it still does is left behind.
+// close closes the database once no view is in use. If the disk does not respond within the
+// timeout, close fences the device and leaves the pending operations behind.
 func (i *instance) close() error {
 	close(i.quit)
 	done := make(chan error, 1)
@@ -334,7 +334,7 @@
 		i.newest.release()
 		done <- i.closeDB()
 	}()
-	t := time.NewTimer(closeWait)
+	t := time.NewTimer(closeTimeout)
 	defer t.Stop()
 	if i.device.waitsForSpace() {
 		i.device.fence(errNoSpace)
@@ -349,7 +349,7 @@
 	}
 	i.device.fence(errSyncTimeout)
 	i.device.startDiscarding()
-	t.Reset(closeWait)
+	t.Reset(closeTimeout)
 	select {
 	case err := <-done:
 		return err
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -9,10 +9,9 @@
 	"damsontiller/internal/transport/code"
 )
 
-// writeRecords writes records of the acceptor. One whose last write is uncertain is
-// refused with code.DiskStalled: what it would be made from may not be what is on the
-// disk.
-func (engine *Engine) writeRecords(limit time.Duration, edits ...edit) error {
+// writeRecords writes acceptor records. A record whose last write is uncertain is rejected with
+// code.DiskStalled, because the new version may be based on data that is not on the disk.
+func (engine *Engine) writeRecords(timeout time.Duration, edits ...edit) error {
 	engine.mu.Lock()
 	for _, e := range edits {
 		if engine.uncertainWrites[e.key] != nil {
@@ -21,7 +20,7 @@
 		}
 	}
 	engine.mu.Unlock()
-	w, err := engine.write(limit, edits...)
+	w, err := engine.write(timeout, edits...)
 	if err != nil && w != nil {
 		engine.mu.Lock()
 		for _, e := range edits {
@@ -32,8 +31,8 @@
 	return err
 }
 
-// clearResolved ends the uncertainty about a record that is about to be read, if the
-// outcome of its last write is known: what is read then is what is on the disk.
+// clearResolved ends the uncertainty about a record before it is read, if the outcome of its
+// last write is known. The read then returns what is on the disk.
 func (engine *Engine) clearResolved(key string) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -48,7 +47,7 @@
 	}
 }
 
-// Load and Save are the acceptor's disk.
+// Load reads a record of the acceptor; it is empty if there is none.
 func (engine *Engine) Load(key string) (*wire.Rec, error) {
 	r := &wire.Rec{}
 	engine.clearResolved(registerPrefix + key)
@@ -62,7 +61,7 @@
 	return r, nil
 }
 
-// Save returns once the record is synced.
+// Save stores a record of the acceptor and returns once it is synced.
 func (engine *Engine) Save(key string, r *wire.Rec) error {
 	if err := engine.admitNewKey(registerPrefix + key); err != nil {
 		return err
@@ -71,70 +70,70 @@
 	return engine.writeRecords(writeTimeout, edit{key: registerPrefix + key, value: wire.MustEncode(r)})
 }
 
-// RegistersOlderThan lists up to limit registers last written longer ago than keep returns for
-// their key; never those for which it returns 0. A record of a release that did not date
-// its writes counts from now on.
-func (engine *Engine) RegistersOlderThan(limit int, keep func(key string) time.Duration) ([]string, error) {
-	var out, undated []string
+// RegistersOlderThan lists up to limit registers that were last written longer ago than the
+// retention of their key. Registers with a retention of 0 are skipped. Records of a release
+// that did not date its writes are listed as well, so that they are dated from now on.
+func (engine *Engine) RegistersOlderThan(limit int, retention func(key string) time.Duration) ([]string, error) {
+	var expired, undated []string
 	now := engine.Uptime()
-	err := engine.scan(registerPrefix, "", func(k string, raw []byte) (bool, error) {
+	err := engine.scan(registerPrefix, "", func(k string, encoded []byte) (bool, error) {
 		k = k[len(registerPrefix):]
-		d := keep(k)
-		if d == 0 {
+		retain := retention(k)
+		if retain == 0 {
 			return true, nil
 		}
 		r := &wire.Rec{}
-		if err := proto.Unmarshal(raw, r); err != nil {
+		if err := proto.Unmarshal(encoded, r); err != nil {
 			return false, code.New(code.DiskFailure, "record %s: %w", k, err)
 		}
 		switch {
 		case r.AtMs == 0:
 			undated = append(undated, k)
-		case now-time.Duration(r.AtMs)*time.Millisecond > d:
-			out = append(out, k)
+		case now-time.Duration(r.AtMs)*time.Millisecond > retain:
+			expired = append(expired, k)
 		}
-		return len(out)+len(undated) < limit, nil
+		return len(expired)+len(undated) < limit, nil
 	})
-	return append(out, undated...), err
+	return append(expired, undated...), err
 }
 
-// Age is how long ago a record was last written, in uptime of the folder.
+// Age returns the uptime of the folder since a record was last written.
 func (engine *Engine) Age(r *wire.Rec) time.Duration {
 	return engine.Uptime() - time.Duration(r.AtMs)*time.Millisecond
 }
 
-// TombstoneRetention is how long something past is remembered as past.
+// TombstoneRetention returns how long an expired blob or register is remembered as expired.
 func (engine *Engine) TombstoneRetention() time.Duration { return engine.params.TombstoneRetention }
 
-// DeleteRegister forgets a register altogether.
+// DeleteRegister removes a register, including its promises.
 func (engine *Engine) DeleteRegister(key string) error {
 	return engine.writeRecords(writeTimeout, edit{key: registerPrefix + key, deleted: true})
 }
 
-// Keys lists up to limit keys of a kind after a key, in order, with the ballots of
-// registers. Of blobs only those within their retention count. want narrows the keys; nil
-// means all.
+// Keys lists up to limit keys of a kind that follow after, in key order, with the ballots of
+// registers. Blobs past their retention are skipped. selectKey filters the keys; nil selects
+// all of them.
 func (engine *Engine) Keys(
 	kind wire.List_Kind,
 	after string,
 	limit int,
-	want func(key string) bool,
+	selectKey func(key string) bool,
 ) ([]*wire.Row, error) {
-	var out []*wire.Row
-	pre := registerPrefix
+	var rows []*wire.Row
+	prefix := registerPrefix
 	if kind == wire.List_BLOBS {
-		pre = blobPrefix
+		prefix = blobPrefix
 	}
 	now := engine.Uptime().Milliseconds()
-	err := engine.scan(pre, after, func(k string, raw []byte) (bool, error) {
-		k = k[len(pre):]
-		if want != nil && !want(k) {
+	err := engine.scan(prefix, after, func(k string, encoded []byte) (bool, error) {
+		k = k[len(prefix):]
+		if selectKey != nil && !selectKey(k) {
 			return true, nil
 		}
 		row := &wire.Row{Key: k}
 		if kind == wire.List_BLOBS {
 			g := &wire.Got{}
-			if err := proto.Unmarshal(raw, g); err != nil {
+			if err := proto.Unmarshal(encoded, g); err != nil {
 				return false, code.New(code.DiskFailure, "blob %s: %w", k, err)
 			}
 			if g.State != wire.Got_HERE || now-g.AgeMs > g.KeepMs {
@@ -142,7 +141,7 @@
 			}
 		} else {
 			r := &wire.Rec{}
-			if err := proto.Unmarshal(raw, r); err != nil {
+			if err := proto.Unmarshal(encoded, r); err != nil {
 				return false, code.New(code.DiskFailure, "record %s: %w", k, err)
 			}
 			if r.Accepted == nil || r.Cell.GetPast() {
@@ -150,21 +149,21 @@
 			}
 			row.Ballot = r.Accepted
 		}
-		out = append(out, row)
-		return len(out) < limit, nil
+		rows = append(rows, row)
+		return len(rows) < limit, nil
 	})
-	return out, err
+	return rows, err
 }
 
-// EachRegister goes through the registers whose keys begin with a prefix that ends in
-// a slash.
-func (engine *Engine) EachRegister(prefix string, on func(key string, r *wire.Rec)) error {
-	return engine.scanAll(registerPrefix+prefix, func(k string, raw []byte) error {
+// EachRegister calls visit for the registers whose keys begin with a prefix that ends in a
+// slash.
+func (engine *Engine) EachRegister(prefix string, visit func(key string, r *wire.Rec)) error {
+	return engine.scanAll(registerPrefix+prefix, func(k string, encoded []byte) error {
 		r := &wire.Rec{}
-		if err := proto.Unmarshal(raw, r); err != nil {
+		if err := proto.Unmarshal(encoded, r); err != nil {
 			return code.New(code.DiskFailure, "record %s: %w", k[len(registerPrefix):], err)
 		}
-		on(k[len(registerPrefix):], r)
+		visit(k[len(registerPrefix):], r)
 		return nil
 	})
 }
--- a/internal/state/storage/reopen.go
+++ b/internal/state/storage/reopen.go
@@ -10,18 +10,18 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// reopenInterval is the time between two tries to open a folder on a disk that fails.
+// reopenInterval is the delay between attempts to open a folder on a failing disk.
 const reopenInterval = 500 * time.Millisecond
 
-// openDB opens the database through a device of its own and puts it to use.
+// openDB opens the database through its own device and makes it the current instance.
 func (engine *Engine) openDB(dev *device) error {
 	if err := engine.waitForFolderLock(dev); err != nil {
 		return fmt.Errorf("%w: %w", errFolderLocked, err)
 	}
 	dev.releaseReserve = engine.reserve.release
 	options := engine.options(dev)
-	// An identity whose data have departed must not begin anew without them: they held what
-	// it had promised.
+	// If the database of an existing identity is missing, an empty one must not replace it: the
+	// missing database held the identity's promises.
 	options.ErrorIfNotExists = !engine.createDatabase
 	i, err := openInstance(engine.path("db"), dev, options)
 	if err != nil {
@@ -39,45 +39,47 @@
 }
 
 const (
-	// lockTimeout is how long a folder may be in use by another process: the one before this
-	// may not have ended yet. One that ends instead is started again later and later.
+	// lockTimeout is how long to wait for another process to release the folder, since the
+	// previous process may still be exiting. Exiting instead would make each restart of this
+	// process come later.
 	lockTimeout       = 5 * time.Second
 	lockRetryInterval = 20 * time.Millisecond
 )
 
-// waitForFolderLock waits until no other process has the folder open, for a while.
+// waitForFolderLock waits until no other process has the folder open, up to lockTimeout.
 func (engine *Engine) waitForFolderLock(dev *device) error {
-	until := time.Now().Add(lockTimeout)
-	for told := false; ; told = true {
+	deadline := time.Now().Add(lockTimeout)
+	for logged := false; ; logged = true {
 		lock, err := pebble.LockDirectory(engine.params.Dir, dev)
 		if err == nil {
-			// A lock that can't be given back is found by whoever opens the database next.
+			// If the lock can't be released, opening the database reports it.
 			_ = lock.Close()
 			return nil
 		}
-		if !errors.Is(err, fs.ErrExist) || time.Now().After(until) {
+		if !errors.Is(err, fs.ErrExist) || time.Now().After(deadline) {
 			return err
 		}
-		if !told {
-			engine.params.Log("folder in use by another process, waiting for it")
+		if !logged {
+			engine.params.Log("data folder is in use by another process, waiting for its lock")
 		}
 		sleep(lockRetryInterval)
 	}
 }
 
-// reopen replaces a failed instance by one opened from what is on the disk. Until then the
-// failed one serves reads from what it had synced.
+// reopen replaces a failed instance by one opened from the data on the disk. Until then, the
+// failed instance serves reads from its synced data.
 func (engine *Engine) reopen(old *instance, cause error) {
-	engine.params.Log("the disk failed, opening the folder again", "err", cause)
-	// A change still in the disk's hands could be made later, in the midst of what the
-	// new instance writes.
+	engine.params.Log("disk failure, reopening the data folder", "err", cause)
+	// A change still pending on the disk could otherwise be applied later, between the writes
+	// of the new instance.
 	<-old.device.drained()
 	for !engine.tryReopen(old) {
 		sleep(reopenInterval)
 	}
 }
 
-// reopened attempts that once. It reports whether nothing is left to be attempted.
+// tryReopen makes one attempt to replace a failed instance. It reports whether no further
+// attempt is necessary.
 func (engine *Engine) tryReopen(old *instance) bool {
 	engine.openSemaphore <- struct{}{}
 	defer func() { <-engine.openSemaphore }()
@@ -89,7 +91,7 @@
 	dev.releaseReserve = engine.reserve.release
 	next, err := openInstance(engine.path("db"), dev, engine.options(dev))
 	if err != nil {
-		engine.params.Log("the folder can't be opened again yet", "err", err)
+		engine.params.Log("failed to reopen the data folder, retrying", "err", err)
 		dev.fence(err)
 		<-dev.drained()
 		dev.release(true)
@@ -99,7 +101,7 @@
 	return true
 }
 
-// replace puts next to use in place of old, and closes the one that is not in use then.
+// replace makes next the current instance in place of old, and closes the one not in use.
 func (engine *Engine) replace(old, next *instance) {
 	next.beforeSync, next.onSync = engine.delaySync, engine.recordSync
 	go next.run()
@@ -110,17 +112,17 @@
 	}
 	engine.instanceMutex.Unlock()
 	if unused == old {
-		engine.params.Log("the folder is open again")
+		engine.params.Log("data folder reopened")
 		next.device.onFailure(func(cause error) { go engine.reopen(next, cause) })
 	}
 	if err := unused.close(); err != nil {
-		engine.params.Log("an instance was not closed well", "err", err)
+		engine.params.Log("failed to close a database instance", "err", err)
 	}
 	unused.resolve()
 	unused.device.release(true)
 }
 
-// detach takes the instance out of use and closes it.
+// detach removes the current instance and closes it.
 func (engine *Engine) detach() error {
 	engine.instanceMutex.Lock()
 	old := engine.current
--- a/internal/state/storage/reserve.go
+++ b/internal/state/storage/reserve.go
@@ -6,32 +6,31 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// A reserve of a few megabytes is kept in a file of its own. A write that finds no space
-// removes it, so that votes and leases go on with what it held while bulk is refused. It is
-// made anew once there is plenty of space.
+// A few megabytes of disk space are reserved in a separate file. A write that finds no space
+// removes the file, so that votes and leases can use its space while bulk writes are rejected.
+// The file is written again once there is enough free space.
 
 const (
-	// reserveBytes is the size of the reserve, on a small disk a reserveDivisor-th of it
-	// where that is less.
+	// reserveBytes is the size of the reserve, unless reserveDiskDivisor sets a lower limit.
 	reserveBytes = 4 << 20
-	// reserveDiskDivisor is the part of a disk that the reserve takes at the most.
+	// reserveDiskDivisor limits the reserve to this fraction of the disk.
 	reserveDiskDivisor = 32
-	// reserveChunk is how much of it is written at once.
+	// reserveChunk is the number of bytes of the reserve written at once.
 	reserveChunk = 256 << 10
 	reserveName  = "reserve"
 )
 
-// diskReserve is the file that holds space. Its methods may be called concurrently.
+// diskReserve is the file that reserves disk space. Its methods may be called concurrently.
 type diskReserve struct {
 	fs   vfs.FS
 	path string
 
 	mu       sync.Mutex
 	present  bool
-	released bool // released since, and not made anew
+	released bool // removed to free space and not written again yet
 }
 
-// release removes the reserve. It reports whether there was one.
+// release removes the reserve and reports whether that freed any space.
 func (r *diskReserve) release() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,14 +41,14 @@
 	return r.fs.Remove(r.path) == nil
 }
 
-// inUse reports whether writes live on what the reserve held.
+// inUse reports whether writes use the space of the reserve.
 func (r *diskReserve) inUse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.released
 }
 
-// adopt takes over the reserve of an earlier start.
+// detect checks whether an earlier run left a reserve.
 func (r *diskReserve) detect() {
 	_, err := r.fs.Stat(r.path)
 	r.mu.Lock()
@@ -57,8 +56,8 @@
 	r.present = err == nil
 }
 
-// make makes the reserve where there is none and plenty of space: beyond its own size as
-// much as new keys need. Where the disk takes less than that it is left for the next time.
+// replenish writes the reserve if it is missing and there is enough space: twice its size, in
+// addition to what must stay free of new keys. If writing it fails, the next call tries again.
 func (r *diskReserve) replenish(free, total, minFree int64) {
 	size := int64(reserveBytes)
 	if total > 0 {
@@ -76,9 +75,9 @@
 	r.present, r.released = true, false
 }
 
-// write writes the file, not a hole: it has to hold space.
+// write fills the file with data. A sparse file would reserve no space.
 func (r *diskReserve) write(size int64) error {
-	f, err := r.fs.Create(r.path, vfs.WriteCategoryUnspecified)
+	file, err := r.fs.Create(r.path, vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return err
 	}
@@ -86,14 +85,14 @@
 	for i := range chunk {
 		chunk[i] = byte(i*31 + 1)
 	}
-	for left := size; left > 0 && err == nil; left -= reserveChunk {
-		_, err = f.Write(chunk[:min(left, reserveChunk)])
+	for remaining := size; remaining > 0 && err == nil; remaining -= reserveChunk {
+		_, err = file.Write(chunk[:min(remaining, reserveChunk)])
 	}
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/internal/state/storage/sequence.go
+++ b/internal/state/storage/sequence.go
@@ -10,11 +10,11 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// sequenceKey holds how many groups of writes the folder has synced. It is written with
-// each of them, so a folder that was put back from a copy has fewer than it once had.
+// sequenceKey holds the number of write groups that the folder has synced. It is updated with
+// each group, so that a folder restored from a backup shows a lower number than before.
 const sequenceKey = metadataPrefix + "sequence"
 
-// FolderState is the folder's state now.
+// FolderState returns the current state of the folder.
 func (engine *Engine) FolderState() *wire.FolderState {
 	engine.instanceMutex.RLock()
 	defer engine.instanceMutex.RUnlock()
@@ -25,8 +25,8 @@
 	return state
 }
 
-// readSequence is what a database says of its synced groups; 0 for one of an earlier
-// release.
+// readSequence returns the number of synced write groups recorded in a database; 0 for a
+// database of a release that did not record it.
 func readSequence(db pebble.Reader) (uint64, error) {
 	b, closer, err := db.Get([]byte(sequenceKey))
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -37,13 +37,13 @@
 	}
 	defer closer.Close()
 	if len(b) != 8 {
-		return 0, errors.New("the number of synced groups can't be read")
+		return 0, errors.New("the number of synced write groups can't be decoded")
 	}
 	return binary.BigEndian.Uint64(b), nil
 }
 
-// StallDuration is how long the disk has answered nothing though it was asked to write or sync;
-// 0 where it has nothing to answer.
+// StallDuration returns for how long the disk has completed none of its pending writes and
+// syncs; 0 if none is pending.
 func (engine *Engine) StallDuration() time.Duration {
 	i := engine.instance()
 	if i == nil {
