--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -21,45 +21,47 @@
 	"damsontiller/internal/transport/listen"
 )
 
-// counts are the calls to the network's connections, both ends together.
-type counts struct {
-	reads, writes, wrote atomic.Int64
-	at                   time.Duration // processor time at the start
+// connStats counts the calls on network connections, for both ends together.
+type connStats struct {
+	reads, writes, writtenBytes atomic.Int64
+	startCPU                    time.Duration
 }
 
-type counted struct {
+// countingConn counts the calls on a connection.
+type countingConn struct {
 	net.Conn
-	c *counts
+	c *connStats
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	c.c.reads.Add(1)
 	return c.Conn.Read(b)
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	c.c.writes.Add(1)
-	c.c.wrote.Add(int64(len(b)))
+	c.c.writtenBytes.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-type countedListener struct {
+// countingListener returns connections that count their calls.
+type countingListener struct {
 	net.Listener
-	c *counts
+	c *connStats
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return counted{c, l.c}, nil
+	return countingConn{c, l.c}, nil
 }
 
-// stores starts three stores on loopback and a caller of them.
-func stores(b *testing.B, fs func(i int) (vfs.FS, string)) (register.Set, wire.Caller, *counts) {
+// startStores starts three stores on loopback, and returns them as a replica set with a client.
+func startStores(b *testing.B, fs func(i int) (vfs.FS, string)) (register.Set, wire.Caller, *connStats) {
 	b.Helper()
-	cs := &counts{}
+	stats := &connStats{}
 	tcp := transport.TCP(transport.DefaultParams, listen.Opener{})
 	var g []register.Replica
 	for i := range 3 {
@@ -76,7 +78,7 @@
 		}
 		s := transport.Serve(
 			b.Context(),
-			countedListener{ln, cs},
+			countingListener{ln, stats},
 			transport.DefaultParams,
 			func(_ context.Context, call *transport.Call) []byte {
 				body := call.Body
@@ -107,7 +109,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return counted{c, cs}, nil
+		return countingConn{c, stats}, nil
 	}}, transport.DefaultParams, nil)
 	b.Cleanup(h.Close)
 	return register.Set{g}, func(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
@@ -120,7 +122,7 @@
 			return nil, err
 		}
 		return r, r.Err()
-	}, cs
+	}, stats
 }
 
 func answer(a *register.Acceptor, engine *storage.Engine, q *wire.Req) (*wire.Resp, error) {
@@ -138,23 +140,23 @@
 
 func mem(int) (vfs.FS, string) { return vfs.NewMem(), "/data" }
 
-// cpu is the processor time that this process has used.
+// cpu returns the processor time used by this process.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// tell adds what one operation cost in processor time and on the network.
-func tell(b *testing.B, cs *counts) {
+// reportCosts reports the processor time and network calls per operation.
+func reportCosts(b *testing.B, stats *connStats) {
 	n := float64(b.N)
-	b.ReportMetric(float64(cpu()-cs.at)/n, "cpu-ns/op")
-	b.ReportMetric(float64(cs.reads.Load())/n, "reads/op")
-	b.ReportMetric(float64(cs.writes.Load())/n, "writes/op")
-	b.ReportMetric(float64(cs.wrote.Load())/n, "netB/op")
+	b.ReportMetric(float64(cpu()-stats.startCPU)/n, "cpu-ns/op")
+	b.ReportMetric(float64(stats.reads.Load())/n, "reads/op")
+	b.ReportMetric(float64(stats.writes.Load())/n, "writes/op")
+	b.ReportMetric(float64(stats.writtenBytes.Load())/n, "netB/op")
 }
 
-// BenchmarkChange is one proposer's changes of a key, one after another.
+// BenchmarkChange measures sequential changes of one key by one proposer.
 func BenchmarkChange(b *testing.B) {
 	for _, on := range []struct {
 		name string
@@ -166,58 +168,58 @@
 		}},
 	} {
 		b.Run(on.name, func(b *testing.B) {
-			set, call, cs := stores(b, on.fs(b))
+			set, call, stats := startStores(b, on.fs(b))
 			p := register.NewProposer(1, call)
-			val := make([]byte, 300)
+			value := make([]byte, 300)
 			b.ReportAllocs()
-			cs.at = cpu()
+			stats.startCPU = cpu()
 			for b.Loop() {
-				if _, err := p.Change(b.Context(), set, "k", func(register.State) ([]byte, bool, error) { return val, false, nil }); err != nil {
+				if _, err := p.Change(b.Context(), set, "k", func(register.State) ([]byte, bool, error) { return value, false, nil }); err != nil {
 					b.Fatal(err)
 				}
 			}
-			tell(b, cs)
+			reportCosts(b, stats)
 			b.ReportMetric(float64(p.Rounds.Load())/float64(b.N), "rounds/op")
 		})
 	}
 }
 
-// BenchmarkChanges is many keys at once, each changed twice in a row, as a job's
-// start and its end do.
+// BenchmarkChanges measures concurrent changes of many keys. Each key is changed twice in a
+// row, as at the start and the end of a job.
 func BenchmarkChanges(b *testing.B) {
-	set, call, cs := stores(b, mem)
+	set, call, stats := startStores(b, mem)
 	p := register.NewProposer(1, call)
-	val := make([]byte, 300)
+	value := make([]byte, 300)
 	var n atomic.Int64
 	b.SetParallelism(8)
 	b.ReportAllocs()
-	cs.at = cpu()
+	stats.startCPU = cpu()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			key := fmt.Sprintf("k%d", n.Add(1))
 			for range 2 {
-				if _, err := p.Change(b.Context(), set, key, func(register.State) ([]byte, bool, error) { return val, false, nil }); err != nil {
+				if _, err := p.Change(b.Context(), set, key, func(register.State) ([]byte, bool, error) { return value, false, nil }); err != nil {
 					b.Error(err)
 				}
 			}
 		}
 	})
-	tell(b, cs)
+	reportCosts(b, stats)
 	b.ReportMetric(float64(p.Rounds.Load())/float64(b.N), "rounds/op")
 }
 
-// BenchmarkBlob puts a value of 4 KiB at three stores and gets it from one.
+// BenchmarkBlob stores a 4 KiB value at three stores and reads it from one.
 func BenchmarkBlob(b *testing.B) {
-	set, call, cs := stores(b, mem)
-	val := make([]byte, 4<<10)
+	set, call, stats := startStores(b, mem)
+	value := make([]byte, 4<<10)
 	i := 0
 	b.ReportAllocs()
-	cs.at = cpu()
+	stats.startCPU = cpu()
 	for b.Loop() {
 		i++
 		key := fmt.Sprintf("k%d", i)
 		for _, r := range set.All() {
-			if _, err := call(b.Context(), r.Addr, &wire.Req{Op: &wire.Req_Put{Put: &wire.Put{Key: key, Val: val, KeepMs: 1000}}}); err != nil {
+			if _, err := call(b.Context(), r.Addr, &wire.Req{Op: &wire.Req_Put{Put: &wire.Put{Key: key, Val: value, KeepMs: 1000}}}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -225,28 +227,28 @@
 			b.Fatal(err)
 		}
 	}
-	tell(b, cs)
+	reportCosts(b, stats)
 }
 
-// fill keeps turns, 4500 of which are 20 MB, and a register with each.
-func fill(b *testing.B, engine *storage.Engine, rnd *rand.Rand, turns int) {
+// fillEngine stores blobs, 4500 of which take 20 MB, and a register with each.
+func fillEngine(b *testing.B, engine *storage.Engine, rng *rand.Rand, blobs int) {
 	b.Helper()
-	val := make([]byte, 4<<10)
-	for i := range turns {
-		for j := range val {
-			val[j] = byte(rnd.Uint32())
+	value := make([]byte, 4<<10)
+	for i := range blobs {
+		for j := range value {
+			value[j] = byte(rng.Uint32())
 		}
-		// A turn here and there in the order of keys, as hashed names are.
-		if err := engine.PutBlob(fmt.Sprintf("%08x", rnd.Uint32()), val, time.Hour); err != nil {
+		// Random keys, since stored keys are hashes.
+		if err := engine.PutBlob(fmt.Sprintf("%08x", rng.Uint32()), value, time.Hour); err != nil {
 			b.Fatal(err)
 		}
-		if err := engine.Save(fmt.Sprintf("purse/%d", i%500), &wire.Rec{Cell: &wire.Cell{Ver: uint64(i), Val: val[:300]}}); err != nil {
+		if err := engine.Save(fmt.Sprintf("purse/%d", i%500), &wire.Rec{Cell: &wire.Cell{Ver: uint64(i), Val: value[:300]}}); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// usedBytes is what a folder has on disk.
+// usedBytes returns the disk space that a folder uses.
 func usedBytes(b *testing.B, dir string) (n int64) {
 	err := filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
@@ -264,8 +266,8 @@
 	return n
 }
 
-// BenchmarkOpen opens a folder of 20 MB and more that a crash left behind, each time
-// a little further on: what there is to be done depends on when it comes.
+// BenchmarkOpen opens a folder of at least 20 MB after a crash. Each iteration crashes at a
+// later point, since the recovery work depends on when the crash occurs.
 func BenchmarkOpen(b *testing.B) {
 	for _, disk := range []bool{false, true} {
 		b.Run(map[bool]string{false: "mem", true: "disk"}[disk], func(b *testing.B) {
@@ -275,39 +277,39 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			rnd := rand.New(rand.NewPCG(1, 1))
-			fill(b, engine, rnd, 4500)
-			var most int64
-			var did time.Duration
+			rng := rand.New(rand.NewPCG(1, 1))
+			fillEngine(b, engine, rng, 4500)
+			var maxDiskBytes int64
+			var totalCPU time.Duration
 			for b.Loop() {
 				b.StopTimer()
-				fill(b, engine, rnd, 100)
+				fillEngine(b, engine, rng, 100)
 				p.FS = m.CrashClone(vfs.CrashCloneCfg{})
 				if disk {
 					dir := b.TempDir()
 					if _, err := vfs.Clone(p.FS, vfs.Default, "/data", dir, vfs.CloneSync); err != nil {
 						b.Fatal(err)
 					}
-					most = max(most, usedBytes(b, dir))
+					maxDiskBytes = max(maxDiskBytes, usedBytes(b, dir))
 					p.FS, p.Dir = nil, dir
 				}
-				at := cpu()
+				startCPU := cpu()
 				b.StartTimer()
-				w, err := storage.Open(p)
+				opened, err := storage.Open(p)
 				if err != nil {
 					b.Fatal(err)
 				}
 				b.StopTimer()
-				did += cpu() - at
-				if err := w.Close(); err != nil {
+				totalCPU += cpu() - startCPU
+				if err := opened.Close(); err != nil {
 					b.Fatal(err)
 				}
 				p.Dir = "/data"
 				b.StartTimer()
 			}
-			b.ReportMetric(float64(did)/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64(totalCPU)/float64(b.N), "cpu-ns/op")
 			if disk {
-				b.ReportMetric(float64(most)/1e6, "MB-on-disk")
+				b.ReportMetric(float64(maxDiskBytes)/1e6, "MB-on-disk")
 			}
 			if err := engine.Close(); err != nil {
 				b.Fatal(err)
--- a/internal/state/storage/bulk_test.go
+++ b/internal/state/storage/bulk_test.go
@@ -12,8 +12,8 @@
 	"damsontiller/internal/state/storage"
 )
 
-// TestBulk: what goes page by page from one folder to another is all there, with the
-// time that it has left; of what is not wanted complete only the name goes.
+// TestBulk: data copied page by page from one folder to another is complete and has its
+// remaining retention. Keys selected without their value are copied without it.
 func TestBulk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := open(t, vfs.NewMem(), "s1"), open(t, vfs.NewMem(), "s2")
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 		}
-		// Promised only: there is nothing to bring.
+		// There is only a promise and no accepted value, so nothing is copied.
 		if err := a.Save("none", &wire.Rec{Promised: &wire.Ballot{N: 7}}); err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 			var all []*wire.Copy
 			pages := 0
 			for after := ""; ; pages++ {
-				cs, last, err := a.Copies(
+				copies, last, err := a.Copies(
 					kind,
 					after,
 					200,
@@ -46,7 +46,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				all = append(all, cs...)
+				all = append(all, copies...)
 				if after = last; after == "" {
 					break
 				}
@@ -57,7 +57,7 @@
 			recs := map[string]*wire.Rec{}
 			for _, c := range all {
 				if withValue := c.Rec != nil || c.Got != nil; withValue != (c.Key != "k60") {
-					t.Errorf("%s: %s whole: %t", kind, c.Key, withValue)
+					t.Errorf("%s: %s has a value: %t", kind, c.Key, withValue)
 				}
 				if c.Rec != nil {
 					recs[c.Key] = c.Rec
@@ -71,7 +71,7 @@
 			}
 			for _, want := range []int{98, 0} {
 				if n, err := b.PutBlobs(all); err != nil || n != want {
-					t.Errorf("%d blobs taken, want %d, %v", n, want, err)
+					t.Errorf("%d blobs stored, want %d, %v", n, want, err)
 				}
 			}
 		}
@@ -79,9 +79,9 @@
 			t.Errorf("%v %v", r, err)
 		}
 		if c, err := a.Copy(wire.List_REGISTERS, "none"); c != nil || err != nil {
-			t.Errorf("a copy of nothing: %v %v", c, err)
+			t.Errorf("copy of a key without a value: %v %v", c, err)
 		}
-		// Twenty minutes were promised, ten have passed, in all.
+		// k19 was stored for twenty minutes; nineteen have passed in total.
 		time.Sleep(9 * time.Minute)
 		for k, want := range map[string]wire.Got_State{"k05": wire.Got_PAST, "k18": wire.Got_PAST, "k19": wire.Got_HERE, "k50": wire.Got_NONE} {
 			for name, engine := range map[string]*storage.Engine{"a": a, "b": b} {
@@ -96,12 +96,12 @@
 	})
 }
 
-// TestRenew: a folder goes on empty under another identity, and that lasts. What was
-// put aside before goes.
-func TestRenew(t *testing.T) {
+// TestReplaceIdentity: after its identity is replaced, a folder is empty and keeps the new
+// identity across a power loss. Only the database retired last is kept.
+func TestReplaceIdentity(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	engine := open(t, fs, "s1")
-	was := map[string]bool{engine.Ident(): true}
+	identities := map[string]bool{engine.Ident(): true}
 	for range 3 {
 		if err := engine.PutBlob("k", []byte("x"), time.Hour); err != nil {
 			t.Fatal(err)
@@ -109,29 +109,29 @@
 		if err := engine.ReplaceIdentity("test"); err != nil {
 			t.Fatal(err)
 		}
-		if was[engine.Ident()] {
-			t.Error("an identity comes twice")
+		if identities[engine.Ident()] {
+			t.Error("an identity is used twice")
 		}
-		was[engine.Ident()] = true
+		identities[engine.Ident()] = true
 		if g, err := engine.GetBlob("k"); err != nil || g.State != wire.Got_NONE {
-			t.Errorf("after a renewal: %v %v", g, err)
+			t.Errorf("blob after the replacement: %v %v", g, err)
 		}
 	}
 	names, err := fs.List("/data")
-	setAsidePrefix := 0
+	retired := 0
 	for _, n := range names {
 		if len(n) > 9 && n[:9] == "db.aside-" {
-			setAsidePrefix++
+			retired++
 		}
 	}
-	if err != nil || setAsidePrefix != 1 {
-		t.Errorf("%d put aside: %v %v", setAsidePrefix, names, err)
+	if err != nil || retired != 1 {
+		t.Errorf("%d retired databases: %v %v", retired, names, err)
 	}
-	w := open(t, fs.CrashClone(vfs.CrashCloneCfg{}), "s1")
-	if w.Ident() != engine.Ident() {
-		t.Error("the new identity is lost with the power")
+	restarted := open(t, fs.CrashClone(vfs.CrashCloneCfg{}), "s1")
+	if restarted.Ident() != engine.Ident() {
+		t.Error("the new identity is lost in a power loss")
 	}
-	for _, o := range []*storage.Engine{engine, w} {
+	for _, o := range []*storage.Engine{engine, restarted} {
 		if err := o.Close(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/state/storage/compat_test.go
+++ b/internal/state/storage/compat_test.go
@@ -16,7 +16,7 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// contents are the contents of a data folder, as the release that wrote it read them.
+// contents are the contents of a data folder as read by the release that wrote it.
 type contents struct {
 	Ident     string            `json:"ident"`
 	Registers map[string][]byte `json:"registers"`
@@ -24,8 +24,8 @@
 	Notes     map[string][]byte `json:"notes"`
 }
 
-// TestOpensEarlierRelease opens data folders that commit 7b6c0ec wrote, as a kill left
-// them, and finds in them what that commit found.
+// TestOpensEarlierRelease opens data folders that a process of commit 7b6c0ec left behind when
+// it was killed, and checks that they have the contents that this commit read.
 func TestOpensEarlierRelease(t *testing.T) {
 	tests := []struct{ name, id, role string }{
 		{"store-7b6c0ec", "s1", "store"},
@@ -42,7 +42,7 @@
 			}
 			defer engine.Close()
 			if engine.NewIdentity {
-				t.Error("the folder counts as new")
+				t.Error("the folder is reported as new")
 			}
 			if got := engine.Ident(); got != want.Ident {
 				t.Errorf("identity %s, want %s", got, want.Ident)
@@ -120,7 +120,7 @@
 	return c
 }
 
-// extract unpacks a gzipped archive of plain files and folders.
+// extract unpacks a gzipped tar archive of regular files and directories.
 func extract(t *testing.T, archive, dir string) {
 	t.Helper()
 	f, err := os.Open(archive)
--- a/internal/state/storage/engine_test.go
+++ b/internal/state/storage/engine_test.go
@@ -25,13 +25,13 @@
 	return engine
 }
 
-// TestPowerLoss: whatever was said to be kept is there after the power goes at
-// any moment, and the identity with it.
+// TestPowerLoss: every write that was reported as synced, and the identity, survive a power
+// loss at any time.
 func TestPowerLoss(t *testing.T) {
 	fs := vfs.NewCrashableMem()
 	engine := open(t, fs, "s1")
 	if !engine.NewIdentity {
-		t.Error("an empty folder is not fresh")
+		t.Error("an empty folder has no new identity")
 	}
 	for i := range 50 {
 		k := fmt.Sprintf("k%d", i)
@@ -41,22 +41,22 @@
 		if err := engine.PutBlob(k, []byte(k), time.Hour); err != nil {
 			t.Fatal(err)
 		}
-		// The power goes: nothing that was not synced survives.
-		w := open(t, fs.CrashClone(vfs.CrashCloneCfg{}), "s1")
-		if w.NewIdentity || w.Ident() != engine.Ident() {
-			t.Fatalf("after %d writes the identity is lost", i)
+		// Simulate a power loss: only synced data survives.
+		restarted := open(t, fs.CrashClone(vfs.CrashCloneCfg{}), "s1")
+		if restarted.NewIdentity || restarted.Ident() != engine.Ident() {
+			t.Fatalf("the identity is lost after %d writes", i)
 		}
 		for j := 0; j <= i; j += 7 {
 			k := fmt.Sprintf("k%d", j)
-			r, err := w.Load(k)
+			r, err := restarted.Load(k)
 			if err != nil || r.Promised.GetN() != uint64(j) {
 				t.Fatalf("record %s after %d writes: %v %v", k, i, r, err)
 			}
-			if g, err := w.GetBlob(k); err != nil || string(g.Val) != k {
+			if g, err := restarted.GetBlob(k); err != nil || string(g.Val) != k {
 				t.Fatalf("blob %s after %d writes: %v %v", k, i, g, err)
 			}
 		}
-		if err := w.Close(); err != nil {
+		if err := restarted.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestForeign: a folder of another machine or version is refused and left alone.
+// TestForeign: a folder of another machine or version is rejected and left unchanged.
 func TestForeign(t *testing.T) {
 	fs := vfs.NewMem()
 	if err := open(t, fs, "s1").Close(); err != nil {
@@ -100,10 +100,10 @@
 	}
 }
 
-// TestUnreadable: what can't be read is put aside, and the machine comes back
-// as a stranger rather than as a forgetful voter.
+// TestUnreadable: unreadable data is retired, and the machine starts with a new identity, since
+// a voter that has lost its promises must not vote under the old one.
 func TestUnreadable(t *testing.T) {
-	for _, what := range []string{"/data/IDENT", "db", "all of db"} {
+	for _, damaged := range []string{"/data/IDENT", "db", "all of db"} {
 		fs := vfs.NewMem()
 		engine := open(t, fs, "s1")
 		old := engine.Ident()
@@ -113,7 +113,7 @@
 		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
-		switch what {
+		switch damaged {
 		case "all of db":
 			if err := fs.RemoveAll("/data/db"); err != nil {
 				t.Fatal(err)
@@ -127,14 +127,14 @@
 				write(t, fs, "/data/db/"+n, "garbage")
 			}
 		default:
-			write(t, fs, what, "garbage")
+			write(t, fs, damaged, "garbage")
 		}
 		engine = open(t, fs, "s1")
 		if !engine.NewIdentity || engine.Ident() == old {
-			t.Errorf("%s garbled: the old identity lives on", what)
+			t.Errorf("%s garbled: the old identity is still in use", damaged)
 		}
 		if r, err := engine.Load("k"); err != nil || r.Promised != nil {
-			t.Errorf("%s garbled: %v %v", what, r, err)
+			t.Errorf("%s garbled: %v %v", damaged, r, err)
 		}
 		if err := engine.Close(); err != nil {
 			t.Fatal(err)
@@ -142,56 +142,56 @@
 	}
 }
 
-// TestKeeping: a turn is kept for its time while the folder is open, past its
-// time it is said to be past, and a night switched off does not count.
-func TestKeeping(t *testing.T) {
+// TestBlobRetention: a blob is kept for its retention time, which counts only while the folder
+// is open, and is reported as expired afterwards.
+func TestBlobRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := vfs.NewMem()
 		engine := open(t, fs, "s1")
 		if err := engine.PutBlob("k", []byte("v"), time.Hour); err != nil {
 			t.Fatal(err)
 		}
-		// Put again with less: a promise is never shortened.
+		// A second put with a shorter retention does not shorten it.
 		if err := engine.PutBlob("k", []byte("v"), time.Minute); err != nil {
 			t.Fatal(err)
 		}
-		state := func(want wire.Got_State) {
+		expectState := func(want wire.Got_State) {
 			t.Helper()
 			if g, err := engine.GetBlob("k"); err != nil || g.State != want {
 				t.Errorf("state %v, want %v, %v", g.GetState(), want, err)
 			}
 		}
 		time.Sleep(50 * time.Minute)
-		state(wire.Got_HERE)
+		expectState(wire.Got_HERE)
 		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(12 * time.Hour)
 		engine = open(t, fs, "s1")
 		time.Sleep(9 * time.Minute)
-		state(wire.Got_HERE)
+		expectState(wire.Got_HERE)
 		if e, _, err := engine.ExpireBlobs(); e != 0 || err != nil {
-			t.Errorf("swept %d within the keeping time, %v", e, err)
+			t.Errorf("removed %d blobs within their retention, %v", e, err)
 		}
 		time.Sleep(2 * time.Minute)
-		state(wire.Got_PAST)
+		expectState(wire.Got_PAST)
 		if e, f, err := engine.ExpireBlobs(); e != 1 || f != 0 || err != nil {
-			t.Errorf("swept %d, forgot %d, %v", e, f, err)
+			t.Errorf("emptied %d blobs, removed %d, %v", e, f, err)
 		}
-		state(wire.Got_PAST)
+		expectState(wire.Got_PAST)
 		time.Sleep(2 * time.Hour)
 		if _, f, err := engine.ExpireBlobs(); f != 1 || err != nil {
-			t.Errorf("forgot %d, %v", f, err)
+			t.Errorf("removed %d tombstones, %v", f, err)
 		}
-		state(wire.Got_NONE)
+		expectState(wire.Got_NONE)
 		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestNearlyFull: no new keys are taken, what is held goes on, and operators
-// are told; with space again all is as before.
+// TestNearlyFull: on a nearly full disk, new keys are rejected, existing keys can be updated,
+// and the status reports it. Once there is space again, new keys are accepted.
 func TestNearlyFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, err := storage.Open(
@@ -215,11 +215,11 @@
 			t.Errorf("an old record: %v", err)
 		}
 		if engine.Status() == "" {
-			t.Error("operators are not told")
+			t.Error("the status reports no problem")
 		}
 		engine.SimulateDisk(-1, 0)
 		if err := save("new"); err != nil || engine.Status() != "" {
-			t.Errorf("with room again: %v, %q", err, engine.Status())
+			t.Errorf("after space was freed: %v, %q", err, engine.Status())
 		}
 		engine.SimulateDisk(-1, time.Second)
 		if err := save("new"); err != nil || engine.Status() == "" {
@@ -229,7 +229,7 @@
 		engine.MeasureDisk()
 		engine.MeasureDisk()
 		if s := engine.Status(); s != "" {
-			t.Errorf("a disk that is quick again: %q", s)
+			t.Errorf("status of a disk that is fast again: %q", s)
 		}
 		if err := engine.Close(); err != nil {
 			t.Fatal(err)
@@ -237,18 +237,18 @@
 	})
 }
 
-// sized is a disk of a stated size.
-type sized struct {
+// fixedSizeDisk is a file system on a disk of a given size.
+type fixedSizeDisk struct {
 	vfs.FS
 	total, free uint64
 }
 
-func (s *sized) GetDiskUsage(string) (vfs.DiskUsage, error) {
+func (s *fixedSizeDisk) GetDiskUsage(string) (vfs.DiskUsage, error) {
 	return vfs.DiskUsage{TotalBytes: s.total, AvailBytes: s.free, UsedBytes: s.total - s.free}, nil
 }
 
-// TestSmallDisk: what is kept free on a large disk would be half of a small one, of
-// which an eighth is kept.
+// TestSmallDisk: on a small disk, only an eighth is kept free, since the amount kept free on a
+// large disk would be half of it.
 func TestSmallDisk(t *testing.T) {
 	for _, tc := range []struct {
 		total, free uint64
@@ -262,7 +262,7 @@
 		{100 << 30, 63 << 20, true},
 		{0, 63 << 20, true},
 	} {
-		fs := &sized{vfs.NewMem(), tc.total, tc.free}
+		fs := &fixedSizeDisk{vfs.NewMem(), tc.total, tc.free}
 		engine, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs, MinFree: 64 << 20})
 		if err != nil {
 			t.Fatal(err)
@@ -283,15 +283,15 @@
 	}
 }
 
-// TestReplacedIdentity: a register past its time is emptied, keeps its promises and says that
-// it is past; after the tombstone retention it is removed; what is newer stays.
-func TestReplacedIdentity(t *testing.T) {
+// TestRegisterExpiry: a register past its retention loses its value, keeps its promises and is
+// reported as expired. It is removed after the tombstone retention. Newer registers are kept.
+func TestRegisterExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := open(t, vfs.NewMem(), "s1")
 		defer engine.Close()
-		acc := register.NewAcceptor(engine)
+		acceptor := register.NewAcceptor(engine)
 		put := func(key string, n uint64) {
-			if _, err := acc.Accept(&wire.Acc{Key: key, Ballot: &wire.Ballot{N: n}, Cell: &wire.Cell{Ver: n, Val: []byte("x")}}); err != nil {
+			if _, err := acceptor.Accept(&wire.Acc{Key: key, Ballot: &wire.Ballot{N: n}, Cell: &wire.Cell{Ver: n, Val: []byte("x")}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -302,14 +302,14 @@
 			}
 			n := 0
 			for _, k := range keys {
-				did, err := acc.Expire(k, func(r *wire.Rec) (bool, bool) {
-					d := engine.Age(r)
-					return d > keep, d > engine.TombstoneRetention() && r.Cell.GetPast()
+				expired, err := acceptor.Expire(k, func(r *wire.Rec) (bool, bool) {
+					age := engine.Age(r)
+					return age > keep, age > engine.TombstoneRetention() && r.Cell.GetPast()
 				}, engine.DeleteRegister)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if did {
+				if expired {
 					n++
 				}
 			}
@@ -319,28 +319,28 @@
 		time.Sleep(10 * time.Minute)
 		put("new", 1)
 		if n := expire(5 * time.Minute); n != 1 {
-			t.Fatalf("%d let go", n)
+			t.Fatalf("%d registers expired", n)
 		}
-		if g, err := acc.Read(&wire.Look{Key: "old"}); err != nil || !g.Cell.GetPast() || g.Cell.Val != nil ||
+		if g, err := acceptor.Read(&wire.Look{Key: "old"}); err != nil || !g.Cell.GetPast() || g.Cell.Val != nil ||
 			g.Accepted.GetN() != 3 {
 			t.Errorf("%+v %v", g, err)
 		}
-		if _, err := acc.Accept(&wire.Acc{Key: "old", Ballot: &wire.Ballot{N: 2}, Cell: &wire.Cell{Ver: 2}}); err == nil {
-			t.Error("an accept from before was taken")
+		if _, err := acceptor.Accept(&wire.Acc{Key: "old", Ballot: &wire.Ballot{N: 2}, Cell: &wire.Cell{Ver: 2}}); err == nil {
+			t.Error("a ballot lower than the accepted one was accepted")
 		}
 		if rows, err := engine.Keys(wire.List_REGISTERS, "", 10, nil); err != nil || len(rows) != 1 ||
 			rows[0].Key != "new" {
-			t.Errorf("compared: %v %v", rows, err)
+			t.Errorf("listed keys: %v %v", rows, err)
 		}
 		time.Sleep(2 * time.Hour)
 		if n := expire(24 * time.Hour); n != 0 {
-			t.Errorf("%d let go within their time", n)
+			t.Errorf("%d registers expired within their retention", n)
 		}
 		if n := expire(time.Minute); n != 2 {
-			t.Errorf("%d let go", n)
+			t.Errorf("%d registers expired", n)
 		}
 		if r, err := engine.Load("old"); err != nil || r.Accepted != nil {
-			t.Errorf("still remembered: %+v %v", r, err)
+			t.Errorf("register was not removed: %+v %v", r, err)
 		}
 	})
 }
--- a/internal/state/storage/faults_test.go
+++ b/internal/state/storage/faults_test.go
@@ -20,19 +20,19 @@
 	"damsontiller/internal/transport/code"
 )
 
-// searches is how many points or seeds a search goes through; DISK_SEARCHES multiplies it.
-func searches(n int) int {
+// searchCount returns the number of fault points or seeds to test. DISK_SEARCHES multiplies it.
+func searchCount(n int) int {
 	if k, err := strconv.Atoi(os.Getenv("DISK_SEARCHES")); err == nil && k > 0 {
 		return n * k
 	}
 	return n
 }
 
-// record is a register whose promise is n.
+// record returns a register record that promises ballot n.
 func record(n int) *wire.Rec { return &wire.Rec{Promised: &wire.Ballot{N: uint64(n)}} }
 
-// promised is what a key's record promises here.
-func promised(t *testing.T, engine *storage.Engine, key string) int {
+// loadPromise returns the ballot that a key's record promises.
+func loadPromise(t *testing.T, engine *storage.Engine, key string) int {
 	t.Helper()
 	r, err := engine.Load(key)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return int(r.Promised.GetN())
 }
 
-// saved waits until a key can be written again, reading it before each try.
-func saved(t *testing.T, engine *storage.Engine, key string, n int) {
+// mustSave retries until a key is written, reading it before each attempt.
+func mustSave(t *testing.T, engine *storage.Engine, key string, n int) {
 	t.Helper()
 	for range 200 {
 		if _, err := engine.Load(key); err == nil && engine.Save(key, record(n)) == nil {
@@ -53,8 +53,8 @@
 	t.Fatalf("%s can't be written again: %s", key, engine.Status())
 }
 
-// closed closes an engine, whatever its disk does.
-func closed(t *testing.T, engine *storage.Engine, fs *faultfs.FS) {
+// closeEngine clears the disk's faults and closes the engine.
+func closeEngine(t *testing.T, engine *storage.Engine, fs *faultfs.FS) {
 	t.Helper()
 	fs.SetFull(false)
 	fs.SetStalled(false)
@@ -65,42 +65,42 @@
 	time.Sleep(time.Minute)
 }
 
-// TestFull: without space nothing new is written and the answer is numbered, what was
-// synced is read, what was caught half-way is uncertain and not seen, and with space all
-// goes on.
+// TestFull: on a full disk, new writes are rejected with an error code, synced data can be
+// read, and a write interrupted by the lack of space is uncertain and not visible. With space
+// again, everything works as before.
 func TestFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := vfs.NewCrashableMem()
 		fs := faultfs.New(mem)
 		engine := open(t, fs, "s1")
-		saved(t, engine, "caught", 1)
-		saved(t, engine, "other", 1)
+		mustSave(t, engine, "caught", 1)
+		mustSave(t, engine, "other", 1)
 		fs.SetFull(true)
-		at := time.Now()
+		start := time.Now()
 		if err := engine.Save("caught", record(2)); code.Of(err) != code.WriteUncertain {
-			t.Errorf("the write that met the full disk: %v", err)
+			t.Errorf("the write during which the disk became full: %v", err)
 		}
-		if d := time.Since(at); d > 3*time.Second {
-			t.Errorf("it took %s", d)
+		if d := time.Since(start); d > 3*time.Second {
+			t.Errorf("the write took %s", d)
 		}
-		at = time.Now()
+		start = time.Now()
 		if err := engine.Save("other", record(2)); code.Of(err) != code.DiskFull {
 			t.Errorf("the next write: %v", err)
 		}
 		if err := engine.SaveMetadata("n", []byte("x")); code.Of(err) != code.DiskFull {
-			t.Errorf("a note: %v", err)
+			t.Errorf("metadata: %v", err)
 		}
 		if err := engine.PutBlob("b", []byte("x"), time.Hour); code.Of(err) != code.DiskFull {
 			t.Errorf("a blob: %v", err)
 		}
-		if n := promised(t, engine, "caught"); n != 1 {
+		if n := loadPromise(t, engine, "caught"); n != 1 {
 			t.Errorf("an unsynced promise of %d is read", n)
 		}
-		if n := promised(t, engine, "other"); n != 1 {
+		if n := loadPromise(t, engine, "other"); n != 1 {
 			t.Errorf("promise of %d is read", n)
 		}
-		if d := time.Since(at); d > 0 {
-			t.Errorf("answers that need no disk took %s", d)
+		if d := time.Since(start); d > 0 {
+			t.Errorf("calls that need no disk took %s", d)
 		}
 		if s := engine.Status(); s != "disk full, no writes taken" {
 			t.Errorf("status %q", s)
@@ -108,39 +108,40 @@
 		fs.SetFull(false)
 		time.Sleep(time.Second)
 		if s := engine.Status(); strings.Contains(s, "no writes taken") {
-			t.Errorf("with room again: %q", s)
+			t.Errorf("status after space was freed: %q", s)
 		}
-		// What was uncertain is not written over before it was read.
+		// A record with an uncertain write is not overwritten before it has been read.
 		if err := engine.Save("caught", record(1)); code.Of(err) != code.DiskStalled {
 			t.Errorf("written without having been read: %v", err)
 		}
-		if n := promised(t, engine, "caught"); n != 2 {
-			t.Errorf("promise of %d after the write landed", n)
+		if n := loadPromise(t, engine, "caught"); n != 2 {
+			t.Errorf("promise of %d after the write completed", n)
 		}
-		saved(t, engine, "caught", 3)
-		saved(t, engine, "other", 3)
+		mustSave(t, engine, "caught", 3)
+		mustSave(t, engine, "other", 3)
 		after := open(t, mem.CrashClone(vfs.CrashCloneCfg{}), "s1")
-		if a, b := promised(t, after, "caught"), promised(t, after, "other"); a != 3 || b != 3 || after.NewIdentity {
-			t.Errorf("promises of %d and %d after the power went", a, b)
+		if caught, other := loadPromise(t, after, "caught"), loadPromise(t, after, "other"); caught != 3 || other != 3 || after.NewIdentity {
+			t.Errorf("promises of %d and %d after a power loss", caught, other)
 		}
 		if err := after.Close(); err != nil {
 			t.Error(err)
 		}
-		closed(t, engine, fs)
+		closeEngine(t, engine, fs)
 	})
 }
 
-// TestStall: a disk that answers nothing holds up a bounded number of callers for a
-// bounded time, and none that need no disk.
+// TestStall: a disk that does not respond blocks a limited number of callers for a limited
+// time, and none that need no disk access.
 func TestStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
 		engine := open(t, fs, "s1")
-		saved(t, engine, "k0", 1)
+		mustSave(t, engine, "k0", 1)
 		fs.SetStalled(true)
 		const callers, queueBound = 3000, 1024
 		answers := make(chan error, callers+1)
-		// The writer is at one write, so that exactly the queue is left for the others.
+		// The writer is busy with one write, so that the others have exactly the capacity of
+		// the queue.
 		go func() { answers <- engine.Save("first", record(2)) }()
 		synctest.Wait()
 		for i := range callers {
@@ -155,7 +156,7 @@
 				t.Fatalf("answer %v", c)
 			}
 		}
-		at := time.Now()
+		start := time.Now()
 		for range 100 {
 			if err := engine.Save("k0", record(3)); code.Of(err) != code.DiskStalled {
 				t.Fatal(err)
@@ -163,26 +164,26 @@
 			if err := engine.Save("another", record(3)); code.Of(err) != code.DiskStalled {
 				t.Fatal(err)
 			}
-			if n := promised(t, engine, "k0"); n != 1 {
+			if n := loadPromise(t, engine, "k0"); n != 1 {
 				t.Fatalf("an unsynced promise of %d is read", n)
 			}
 		}
-		if d := time.Since(at); d > 0 || !strings.Contains(engine.Status(), "disk does not answer") {
-			t.Errorf("refusals took %s, status %q", d, engine.Status())
+		if d := time.Since(start); d > 0 || !strings.Contains(engine.Status(), "disk does not answer") {
+			t.Errorf("rejections took %s, status %q", d, engine.Status())
 		}
 		fs.SetStalled(false)
-		saved(t, engine, "k0", 4)
-		closed(t, engine, fs)
+		mustSave(t, engine, "k0", 4)
+		closeEngine(t, engine, fs)
 	})
 }
 
-// TestFailures: one failure at each numbered write or sync, then the power goes with
-// torn writes. Nothing that was said to be kept is lost, no write is lost that a read
-// has shown, and the engine goes on by itself.
+// TestFailures: one failure at each write or sync in turn, followed by a power loss with torn
+// writes. No acknowledged write and no write that was visible to a read is lost, and the engine
+// recovers by itself.
 func TestFailures(t *testing.T) {
 	for _, kind := range []faultfs.Kind{faultfs.Write, faultfs.Sync} {
 		for _, cause := range []error{syscall.EIO, syscall.ENOSPC} {
-			for n := 1; n <= searches(12); n++ {
+			for n := 1; n <= searchCount(12); n++ {
 				synctest.Test(t, func(t *testing.T) { failOnce(t, kind, n, cause) })
 			}
 		}
@@ -195,41 +196,41 @@
 	engine := open(t, fs, "s1")
 	ident := engine.Ident()
 	fs.FailNext(kind, n, cause)
-	seen := 0
-	val := make([]byte, 100<<10)
+	highestSeen := 0
+	value := make([]byte, 100<<10)
 	for i := 1; i <= 30; i++ {
-		now := promised(t, engine, "k")
-		if now < seen {
-			t.Fatalf("kind %d, call %d, %v: read %d after %d", kind, n, cause, now, seen)
+		now := loadPromise(t, engine, "k")
+		if now < highestSeen {
+			t.Fatalf("kind %d, call %d, %v: read %d after %d", kind, n, cause, now, highestSeen)
 		}
-		seen = max(seen, now)
+		highestSeen = max(highestSeen, now)
 		r := record(i)
-		r.Cell = &wire.Cell{Val: val}
+		r.Cell = &wire.Cell{Val: value}
 		if err := engine.Save("k", r); err == nil {
-			seen = i
+			highestSeen = i
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	saved(t, engine, "k", 61)
-	rnd := rand.New(rand.NewPCG(uint64(n), uint64(kind)))
-	after := open(t, mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: rnd}), "s1")
-	if got := promised(t, after, "k"); got != 61 || after.NewIdentity || after.Ident() != ident {
-		t.Errorf("kind %d, call %d, %v: %d after the power went, fresh %v", kind, n, cause, got, after.NewIdentity)
+	mustSave(t, engine, "k", 61)
+	rng := rand.New(rand.NewPCG(uint64(n), uint64(kind)))
+	after := open(t, mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: rng}), "s1")
+	if got := loadPromise(t, after, "k"); got != 61 || after.NewIdentity || after.Ident() != ident {
+		t.Errorf("kind %d, call %d, %v: %d after a power loss, new identity %v", kind, n, cause, got, after.NewIdentity)
 	}
 	if err := after.Close(); err != nil {
 		t.Error(err)
 	}
-	closed(t, engine, fs)
+	closeEngine(t, engine, fs)
 }
 
-// TestFailedSync: after a sync that failed, what was not synced is neither read nor
-// believed, also not while the folder can't be opened again.
+// TestFailedSync: after a failed sync, the data that was not synced is not visible to reads,
+// even while the folder can't be reopened.
 func TestFailedSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
 		engine := open(t, fs, "s1")
-		saved(t, engine, "k", 1)
-		saved(t, engine, "other", 1)
+		mustSave(t, engine, "k", 1)
+		mustSave(t, engine, "other", 1)
 		fs.FailNext(faultfs.Sync, 1, syscall.EIO)
 		fs.OnCall(func(kind faultfs.Kind, _ int) {
 			if kind == faultfs.Sync {
@@ -241,7 +242,7 @@
 		}
 		fs.OnCall(nil)
 		for range 20 {
-			if n := promised(t, engine, "k"); n != 1 {
+			if n := loadPromise(t, engine, "k"); n != 1 {
 				t.Fatalf("an unsynced promise of %d is read", n)
 			}
 			if err := engine.Save("other", record(2)); code.Of(err) != code.DiskFailure {
@@ -250,17 +251,17 @@
 			time.Sleep(time.Second)
 		}
 		if engine.Status() == "" {
-			t.Error("operators are not told")
+			t.Error("the status reports no problem")
 		}
 		fs.SetFull(false)
-		saved(t, engine, "k", 3)
-		saved(t, engine, "other", 3)
-		closed(t, engine, fs)
+		mustSave(t, engine, "k", 3)
+		mustSave(t, engine, "other", 3)
+		closeEngine(t, engine, fs)
 	})
 }
 
-// TestOpenWaits: a folder on a disk that is full, fails or answers nothing is waited
-// for, and keeps its identity; one of another machine is still refused at once.
+// TestOpenWaits: opening a folder waits for a disk that is full, fails or does not respond, and
+// keeps the identity. A folder of another machine is rejected without waiting.
 func TestOpenWaits(t *testing.T) {
 	for name, injectFault := range map[string]func(*faultfs.FS, bool){
 		"full":    func(fs *faultfs.FS, on bool) { fs.SetFull(on) },
@@ -278,7 +279,7 @@
 				mem := vfs.NewCrashableMem()
 				engine := open(t, mem, "s1")
 				ident := engine.Ident()
-				saved(t, engine, "k", 7)
+				mustSave(t, engine, "k", 7)
 				fs := faultfs.New(mem.CrashClone(vfs.CrashCloneCfg{}))
 				injectFault(fs, true)
 				opened := make(chan *storage.Engine, 1)
@@ -291,16 +292,16 @@
 				}()
 				time.Sleep(10 * time.Second)
 				if name != "fails" && len(opened) > 0 {
-					t.Fatal("it was opened")
+					t.Fatal("the folder was opened despite the fault")
 				}
 				if name != "fails" {
 					injectFault(fs, false)
 				}
-				w := <-opened
-				if w.NewIdentity || w.Ident() != ident || promised(t, w, "k") != 7 {
-					t.Errorf("fresh %v", w.NewIdentity)
+				reopened := <-opened
+				if reopened.NewIdentity || reopened.Ident() != ident || loadPromise(t, reopened, "k") != 7 {
+					t.Errorf("new identity %v", reopened.NewIdentity)
 				}
-				closed(t, w, fs)
+				closeEngine(t, reopened, fs)
 				if err := engine.Close(); err != nil {
 					t.Error(err)
 				}
@@ -314,19 +315,19 @@
 	}
 }
 
-// TestCloseFull: closing does not wait for a disk without space.
+// TestCloseFull: closing does not wait for a disk that is full or stalled.
 func TestCloseFull(t *testing.T) {
 	for _, stall := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			fs := faultfs.New(vfs.NewCrashableMem())
 			engine := open(t, fs, "s1")
-			saved(t, engine, "k", 1)
+			mustSave(t, engine, "k", 1)
 			fs.SetFull(!stall)
 			fs.SetStalled(stall)
 			_ = engine.Save("k", record(2))
-			at := time.Now()
+			start := time.Now()
 			_ = engine.Close()
-			if d := time.Since(at); d > 15*time.Second {
+			if d := time.Since(start); d > 15*time.Second {
 				t.Errorf("closing took %s", d)
 			}
 			fs.SetFull(false)
@@ -336,120 +337,120 @@
 	}
 }
 
-// TestUnsureAge: a timed cell whose write was uncertain, and which turns out to be kept,
-// has not been held since the start of the process.
-func TestUnsureAge(t *testing.T) {
+// TestUncertainWriteAge: a timed cell whose write was uncertain, and turns out to be stored,
+// does not get an age that goes back to the start of the process.
+func TestUncertainWriteAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
 		engine := open(t, fs, "s1")
-		a := register.NewAcceptor(engine)
+		acceptor := register.NewAcceptor(engine)
 		time.Sleep(time.Hour)
 		fs.SetFull(true)
-		c := &wire.Cell{Ver: 1, Val: []byte("x"), Ops: []uint64{5}, Timed: true}
-		if _, err := a.Accept(&wire.Acc{Key: "k", Ballot: &wire.Ballot{N: 1}, Cell: c}); code.Of(
+		cell := &wire.Cell{Ver: 1, Val: []byte("x"), Ops: []uint64{5}, Timed: true}
+		if _, err := acceptor.Accept(&wire.Acc{Key: "k", Ballot: &wire.Ballot{N: 1}, Cell: cell}); code.Of(
 			err,
 		) != code.WriteUncertain {
 			t.Errorf("accepted on a full disk: %v", err)
 		}
 		fs.SetFull(false)
 		time.Sleep(10 * time.Second)
-		view, err := a.Read(&wire.Look{Key: "k"})
+		view, err := acceptor.Read(&wire.Look{Key: "k"})
 		if err != nil || view.Accepted.GetN() != 1 {
 			t.Fatalf("%v %v", view, err)
 		}
 		if view.AgeMs > 10_000 {
-			t.Errorf("held for %d ms", view.AgeMs)
+			t.Errorf("value age is %d ms", view.AgeMs)
 		}
-		closed(t, engine, fs)
+		closeEngine(t, engine, fs)
 	})
 }
 
-// TestBackgroundFailures: failures of flushes, compactions and the manifest are as
-// harmless as those of the log.
+// TestBackgroundFailures: the engine recovers from failures of flushes, compactions and the
+// manifest just as from those of the log.
 func TestBackgroundFailures(t *testing.T) {
-	for seed := range searches(2) {
+	for seed := range searchCount(2) {
 		synctest.Test(t, func(t *testing.T) {
-			rnd := rand.New(rand.NewPCG(uint64(seed), 5))
+			rng := rand.New(rand.NewPCG(uint64(seed), 5))
 			fs := faultfs.New(vfs.NewCrashableMem())
 			engine := open(t, fs, "s1")
-			val := make([]byte, 200<<10)
-			last := map[string]int{}
+			value := make([]byte, 200<<10)
+			acknowledged := map[string]int{}
 			for i := range 80 {
 				if i%20 == 10 {
-					kind := []faultfs.Kind{faultfs.Write, faultfs.Sync}[rnd.IntN(2)]
-					fs.FailNext(kind, 1+rnd.IntN(40), syscall.EIO)
+					kind := []faultfs.Kind{faultfs.Write, faultfs.Sync}[rng.IntN(2)]
+					fs.FailNext(kind, 1+rng.IntN(40), syscall.EIO)
 				}
-				k := fmt.Sprintf("k%d", rnd.IntN(30))
-				for j := range val {
-					val[j] = byte(rnd.Uint32())
+				k := fmt.Sprintf("k%d", rng.IntN(30))
+				for j := range value {
+					value[j] = byte(rng.Uint32())
 				}
-				n := promised(t, engine, k)
-				if n < last[k] {
-					t.Fatalf("%s: %d after %d", k, n, last[k])
+				n := loadPromise(t, engine, k)
+				if n < acknowledged[k] {
+					t.Fatalf("%s: %d after %d", k, n, acknowledged[k])
 				}
 				r := record(i + 1)
-				r.Cell = &wire.Cell{Val: val}
+				r.Cell = &wire.Cell{Val: value}
 				err := engine.Save(k, r)
 				switch {
 				case err == nil:
-					last[k] = i + 1
+					acknowledged[k] = i + 1
 				case code.Of(err) == code.Unknown:
 					t.Fatal(err)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			for k := range last {
-				saved(t, engine, k, 1000)
+			for k := range acknowledged {
+				mustSave(t, engine, k, 1000)
 			}
-			closed(t, engine, fs)
+			closeEngine(t, engine, fs)
 		})
 	}
 }
 
-// TestNamedFailures: what each kind of the database's files fails with ends neither the
-// process nor the folder, whatever the database was at.
+// TestNamedFailures: failures on each kind of database file end neither the process nor the
+// folder.
 func TestNamedFailures(t *testing.T) {
-	for _, chunk := range []string{"MANIFEST", ".sst", ".log", "marker"} {
+	for _, namePart := range []string{"MANIFEST", ".sst", ".log", "marker"} {
 		for _, kind := range []faultfs.Kind{faultfs.Write, faultfs.Sync} {
 			synctest.Test(t, func(t *testing.T) {
 				mem := vfs.NewCrashableMem()
 				fs := faultfs.New(mem)
 				engine := open(t, fs, "s1")
-				val := make([]byte, 200<<10)
+				value := make([]byte, 200<<10)
 				for i := range 60 {
 					if i%20 == 10 {
-						fs.FailNextOnFile(kind, chunk, syscall.EIO)
+						fs.FailNextOnFile(kind, namePart, syscall.EIO)
 					}
 					r := record(i + 1)
-					r.Cell = &wire.Cell{Val: val}
+					r.Cell = &wire.Cell{Val: value}
 					if _, err := engine.Load("k"); err == nil {
 						_ = engine.Save("k", r)
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				saved(t, engine, "k", 1000)
-				closed(t, engine, fs)
+				mustSave(t, engine, "k", 1000)
+				closeEngine(t, engine, fs)
 			})
 		}
 	}
 }
 
-// TestStallRefused: while a sync hangs for longer than a write would wait, the next is
-// refused at once.
+// TestStallRefused: while a sync takes longer than the write timeout, further writes are
+// rejected at once.
 func TestStallRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
 		engine := open(t, fs, "s1")
-		saved(t, engine, "k", 1)
+		mustSave(t, engine, "k", 1)
 		fs.SetStalled(true)
 		_ = engine.Save("k", record(2))
-		at := time.Now()
+		start := time.Now()
 		if err := engine.Save("another", record(1)); code.Of(err) != code.DiskStalled {
 			t.Error(err)
 		}
-		if d := time.Since(at); d > 0 {
-			t.Errorf("the refusal took %s", d)
+		if d := time.Since(start); d > 0 {
+			t.Errorf("the rejection took %s", d)
 		}
-		closed(t, engine, fs)
+		closeEngine(t, engine, fs)
 	})
 }
--- a/internal/state/storage/flush_test.go
+++ b/internal/state/storage/flush_test.go
@@ -14,11 +14,11 @@
 	"damsontiller/internal/state/storage/faultfs"
 )
 
-// maxFlushFailures bounds the failed flushes of a database that waits for a reader.
+// maxFlushFailures limits the failed flushes of a database that waits for a reader.
 const maxFlushFailures = 500
 
-// TestFailedFlushPauses: while a failed database waits for a reader to be done, the
-// flushes that it goes on trying leave pauses between them.
+// TestFailedFlushPauses: while a failed database waits for a reader to finish, it retries
+// failed flushes with a delay between them.
 func TestFailedFlushPauses(t *testing.T) {
 	for _, kind := range []faultfs.Kind{faultfs.Write, faultfs.Sync} {
 		synctest.Test(t, func(t *testing.T) {
@@ -26,21 +26,21 @@
 			fs := faultfs.New(vfs.NewCrashableMem())
 			engine, err := storage.Open(storage.Params{
 				Dir: "/data", ID: "s1", Role: "store", FS: fs, TombstoneRetention: time.Hour,
-				Log: func(text string, _ ...any) {
-					if text == "pebble" && failures.Add(1) > maxFlushFailures {
-						// Not t.Error: the database holds its mutex here, and without a pause
-						// simulated time stands still for everybody.
-						panic("a failed flush is tried again without a pause")
+				Log: func(message string, _ ...any) {
+					if message == "pebble" && failures.Add(1) > maxFlushFailures {
+						// Not t.Error: the database holds its mutex here, and simulated time
+						// does not advance if there is no delay.
+						panic("a failed flush is retried without a delay")
 					}
 				},
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			saved(t, engine, "k", 1)
-			reading := make(chan struct{})
+			mustSave(t, engine, "k", 1)
+			readDone := make(chan struct{})
 			go func() {
-				defer close(reading)
+				defer close(readDone)
 				err := engine.EachRegister("", func(string, *wire.Rec) { time.Sleep(4 * time.Second) })
 				if err != nil {
 					t.Error(err)
@@ -55,12 +55,12 @@
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			<-reading
+			<-readDone
 			if failures.Load() == 0 {
 				t.Error("no flush failed")
 			}
-			saved(t, engine, "k", 1000)
-			closed(t, engine, fs)
+			mustSave(t, engine, "k", 1000)
+			closeEngine(t, engine, fs)
 		})
 	}
 }
--- a/internal/state/storage/identity_test.go
+++ b/internal/state/storage/identity_test.go
@@ -10,22 +10,22 @@
 	"damsontiller/internal/state/storage"
 )
 
-// failingIdentity is a file system on which one kind of operation on the new identity's
-// file fails several times. It notes whether an identity was there meanwhile.
+// failingIdentity is a file system on which one kind of operation on the new identity file
+// fails a number of times. It records whether an identity file existed at that time.
 type failingIdentity struct {
 	vfs.FS
-	left    int
-	present bool
+	remaining int
+	present   bool
 }
 
 func newFailingIdentity(op errorfs.OpKind, times int) *failingIdentity {
 	inner := vfs.NewMem()
-	f := &failingIdentity{left: times}
+	f := &failingIdentity{remaining: times}
 	f.FS = errorfs.Wrap(inner, errorfs.InjectorFunc(func(o errorfs.Op) error {
-		if o.Kind != op || o.Path != "/data/IDENT.new" || f.left == 0 {
+		if o.Kind != op || o.Path != "/data/IDENT.new" || f.remaining == 0 {
 			return nil
 		}
-		f.left--
+		f.remaining--
 		if _, err := inner.Stat("/data/IDENT"); err == nil {
 			f.present = true
 		}
@@ -34,34 +34,34 @@
 	return f
 }
 
-// TestIdentityWriteFails: a folder whose identity can't be written or synced is not
-// opened, and no identity that may be torn is left for the next start. Once the disk
-// takes it the folder opens, under the identity that is on it.
+// TestIdentityWriteFails: a folder is not opened while its identity can't be written or synced,
+// and no torn identity file is left for the next start. Once the write succeeds, the folder
+// opens under the identity on the disk.
 func TestIdentityWriteFails(t *testing.T) {
 	for _, op := range []errorfs.OpKind{errorfs.OpFileWrite, errorfs.OpFileSync} {
 		synctest.Test(t, func(t *testing.T) {
 			fs := newFailingIdentity(op, 3)
-			opened := func() *storage.Engine {
+			openEngine := func() *storage.Engine {
 				engine, err := storage.Open(storage.Params{Dir: "/data", ID: "s1", Role: "store", FS: fs})
 				if err != nil {
 					t.Fatalf("operation %v fails: %v", op, err)
 				}
 				return engine
 			}
-			engine := opened()
-			if fs.left > 0 {
-				t.Errorf("operation %v fails: opened before it went well", op)
+			engine := openEngine()
+			if fs.remaining > 0 {
+				t.Errorf("operation %v fails: opened before the operation succeeded", op)
 			}
 			if fs.present {
-				t.Errorf("operation %v fails: an identity was left", op)
+				t.Errorf("operation %v fails: an identity file was left behind", op)
 			}
-			made := engine.Ident()
+			ident := engine.Ident()
 			if err := engine.Close(); err != nil {
 				t.Fatal(err)
 			}
-			engine = opened()
-			if engine.NewIdentity || engine.Ident() != made {
-				t.Errorf("operation %v fails: %s came back as %s", op, made, engine.Ident())
+			engine = openEngine()
+			if engine.NewIdentity || engine.Ident() != ident {
+				t.Errorf("operation %v fails: identity %s is %s after a restart", op, ident, engine.Ident())
 			}
 			if err := engine.Close(); err != nil {
 				t.Fatal(err)
--- a/internal/state/storage/reserve_test.go
+++ b/internal/state/storage/reserve_test.go
@@ -17,11 +17,11 @@
 
 const (
 	smallDisk = 64 << 20
-	// reserved is what a disk of that size keeps in reserve.
-	reserved = 2 << 20
+	// smallDiskReserve is the size of the reserve on a disk of that size.
+	smallDiskReserve = 2 << 20
 )
 
-// fillDisk writes a file of somebody else until so many bytes are left.
+// fillDisk writes an unrelated file until the given number of bytes is left.
 func fillDisk(t *testing.T, fs *faultfs.FS, left int64) {
 	t.Helper()
 	f, err := fs.Create("/others", vfs.WriteCategoryUnspecified)
@@ -45,17 +45,17 @@
 	return engine
 }
 
-// TestReserve: on a disk that others have filled votes of the keys that are here go on with
-// what the reserve held, and bulk is refused. A start finds it released; once there is plenty
-// of space it is made anew.
+// TestReserve: on a disk filled by other programs, votes on existing keys use the space of the
+// reserve, and bulk writes are rejected. After a restart the reserve is still missing; it is
+// written again once there is enough space.
 func TestReserve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
 		fs.SetCapacity(smallDisk)
 		engine := openSmall(t, fs)
-		saved(t, engine, "vote", 1)
-		if used := fs.Used(); used < reserved {
-			t.Fatalf("%d bytes are used, nothing is held in reserve", used)
+		mustSave(t, engine, "vote", 1)
+		if used := fs.Used(); used < smallDiskReserve {
+			t.Fatalf("%d bytes are used, no space is reserved", used)
 		}
 		fillDisk(t, fs, 0)
 		for i := range 200 {
@@ -79,66 +79,67 @@
 			t.Error(err)
 		}
 		engine = openSmall(t, fs)
-		if n := promised(t, engine, "vote"); n != 201 {
-			t.Errorf("promised %d", n)
+		if n := loadPromise(t, engine, "vote"); n != 201 {
+			t.Errorf("promise of %d", n)
 		}
 		if err := fs.Remove("/others"); err != nil {
 			t.Fatal(err)
 		}
 		engine.MeasureDisk()
 		if err := engine.PutBlob("b", []byte("x"), time.Hour); err != nil {
-			t.Errorf("a blob with space again: %v", err)
+			t.Errorf("a blob after space was freed: %v", err)
 		}
-		if used := fs.Used(); used < reserved {
-			t.Errorf("%d bytes are used, nothing is held in reserve again", used)
+		if used := fs.Used(); used < smallDiskReserve {
+			t.Errorf("%d bytes are used, no space is reserved again", used)
 		}
 		fillDisk(t, fs, 0)
-		saved(t, engine, "vote", 300)
+		mustSave(t, engine, "vote", 300)
 		if err := engine.Close(); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestReserveOpens: a folder on a disk that others have filled is opened with what the
-// reserve held.
+// TestReserveOpens: a folder on a disk filled by other programs is opened using the space of
+// the reserve.
 func TestReserveOpens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := faultfs.New(vfs.NewCrashableMem())
 		fs.SetCapacity(smallDisk)
 		engine := openSmall(t, fs)
 		for i := range 40 {
-			saved(t, engine, fmt.Sprint("k", i), 1)
+			mustSave(t, engine, fmt.Sprint("k", i), 1)
 		}
 		if err := engine.Close(); err != nil {
 			t.Fatal(err)
 		}
 		fillDisk(t, fs, 0)
-		began := time.Now()
+		startedAt := time.Now()
 		engine = openSmall(t, fs)
-		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("it took %v", took)
+		if took := time.Since(startedAt); took > 2*time.Second {
+			t.Errorf("opening took %v", took)
 		}
-		saved(t, engine, "k1", 2)
+		mustSave(t, engine, "k1", 2)
 		if err := engine.Close(); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestUnreadableForGood: a disk that goes on failing reads at the start is given up after a
-// minute: the machine starts under a new identity. One that fails them for less, or that
-// answers nothing for long, keeps it.
-func TestUnreadableForGood(t *testing.T) {
+// TestPersistentReadFailure: if reads keep failing at startup, the machine starts under a new
+// identity after a minute. It keeps its identity if reads fail for a shorter time, or if the
+// disk does not respond for a long time.
+func TestPersistentReadFailure(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		fault func(fs *faultfs.FS)
-		heal  func(fs *faultfs.FS)
-		after time.Duration
-		same  bool
+		name          string
+		fault         func(fs *faultfs.FS)
+		heal          func(fs *faultfs.FS)
+		healAfter     time.Duration
+		keepsIdentity bool
 	}{
 		{
-			// The new database stands where the old one stood, so it is healed soon after.
+			// The new database has the same path as the old one, so the fault is cleared soon
+			// afterwards.
 			"the database can't be read", func(fs *faultfs.FS) { fs.FailAlwaysOnFile(faultfs.Read, "MANIFEST", syscall.EIO) },
 			(*faultfs.FS).ClearFileFaults, 62 * time.Second, false,
 		},
@@ -158,25 +159,25 @@
 		synctest.Test(t, func(t *testing.T) {
 			fs := faultfs.New(vfs.NewCrashableMem())
 			engine := open(t, fs, "s1")
-			saved(t, engine, "k", 1)
-			was := engine.Ident()
+			mustSave(t, engine, "k", 1)
+			oldIdentity := engine.Ident()
 			if err := engine.Close(); err != nil {
 				t.Fatal(err)
 			}
 			tc.fault(fs)
-			if tc.after > 0 {
-				time.AfterFunc(tc.after, func() { tc.heal(fs) })
+			if tc.healAfter > 0 {
+				time.AfterFunc(tc.healAfter, func() { tc.heal(fs) })
 			}
-			began := time.Now()
+			startedAt := time.Now()
 			engine = open(t, fs, "s1")
-			if took := time.Since(began); !tc.same && took > 130*time.Second {
-				t.Errorf("%s: it took %v", tc.name, took)
+			if took := time.Since(startedAt); !tc.keepsIdentity && took > 130*time.Second {
+				t.Errorf("%s: opening took %v", tc.name, took)
 			}
-			if same := engine.Ident() == was; same != tc.same {
-				t.Errorf("%s: the same identity: %v", tc.name, same)
+			if same := engine.Ident() == oldIdentity; same != tc.keepsIdentity {
+				t.Errorf("%s: identity kept: %v", tc.name, same)
 			}
 			fs.ClearFileFaults()
-			saved(t, engine, "k", 2)
+			mustSave(t, engine, "k", 2)
 			if err := engine.Close(); err != nil {
 				t.Error(err)
 			}
