--- a/internal/state/storage/bulk.go
+++ b/internal/state/storage/bulk.go
@@ -14,8 +14,8 @@
 // SelectFunc reports whether a key is wanted, and whether its value is to be included.
 type SelectFunc func(key string) (wanted, withValue bool)
 
-// Copies returns copies of the selected keys that follow after, in key order, up to about the
-// given number of bytes. If there are more keys, last is the last key returned, otherwise it is
+// Copies returns copies of the selected keys that follow after, in key order, until they amount
+// to the given number of bytes. In that case last is the key to continue after, otherwise it is
 // empty.
 func (engine *Engine) Copies(
 	kind wire.List_Kind,
@@ -51,7 +51,7 @@
 	return out, last, err
 }
 
-// Copy returns a copy of one key, or nil if the key does not exist.
+// Copy returns a copy of one key, or nil if there is nothing to copy.
 func (engine *Engine) Copy(kind wire.List_Kind, key string) (*wire.Copy, error) {
 	prefix := registerPrefix
 	if kind == wire.List_BLOBS {
--- a/internal/state/storage/device.go
+++ b/internal/state/storage/device.go
@@ -154,6 +154,7 @@
 	return time.Since(d.lastProgress)
 }
 
+// endChange records that a change started with beginChange has completed.
 func (d *device) endChange() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/state/storage/diskspace.go
+++ b/internal/state/storage/diskspace.go
@@ -57,8 +57,8 @@
 
 // NearlyFull reports whether the remaining space is reserved for keys that exist already.
 func (engine *Engine) NearlyFull() bool {
-	f := engine.space.free.Load()
-	return engine.reserve.inUse() || f >= 0 && f < engine.space.minFree.Load()
+	free := engine.space.free.Load()
+	return engine.reserve.inUse() || free >= 0 && free < engine.space.minFree.Load()
 }
 
 // unavailableReason returns why all writes are rejected, or an empty string if they are not.
--- a/internal/state/storage/folder.go
+++ b/internal/state/storage/folder.go
@@ -92,7 +92,7 @@
 // openWithNewIdentity retires the data without reading it, and opens an empty database with a
 // new identity.
 func (engine *Engine) openWithNewIdentity() error {
-	if err := engine.replaceIdentity("the disk goes on failing reads", false); err != nil {
+	if err := engine.replaceIdentity("reads from the disk keep failing", false); err != nil {
 		return err
 	}
 	return engine.openDB(newDevice(engine.base))
@@ -153,7 +153,7 @@
 	if importBlobs && retired != "" && !slices.Contains(created.PendingImports, retired) {
 		created.PendingImports = append(created.PendingImports, retired)
 	}
-	engine.params.Log("created a new identity", "why", reason, "ident", created.Ident)
+	engine.params.Log("creating a new identity", "why", reason, "ident", created.Ident)
 	return engine.writeIdentity(created)
 }
 
