--- a/internal/coordination/cluster/cluster_test.go
+++ b/internal/coordination/cluster/cluster_test.go
@@ -14,7 +14,7 @@
 	"damsontiller/internal/transport/code"
 )
 
-// machines are some in each of the zones a, b, c and so on.
+// machines returns the given numbers of machines in the zones a, b, c and so on.
 func machines(zones ...int) []spec.Machine {
 	var out []spec.Machine
 	for z, n := range zones {
@@ -26,14 +26,14 @@
 	return out
 }
 
-// TestHolders: a key's copies are spread over zones, so that with as many zones as
-// that takes the loss of any one leaves a majority; all machines get their part; and
-// a machine more or less moves only what falls to it.
+// TestHolders checks that the replicas of a key are spread over zones, so that with enough zones
+// the loss of any one leaves a majority; that every machine holds some keys; and that adding a
+// machine moves only the keys that it receives.
 func TestHolders(t *testing.T) {
 	for _, tc := range []struct {
-		zones         []int
-		defaultCopies int
-		loses         bool // a zone may take a majority with it
+		zones             []int
+		copies            int
+		zoneHoldsMajority bool // a zone may hold a majority
 	}{
 		{[]int{1, 1, 1}, 3, false},
 		{[]int{2, 2, 1}, 3, false},
@@ -45,26 +45,26 @@
 	} {
 		set := machines(tc.zones...)
 		count := map[string]int{}
-		more := append(slices.Clone(set), spec.Machine{ID: "new", Addr: "new", Zone: "b", Ident: "inew"})
-		for k := range 3000 {
-			key := fmt.Sprint("turn/", k)
-			got := cluster.Holders(set, key, tc.defaultCopies)
-			if len(got) != tc.defaultCopies {
-				t.Fatalf("%v: %d holders", tc, len(got))
+		extended := append(slices.Clone(set), spec.Machine{ID: "new", Addr: "new", Zone: "b", Ident: "inew"})
+		for i := range 3000 {
+			key := fmt.Sprint("turn/", i)
+			holders := cluster.Holders(set, key, tc.copies)
+			if len(holders) != tc.copies {
+				t.Fatalf("%v: %d holders", tc, len(holders))
 			}
-			in := map[string]int{}
-			for _, m := range got {
-				in[m.Zone]++
+			holdersInZone := map[string]int{}
+			for _, m := range holders {
+				holdersInZone[m.Zone]++
 				count[m.ID]++
 			}
-			for z, n := range in {
-				if !tc.loses && n*2 >= tc.defaultCopies {
-					t.Fatalf("%v: zone %s holds %d of %d", tc, z, n, tc.defaultCopies)
+			for z, n := range holdersInZone {
+				if !tc.zoneHoldsMajority && n*2 >= tc.copies {
+					t.Fatalf("%v: zone %s holds %d of %d", tc, z, n, tc.copies)
 				}
 			}
-			// Only the newcomer gains.
-			for _, m := range cluster.Holders(more, key, tc.defaultCopies) {
-				if m.ID != "new" && !slices.Contains(got, m) {
+			// Only the new machine may gain keys.
+			for _, m := range cluster.Holders(extended, key, tc.copies) {
+				if m.ID != "new" && !slices.Contains(holders, m) {
 					t.Fatalf("%v: %s gains %s though it is not new", tc, m.ID, key)
 				}
 			}
@@ -76,54 +76,55 @@
 		}
 	}
 	if cluster.Holders(nil, "k", 3) != nil {
-		t.Error("nobody holds a key")
+		t.Error("an empty set has holders")
 	}
 	half := machines(1, 1, 1)
 	half[0].Ident = ""
 	if cluster.Holders(half, "k", 3) != nil {
-		t.Error("a set that is not all bound is written to")
+		t.Error("a set with an unknown identity has holders")
 	}
 }
 
-// TestWorst: never less than what really falls together.
-func TestWorst(t *testing.T) {
+// TestMaxHolders checks that MaxHolders is never less than the number of replicas actually placed
+// on the subset.
+func TestMaxHolders(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		set := machines(rnd.IntN(4), rnd.IntN(4), 1+rnd.IntN(4))
-		defaultCopies := []int{3, 5}[rnd.IntN(2)]
-		var some []spec.Machine
+		copies := []int{3, 5}[rnd.IntN(2)]
+		var subset []spec.Machine
 		for _, m := range set {
 			if rnd.IntN(3) == 0 {
-				some = append(some, m)
+				subset = append(subset, m)
 			}
 		}
-		worst := cluster.MaxHolders(set, some, defaultCopies)
-		for k := range 200 {
-			n := 0
-			for _, m := range cluster.Holders(set, fmt.Sprint(k), defaultCopies) {
-				if slices.Contains(some, m) {
-					n++
+		bound := cluster.MaxHolders(set, subset, copies)
+		for i := range 200 {
+			count := 0
+			for _, m := range cluster.Holders(set, fmt.Sprint(i), copies) {
+				if slices.Contains(subset, m) {
+					count++
 				}
 			}
-			if n > worst {
+			if count > bound {
 				t.Fatalf(
-					"%v without %v: %d of a key's %d, the worst is said to be %d",
+					"set %v, subset %v: %d of a key's %d replicas on the subset, MaxHolders is %d",
 					set,
-					some,
-					n,
-					defaultCopies,
-					worst,
+					subset,
+					count,
+					copies,
+					bound,
 				)
 			}
 		}
 	}
 	if w := cluster.MaxHolders(machines(2, 2, 1), machines(2), 3); w != 1 {
-		t.Errorf("a zone of three takes %d of three copies", w)
+		t.Errorf("one of three zones holds %d of three replicas", w)
 	}
 }
 
-// TestSets: the digest tells sets of stores apart.
-func TestSets(t *testing.T) {
+// TestStoresDigest checks that different sets of stores have different digests.
+func TestStoresDigest(t *testing.T) {
 	view := func(now, next []spec.Machine) uint64 {
 		v := cluster.View{Cluster: spec.Cluster{Stores: now, NextStores: next}}
 		return v.StoresDigest()
@@ -131,30 +132,30 @@
 	a, b := machines(1, 1, 1), machines(1, 1, 1)
 	b[1].Ident = "other"
 	if view(a, nil) == view(b, nil) || view(a, b) == view(b, a) || view(a, nil) == view(nil, a) {
-		t.Error("different sets have one digest")
+		t.Error("different sets have the same digest")
 	}
 	if view(a, b) != view(slices.Clone(a), slices.Clone(b)) {
-		t.Error("one pair of sets has two digests")
+		t.Error("equal sets have different digests")
 	}
 }
 
-// memory is an acceptor's disk in memory.
+// memory is an in-memory disk of an acceptor.
 type memory map[string]*wire.Rec
 
-func (m memory) Load(key string) (*wire.Rec, error) {
-	if r := m[key]; r != nil {
-		return &wire.Rec{Promised: r.Promised, Accepted: r.Accepted, Cell: r.Cell}, nil
+func (disk memory) Load(key string) (*wire.Rec, error) {
+	if record := disk[key]; record != nil {
+		return &wire.Rec{Promised: record.Promised, Accepted: record.Accepted, Cell: record.Cell}, nil
 	}
 	return &wire.Rec{}, nil
 }
 
-func (m memory) Save(key string, r *wire.Rec) error {
-	m[key] = r
+func (disk memory) Save(key string, record *wire.Rec) error {
+	disk[key] = record
 	return nil
 }
 
-// TestChosenOnFullDisk: a change that was chosen is no failure because this process's
-// own disk does not take it; but it is not in force here, so it is not confirmed.
+// TestChosenOnFullDisk checks that a chosen change is no error if the local disk does not store it,
+// and that the version is not in force on this process, so that it is not confirmed.
 func TestChosenOnFullDisk(t *testing.T) {
 	acceptor := register.NewAcceptor(memory{})
 	call := func(_ context.Context, _ string, q *wire.Req) (*wire.Resp, error) {
@@ -169,22 +170,22 @@
 		t.Fatal(err)
 	}
 	set := register.Set{{{Addr: "c1", Ident: "ic1"}}}
-	found := func(register.State) ([]byte, bool, error) { return raw, false, nil }
-	if _, err := proposer.Change(t.Context(), set, cluster.Key, found); err != nil {
+	initialValue := func(register.State) ([]byte, bool, error) { return raw, false, nil }
+	if _, err := proposer.Change(t.Context(), set, cluster.Key, initialValue); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []code.Code{code.DiskFull, code.DiskStalled, code.WriteUncertain, code.DiskFailure} {
-		here := cluster.New(proposer, func([]byte, uint64) error { return code.New(c, "no sync") })
-		here.SetInitialVoters(cores)
-		version, got, err := here.Change(t.Context(), 0, func(cluster *spec.Cluster) error {
+	for _, failure := range []code.Code{code.DiskFull, code.DiskStalled, code.WriteUncertain, code.DiskFailure} {
+		local := cluster.New(proposer, func([]byte, uint64) error { return code.New(failure, "no sync") })
+		local.SetInitialVoters(cores)
+		version, value, err := local.Change(t.Context(), 0, func(cluster *spec.Cluster) error {
 			cluster.Copies++
 			return nil
 		})
-		if err != nil || version == 0 || got == nil {
-			t.Errorf("%v: a chosen change is answered %d, %v", c, version, err)
+		if err != nil || version == 0 || value == nil {
+			t.Errorf("%v: a chosen change returned version %d, %v", failure, version, err)
 		}
-		if here.Now().Version != 0 {
-			t.Errorf("%v: version %d is in force without being kept", c, here.Now().Version)
+		if local.Now().Version != 0 {
+			t.Errorf("%v: version %d is in force but not on disk", failure, local.Now().Version)
 		}
 	}
 }
--- a/internal/coordination/core/acknowledgement.go
+++ b/internal/coordination/core/acknowledgement.go
@@ -15,75 +15,77 @@
 	"damsontiller/internal/transport/code"
 )
 
-// broadcastSpec sends a version down the tree and gives the ids that took it.
-func (c *Core) broadcastSpec(ctx context.Context, ver uint64, raw []byte) map[string]bool {
+// broadcastSpec broadcasts a version and returns the ids of the nodes that confirmed it.
+func (c *Core) broadcastSpec(ctx context.Context, version uint64, raw []byte) map[string]bool {
 	confirmed := map[string]bool{}
-	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: keys.SpecTopic, Seq: ver, Body: raw}) {
+	for _, id := range c.Broadcast.Publish(ctx, &wire.Item{Topic: keys.SpecTopic, Seq: version, Body: raw}) {
 		confirmed[id] = true
 	}
 	return confirmed
 }
 
-// membersTimeout is how long the core machines have to say which members they know.
+// membersTimeout bounds a query of all core machines for the members they know.
 const membersTimeout = time.Second
 
-// membersAnswer is what one core machine knows of the members.
+// membersAnswer is the answer of one core machine to a query for members.
 type membersAnswer struct {
 	core register.Replica
 	ack  *wire.MembersAck
 	err  error
 }
 
-// askMembers asks all core machines which members they know. The channel has a place for
-// each answer.
-func (c *Core) askMembers(ctx context.Context, cores []register.Replica) <-chan membersAnswer {
+// queryMembers asks all core machines for the members they know. The channel has capacity for every
+// answer.
+func (c *Core) queryMembers(ctx context.Context, cores []register.Replica) <-chan membersAnswer {
 	answers := make(chan membersAnswer, len(cores))
-	for _, core := range cores {
+	for _, replica := range cores {
 		go func() {
-			request := &wire.Req{Ident: core.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}}
-			response, err := c.Peer.Call(ctx, core.Addr, request)
-			answers <- membersAnswer{core, response.GetMembers(), err}
+			request := &wire.Req{Ident: replica.Ident, Op: &wire.Req_Members{Members: &wire.MembersAsk{}}}
+			response, err := c.Peer.Call(ctx, replica.Addr, request)
+			answers <- membersAnswer{replica, response.GetMembers(), err}
 		}()
 	}
 	return answers
 }
 
-// memberList is what a majority of core machines know of the members, by id@addr.
+// memberList holds the members known to a majority of the core machines, by id@addr.
 type memberList struct {
 	members map[string]*wire.Member
-	// complete: every node that was ever granted a lease and may still act is listed.
+	// complete is true if the list contains every node that was ever granted a lease and may still
+	// act.
 	complete bool
 }
 
-// knownMembers merges the members that a majority of core machines know: the newest
-// start of each, its highest confirmation, its shortest time without contact.
-func (c *Core) knownMembers(ctx context.Context) (*memberList, error) {
+// queryMemberList merges the members known to a majority of the core machines. Of each member it
+// keeps the latest incarnation, the highest confirmed version and the shortest time without
+// contact.
+func (c *Core) queryMemberList(ctx context.Context) (*memberList, error) {
 	set := c.Cluster.Newest().Cores()
-	ctx, stop := context.WithTimeout(ctx, membersTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
+	defer cancel()
 	cores := set.All()
-	answers := c.askMembers(ctx, cores)
+	answers := c.queryMembers(ctx, cores)
 	list := &memberList{members: map[string]*wire.Member{}}
 	answered, complete := map[register.Replica]bool{}, map[register.Replica]bool{}
-	// A lease is granted by a majority, so any majority knows of every node. The
-	// others are given a moment more: they may have seen some later.
+	// A lease is granted by a majority, so any majority knows every node. The remaining core
+	// machines get a little more time, as they may hold more recent contacts.
 	var stragglers <-chan time.Time
 	for range cores {
 		select {
-		case a := <-answers:
-			if a.err == nil {
-				answered[a.core] = true
-				complete[a.core] = !a.ack.GetIncomplete()
-				mergeMembers(list.members, a.ack.GetMembers())
+		case answer := <-answers:
+			if answer.err == nil {
+				answered[answer.core] = true
+				complete[answer.core] = !answer.ack.GetIncomplete()
+				mergeMembers(list.members, answer.ack.GetMembers())
 				list.complete = set.Quorum(complete)
 			}
 		case <-stragglers:
 			return list, nil
 		}
 		if stragglers == nil && set.Quorum(answered) {
-			t := time.NewTimer(stragglerWait)
-			defer t.Stop()
-			stragglers = t.C
+			timer := time.NewTimer(stragglerWait)
+			defer timer.Stop()
+			stragglers = timer.C
 		}
 	}
 	if !set.Quorum(answered) {
@@ -92,7 +94,7 @@
 	return list, nil
 }
 
-// mergeMembers adds what one more core machine knows to what others do.
+// mergeMembers merges the members known to one more core machine into members.
 func mergeMembers(members map[string]*wire.Member, more []*wire.Member) {
 	for _, m := range more {
 		key := m.Id + "@" + m.Addr
@@ -108,80 +110,80 @@
 	}
 }
 
-// stragglerWait is how long a core machine that is slower than a majority is waited for.
+// stragglerWait is how long to wait for the remaining core machines once a majority has answered.
 const stragglerWait = 50 * time.Millisecond
 
-// unconfirmed lists the nodes that could still act on a version older than ver. It
-// is none where the stores are the fence: so many have confirmed that no key
-// finds a majority below it, and what was looked at before is too old by now. Where the
-// cores do not list every node, only that fence will do.
-func (c *Core) unconfirmed(ctx context.Context, ver uint64, confirmed map[string]bool) ([]string, error) {
-	list, err := c.knownMembers(ctx)
+// unconfirmedNodes returns the nodes that could still act on a version older than the given one.
+// The result is empty once the stores act as the fence: enough of them have confirmed the version
+// that no key has a majority of replicas below it, and reads made before that have expired. If the
+// cores do not list every node, only this fence allows an empty result.
+func (c *Core) unconfirmedNodes(ctx context.Context, version uint64, confirmed map[string]bool) ([]string, error) {
+	list, err := c.queryMemberList(ctx)
 	if err != nil {
 		return nil, err
 	}
-	all := list.members
-	// The fence's time runs while the unresponsive are asked for.
-	var over <-chan time.Time
-	if c.fencedByStores(all, ver, confirmed) {
-		t := time.NewTimer(storeclient.ReadWindow)
-		defer t.Stop()
-		over = t.C
+	members := list.members
+	// The read window of the fence elapses while the unresponsive nodes are probed.
+	var fenceElapsed <-chan time.Time
+	if c.fencedByStores(members, version, confirmed) {
+		timer := time.NewTimer(storeclient.ReadWindow)
+		defer timer.Stop()
+		fenceElapsed = timer.C
 	}
-	type probed struct {
-		id  string
-		yes bool
+	type probeResult struct {
+		id      string
+		refused bool
 	}
-	ch := make(chan probed, len(all))
-	n := 0
-	for _, m := range all {
-		if m.SpecVer >= ver || confirmed[m.Id] {
+	probes := make(chan probeResult, len(members))
+	probeCount := 0
+	for _, m := range members {
+		if m.SpecVer >= version || confirmed[m.Id] {
 			continue
 		}
-		n++
+		probeCount++
 		go func() {
-			// A refused port: the process has exited, and a new one reads the
-			// spec at a majority before it serves.
-			ch <- probed{m.Id, c.portRefused(ctx, m.Addr)}
+			// If the port refuses connections, the process has exited. A new process reads the spec
+			// at a majority before it serves.
+			probes <- probeResult{m.Id, c.portRefused(ctx, m.Addr)}
 		}()
 	}
-	out := []string{}
+	unconfirmed := []string{}
 	if !list.complete {
-		out = append(out, unlistedNodes)
+		unconfirmed = append(unconfirmed, unlistedNodes)
 	}
-	for range n {
+	for range probeCount {
 		select {
-		case g := <-ch:
-			if !g.yes {
-				out = append(out, g.id)
+		case probe := <-probes:
+			if !probe.refused {
+				unconfirmed = append(unconfirmed, probe.id)
 			}
-		case <-over:
+		case <-fenceElapsed:
 			return []string{}, nil
 		}
 	}
-	slices.Sort(out)
-	if len(out) > 0 && over != nil {
+	slices.Sort(unconfirmed)
+	if len(unconfirmed) > 0 && fenceElapsed != nil {
 		select {
-		case <-over:
+		case <-fenceElapsed:
 			return []string{}, nil
 		case <-ctx.Done():
 		}
 	}
-	return out, nil
+	return unconfirmed, nil
 }
 
-// fencedByStores reports whether in neither set of stores could those that have not confirmed ver
-// make a majority of some key's copies.
-func (c *Core) fencedByStores(known map[string]*wire.Member, ver uint64, confirmed map[string]bool) bool {
-	v := c.Cluster.Newest()
-	return membership.Fenced(&v.Cluster, func(m spec.Machine) bool {
+// fencedByStores reports whether, in neither set of stores, the stores that have not confirmed the
+// version could form a majority of any key's replicas.
+func (c *Core) fencedByStores(known map[string]*wire.Member, version uint64, confirmed map[string]bool) bool {
+	view := c.Cluster.Newest()
+	return membership.Fenced(&view.Cluster, func(m spec.Machine) bool {
 		member := known[m.ID+"@"+m.Addr]
-		return member.GetIdent() == m.Ident && (member.GetSpecVer() >= ver || confirmed[m.ID])
+		return member.GetIdent() == m.Ident && (member.GetSpecVer() >= version || confirmed[m.ID])
 	})
 }
 
-// unlistedNodes stands for nodes that the cores do not list any more, among those that an
-// acknowledgement waits for.
+// unlistedNodes stands for nodes that are no longer listed by the cores in the list of nodes that
+// an acknowledgement waits for.
 const unlistedNodes = "(nodes no longer listed)"
 
 func (c *Core) portRefused(ctx context.Context, addr string) bool {
--- a/internal/coordination/membership/cores_history_test.go
+++ b/internal/coordination/membership/cores_history_test.go
@@ -8,34 +8,34 @@
 	"damsontiller/internal/proto/spec"
 )
 
-// change has a proposer make one change with the answers of these cores only; it tells
-// whether it was acknowledged.
-func (w *coresWorld) change(p *proposer, name string, edit func(*spec.Cluster) error, ids ...string) bool {
-	w.propose(p, name, edit)
+// editRegister makes a proposer edit the register with answers of the given cores only, and
+// reports whether the edit was acknowledged.
+func (sim *coresSimulation) editRegister(p *proposer, name string, edit func(*spec.Cluster) error, ids ...string) bool {
+	sim.propose(p, name, edit)
 	op := p.op
-	w.exchange(op, ids)
+	sim.exchange(op, ids)
 	if !quorum(op.set, op.promised) {
 		p.op = nil
 		return false
 	}
-	w.workOut(p)
-	w.exchange(op, ids)
+	sim.proposeValue(p)
+	sim.exchange(op, ids)
 	if op.cell == nil || !quorum(op.set, op.accepted) {
 		p.op = nil
 		return false
 	}
-	w.acknowledge(p)
-	w.apply(p.view, op.cell.Ver)
-	w.check()
+	sim.acknowledge(p)
+	sim.apply(p.view, op.cell.Ver)
+	sim.check()
 	return true
 }
 
-// exchange brings a proposal's messages to these cores and onto their disks.
-func (w *coresWorld) exchange(op *proposal, ids []string) {
-	w.network = nil
+// exchange delivers a proposal's messages to the given cores and writes them to their disks.
+func (sim *coresSimulation) exchange(op *proposal, ids []string) {
+	sim.network = nil
 	for _, id := range ids {
-		n := w.nodes[id]
-		w.deliver(&coreMessage{to: register.Replica{Addr: id, Ident: n.machine.Ident}, op: op, cell: op.cell})
+		n := sim.nodes[id]
+		sim.deliver(&coreMessage{to: register.Replica{Addr: id, Ident: n.machine.Ident}, op: op, cell: op.cell})
 		for _, commit := range n.admitted {
 			commit()
 		}
@@ -43,103 +43,104 @@
 	}
 }
 
-// tell has all cores and some proposers learn of the newest version.
-func (w *coresWorld) tell(ps ...*proposer) {
-	for _, n := range w.nodes {
-		w.apply(n.view, w.newest)
+// publish applies the newest version to the views of all cores and the given proposers.
+func (sim *coresSimulation) publish(proposers ...*proposer) {
+	for _, n := range sim.nodes {
+		sim.apply(n.view, sim.newest)
 	}
-	for _, p := range ps {
-		w.apply(p.view, w.newest)
+	for _, p := range proposers {
+		sim.apply(p.view, sim.newest)
 	}
 }
 
-func back(c *spec.Cluster) error {
+func revertChange(c *spec.Cluster) error {
 	membership.SetNext(c, membership.Cores, nil)
 	return nil
 }
 
-// fiveToThree is a world of five cores and the edit that begins to drop two of them.
-func fiveToThree(t *testing.T) (*coresWorld, func(*spec.Cluster) error) {
-	w := newCoresWorld(t, 0)
+// fiveToThree returns a model with five cores, and the edit that starts a change to three.
+func fiveToThree(t *testing.T) (*coresSimulation, func(*spec.Cluster) error) {
+	sim := newCoresSimulation(t, 0)
 	first := []string{"c0", "c1", "c2"}
-	p := w.proposers[0]
-	five := append(machinesAt(w, first...), machinesAt(w, "c3", "c4")...)
-	w.change(p, "five", func(c *spec.Cluster) error { c.Cores = five; return nil }, first...)
-	w.tell(w.proposers...)
-	// The newcomers get the value as the settling of a change would bring it.
-	w.change(p, "edit", func(*spec.Cluster) error { return nil }, "c0", "c1", "c2", "c3", "c4")
-	w.tell(w.proposers...)
-	return w, func(c *spec.Cluster) error {
+	p := sim.proposers[0]
+	five := append(machinesAt(sim, first...), machinesAt(sim, "c3", "c4")...)
+	sim.editRegister(p, "five", func(c *spec.Cluster) error { c.Cores = five; return nil }, first...)
+	sim.publish(sim.proposers...)
+	// The newcomers receive the value, as they would when a change finishes.
+	sim.editRegister(p, "edit", func(*spec.Cluster) error { return nil }, "c0", "c1", "c2", "c3", "c4")
+	sim.publish(sim.proposers...)
+	return sim, func(c *spec.Cluster) error {
 		membership.SetNext(c, membership.Cores, five[:3])
 		return nil
 	}
 }
 
-func machinesAt(w *coresWorld, ids ...string) []spec.Machine {
+func machinesAt(sim *coresSimulation, ids ...string) []spec.Machine {
 	var out []spec.Machine
 	for _, id := range ids {
-		out = append(out, w.nodes[id].machine)
+		out = append(out, sim.nodes[id].machine)
 	}
 	return out
 }
 
-// TestFrozenCoreMover: a mover is frozen once a majority of the old cores has confirmed.
-// Meanwhile the change is reverted and the same one begun anew, which no core has
-// confirmed. The mover that wakes must not finish: whoever acts on the old set alone is
-// not refused yet, and {c2, c3, c4} is a majority of that while {c0, c1} is one of the
-// new.
-func TestFrozenCoreMover(t *testing.T) {
-	w, begin := fiveToThree(t)
+// TestPausedCoreReconciler guards against a reconciler that finishes a change on confirmations
+// of an earlier, equal one. It is paused once a majority of the old cores has confirmed the
+// change. Meanwhile the change is reverted and started again, and no core has confirmed the
+// second one. The resumed reconciler must not finish it: proposers that act on the old set
+// alone are not refused yet, and {c2, c3, c4} is a majority of the old set while {c0, c1} is
+// one of the new set.
+func TestPausedCoreReconciler(t *testing.T) {
+	sim, begin := fiveToThree(t)
 	all := []string{"c0", "c1", "c2", "c3", "c4"}
-	mover, other, old := w.proposers[0], w.proposers[1], w.proposers[2]
-	w.change(mover, "begin", begin, all...)
-	w.tell(other)
-	seen := membership.Of(&mover.view.Now().Cluster, membership.Cores)
-	w.change(other, "back", back, all...)
-	w.tell(old)
-	w.change(other, "begin", begin, all...)
-	w.apply(mover.view, w.newest)
-	finished := w.change(
-		mover,
-		"settle",
-		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) },
+	reconciler, other, old := sim.proposers[0], sim.proposers[1], sim.proposers[2]
+	sim.editRegister(reconciler, "begin", begin, all...)
+	sim.publish(other)
+	observed := membership.Of(&reconciler.view.Now().Cluster, membership.Cores)
+	sim.editRegister(other, "revert", revertChange, all...)
+	sim.publish(old)
+	sim.editRegister(other, "begin", begin, all...)
+	sim.apply(reconciler.view, sim.newest)
+	finished := sim.editRegister(
+		reconciler,
+		"finish",
+		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, observed) },
 		"c0",
 		"c1",
 		"c2",
 	)
-	acknowledged := w.change(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4")
+	acknowledged := sim.editRegister(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4")
 	if finished && acknowledged {
-		t.Error("a change was acknowledged by the old cores after the new ones stand alone")
+		t.Error("an edit was acknowledged by the old cores after the change to the new ones was finished")
 	}
 	if finished {
-		t.Error("settled on confirmations of another change")
+		t.Error("the change was finished on confirmations of another change")
 	}
 }
 
-// TestSkippedCoreVersion: cores that saw the first change and the second one, but not
-// that it was reverted in between, refuse a proposer of the version in between.
+// TestSkippedCoreVersion verifies that cores that learned of a change and of an equal later
+// one, but not of the revert between them, refuse a proposer at the version of the revert.
 func TestSkippedCoreVersion(t *testing.T) {
-	w, begin := fiveToThree(t)
+	sim, begin := fiveToThree(t)
 	all := []string{"c0", "c1", "c2", "c3", "c4"}
-	mover, old := w.proposers[0], w.proposers[2]
-	w.change(mover, "begin", begin, all...)
-	w.tell()
-	w.change(mover, "back", back, all...)
-	w.apply(old.view, w.newest)
-	w.change(mover, "begin", begin, all...)
-	w.tell()
-	seen := membership.Of(&mover.view.Now().Cluster, membership.Cores)
-	if !w.change(
-		mover,
-		"settle",
-		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, seen) },
+	reconciler, old := sim.proposers[0], sim.proposers[2]
+	sim.editRegister(reconciler, "begin", begin, all...)
+	sim.publish()
+	sim.editRegister(reconciler, "revert", revertChange, all...)
+	sim.apply(old.view, sim.newest)
+	sim.editRegister(reconciler, "begin", begin, all...)
+	sim.publish()
+	observed := membership.Of(&reconciler.view.Now().Cluster, membership.Cores)
+	if !sim.editRegister(
+		reconciler,
+		"finish",
+		func(c *spec.Cluster) error { return membership.FinishChange(c, membership.Cores, observed) },
 		"c0",
 		"c1",
 		"c2",
 	) {
-		t.Fatal("not settled")
+		t.Fatal("the change was not finished")
 	}
-	if w.change(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4") {
-		t.Error("a change was acknowledged by the old cores after the new ones stand alone")
+	if sim.editRegister(old, "edit", func(*spec.Cluster) error { return nil }, "c2", "c3", "c4") {
+		t.Error("an edit was acknowledged by the old cores after the change to the new ones was finished")
 	}
 }
--- a/internal/dataplane/store/repair.go
+++ b/internal/dataplane/store/repair.go
@@ -56,7 +56,7 @@
 	include := s.heldByBoth(addr)
 	after := ""
 	for {
-		rows, err := s.engine.Keys(kind, after, core.MaxPage, include)
+		rows, err := s.engine.Keys(kind, after, core.MaxKeysPerPage, include)
 		if err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 			// A sum is independent of the order, and equal hashes don't cancel out as with XOR.
 			out[bucket(r.Key)] += h.Sum64()
 		}
-		if len(rows) < core.MaxPage {
+		if len(rows) < core.MaxKeysPerPage {
 			return out, nil
 		}
 		after = rows[len(rows)-1].Key
@@ -88,7 +88,7 @@
 func (s *Store) handleList(_ context.Context, q *wire.Req) (*wire.Resp, error) {
 	l := q.GetList()
 	if len(l.Buckets) == 0 {
-		return core.List(s.engine, l, nil)
+		return core.ListKeys(s.engine, l, nil)
 	}
 	var requested [Buckets]bool
 	for _, b := range l.Buckets {
@@ -97,7 +97,7 @@
 		}
 	}
 	shared := s.heldByBoth(q.From)
-	return core.List(s.engine, l, func(k string) bool { return requested[bucket(k)] && shared(k) })
+	return core.ListKeys(s.engine, l, func(k string) bool { return requested[bucket(k)] && shared(k) })
 }
 
 // repair compares this store with one other, chosen at random, and pulls the newer records.
@@ -143,7 +143,7 @@
 	if len(theirs) != len(mine) {
 		return 0, code.New(code.Garbled, "%d digests, want %d", len(theirs), len(mine))
 	}
-	list := &wire.List{Kind: kind, Limit: core.MaxPage}
+	list := &wire.List{Kind: kind, Limit: core.MaxKeysPerPage}
 	for i := range mine {
 		if mine[i] != theirs[i] {
 			list.Buckets = append(list.Buckets, uint32(i))
@@ -165,7 +165,7 @@
 				n++
 			}
 		}
-		if len(rows) < core.MaxPage {
+		if len(rows) < core.MaxKeysPerPage {
 			break
 		}
 		list.After = rows[len(rows)-1].Key
--- a/internal/platform/control/operate.go
+++ b/internal/platform/control/operate.go
@@ -81,7 +81,7 @@
 	} else if o.Log != nil {
 		o.Log.Warn("order refused", "order", x.Request().URL.Path, "status", s, "err", err)
 	}
-	return x.JSON(s, web.Of(err))
+	return x.JSON(s, web.FailureOf(err))
 }
 
 // bound is how long an order may take; it outlives its caller, for what is half
@@ -110,7 +110,7 @@
 	if err != nil {
 		return o.fail(x, err)
 	}
-	b, err := web.Body(x, maxOrder)
+	b, err := web.ReadBody(x, maxOrder)
 	if err != nil {
 		return o.fail(x, err)
 	}
@@ -171,7 +171,7 @@
 			return code.New(code.NoZone, "%q is not one of zones", z)
 		}
 		// The order has no number: one that may be old must not undo a newer one.
-		if err := o.Core.InContact(ctx); err != nil {
+		if err := o.Core.RequireContact(ctx); err != nil {
 			return err
 		}
 		s.EmptyZones = slices.DeleteFunc(slices.Clone(s.EmptyZones), func(e string) bool { return e == z })
