--- a/internal/coordination/core/setchange.go
+++ b/internal/coordination/core/setchange.go
@@ -88,7 +88,7 @@
 	for _, m := range receivers {
 		go func() {
 			fill := &wire.Fill{Spec: view.StoresVersion, Sets: view.StoresDigest(), Rate: int32(rate)}
-			response, err := c.Peer.CallFor(
+			response, err := c.Peer.CallWithTimeout(
 				ctx,
 				transferTimeout+time.Second,
 				m.Addr,
--- a/internal/coordination/node/discover_test.go
+++ b/internal/coordination/node/discover_test.go
@@ -22,14 +22,14 @@
 
 const seedCount = 8
 
-// seeds are processes that know the cluster, or that know none.
+// seeds are processes that have a cluster or none.
 type seeds struct {
-	addrs   []string
-	full    atomic.Int64 // answers with the cluster
-	entered atomic.Int64 // all answers
+	addrs          []string
+	clusterAnswers atomic.Int64 // answers that contained the cluster
+	answers        atomic.Int64 // all answers
 }
 
-// largeCluster is a cluster with the routes of a deployment.
+// largeCluster returns a cluster with as many routes as a real deployment.
 func largeCluster(t *testing.T, revision uint64) []byte {
 	t.Helper()
 	c := spec.Cluster{Table: spec.Table{Revision: revision}}
@@ -46,7 +46,7 @@
 	return raw
 }
 
-// startSeeds starts seeds that have a version in force each; 0 is none.
+// startSeeds starts seeds that have the given versions in force; 0 means none.
 func startSeeds(t *testing.T, network *memnet.Net, versions [seedCount]uint64) *seeds {
 	t.Helper()
 	s := &seeds{}
@@ -57,12 +57,12 @@
 				t.Fatal(err)
 			}
 		}
-		// In place of the node's own handler, to count.
+		// Replaces the node's own handler to count the answers.
 		n.Peer.Handle(&wire.Req_Hello{}, func(_ context.Context, q *wire.Req) (*wire.Resp, error) {
-			s.entered.Add(1)
+			s.answers.Add(1)
 			ack := n.Cluster.Now().HelloAck(n.Peer.Member(version), q.GetHello())
 			if len(ack.Cluster)+len(ack.CompressedCluster) > 0 {
-				s.full.Add(1)
+				s.clusterAnswers.Add(1)
 			}
 			return &wire.Resp{Op: &wire.Resp_Hello{Hello: ack}}, nil
 		})
@@ -87,9 +87,8 @@
 	})
 }
 
-// TestDiscoverOnce: a node that knows no cluster gets it from one of its seeds, compressed,
-// and not from each; one that has it is sent it no more; one with an older one gets the
-// newest that any seed has.
+// TestDiscoverOnce: a node without a cluster fetches it, compressed, from only one of its
+// seeds. A node that has the cluster does not fetch it again.
 func TestDiscoverOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(1)
@@ -103,19 +102,19 @@
 		if v := n.Cluster.Now(); v.Version != 3 || !bytes.Equal(v.Raw(), largeCluster(t, 3)) {
 			t.Fatalf("version %d, %d bytes", v.Version, len(v.Raw()))
 		}
-		if full := s.full.Swap(0); full != 1 {
+		if full := s.clusterAnswers.Swap(0); full != 1 {
 			t.Errorf("%d seeds sent the cluster", full)
 		}
 		if !n.Cluster.Discover(t.Context()) {
 			t.Error("no seed knew a cluster")
 		}
-		if full, all := s.full.Load(), s.entered.Load(); full != 0 || all < 2*seedCount {
+		if full, all := s.clusterAnswers.Load(), s.answers.Load(); full != 0 || all < 2*seedCount {
 			t.Errorf("%d seeds sent the cluster again, %d answers in all", full, all)
 		}
 	})
 }
 
-// TestDiscoverNewest: of the versions that the seeds have, the newest is fetched, from one.
+// TestDiscoverNewest: the newest version among the seeds is fetched, and only once.
 func TestDiscoverNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(1)
@@ -128,14 +127,14 @@
 		if !n.Cluster.Discover(t.Context()) || n.Cluster.Now().Version != 9 {
 			t.Errorf("version %d", n.Cluster.Now().Version)
 		}
-		if full := s.full.Load(); full != 1 {
+		if full := s.clusterAnswers.Load(); full != 1 {
 			t.Errorf("%d seeds sent the cluster", full)
 		}
 	})
 }
 
-// TestHelloForms: who does not say that it accepts a compressed cluster gets it as it is,
-// as earlier releases do.
+// TestHelloForms: a process that does not announce support for a compressed cluster, such as an
+// earlier release, gets it uncompressed.
 func TestHelloForms(t *testing.T) {
 	view := cluster.New(nil, nil)
 	raw := largeCluster(t, 2)
