--- a/cmd/internal/startup/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -20,8 +20,8 @@
 		Seeds: strings.Join(
 			s.Peers(),
 			",",
-		), MinFree: s.MinFree(), Renew: lasts / 3, Lasts: lasts, OrphanTimeout: 10 * time.Second}
-	p.OrphanTimeout = max(p.OrphanTimeout, p.Lasts)
+		), MinFree: s.MinFree(), RenewInterval: lasts / 3, LeaseDuration: lasts, OrphanTimeout: 10 * time.Second}
+	p.OrphanTimeout = max(p.OrphanTimeout, p.LeaseDuration)
 	s.Fit()
 	return p, p.check()
 }
--- a/cmd/internal/startup/startup.go
+++ b/cmd/internal/startup/startup.go
@@ -39,13 +39,13 @@
 
 // Process is where a process stands.
 type Process struct {
-	ID, Listen, HTTP, Zone, Data, Level string
-	Seeds                               string
-	Faults                              bool
-	MinFree                             int64
-	Renew, Lasts, OrphanTimeout         time.Duration
-	file                                string
-	fs                                  *flag.FlagSet
+	ID, Listen, HTTP, Zone, Data, Level         string
+	Seeds                                       string
+	Faults                                      bool
+	MinFree                                     int64
+	RenewInterval, LeaseDuration, OrphanTimeout time.Duration
+	file                                        string
+	fs                                          *flag.FlagSet
 }
 
 // Flags defines the flags that every process has.
@@ -60,8 +60,8 @@
 	fs.StringVar(&p.Seeds, "seeds", "", "up to three addresses of other processes, with commas between")
 	fs.StringVar(&p.Level, "log", "info", "least level logged: debug, info, warn, error")
 	fs.BoolVar(&p.Faults, "faults", false, "let the fault kit partition this process (never in service)")
-	fs.DurationVar(&p.Renew, "renew", d.RenewInterval, "time between renewals of the lease")
-	fs.DurationVar(&p.Lasts, "lasts", d.Duration, "time a lease lasts")
+	fs.DurationVar(&p.RenewInterval, "renew", d.RenewInterval, "time between renewals of the lease")
+	fs.DurationVar(&p.LeaseDuration, "lasts", d.Duration, "time a lease lasts")
 	fs.DurationVar(
 		&p.OrphanTimeout,
 		"hold",
@@ -156,11 +156,11 @@
 	if p.MinFree < 0 {
 		return flagErr("min-free", "%d is negative", p.MinFree)
 	}
-	if p.Renew <= 0 || p.Lasts < 2*p.Renew {
-		return flagErr("lasts", "%s is less than twice -renew %s", p.Lasts, p.Renew)
+	if p.RenewInterval <= 0 || p.LeaseDuration < 2*p.RenewInterval {
+		return flagErr("lasts", "%s is less than twice -renew %s", p.LeaseDuration, p.RenewInterval)
 	}
-	if p.OrphanTimeout < p.Lasts {
-		return flagErr("hold", "%s is less than -lasts %s", p.OrphanTimeout, p.Lasts)
+	if p.OrphanTimeout < p.LeaseDuration {
+		return flagErr("hold", "%s is less than -lasts %s", p.OrphanTimeout, p.LeaseDuration)
 	}
 	return nil
 }
@@ -197,8 +197,8 @@
 		Seeds: p.SeedList(), Net: transport.TCP(transport.DefaultParams, Opener(log)),
 		Transport: transport.DefaultParams,
 		Lease: lease.Params{
-			RenewInterval: p.Renew,
-			Duration:      p.Lasts,
+			RenewInterval: p.RenewInterval,
+			Duration:      p.LeaseDuration,
 			OrphanTimeout: p.OrphanTimeout,
 		}, Broadcast: broadcast.DefaultParams, Log: log,
 	}
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -83,17 +83,17 @@
 		words += len(l.Words) + len(l.Answer)
 	}
 	return &script.Job{
-		Program: class,
-		Class:   c.Class,
-		Route:   c.Route,
-		Conv:    c.Conv,
-		Urgent:  c.Urgent,
-		Keyed:   c.Key != "",
-		Follows: c.Follows != "",
-		Left:    c.Left().Seconds(),
-		Words:   int64(words),
-		Output:  c.MaxOutput,
-		Parts:   c.Parts,
+		Program:     class,
+		Class:       c.Class,
+		Route:       c.Route,
+		Conv:        c.Conv,
+		Urgent:      c.Urgent,
+		Keyed:       c.Key != "",
+		Follows:     c.Follows != "",
+		SecondsLeft: c.Left().Seconds(),
+		InputLength: int64(words),
+		MaxOutput:   c.MaxOutput,
+		Parts:       c.Parts,
 	}
 }
 
--- a/internal/proto/script/script.go
+++ b/internal/proto/script/script.go
@@ -20,17 +20,17 @@
 
 // Job is what a program sees of a job. It never sees words of a caller.
 type Job struct {
-	Program string   `cel:"program"` // class of the program
-	Class   string   `cel:"class"`
-	Route   string   `cel:"route"`
-	Conv    string   `cel:"conversation"`
-	Urgent  bool     `cel:"urgent"`
-	Keyed   bool     `cel:"keyed"`
-	Follows bool     `cel:"follows"`
-	Left    float64  `cel:"left"`   // seconds until its deadline, when it is looked at
-	Words   int64    `cel:"words"`  // length of its words and history
-	Output  int64    `cel:"output"` // largest output allowed
-	Parts   []string `cel:"parts"`
+	Program     string   `cel:"program"` // class of the program
+	Class       string   `cel:"class"`
+	Route       string   `cel:"route"`
+	Conv        string   `cel:"conversation"`
+	Urgent      bool     `cel:"urgent"`
+	Keyed       bool     `cel:"keyed"`
+	Follows     bool     `cel:"follows"`
+	SecondsLeft float64  `cel:"left"`   // seconds until its deadline, when it is looked at
+	InputLength int64    `cel:"words"`  // length of its words and history
+	MaxOutput   int64    `cel:"output"` // largest output allowed
+	Parts       []string `cel:"parts"`
 }
 
 // Runner is what it sees of a runner that the job may go to.
