--- a/internal/proto/keys/keys.go
+++ b/internal/proto/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys spells the keys of registers and blobs at the stores, and the topics of
-// broadcast items. Both are stored or sent, so they keep their spelling, also where the
-// code has come to use another word.
+// Package keys defines the keys of registers and blobs in the stores and the topics of
+// broadcast items. Both are stored or sent, so their spelling must not change, even where
+// the code now uses a different name.
 package keys
 
 import (
@@ -9,31 +9,33 @@
 	"encoding/hex"
 )
 
-// Cluster is the key of the cluster's register, at the cores.
+// Cluster is the key of the register with the cluster's spec, kept by the cores.
 const Cluster = "spec"
 
-// Prefixes of the keys of registers.
+// Prefixes of register keys.
 const (
-	// ClaimPrefix is that of claims: idempotency keys and what became of their work.
+	// ClaimPrefix is the prefix of claims, which record an idempotency key and the outcome
+	// of its job.
 	ClaimPrefix = "claim/"
-	// BudgetPrefix is that of the budgets of programs, once called purses.
+	// BudgetPrefix is the prefix of the budgets of programs, formerly called purses.
 	BudgetPrefix = "purse/"
-	// CooldownPrefix is that of cooldowns.
+	// CooldownPrefix is the prefix of cooldowns.
 	CooldownPrefix = "cool/"
-	// SingletonPrefix is that of the epochs of singleton roles, once called duties.
+	// SingletonPrefix is the prefix of the epochs of singleton roles, formerly called duties.
 	SingletonPrefix = "duty/"
-	// OperationPrefix is that of the operations of keyed proxied requests.
+	// OperationPrefix is the prefix of the operations of proxied requests that carry an
+	// idempotency key.
 	OperationPrefix = "op/"
 )
 
-// turnPrefix is that of the blobs that hold turns of conversations.
+// turnPrefix is the prefix of the blobs that hold conversation turns.
 const turnPrefix = "turn/"
 
-// proxyBudgets separates the budgets of proxied requests, whose programs are named by
-// their callers, from those of named turns.
+// proxyBudgets is the prefix of the budgets of proxied requests. It separates them from
+// those of named turns, because callers choose the program names of proxied requests.
 const proxyBudgets = BudgetPrefix + "raw/"
 
-// Those of a tenant, in whose names a digest stands for the tenant.
+// Prefixes of the keys of a tenant, in which a digest replaces the tenant's name.
 const (
 	tenantBudgets = BudgetPrefix + "tenant/"
 	tenantTurns   = "tenant-turn/"
@@ -41,25 +43,25 @@
 
 // Topics of broadcast items.
 const (
-	// SpecTopic is that of versions of the spec register.
+	// SpecTopic is the topic of new versions of the spec register.
 	SpecTopic = "spec"
-	// CooldownTopic is that of cooldowns just installed.
+	// CooldownTopic is the topic of newly installed cooldowns.
 	CooldownTopic = "cool"
 )
 
-// AssignerRole names the singleton role that assigns the runners' capacity.
+// AssignerRole is the name of the singleton role that assigns runner capacity.
 const AssignerRole = "deal"
 
-// Claim is the key of a claim: of a program and its idempotency key.
+// Claim returns the key of the claim of a program's idempotency key.
 func Claim(program, idempotencyKey string) string {
 	return ClaimPrefix + program + "/" + idempotencyKey
 }
 
-// Budget is the key of a program's budget.
+// Budget returns the key of a program's budget.
 func Budget(program string) string { return BudgetPrefix + program }
 
-// ProxyBudget is the key of the budget of a program of proxied requests; tenant is empty
-// where callers carry no credentials.
+// ProxyBudget returns the key of the budget of a program of proxied requests; tenant is
+// empty if callers have no credentials.
 func ProxyBudget(tenant, program string) string {
 	if tenant == "" {
 		return proxyBudgets + program
@@ -67,36 +69,36 @@
 	return tenantBudgets + digest(tenant) + "/" + program
 }
 
-// Operation is the key of a tenant's operation.
+// Operation returns the key of a tenant's operation.
 func Operation(tenant, operationKey string) string {
 	return OperationPrefix + digest(tenant, operationKey)
 }
 
-// digestBytes are enough that no two names are ever seen to have one digest.
+// digestBytes is the length of a digest; 128 bits make collisions negligible.
 const digestBytes = 16
 
-// digest stands for names of any length and content.
+// digest maps names of any length and content to a hexadecimal string of fixed length.
 func digest(names ...string) string {
 	h := sha256.New()
 	for _, name := range names {
-		// The length goes first, so that no two lists of names are hashed alike.
+		// The length prefix keeps different lists of names from hashing the same bytes.
 		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(name))))
 		h.Write([]byte(name))
 	}
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 }
 
-// Cooldown is the key of a cooldown's register.
+// Cooldown returns the key of the register of a cooldown.
 func Cooldown(key string) string { return CooldownPrefix + key }
 
-// Singleton is the key of a singleton role's epoch.
+// Singleton returns the key of the epoch of a singleton role.
 func Singleton(role string) string { return SingletonPrefix + role }
 
-// Turn is the key of a turn's blob.
+// Turn returns the key of the blob of a turn.
 func Turn(id string) string { return turnPrefix + id }
 
-// ProxyTurn is the key of the blob of a proxied turn; tenant is empty where callers carry no
-// credentials. A turn of one tenant is not found under another.
+// ProxyTurn returns the key of the blob of a proxied turn; tenant is empty if callers have
+// no credentials. A tenant cannot read the turns of another one.
 func ProxyTurn(tenant, id string) string {
 	if tenant == "" {
 		return turnPrefix + id
--- a/internal/proto/keys/keys_test.go
+++ b/internal/proto/keys/keys_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestSpelling: keys are stored, so no release may spell them otherwise.
+// TestSpelling checks the spelling of keys and topics. They are stored and sent, so no
+// release may change them.
 func TestSpelling(t *testing.T) {
 	tests := []struct{ got, want string }{
 		{Claim("reel/1", "k1"), "claim/reel/1/k1"},
--- a/internal/proto/script/script.go
+++ b/internal/proto/script/script.go
@@ -1,6 +1,7 @@
-// Package script holds policy programs: two short expressions, by which jobs are
-// ordered and runners are ranked. They are CEL: typed, without loops, and bounded
-// in cost, so that a program ends and stays small whatever it says.
+// Package script compiles and evaluates policy programs. A program has up to two CEL
+// expressions: one ranks runners, the other orders jobs. CEL expressions are typed and
+// have no unbounded loops, and evaluation has a cost limit, so that every program
+// terminates and uses a bounded amount of memory.
 package script
 
 import (
@@ -18,7 +19,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Job is what a program sees of a job. It never sees words of a caller.
+// Job holds the attributes of a job that a program can read. Request content is not
+// among them.
 type Job struct {
 	Program     string   `cel:"program"` // class of the program
 	Class       string   `cel:"class"`
@@ -27,46 +29,47 @@
 	Urgent      bool     `cel:"urgent"`
 	Keyed       bool     `cel:"keyed"`
 	Follows     bool     `cel:"follows"`
-	SecondsLeft float64  `cel:"left"`   // seconds until its deadline, when it is looked at
-	InputLength int64    `cel:"words"`  // length of its words and history
-	MaxOutput   int64    `cel:"output"` // largest output allowed
+	SecondsLeft float64  `cel:"left"`   // seconds until the deadline, at the time of evaluation
+	InputLength int64    `cel:"words"`  // bytes of the prompt and the conversation history
+	MaxOutput   int64    `cel:"output"` // limit on the output
 	Parts       []string `cel:"parts"`
 }
 
-// Runner is what it sees of a runner that the job may go to.
+// Runner holds the attributes of a candidate runner that a program can read.
 type Runner struct {
 	Name   string  `cel:"name"`
 	Zone   string  `cel:"zone"`
-	Near   bool    `cel:"near"` // in the zone of this edge
-	Free   int64   `cel:"free"` // slots that the job could take
+	Near   bool    `cel:"near"` // in the same zone as this edge
+	Free   int64   `cel:"free"` // slots available to the job
 	Used   int64   `cel:"used"`
-	Prefix float64 `cel:"prefix"` // share of the job's parts that it holds, leading ones
+	Prefix float64 `cel:"prefix"` // fraction of the job's parts, counted from the first, that it has cached
 }
 
-// Bounds on a program.
+// Limits of a program.
 const (
-	MaxText = 4096
-	MaxCost = 2000 // of one evaluation, in CEL's own units: about a step or ten bytes each
+	MaxText = 4096 // bytes of both expressions together
+	MaxCost = 2000 // CEL cost units per evaluation; a unit is about one step or ten bytes
 )
 
-// Source is a program's text.
+// Source is the text of a program. At least one expression must be set.
 type Source struct {
-	Rank  string // higher goes first; empty: the built-in
-	Order string // lower goes first within a class of work; empty: by deadline
+	Rank  string // runners with a higher value are preferred; empty: the built-in rule
+	Order string // jobs with a lower value go first within a class; empty: by deadline
 }
 
-// Digest names a text.
+// Digest returns a hash that identifies the source.
 func (s Source) Digest() string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d %s\n%s", len(s.Rank), s.Rank, s.Order))
 	return hex.EncodeToString(sum[:])
 }
 
-// Script is a checked program. It may be run by many at once.
+// Script is a compiled program. It is safe for concurrent use.
 type Script struct {
 	rank, order cel.Program
 }
 
-func env(vars ...cel.EnvOption) (*cel.Env, error) {
+// newEnv makes the CEL environment with the job variable and the given further ones.
+func newEnv(vars ...cel.EnvOption) (*cel.Env, error) {
 	return cel.NewEnv(append([]cel.EnvOption{
 		ext.NativeTypes(
 			reflect.TypeFor[Job](),
@@ -76,8 +79,8 @@
 		cel.Variable("job", cel.ObjectType("script.Job"))}, vars...)...)
 }
 
-// Load checks a program. runners and zones are the names there are; a literal
-// compared with a runner's name or zone must be one of them.
+// Load compiles and checks a program. runners and zones are the known names: a literal
+// that is compared with a runner's name or zone must be one of them.
 func Load(s Source, runners, zones map[string]bool) (*Script, error) {
 	if len(s.Rank)+len(s.Order) > MaxText {
 		return nil, code.New(code.BadPolicy, "%d characters, limit %d", len(s.Rank)+len(s.Order), MaxText)
@@ -85,118 +88,123 @@
 	if strings.TrimSpace(s.Rank+s.Order) == "" {
 		return nil, code.New(code.BadPolicy, "neither rank nor order is given")
 	}
-	var out Script
-	for _, p := range []struct {
-		what, text string
-		into       *cel.Program
+	var loaded Script
+	for _, expression := range []struct {
+		name, text string
+		target     *cel.Program
 		vars       []cel.EnvOption
 	}{
-		{"rank", s.Rank, &out.rank, []cel.EnvOption{cel.Variable("runner", cel.ObjectType("script.Runner"))}},
-		{"order", s.Order, &out.order, nil},
+		{"rank", s.Rank, &loaded.rank, []cel.EnvOption{cel.Variable("runner", cel.ObjectType("script.Runner"))}},
+		{"order", s.Order, &loaded.order, nil},
 	} {
-		if strings.TrimSpace(p.text) == "" {
+		if strings.TrimSpace(expression.text) == "" {
 			continue
 		}
-		e, err := env(p.vars...)
+		celEnv, err := newEnv(expression.vars...)
 		if err != nil {
-			return nil, code.New(code.BadPolicy, "%s: %w", p.what, err)
+			return nil, code.New(code.BadPolicy, "%s: %w", expression.name, err)
 		}
-		a, iss := e.Compile(p.text)
-		if iss.Err() != nil {
-			first := iss.Errors()[0]
+		checked, issues := celEnv.Compile(expression.text)
+		if issues.Err() != nil {
+			first := issues.Errors()[0]
 			return nil, code.New(
 				code.BadPolicy,
 				"%s, line %d, column %d: %s",
-				p.what,
+				expression.name,
 				first.Location.Line(),
 				first.Location.Column()+1,
 				first.Message,
 			)
 		}
-		if t := a.OutputType(); !t.IsExactType(cel.DoubleType) && !t.IsExactType(cel.IntType) {
-			return nil, code.New(code.BadPolicy, "%s, line 1: gives %s, wanted is a number", p.what, t)
+		if t := checked.OutputType(); !t.IsExactType(cel.DoubleType) && !t.IsExactType(cel.IntType) {
+			return nil, code.New(code.BadPolicy, "%s, line 1: gives %s, wanted is a number", expression.name, t)
 		}
-		if err := names(p.what, a, runners, zones); err != nil {
+		if err := checkNames(expression.name, checked, runners, zones); err != nil {
 			return nil, err
 		}
-		if *p.into, err = e.Program(a, cel.CostLimit(MaxCost), cel.EvalOptions(cel.OptOptimize)); err != nil {
-			return nil, code.New(code.BadPolicy, "%s: %w", p.what, err)
+		if *expression.target, err = celEnv.Program(
+			checked,
+			cel.CostLimit(MaxCost),
+			cel.EvalOptions(cel.OptOptimize),
+		); err != nil {
+			return nil, code.New(code.BadPolicy, "%s: %w", expression.name, err)
 		}
 	}
-	return &out, nil
+	return &loaded, nil
 }
 
-// names finds literals that are compared with a runner's name or zone and name
-// none that there is.
-func names(what string, a *cel.Ast, runners, zones map[string]bool) error {
-	nat := a.NativeRep()
-	var bad error
-	check := func(field, lit ast.Expr) {
-		if field.Kind() != ast.SelectKind || bad != nil {
+// checkNames reports the first literal that is compared with a runner's name or zone and
+// is not a known name.
+func checkNames(expression string, checked *cel.Ast, runners, zones map[string]bool) error {
+	native := checked.NativeRep()
+	var failure error
+	check := func(field, literal ast.Expr) {
+		if field.Kind() != ast.SelectKind || failure != nil {
 			return
 		}
 		known := runners
-		switch f := field.AsSelect(); {
-		case f.Operand().Kind() != ast.IdentKind || f.Operand().AsIdent() != "runner":
+		switch selection := field.AsSelect(); {
+		case selection.Operand().Kind() != ast.IdentKind || selection.Operand().AsIdent() != "runner":
 			return
-		case f.FieldName() == "zone":
+		case selection.FieldName() == "zone":
 			known = zones
-		case f.FieldName() != "name":
+		case selection.FieldName() != "name":
 			return
 		}
-		lits := []ast.Expr{lit}
-		if lit.Kind() == ast.ListKind {
-			lits = lit.AsList().Elements()
+		literals := []ast.Expr{literal}
+		if literal.Kind() == ast.ListKind {
+			literals = literal.AsList().Elements()
 		}
-		for _, l := range lits {
-			if l.Kind() != ast.LiteralKind {
+		for _, element := range literals {
+			if element.Kind() != ast.LiteralKind {
 				continue
 			}
-			if n, ok := l.AsLiteral().Value().(string); ok && !known[n] && bad == nil {
-				at := nat.SourceInfo().GetStartLocation(l.ID())
-				bad = code.New(
+			if name, ok := element.AsLiteral().Value().(string); ok && !known[name] && failure == nil {
+				location := native.SourceInfo().GetStartLocation(element.ID())
+				failure = code.New(
 					code.BadPolicy,
 					"%s, line %d, column %d: there is no %q",
-					what,
-					at.Line(),
-					at.Column()+1,
-					n,
+					expression,
+					location.Line(),
+					location.Column()+1,
+					name,
 				)
 			}
 		}
 	}
-	ast.PreOrderVisit(nat.Expr(), ast.NewExprVisitor(func(e ast.Expr) {
-		if e.Kind() != ast.CallKind {
+	ast.PreOrderVisit(native.Expr(), ast.NewExprVisitor(func(node ast.Expr) {
+		if node.Kind() != ast.CallKind {
 			return
 		}
-		c := e.AsCall()
-		switch c.FunctionName() {
+		call := node.AsCall()
+		switch call.FunctionName() {
 		case operators.Equals, operators.NotEquals:
-			check(c.Args()[0], c.Args()[1])
-			check(c.Args()[1], c.Args()[0])
+			check(call.Args()[0], call.Args()[1])
+			check(call.Args()[1], call.Args()[0])
 		case operators.In:
-			check(c.Args()[0], c.Args()[1])
+			check(call.Args()[0], call.Args()[1])
 		}
 	}))
-	return bad
+	return failure
 }
 
-// Ranks reports whether it ranks runners, Orders whether it orders jobs.
+// Ranks reports whether the program has a rank expression.
 func (s *Script) Ranks() bool { return s != nil && s.rank != nil }
 
-// Orders reports whether it orders jobs.
+// Orders reports whether the program has an order expression.
 func (s *Script) Orders() bool { return s != nil && s.order != nil }
 
-// Rank is a runner's rank for a job.
+// Rank returns the rank of a runner for a job; higher is preferred.
 func (s *Script) Rank(j *Job, r *Runner) (float64, error) {
-	return run(s.rank, map[string]any{"job": j, "runner": r})
+	return evaluate(s.rank, map[string]any{"job": j, "runner": r})
 }
 
-// Order is a job's place within its class.
-func (s *Script) Order(j *Job) (float64, error) { return run(s.order, map[string]any{"job": j}) }
+// Order returns the sort key of a job within its class; lower goes first.
+func (s *Script) Order(j *Job) (float64, error) { return evaluate(s.order, map[string]any{"job": j}) }
 
-func run(p cel.Program, in map[string]any) (float64, error) {
-	v, _, err := p.Eval(in)
+// evaluate runs an expression, whose result must be a number.
+func evaluate(p cel.Program, variables map[string]any) (float64, error) {
+	v, _, err := p.Eval(variables)
 	if err != nil {
 		return 0, code.New(code.BadPolicy, "%w", err)
 	}
--- a/internal/proto/script/script_test.go
+++ b/internal/proto/script/script_test.go
@@ -13,7 +13,8 @@
 	zones   = map[string]bool{"a": true}
 )
 
-// TestBad: each fault of a program has its number, and the line is named.
+// TestBad checks that each kind of invalid program is rejected with its code and that the
+// message names the position.
 func TestBad(t *testing.T) {
 	for _, tc := range []struct{ what, rank, order, want string }{
 		{"nothing", "", " ", "neither"},
@@ -41,8 +42,8 @@
 	}
 }
 
-// TestRun: a good program ranks and orders; one that costs too much or fails in
-// the running says so and does not go on.
+// TestRun checks that a valid program ranks and orders, and that evaluation returns an
+// error when it exceeds the cost limit or fails.
 func TestRun(t *testing.T) {
 	s, err := script.Load(
 		script.Source{Rank: `runner.prefix * 3.0 + (runner.name == "m1" ? 0.5 : 0.0)`, Order: `job.follows ? 0 : 1`},
@@ -58,7 +59,7 @@
 	if v, err := s.Order(&script.Job{Follows: true}); err != nil || v != 0 {
 		t.Errorf("%v %v", v, err)
 	}
-	long := &script.Job{Parts: make([]string, 64)}
+	expensive := &script.Job{Parts: make([]string, 64)}
 	for _, src := range []string{
 		`job.parts.map(a, job.parts.map(b, job.parts.map(c, 1).size()).size()).size()`,
 		`job.words / (job.words - job.words)`,
@@ -68,12 +69,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v, err := s.Order(long); code.Of(err) != code.BadPolicy {
+		if v, err := s.Order(expensive); code.Of(err) != code.BadPolicy {
 			t.Errorf("%s gave %v, %v", src, v, err)
 		}
 	}
 }
 
+// BenchmarkPriority measures one evaluation of a rank expression.
 func BenchmarkPriority(b *testing.B) {
 	s, err := script.Load(
 		script.Source{Rank: `runner.prefix * 3.0 + double(runner.free) / double(runner.free + runner.used)`},
--- a/internal/proto/wire/compress.go
+++ b/internal/proto/wire/compress.go
@@ -8,16 +8,17 @@
 
 const (
 	// CompressAbove is the size in bytes from which a value counts as large: it is sent
-	// compressed, and only to who needs it.
+	// compressed, and only to the peers that need it.
 	CompressAbove = 4 << 10
-	// maxDecompressed bounds the memory taken for one value, in bytes.
+	// maxDecompressed is the limit on the size of a decompressed value, in bytes. It
+	// bounds the memory that a peer can make this process allocate.
 	maxDecompressed = 8 << 20
 )
 
-// Compress gives the form in which a large value is sent.
+// Compress returns a value in the compressed form in which large values are sent.
 func Compress(value []byte) []byte { return s2.EncodeBetter(nil, value) }
 
-// Decompress undoes Compress. The error has code.Garbled.
+// Decompress reverses Compress. Its errors have the code Garbled.
 func Decompress(b []byte) ([]byte, error) {
 	n, err := s2.DecodedLen(b)
 	if err != nil {
--- a/internal/proto/wire/fuzz_test.go
+++ b/internal/proto/wire/fuzz_test.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzMessage: what can be read as a request, an answer or a record is the same after
-// it was written and read again, and nothing that can't be read panics.
+// FuzzMessage checks that a decoded request, response or record is unchanged by encoding
+// and decoding it again, and that invalid bytes cause no panic.
 func FuzzMessage(f *testing.F) {
 	ballot := &Ballot{N: 7, Node: 3}
 	cell := &Cell{Ver: 2, Val: []byte("v"), Ops: []uint64{1, 2}, Timed: true}
@@ -39,7 +39,7 @@
 	})
 }
 
-// FuzzBallotOrder: ballots have one order, whatever their numbers.
+// FuzzBallotOrder checks that ballots are totally ordered and that nil is the lowest.
 func FuzzBallotOrder(f *testing.F) {
 	f.Add(uint64(0), uint64(0), uint64(1), uint64(2))
 	f.Add(uint64(1)<<63, uint64(5), uint64(1)<<63, uint64(4))
--- a/internal/proto/wire/golden_test.go
+++ b/internal/proto/wire/golden_test.go
@@ -12,14 +12,15 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 )
 
+// goldenFile holds the frames of this release, one message type per line.
 const goldenFile = "testdata/frames.golden"
 
-// earlierGoldenFiles are the frames of earlier releases.
+// earlierGoldenFiles hold the frames of earlier releases.
 var earlierGoldenFiles = []string{"testdata/frames-7b6c0ec.golden", "testdata/frames-76067e2.golden", "testdata/frames-7e83235.golden"}
 
-// TestFrames compares the bytes of each message, with every field filled in, with the
-// golden ones: neighbouring releases understand each other only if no field's number or
-// type changes. A new field or message adds to the file; none may go.
+// TestFrames compares the encoding of each message type, with every field set, with the
+// golden file. Adjacent releases are compatible only if no field changes its number or
+// type. New fields and messages are added to the file; none may be removed.
 func TestFrames(t *testing.T) {
 	got := frames(t)
 	for name, frame := range golden(t, goldenFile) {
@@ -29,15 +30,15 @@
 	}
 }
 
-// TestEarlierFrames reads the frames of earlier releases, which had fewer fields: each of
-// their fields is still there, with its number, type and value, and is written back as it
-// was.
+// TestEarlierFrames decodes the frames of earlier releases, which had fewer fields: each
+// field must still exist with its number, type and value, and encode to the same bytes.
 func TestEarlierFrames(t *testing.T) {
 	for _, file := range earlierGoldenFiles {
 		checkEarlierFrames(t, file)
 	}
 }
 
+// checkEarlierFrames decodes and re-encodes each frame of a file.
 func checkEarlierFrames(t *testing.T, file string) {
 	t.Helper()
 	messages := File_dt_proto.Messages()
@@ -64,7 +65,7 @@
 	}
 }
 
-// golden reads a file of frames by the name of their message.
+// golden reads a file of hexadecimal frames, by message name.
 func golden(t *testing.T, file string) map[string]string {
 	t.Helper()
 	raw, err := os.ReadFile(file)
@@ -79,8 +80,8 @@
 	return out
 }
 
-// checkFilled checks that a message has no field that is unknown, and that each scalar
-// field that is set has the value that fillMessage gives a field of its number and type.
+// checkFilled checks that a message has no unknown fields and that each scalar field that
+// is set has the value that fillMessage assigns to its number and type.
 func checkFilled(t *testing.T, name string, m protoreflect.Message) {
 	t.Helper()
 	if unknown := m.GetUnknown(); len(unknown) > 0 {
@@ -105,7 +106,7 @@
 	})
 }
 
-// frames encodes a filled message of each type, by name.
+// frames encodes a message of each type with all fields set, by message name.
 func frames(t *testing.T) map[string]string {
 	t.Helper()
 	out := map[string]string{}
@@ -123,7 +124,7 @@
 	return out
 }
 
-// fillMessage sets every field, to a depth of nested messages.
+// fillMessage sets every field, down to the given depth of nested messages.
 func fillMessage(m protoreflect.Message, depth int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -147,7 +148,7 @@
 	}
 }
 
-// scalar is a value that differs from field to field.
+// scalar returns a value for a field that depends on its number and type.
 func scalar(field protoreflect.FieldDescriptor) protoreflect.Value {
 	n := field.Number()
 	switch field.Kind() {
--- a/internal/proto/wire/wire.go
+++ b/internal/proto/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire holds the messages between the system's processes. The types
+// Package wire defines the messages that the processes of a cluster exchange. The types
 // are generated from dt.proto.
 package wire
 
@@ -14,7 +14,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// Version is the messages' number; Oldest is the oldest neighbour understood.
+// Version is the protocol version of this build; OldestVersion is the oldest version of a
+// peer that it accepts.
 const (
 	Version       = 1
 	OldestVersion = 1
@@ -23,7 +24,7 @@
 // Caller sends one request to a peer.
 type Caller func(ctx context.Context, addr string, q *Req) (*Resp, error)
 
-// ErrorResponse makes the answer that carries a failure.
+// ErrorResponse returns a response that carries an error.
 func ErrorResponse(err error) *Resp {
 	return &Resp{
 		Ver:          Version,
@@ -33,21 +34,21 @@
 	}
 }
 
-// OKResponse is the bare good answer.
+// OKResponse returns a successful response without a payload.
 func OKResponse() *Resp { return &Resp{Ver: Version} }
 
-// Err turns an answer's code back into a failure.
+// Err returns the error that a response carries, or nil if it reports success.
 func (r *Resp) Err() error {
 	if r.GetCode() == 0 {
 		return nil
 	}
-	f := code.New(code.Code(r.Code), "%s", r.Text)
-	f.RetryAfter = time.Duration(r.RetryAfterMs) * time.Millisecond
-	return f
+	failure := code.New(code.Code(r.Code), "%s", r.Text)
+	failure.RetryAfter = time.Duration(r.RetryAfterMs) * time.Millisecond
+	return failure
 }
 
-// Accept is the accept that a request carries in either of its two forms; nil where it
-// carries none.
+// Accept returns the accept message that a request carries, either plain or compressed,
+// or nil if it carries none.
 func (q *Req) Accept() *Acc {
 	if acc := q.GetAcc(); acc != nil {
 		return acc
@@ -55,18 +56,18 @@
 	return q.GetAccCompressed().GetAcc()
 }
 
-// MustEncode gives the bytes of a message that this process made of its own strings.
+// MustEncode encodes a message whose strings all come from this process and are valid
+// UTF-8. It panics on any other message.
 func MustEncode(m proto.Message) []byte {
 	b, err := Encode(m)
 	if err != nil {
-		// Only a message that breaks its own types fails here.
 		panic(err)
 	}
 	return b
 }
 
-// Encode gives the bytes of a message that may hold strings from outside, which
-// need not be UTF-8 as the wire demands.
+// Encode encodes a message that may hold strings from outside the process. It returns an
+// error if one of them is not valid UTF-8, which the encoding requires.
 func Encode(m proto.Message) ([]byte, error) {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return b, nil
 }
 
-// Decode reads m from b.
+// Decode parses b into m.
 func Decode(b []byte, m proto.Message) error {
 	if err := proto.Unmarshal(b, m); err != nil {
 		return code.New(code.Garbled, "message can't be read: %w", err)
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// CompareBallots orders ballots; a missing one is the lowest.
+// CompareBallots returns -1, 0 or 1 as ballot a is lower than, equal to or higher than b,
+// by number and then by node. A nil ballot is the lowest.
 func CompareBallots(a, b *Ballot) int {
 	switch {
 	case a.GetN() != b.GetN():
@@ -100,7 +102,7 @@
 	return 0
 }
 
-// Newer reports whether item a goes before b of the same topic and key.
+// Newer reports whether item a supersedes item b of the same topic and key.
 func Newer(a, b *Item) bool {
 	if a.GetEpoch() != b.GetEpoch() {
 		return a.GetEpoch() > b.GetEpoch()
