--- a/cmd/damsontiller-control/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -1,5 +1,5 @@
-// Command damsontiller-control is the control plane: it serves on core machines, and its
-// subcommands are the operators' way in.
+// Command damsontiller-control is the control plane. Its serve subcommand runs a core
+// machine; the other subcommands are the command-line client for operators.
 package main
 
 import (
@@ -46,6 +46,7 @@
 
 func main() { os.Exit(startup.Exit(run(os.Args[1:]))) }
 
+// run executes the subcommand that the arguments name.
 func run(args []string) error {
 	if len(args) == 0 {
 		return code.New(code.BadFlag, "a subcommand is missing\n%s", usage)
@@ -71,6 +72,7 @@
 	return operate(args)
 }
 
+// readSpec reads a spec file and checks it.
 func readSpec(file string) (*spec.Spec, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -86,86 +88,94 @@
 	return s, nil
 }
 
+// serve runs a core machine, configured by flags or, without any, by the platform's
+// settings file.
 func serve(args []string) error {
 	if file := os.Getenv(platform.Env); file != "" && len(args) == 0 {
 		return onPlatform(file)
 	}
-	fs := flag.NewFlagSet("damsontiller-control serve", flag.ContinueOnError)
-	p := startup.Flags(fs)
-	boot := fs.Bool("bootstrap", false, "form the first set, once, together with every machine of -cores")
-	cores := fs.String("cores", "", "with -bootstrap: the core machines, as id=address/zone,...")
-	stores := fs.String("stores", "", "with -bootstrap: the store machines, as id=address/zone,...")
-	file := fs.String("spec", "", "with -bootstrap: the first spec's file")
-	rate := fs.Int("move-rate", 500, "keys moved a second while a set changes")
-	ack := fs.Duration("ack-wait", 5*time.Second, "how long an operator's change waits to be in force")
-	if err := p.Parse(args); err != nil {
+	flags := flag.NewFlagSet("damsontiller-control serve", flag.ContinueOnError)
+	process := startup.Flags(flags)
+	bootstrap := flags.Bool("bootstrap", false, "form the first set, once, together with every machine of -cores")
+	cores := flags.String("cores", "", "with -bootstrap: the core machines, as id=address/zone,...")
+	stores := flags.String("stores", "", "with -bootstrap: the store machines, as id=address/zone,...")
+	file := flags.String("spec", "", "with -bootstrap: the first spec's file")
+	moveRate := flags.Int("move-rate", 500, "keys moved a second while a set changes")
+	ackTimeout := flags.Duration("ack-wait", 5*time.Second, "how long an operator's change waits to be in force")
+	if err := process.Parse(args); err != nil {
 		return err
 	}
-	if *rate < 1 {
-		return code.New(code.BadFlag, "-move-rate: %d is less than 1", *rate)
+	if *moveRate < 1 {
+		return code.New(code.BadFlag, "-move-rate: %d is less than 1", *moveRate)
 	}
-	cp := core.Params{Bootstrap: *boot, AckTimeout: *ack, MoveRate: *rate}
-	if *ack <= 0 {
-		return code.New(code.BadFlag, "-ack-wait: %s is not positive", *ack)
+	params := core.Params{Bootstrap: *bootstrap, AckTimeout: *ackTimeout, MoveRate: *moveRate}
+	if *ackTimeout <= 0 {
+		return code.New(code.BadFlag, "-ack-wait: %s is not positive", *ackTimeout)
 	}
-	if *boot {
+	if *bootstrap {
 		var err error
-		if cp.Cores, err = startup.Machines("cores", *cores); err != nil {
+		if params.Cores, err = startup.Machines("cores", *cores); err != nil {
 			return err
 		}
-		if cp.Stores, err = startup.Machines("stores", *stores); err != nil {
+		if params.Stores, err = startup.Machines("stores", *stores); err != nil {
 			return err
 		}
-		if cp.Spec, err = readSpec(*file); err != nil {
+		if params.Spec, err = readSpec(*file); err != nil {
 			return code.New(code.BadFlag, "-spec: %w", err)
 		}
-	} else if p.Seeds == "" {
+	} else if process.Seeds == "" {
 		return code.New(code.BadFlag, "-seeds: missing")
 	}
-	return runCore(p, cp, 2*time.Second, func(_ context.Context, e *echo.Echo, c *core.Core, v *storage.Engine) {
-		if p.Faults {
-			web.PartitionRoutes(e, c.Peer.Partitions)
-			startup.DiskFaults(e, v)
-		}
-	})
+	return runCore(
+		process,
+		params,
+		2*time.Second,
+		func(_ context.Context, router *echo.Echo, node *core.Core, engine *storage.Engine) {
+			if process.Faults {
+				web.PartitionRoutes(router, node.Peer.Partitions)
+				startup.DiskFaults(router, engine)
+			}
+		},
+	)
 }
 
-// runCore runs a core until it is told to stop; grace is for the orders under way
-// then. more adds, before the start, what this core has beside the others.
+// runCore runs a core until the process receives a stop signal. Requests in progress at
+// that time have gracePeriod to finish. configure is called before the core starts, to add
+// routes and background tasks.
 func runCore(
-	p *startup.Process,
-	cp core.Params,
-	grace time.Duration,
-	more func(context.Context, *echo.Echo, *core.Core, *storage.Engine),
+	process *startup.Process,
+	params core.Params,
+	gracePeriod time.Duration,
+	configure func(context.Context, *echo.Echo, *core.Core, *storage.Engine),
 ) error {
-	log := p.Log("damsontiller-control")
-	v, err := p.Engine("core", log)
+	log := process.Log("damsontiller-control")
+	engine, err := process.Engine("core", log)
 	if err != nil {
 		return err
 	}
-	defer v.Close()
-	c, err := core.New(cp, p.Node("core", v.Ident(), log), v)
+	defer engine.Close()
+	node, err := core.New(params, process.Node("core", engine.Ident(), log), engine)
 	if err != nil {
 		return err
 	}
-	sig := signals.Stopping(log)
-	// The background tasks outlive the signal: an order under way still needs them. A core
-	// that does not serve yet has none.
+	stopSignal := signals.Stopping(log)
+	// The background tasks keep running after the signal, because requests in progress need
+	// them. Before the core serves there are no requests, and the signal cancels the tasks.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	e := web.New(log)
-	c.Routes(e)
-	more(ctx, e, c, v)
-	serves := context.AfterFunc(sig, cancel)
-	if err := c.Start(ctx); err != nil {
+	router := web.New(log)
+	node.Routes(router)
+	configure(ctx, router, node, engine)
+	detachCancel := context.AfterFunc(stopSignal, cancel)
+	if err := node.Start(ctx); err != nil {
 		return err
 	}
-	serves()
-	log.Info("serving", "listen", p.Listen, "http", p.HTTP, "spec", c.Cluster.Now().Version)
-	err = web.Serve(sig, startup.Opener(log), p.HTTP, e, grace)
+	detachCancel()
+	log.Info("serving", "listen", process.Listen, "http", process.HTTP, "spec", node.Cluster.Now().Version)
+	err = web.Serve(stopSignal, startup.Opener(log), process.HTTP, router, gracePeriod)
 	cancel()
-	c.Wait()
-	c.Peer.Close()
+	node.Wait()
+	node.Peer.Close()
 	log.Info("stopped")
 	return err
 }
--- a/cmd/damsontiller-control/operator.go
+++ b/cmd/damsontiller-control/operator.go
@@ -25,26 +25,26 @@
 // maxResponse bounds the bytes read of a response.
 const maxResponse = 4 << 20
 
-// options are the flags of the operator's subcommands.
+// options holds the flags of the operator subcommands.
 type options struct {
-	cores   []string // HTTP addresses of core machines; the first that answers is asked
-	edge    string   // HTTP address of any edge
-	file    string   // to send; - is standard input
-	expect  uint64   // version that is to be replaced; 0: none is named
-	replace string   // machine whose place in the set is taken; empty: none
-	force   bool     // empty a zone even if nothing is left to serve a route
-	percent int      // of all programs that a policy applies to
-	wait    time.Duration
+	cores   []string      // HTTP addresses of core machines, tried in order until one responds
+	edge    string        // HTTP address of any edge
+	file    string        // file to send; - is standard input
+	expect  uint64        // version to be replaced; 0: not set
+	replace string        // machine that the admitted one replaces in the set; empty: none
+	force   bool          // empty a zone even if a route is left without a server
+	percent int           // percentage of all programs that a policy applies to
+	wait    time.Duration // timeout of a request
 }
 
-// command is one subcommand: its words, and how many arguments follow them.
+// command is a subcommand: the words that name it and the number of arguments after them.
 type command struct {
 	words string
 	args  int
 	run   func(o *options, args []string) error
 }
 
-// commands are the subcommands that ask a core machine or an edge.
+// commands lists the subcommands that send a request to a core machine or an edge.
 var commands = []command{
 	{"spec get", 0, get("/v1/spec")},
 	{"spec put", 0, putSpec},
@@ -71,7 +71,7 @@
 	{"health", 0, get("/v1/health")},
 }
 
-// operate runs an operator's subcommand against a core machine.
+// operate runs an operator subcommand.
 func operate(args []string) error {
 	o, words, err := parseOptions(args)
 	if err != nil {
@@ -87,8 +87,8 @@
 	return code.New(code.BadFlag, "%q is no subcommand\n%s", strings.Join(words, " "), usage)
 }
 
-// parseOptions separates the flags from the other arguments, which may stand before and
-// after them.
+// parseOptions separates the flags from the other arguments. The two may be mixed in any
+// order.
 func parseOptions(args []string) (o *options, words []string, err error) {
 	o = &options{}
 	fs := flag.NewFlagSet("damsontiller-control "+args[0], flag.ContinueOnError)
@@ -105,8 +105,8 @@
 	fs.IntVar(&o.percent, "share", 100, "policy live: percent of all programs that it applies to")
 	fs.StringVar(&o.edge, "edge", "127.0.0.1:7200", "trace: HTTP address of any edge")
 	fs.DurationVar(&o.wait, "wait", 10*time.Second, "how long to wait for the answer")
-	for rest := args; ; {
-		if err := fs.Parse(rest); err != nil {
+	for remaining := args; ; {
+		if err := fs.Parse(remaining); err != nil {
 			if errors.Is(err, flag.ErrHelp) {
 				fs.SetOutput(os.Stdout)
 				fs.Usage()
@@ -118,7 +118,7 @@
 			break
 		}
 		words = append(words, fs.Arg(0))
-		rest = fs.Args()[1:]
+		remaining = fs.Args()[1:]
 	}
 	o.cores = strings.Split(*cores, ",")
 	for _, a := range append(slices.Clone(o.cores), o.edge) {
@@ -129,22 +129,22 @@
 	return o, words, nil
 }
 
-// ask sends a request to the first core machine that answers.
-func (o *options) ask(method, path string, body []byte) error {
-	return askAt(o.cores, o.wait, method, path, body)
+// send sends a request to the first core machine that responds.
+func (o *options) send(method, path string, body []byte) error {
+	return sendTo(o.cores, o.wait, method, path, body)
 }
 
-// get is a subcommand that reads a path.
+// get returns a subcommand that reads a path.
 func get(path string) func(*options, []string) error {
-	return func(o *options, _ []string) error { return o.ask(http.MethodGet, path, nil) }
+	return func(o *options, _ []string) error { return o.send(http.MethodGet, path, nil) }
 }
 
 func getVersion(o *options, args []string) error {
-	return o.ask(http.MethodGet, "/v1/spec/versions/"+args[0], nil)
+	return o.send(http.MethodGet, "/v1/spec/versions/"+args[0], nil)
 }
 
 func getTrace(o *options, args []string) error {
-	return askAt([]string{o.edge}, o.wait, http.MethodGet, "/v1/trace/"+url.PathEscape(args[0]), nil)
+	return sendTo([]string{o.edge}, o.wait, http.MethodGet, "/v1/trace/"+url.PathEscape(args[0]), nil)
 }
 
 func putSpec(o *options, _ []string) error {
@@ -162,7 +162,7 @@
 	if b, err = (spec.Put{Expect: o.expect, Spec: s}).MarshalJSON(); err != nil {
 		return err
 	}
-	return o.ask(http.MethodPut, "/v1/spec", b)
+	return o.send(http.MethodPut, "/v1/spec", b)
 }
 
 func patchSpec(o *options, _ []string) error {
@@ -180,10 +180,10 @@
 	if b, err = p.MarshalJSON(); err != nil {
 		return err
 	}
-	return o.ask(http.MethodPatch, "/v1/spec", b)
+	return o.send(http.MethodPatch, "/v1/spec", b)
 }
 
-// changeZone is a subcommand that empties or refills a zone.
+// changeZone returns a subcommand that empties or refills a zone.
 func changeZone(action string) func(*options, []string) error {
 	return func(o *options, args []string) error {
 		if err := checkName(args[0]); err != nil {
@@ -193,40 +193,40 @@
 		if o.force {
 			b = []byte(`{"force":true}`)
 		}
-		return o.ask(http.MethodPost, "/v1/zones/"+args[0]+"/"+action, b)
+		return o.send(http.MethodPost, "/v1/zones/"+args[0]+"/"+action, b)
 	}
 }
 
-// changeSet is a subcommand that changes the set of cores or of stores.
+// changeSet returns a subcommand that changes the set of cores or of stores.
 func changeSet(set, action string) func(*options, []string) error {
 	return func(o *options, args []string) error {
-		order := map[string]string{}
+		request := map[string]string{}
 		if len(args) > 0 {
 			if err := checkName(args[0]); err != nil {
 				return err
 			}
-			order["id"] = args[0]
+			request["id"] = args[0]
 			if o.replace != "" {
-				order["for"] = o.replace
+				request["for"] = o.replace
 			}
 		}
-		b, err := json.Marshal(order)
+		b, err := json.Marshal(request)
 		if err != nil {
 			return err
 		}
-		return o.ask(http.MethodPost, "/v1/sets/"+set+"/"+action, b)
+		return o.send(http.MethodPost, "/v1/sets/"+set+"/"+action, b)
 	}
 }
 
 func policyOff(o *options, _ []string) error {
-	return o.ask(http.MethodPost, "/v1/policies/off", nil)
+	return o.send(http.MethodPost, "/v1/policies/off", nil)
 }
 
 func policyDrop(o *options, args []string) error {
 	if err := checkName(args[0]); err != nil {
 		return err
 	}
-	return o.ask(http.MethodDelete, "/v1/policies/"+args[0], nil)
+	return o.send(http.MethodDelete, "/v1/policies/"+args[0], nil)
 }
 
 func policyLive(o *options, args []string) error {
@@ -237,7 +237,7 @@
 	if err != nil {
 		return err
 	}
-	return o.ask(http.MethodPost, "/v1/policies/live", b)
+	return o.send(http.MethodPost, "/v1/policies/live", b)
 }
 
 func policyPut(o *options, args []string) error {
@@ -248,6 +248,7 @@
 	return sendPolicy(o, http.MethodPost, args[0], "/approve")
 }
 
+// sendPolicy sends the input file to a policy's path, or to one of its actions.
 func sendPolicy(o *options, method, name, action string) error {
 	if err := checkName(name); err != nil {
 		return err
@@ -256,9 +257,10 @@
 	if err != nil {
 		return err
 	}
-	return o.ask(method, "/v1/policies/"+name+action, b)
+	return o.send(method, "/v1/policies/"+name+action, b)
 }
 
+// checkName rejects an argument that is not a valid name.
 func checkName(name string) error {
 	if !spec.Name(name) {
 		return code.New(code.BadFlag, "%q is not a name", name)
@@ -266,7 +268,7 @@
 	return nil
 }
 
-// input reads a file, or standard input.
+// input reads a file, or standard input if the name is "-".
 func input(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(io.LimitReader(os.Stdin, spec.MaxBytes+1))
@@ -278,15 +280,15 @@
 	return b, nil
 }
 
-// askAt sends a request to the first address that answers, and prints the answer. The
-// number of a failure that it reports becomes the error's.
-func askAt(addrs []string, wait time.Duration, method, path string, body []byte) error {
+// sendTo sends a request to the first address that responds and prints the response. An
+// error response becomes an error with the same code.
+func sendTo(addrs []string, wait time.Duration, method, path string, body []byte) error {
 	client := &http.Client{Timeout: wait}
-	// The cores take an order with an id once, so that it may be sent to a second machine
-	// where the first one's answer is lost.
-	id := newOperationID()
-	var last error
-	unknown := false
+	// The cores execute a request with a given idempotency key once, so it can be retried at
+	// the next machine if the response of the first one is lost.
+	idempotencyKey := newIdempotencyKey()
+	var lastErr error
+	outcomeUnknown := false
 	for _, addr := range addrs {
 		request, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 		if err != nil {
@@ -294,29 +296,29 @@
 		}
 		request.Header.Set("Content-Type", "application/json")
 		if method != http.MethodGet {
-			request.Header.Set("Idempotency-Key", id)
+			request.Header.Set("Idempotency-Key", idempotencyKey)
 		}
 		response, err := client.Do(request)
 		if err == nil {
 			return printResponse(response)
 		}
-		last = err
-		unknown = unknown || !errors.Is(err, syscall.ECONNREFUSED)
+		lastErr = err
+		outcomeUnknown = outcomeUnknown || !errors.Is(err, syscall.ECONNREFUSED)
 	}
-	if unknown && method != http.MethodGet {
-		return code.New(code.OutcomeUnknown, "the change may be in force, read the spec again: %w", last)
+	if outcomeUnknown && method != http.MethodGet {
+		return code.New(code.OutcomeUnknown, "the change may be in force, read the spec again: %w", lastErr)
 	}
-	return code.New(code.CoreUnreachable, "no core machine answers: %w", last)
+	return code.New(code.CoreUnreachable, "no core machine answers: %w", lastErr)
 }
 
-// newOperationID draws an id for one order.
-func newOperationID() string {
+// newIdempotencyKey returns a random idempotency key for one request.
+func newIdempotencyKey() string {
 	var b [16]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// printResponse prints a response's JSON, or returns the failure that it carries.
+// printResponse prints the JSON body of a response, or returns the error that it carries.
 func printResponse(response *http.Response) error {
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
@@ -324,7 +326,7 @@
 		return code.New(code.OutcomeUnknown, "%w", err)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return failureOf(response.StatusCode, body)
+		return responseError(response.StatusCode, body)
 	}
 	var indented bytes.Buffer
 	if json.Indent(&indented, body, "", "  ") != nil {
@@ -334,8 +336,8 @@
 	return nil
 }
 
-// failureOf is the error that a response's body describes.
-func failureOf(status int, body []byte) error {
+// responseError returns the error that the body of an error response describes.
+func responseError(status int, body []byte) error {
 	var failure web.Failure
 	if err := json.Unmarshal(body, &failure); err != nil || failure.Code == 0 {
 		return code.New(code.Unknown, "status %d", status)
--- a/cmd/damsontiller-control/operator_test.go
+++ b/cmd/damsontiller-control/operator_test.go
@@ -14,7 +14,8 @@
 	"damsontiller/internal/transport/code"
 )
 
-// TestCommands: each subcommand sends its request, wherever its flags stand.
+// TestCommands checks the request that each subcommand sends, with flags before, between
+// and after its other arguments.
 func TestCommands(t *testing.T) {
 	policy := filepath.Join(t.TempDir(), "policy")
 	if err := os.WriteFile(policy, []byte(`{"rank":"1"}`), 0o644); err != nil {
@@ -69,7 +70,8 @@
 	}
 }
 
-// TestBadCommands: what is no subcommand is refused, and nothing is sent.
+// TestBadCommands checks that invalid subcommands and arguments are rejected with the
+// code of a bad flag.
 func TestBadCommands(t *testing.T) {
 	for _, args := range []string{
 		"spec", "spec drop", "spec get now", "policy", "policy put", "policy drop a/b", "zone empty",
@@ -84,8 +86,9 @@
 	}
 }
 
-// TestFailures: a failure's number and text reach the operator; a change that may have
-// arrived is sent to a second machine under the same id, and a question under none.
+// TestFailures checks that the code and text of an error response reach the operator. A
+// change that may have arrived is retried at the next machine with the same idempotency
+// key; reads carry no key.
 func TestFailures(t *testing.T) {
 	conflict := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
@@ -98,10 +101,10 @@
 		t.Errorf("%v", err)
 	}
 	var mu sync.Mutex
-	var ids []string
+	var keys []string
 	closing := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
 		mu.Lock()
-		ids = append(ids, q.Header.Get("Idempotency-Key"))
+		keys = append(keys, q.Header.Get("Idempotency-Key"))
 		mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}))
@@ -109,15 +112,15 @@
 	addr = strings.TrimPrefix(closing.URL, "http://")
 	err = operate([]string{"zone", "empty", "b", "-core", addr + "," + addr})
 	mu.Lock()
-	if code.Of(err) != code.OutcomeUnknown || len(ids) != 2 || ids[0] == "" || ids[0] != ids[1] {
-		t.Errorf("%v after requests with the ids %q", err, ids)
+	if code.Of(err) != code.OutcomeUnknown || len(keys) != 2 || keys[0] == "" || keys[0] != keys[1] {
+		t.Errorf("%v after requests with the keys %q", err, keys)
 	}
-	ids = nil
+	keys = nil
 	mu.Unlock()
 	err = operate([]string{"members", "-core", addr + "," + addr})
 	mu.Lock()
-	if code.Of(err) != code.CoreUnreachable || slices.ContainsFunc(ids, func(id string) bool { return id != "" }) {
-		t.Errorf("%v after questions with the ids %q", err, ids)
+	if code.Of(err) != code.CoreUnreachable || slices.ContainsFunc(keys, func(key string) bool { return key != "" }) {
+		t.Errorf("%v after reads with the keys %q", err, keys)
 	}
 	mu.Unlock()
 	err = operate([]string{"members", "-core", "127.0.0.1:1"})
--- a/cmd/damsontiller-control/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -14,30 +14,30 @@
 	"damsontiller/internal/state/storage"
 )
 
-// onPlatform serves as a core machine of the platform.
+// onPlatform runs a core machine with the settings of the platform.
 func onPlatform(file string) error {
-	s, err := platform.Load(file)
+	settings, err := platform.Load(file)
 	if err != nil {
 		return err
 	}
-	if err := s.Need("core"); err != nil {
+	if err := settings.Need("core"); err != nil {
 		return err
 	}
-	p, err := startup.Platform(s, s.Bind.Control)
+	process, err := startup.Platform(settings, settings.Bind.Control)
 	if err != nil {
 		return err
 	}
-	cp := core.Params{Zones: s.ZoneList(), Copies: s.Copies(), AckTimeout: time.Second, MoveRate: 500}
-	if s.Founds() {
-		cp.InitialCoreAddrs = s.Peers()
+	params := core.Params{Zones: settings.ZoneList(), Copies: settings.Copies(), AckTimeout: time.Second, MoveRate: 500}
+	if settings.Founds() {
+		params.InitialCoreAddrs = settings.Peers()
 	}
 	return runCore(
-		p,
-		cp,
-		min(3*time.Second, s.Grace()/2),
-		func(ctx context.Context, e *echo.Echo, c *core.Core, _ *storage.Engine) {
-			(&control.Handler{Core: c, Sets: c, Log: c.Log.Named("orders")}).Routes(e)
-			startup.Reseed(ctx, s, c.Node, signals.Reloads())
+		process,
+		params,
+		min(3*time.Second, settings.Grace()/2),
+		func(ctx context.Context, router *echo.Echo, node *core.Core, _ *storage.Engine) {
+			(&control.Handler{Core: node, Sets: node, Log: node.Log.Named("orders")}).Routes(router)
+			startup.Reseed(ctx, settings, node.Node, signals.Reloads())
 		},
 	)
 }
