--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -1,5 +1,5 @@
-// Command damsontiller-data is the data plane: -role edge serves callers, -role store
-// keeps the shared state.
+// Command damsontiller-data is the data plane: with -role edge it serves callers, with
+// -role store it stores the shared state.
 package main
 
 import (
@@ -23,18 +23,20 @@
 
 func main() { os.Exit(startup.Exit(run(os.Args[1:]))) }
 
+// run serves in the role that the arguments name, configured by flags or by the
+// platform's settings file.
 func run(args []string) error {
 	if file := os.Getenv(platform.Env); file != "" && len(args) == 2 && args[0] == "-role" {
 		return onPlatform(file, args[1])
 	}
-	fs := flag.NewFlagSet("damsontiller-data", flag.ContinueOnError)
-	p := startup.Flags(fs)
-	role := fs.String("role", "", "edge or store")
-	grace := fs.Duration("grace", 20*time.Second, "edge: how long jobs under way are given at a stop")
-	if err := p.Parse(args); err != nil {
+	flags := flag.NewFlagSet("damsontiller-data", flag.ContinueOnError)
+	process := startup.Flags(flags)
+	role := flags.String("role", "", "edge or store")
+	grace := flags.Duration("grace", 20*time.Second, "edge: how long jobs under way are given at a stop")
+	if err := process.Parse(args); err != nil {
 		return err
 	}
-	if p.Seeds == "" {
+	if process.Seeds == "" {
 		return code.New(code.BadFlag, "-seeds: missing")
 	}
 	if *grace <= 0 {
@@ -42,38 +44,40 @@
 	}
 	switch *role {
 	case "edge":
-		return runEdge(p, *grace)
+		return runEdge(process, *grace)
 	case "store":
-		return runStore(p, func(context.Context, *store.Store) {})
+		return runStore(process, func(context.Context, *store.Store) {})
 	}
 	return code.New(code.BadFlag, "-role: %q is neither edge nor store", *role)
 }
 
-func runEdge(p *startup.Process, grace time.Duration) error {
-	if p.Data != "" {
+// runEdge runs an edge until the process receives a stop signal, the start fails or the
+// HTTP server ends. Jobs in progress at the signal have gracePeriod to finish.
+func runEdge(process *startup.Process, gracePeriod time.Duration) error {
+	if process.Data != "" {
 		return code.New(code.BadFlag, "-data: an edge keeps nothing on disk")
 	}
-	log := p.Log("damsontiller-data")
-	sig := signals.Stopping(log)
-	// The background tasks outlive the signal: what is under way still needs them.
+	log := process.Log("damsontiller-data")
+	stopSignal := signals.Stopping(log)
+	// The background tasks keep running after the signal, because jobs in progress need them.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	e := edge.New(ctx, edge.DefaultParams, p.Node("edge", "", log))
-	x := web.New(log)
-	e.Routes(x)
-	if p.Faults {
-		web.PartitionRoutes(x, e.Peer.Partitions)
+	node := edge.New(ctx, edge.DefaultParams, process.Node("edge", "", log))
+	router := web.New(log)
+	node.Routes(router)
+	if process.Faults {
+		web.PartitionRoutes(router, node.Peer.Partitions)
 	}
 	served := make(chan error, 1)
-	hctx, hstop := context.WithCancel(context.Background())
-	defer hstop()
-	// The ingress answers from the start, if only that the node is not ready.
-	go func() { served <- web.Serve(hctx, startup.Opener(log), p.HTTP, x, grace) }()
-	jctx, jstop := context.WithCancel(ctx)
-	defer jstop()
+	serveCtx, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
+	// The HTTP server runs during the start, so that callers get the answer "not ready".
+	go func() { served <- web.Serve(serveCtx, startup.Opener(log), process.HTTP, router, gracePeriod) }()
+	startCtx, cancelStart := context.WithCancel(ctx)
+	defer cancelStart()
 	started := make(chan error, 1)
-	go func() { started <- e.Start(jctx) }()
-	log.Info("serving", "listen", p.Listen, "http", p.HTTP)
+	go func() { started <- node.Start(startCtx) }()
+	log.Info("serving", "listen", process.Listen, "http", process.HTTP)
 	var err error
 	for done := false; !done; {
 		select {
@@ -84,85 +88,90 @@
 			started = nil
 		case err = <-served:
 			return err
-		case <-sig.Done():
+		case <-stopSignal.Done():
 			done = true
 		}
 	}
-	e.Stop()
-	hstop()
-	if serr := <-served; err == nil {
-		err = serr
+	node.Stop()
+	stopServing()
+	if serveErr := <-served; err == nil {
+		err = serveErr
 	}
-	// What was decided behind the last answers is written down first.
-	e.WaitBackground(2 * time.Second)
+	// Writes that follow the last responses finish before the background tasks are canceled.
+	node.WaitBackground(2 * time.Second)
 	cancel()
-	e.Wait()
-	e.Peer.Close()
+	node.Wait()
+	node.Peer.Close()
 	log.Info("stopped")
 	return err
 }
 
-func truth(b bool) float64 {
-	if b {
+// boolValue returns the value of a metric that is 1 for true and 0 for false.
+func boolValue(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// runStore runs a store until it is told to stop; more adds, before the start, what
-// this store has beside the others.
-func runStore(p *startup.Process, more func(context.Context, *store.Store)) error {
-	log := p.Log("damsontiller-data")
-	v, err := p.Engine("store", log)
+// runStore runs a store until the process receives a stop signal. configure is called
+// before the store starts, to adjust it and add background tasks.
+func runStore(process *startup.Process, configure func(context.Context, *store.Store)) error {
+	log := process.Log("damsontiller-data")
+	engine, err := process.Engine("store", log)
 	if err != nil {
 		return err
 	}
-	defer v.Close()
+	defer engine.Close()
 	ctx, cancel := context.WithCancel(signals.Stopping(log))
 	defer cancel()
-	s, err := store.New(p.Node("store", v.Ident(), log), v)
+	node, err := store.New(process.Node("store", engine.Ident(), log), engine)
 	if err != nil {
 		return err
 	}
-	more(ctx, s)
-	if err := s.Start(ctx); err != nil {
+	configure(ctx, node)
+	if err := node.Start(ctx); err != nil {
 		return err
 	}
-	x := web.New(log)
-	x.GET("/v1/status", func(c echo.Context) error {
+	router := web.New(log)
+	router.GET("/v1/status", func(c echo.Context) error {
 		return c.JSON(
 			http.StatusOK,
 			map[string]any{
-				"id":            p.ID,
+				"id":            process.ID,
 				"ready":         true,
-				"spec":          s.Cluster.Now().Version,
-				"ident":         v.Ident(),
-				"messages_sent": s.Peer.Sent(),
-				"mended":        s.Repaired(),
+				"spec":          node.Cluster.Now().Version,
+				"ident":         engine.Ident(),
+				"messages_sent": node.Peer.Sent(),
+				"mended":        node.Repaired(),
 			},
 		)
 	})
-	metrics.Routes(x, func() []metrics.Sample {
+	metrics.Routes(router, func() []metrics.Sample {
 		return append(
-			metrics.NodeSamples(s.Cluster.Now().Version, s.Peer.Sent()),
+			metrics.NodeSamples(node.Cluster.Now().Version, node.Peer.Sent()),
 			metrics.Sample{
 				Name:    "keys_mended_total",
 				Help:    "Keys taken from other stores.",
-				Value:   float64(s.Repaired()),
+				Value:   float64(node.Repaired()),
 				Counter: true,
 			},
-			metrics.Sample{Name: "disk_full", Help: "1 while no new keys are taken.", Value: truth(v.NearlyFull())},
+			metrics.Sample{
+				Name:  "disk_full",
+				Help:  "1 while no new keys are taken.",
+				Value: boolValue(engine.NearlyFull()),
+			},
 		)
 	})
-	if p.Faults {
-		web.PartitionRoutes(x, s.Peer.Partitions)
-		startup.DiskFaults(x, v)
+	if process.Faults {
+		web.PartitionRoutes(router, node.Peer.Partitions)
+		startup.DiskFaults(router, engine)
 	}
-	log.Info("serving", "listen", p.Listen, "http", p.HTTP, "ident", v.Ident())
-	err = web.Serve(ctx, startup.Opener(log), p.HTTP, x, time.Second)
+	log.Info("serving", "listen", process.Listen, "http", process.HTTP, "ident", engine.Ident())
+	err = web.Serve(ctx, startup.Opener(log), process.HTTP, router, time.Second)
 	cancel()
-	s.Wait()
-	s.Peer.Close()
+	node.Wait()
+	node.Peer.Close()
 	log.Info("stopped")
 	return err
 }
--- a/cmd/damsontiller-data/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -16,53 +16,55 @@
 	"damsontiller/internal/transport/code"
 )
 
-// onPlatform serves in a role as the platform's settings say.
+// onPlatform serves in a role with the settings of the platform.
 func onPlatform(file, role string) error {
-	s, err := platform.Load(file)
+	settings, err := platform.Load(file)
 	if err != nil {
 		return err
 	}
-	if err := s.Need(role); err != nil {
+	if err := settings.Need(role); err != nil {
 		return err
 	}
-	p, err := startup.Platform(s, s.Own())
+	process, err := startup.Platform(settings, settings.Own())
 	if err != nil {
 		return err
 	}
 	switch role {
 	case "edge":
-		return platformEdge(p, s)
+		return platformEdge(process, settings)
 	case "store":
-		return runStore(p, func(ctx context.Context, st *store.Store) {
-			st.KeepOperations(s.OperationRetention())
-			startup.Reseed(ctx, s, st.Node, signals.Reloads())
+		return runStore(process, func(ctx context.Context, node *store.Store) {
+			node.KeepOperations(settings.OperationRetention())
+			startup.Reseed(ctx, settings, node.Node, signals.Reloads())
 		})
 	}
 	return code.New(code.BadFlag, "-role: %q is neither edge nor store", role)
 }
 
-// platformEdge serves the platform's callers.
-func platformEdge(p *startup.Process, s *platform.Params) error {
-	log := p.Log("damsontiller-data")
-	sig := signals.Stopping(log)
-	// The background tasks outlive the signal: what is under way still needs them.
+// platformEdge runs an edge that proxies the requests of the platform's callers. It stops
+// when a server ends, as the front server does after a stop signal.
+func platformEdge(process *startup.Process, settings *platform.Params) error {
+	log := process.Log("damsontiller-data")
+	stopSignal := signals.Stopping(log)
+	// The background tasks keep running after the signal, because requests in progress need
+	// them.
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ep := edge.DefaultParams
-	ep.ProxyOnly = true
-	e := edge.New(ctx, ep, p.Node("edge", "", log))
-	proxied := edge.DefaultProxy
-	proxied.Quota = s.Quota()
-	handler := e.NewProxy(proxied, headers.Codec{})
-	open := startup.Opener(log)
+	params := edge.DefaultParams
+	params.ProxyOnly = true
+	node := edge.New(ctx, params, process.Node("edge", "", log))
+	proxyParams := edge.DefaultProxy
+	proxyParams.Quota = settings.Quota()
+	handler := node.NewProxy(proxyParams, headers.Codec{})
+	opener := startup.Opener(log)
 	front := &platform.Front{
-		Addr:    s.Bind.Front,
-		Open:    open,
+		Addr:    settings.Bind.Front,
+		Open:    opener,
 		Handler: handler,
-		Limits:  func() spec.Limits { return e.Cluster.Now().Table.Limits },
+		Limits:  func() spec.Limits { return node.Cluster.Now().Table.Limits },
 	}
-	may := func() error {
-		if sig.Err() != nil {
+	ready := func() error {
+		if stopSignal.Err() != nil {
 			return code.New(code.Stopping, "this node stops, ask another")
 		}
 		if !front.Listening() {
@@ -70,23 +72,23 @@
 		}
 		return handler.Ready()
 	}
-	// Three servers: for callers, for the platform's question, for the node's own
-	// figures. Any that fails ends the process.
+	// Three servers: for callers, for the platform's readiness probe, and for the node's
+	// status and metrics. The process ends when any of them does.
 	served := make(chan error, 3)
-	side, sideStop := context.WithCancel(ctx)
-	defer sideStop()
-	x := web.New(log)
-	e.Routes(x)
-	go func() { served <- front.Serve(sig, s.Grace()-time.Second) }()
-	go func() { served <- platform.Side(side, open, s.Bind.Ready, platform.Ready(may)) }()
-	go func() { served <- platform.Side(side, open, p.HTTP, x) }()
-	// The seeds may change before any has answered.
-	startup.Reseed(ctx, s, e.Node, signals.Reloads())
+	sideCtx, stopSide := context.WithCancel(ctx)
+	defer stopSide()
+	router := web.New(log)
+	node.Routes(router)
+	go func() { served <- front.Serve(stopSignal, settings.Grace()-time.Second) }()
+	go func() { served <- platform.Side(sideCtx, opener, settings.Bind.Ready, platform.Ready(ready)) }()
+	go func() { served <- platform.Side(sideCtx, opener, process.HTTP, router) }()
+	// Seeds are reloaded from here on, because they may change before any of them responds.
+	startup.Reseed(ctx, settings, node.Node, signals.Reloads())
 	started := make(chan error, 1)
-	sctx, serves := context.WithCancel(ctx)
-	defer serves()
-	go func() { started <- e.Start(sctx) }()
-	log.Info("serving", "listen", p.Listen, "front", s.Bind.Front)
+	startCtx, cancelStart := context.WithCancel(ctx)
+	defer cancelStart()
+	go func() { started <- node.Start(startCtx) }()
+	log.Info("serving", "listen", process.Listen, "front", settings.Bind.Front)
 	var err error
 	for done := false; !done; {
 		select {
@@ -94,18 +96,18 @@
 			if started = nil; err != nil {
 				return err
 			}
-			reader := discovery.New(s.Platform.Address)
-			e.Go(ctx, func(ctx context.Context) { handler.Run(ctx, reader.List) })
+			reader := discovery.New(settings.Platform.Address)
+			node.Go(ctx, func(ctx context.Context) { handler.Run(ctx, reader.List) })
 		case err = <-served:
 			done = true
 		}
 	}
-	e.Stop()
-	e.WaitBackground(500 * time.Millisecond)
-	sideStop()
+	node.Stop()
+	node.WaitBackground(500 * time.Millisecond)
+	stopSide()
 	cancel()
-	e.Wait()
-	e.Peer.Close()
+	node.Wait()
+	node.Peer.Close()
 	log.Info("stopped")
 	return err
 }
--- a/cmd/damsontiller-replay/main.go
+++ b/cmd/damsontiller-replay/main.go
@@ -1,5 +1,5 @@
-// Command damsontiller-replay records the traffic of a fleet into a day file, shows one,
-// and replays one against a fleet.
+// Command damsontiller-replay records the traffic of a cluster in a day file, reports on a
+// day file, replays it against a cluster, and compares policies on a simulated one.
 package main
 
 import (
@@ -33,44 +33,45 @@
 
 func main() { os.Exit(startup.Exit(run(os.Args[1:]))) }
 
+// run executes the subcommand that the arguments name.
 func run(args []string) error {
 	if len(args) == 0 {
 		return code.New(code.BadFlag, "a subcommand is missing\n%s", usage)
 	}
-	fs := flag.NewFlagSet("damsontiller-replay "+args[0], flag.ContinueOnError)
-	file := fs.String("day", "day.jsonl", "the day file")
-	cores := fs.String("core", "127.0.0.1:7200", "HTTP addresses of core machines, with commas between")
-	most := fs.Duration("for", time.Minute, "record: how long; an interrupt ends it as well")
-	name := fs.String("name", "day", "record: the day's name")
-	speed := fs.Float64("speed", 1, "play, rehearse: times the recorded speed")
-	deploy := fs.String("deploy", "deploy/andina", "rehearse: folder with the deployment's spec.json")
-	cand := fs.String(
+	flags := flag.NewFlagSet("damsontiller-replay "+args[0], flag.ContinueOnError)
+	file := flags.String("day", "day.jsonl", "the day file")
+	cores := flags.String("core", "127.0.0.1:7200", "HTTP addresses of core machines, with commas between")
+	maxDuration := flags.Duration("for", time.Minute, "record: how long; an interrupt ends it as well")
+	name := flags.String("name", "day", "record: the day's name")
+	speed := flags.Float64("speed", 1, "play, rehearse: times the recorded speed")
+	deploy := flags.String("deploy", "deploy/andina", "rehearse: folder with the deployment's spec.json")
+	candidate := flags.String(
 		"policy",
 		"",
 		"rehearse: the candidate, a file of JSON with rank and order; none: the built-in rules",
 	)
-	base := fs.String("base", "", "rehearse: the policy in force, likewise")
-	seed := fs.Uint64("seed", 1, "rehearse: seed of the fleet and its runners")
-	runs := fs.Int("runs", 3, "rehearse: runs of each column, under seeds from -seed on")
-	bears := fs.Int("bears", 8, "rehearse: jobs that each runner bears at once")
-	prefixes := fs.Int("prefixes", 16, "rehearse: prefixes that each model server's cache holds")
-	out := fs.String(
+	baseline := flags.String("base", "", "rehearse: the policy in force, likewise")
+	seed := flags.Uint64("seed", 1, "rehearse: seed of the fleet and its runners")
+	runs := flags.Int("runs", 3, "rehearse: runs of each column, under seeds from -seed on")
+	slots := flags.Int("bears", 8, "rehearse: jobs that each runner bears at once")
+	prefixes := flags.Int("prefixes", 16, "rehearse: prefixes that each model server's cache holds")
+	out := flags.String(
 		"out",
 		"",
 		"rehearse: where the report for damsontiller-control policy approve goes; none: nowhere",
 	)
-	if err := fs.Parse(args[1:]); err != nil {
+	if err := flags.Parse(args[1:]); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return err
 		}
 		return code.New(code.BadFlag, "%w", err)
 	}
-	if fs.NArg() > 0 {
-		return code.New(code.BadFlag, "%q is no flag", fs.Arg(0))
+	if flags.NArg() > 0 {
+		return code.New(code.BadFlag, "%q is no flag", flags.Arg(0))
 	}
-	list := strings.Split(*cores, ",")
-	for _, c := range list {
-		if err := spec.Addr(c); err != nil {
+	coreAddrs := strings.Split(*cores, ",")
+	for _, addr := range coreAddrs {
+		if err := spec.Addr(addr); err != nil {
 			return code.New(code.BadFlag, "-core: %w", err)
 		}
 	}
@@ -78,42 +79,42 @@
 	defer stop()
 	switch args[0] {
 	case "record":
-		if *most <= 0 {
-			return code.New(code.BadFlag, "-for: %s is not positive", *most)
+		if *maxDuration <= 0 {
+			return code.New(code.BadFlag, "-for: %s is not positive", *maxDuration)
 		}
-		return record(ctx, *file, *name, list, *most)
+		return record(ctx, *file, *name, coreAddrs, *maxDuration)
 	case "play":
 		if *speed <= 0 || *speed > 1000 {
 			return code.New(code.BadFlag, "-speed: %v is not within 0 and 1000", *speed)
 		}
-		return play(ctx, *file, list, *speed)
+		return play(ctx, *file, coreAddrs, *speed)
 	case "show":
 		return show(*file)
 	case "rehearse":
-		if *speed <= 0 || *speed > 1000 || *bears < 1 || *bears > 10000 || *runs < 1 || *runs > 100 || *prefixes < 1 {
+		if *speed <= 0 || *speed > 1000 || *slots < 1 || *slots > 10000 || *runs < 1 || *runs > 100 || *prefixes < 1 {
 			return code.New(code.BadFlag, "-speed, -bears, -prefixes or -runs: out of range")
 		}
-		d, err := read(*file)
+		day, err := readDay(*file)
 		if err != nil {
 			return err
 		}
-		p := rehearsal.Params{
+		params := rehearsal.Params{
 			Deploy:   *deploy,
-			Day:      d,
+			Day:      day,
 			Seed:     *seed,
 			Runs:     *runs,
 			Speed:    *speed,
-			Bears:    *bears,
+			Bears:    *slots,
 			Prefixes: *prefixes,
 		}
-		if p.Base, err = program(*base); err != nil {
+		if params.Base, err = readPolicy(*baseline); err != nil {
 			return err
 		}
-		if p.Cand, err = program(*cand); err != nil {
+		if params.Cand, err = readPolicy(*candidate); err != nil {
 			return err
 		}
 		simtime.Main(
-			func(run func(func())) error { return compare(p, *out, run) },
+			func(run func(func())) error { return compare(params, *out, run) },
 			func(err error) { fmt.Fprintln(os.Stderr, err) },
 		)
 		return nil
@@ -124,20 +125,22 @@
 	return code.New(code.BadFlag, "%q is no subcommand\n%s", args[0], usage)
 }
 
-func record(ctx context.Context, file, name string, cores []string, most time.Duration) error {
-	ctx, stop := context.WithTimeout(ctx, most)
+// record writes the traffic of a cluster to a day file until ctx is canceled or maxDuration
+// has elapsed.
+func record(ctx context.Context, file, name string, cores []string, maxDuration time.Duration) error {
+	ctx, stop := context.WithTimeout(ctx, maxDuration)
 	defer stop()
-	web := &http.Client{}
-	if _, err := traffic.Edges(ctx, web, cores); err != nil {
+	client := &http.Client{}
+	if _, err := traffic.Edges(ctx, client, cores); err != nil {
 		return err
 	}
-	f, err := os.Create(file)
+	output, err := os.Create(file)
 	if err != nil {
 		return code.New(code.BadDay, "%w", err)
 	}
-	rows, lost, err := traffic.Record(ctx, web, cores, traffic.Head{Name: name}, f)
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	rows, lost, err := traffic.Record(ctx, client, cores, traffic.Head{Name: name}, output)
+	if closeErr := output.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return code.New(code.BadDay, "%w", err)
@@ -146,85 +149,97 @@
 	return nil
 }
 
-func read(file string) (*traffic.Day, error) {
-	f, err := os.Open(file)
+// readDay reads a day file.
+func readDay(file string) (*traffic.Day, error) {
+	input, err := os.Open(file)
 	if err != nil {
 		return nil, code.New(code.BadDay, "%w", err)
 	}
-	defer f.Close()
-	d, err := traffic.Read(f)
+	defer input.Close()
+	day, err := traffic.Read(input)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return d, nil
+	return day, nil
 }
 
+// play replays a day file against a cluster and prints a summary of the results.
 func play(ctx context.Context, file string, cores []string, speed float64) error {
-	d, err := read(file)
+	day, err := readDay(file)
 	if err != nil {
 		return err
 	}
-	web := &http.Client{}
-	edges, err := traffic.Edges(ctx, web, cores)
+	client := &http.Client{}
+	edges, err := traffic.Edges(ctx, client, cores)
 	if err != nil {
 		return err
 	}
-	p := &traffic.Player{
-		Day:    d,
+	player := &traffic.Player{
+		Day:    day,
 		Speed:  speed,
 		Run:    strconv.FormatInt(time.Now().UnixNano(), 36),
 		Client: traffic.NewClient(nil),
 		Edges:  func(zone string) []string { return traffic.Near(edges, zone) },
 	}
-	fmt.Printf("%s: %d rows, digest %.12s, at speed %v\n", d.Name, len(d.Rows), d.Sum, speed)
-	p.Play(ctx)
-	traffic.Sum(p.Client.Log()).Print(os.Stdout)
+	fmt.Printf("%s: %d rows, digest %.12s, at speed %v\n", day.Name, len(day.Rows), day.Sum, speed)
+	player.Play(ctx)
+	traffic.Sum(player.Client.Log()).Print(os.Stdout)
 	return nil
 }
 
-// program reads a policy program; its name is the file's.
-func program(file string) (*spec.Policy, error) {
+// readPolicy reads a policy program, which is named after its file. Without a file it
+// returns nil, which selects the built-in rules.
+func readPolicy(file string) (*spec.Policy, error) {
 	if file == "" {
 		return nil, nil
 	}
-	b, err := os.ReadFile(file)
+	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, code.New(code.BadFlag, "%w", err)
 	}
-	var p spec.PolicyPut
-	if err := spec.Read(b, &p); err != nil {
+	var program spec.PolicyPut
+	if err := spec.Read(data, &program); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	name := strings.TrimSuffix(filepath.Base(file), ".json")
 	if !spec.Name(name) {
 		return nil, code.New(code.BadFlag, "%s: %q is not a name", file, name)
 	}
-	return &spec.Policy{Name: name, Rank: p.Rank, Order: p.Order}, nil
+	return &spec.Policy{Name: name, Rank: program.Rank, Order: program.Order}, nil
 }
 
-// compare prints both columns and writes the report.
-func compare(p rehearsal.Params, out string, run func(func())) error {
-	a, err := rehearsal.Run(p, run)
+// compare runs a rehearsal, prints the results of both policies side by side, and writes
+// the report to the file out unless that is empty.
+func compare(params rehearsal.Params, out string, runSimulation func(func())) error {
+	report, err := rehearsal.Run(params, runSimulation)
 	if err != nil {
 		return err
 	}
-	rehearsal.Print(os.Stdout, a)
+	rehearsal.Print(os.Stdout, report)
 	if out == "" {
 		return nil
 	}
-	b, err := a.MarshalJSON()
+	data, err := report.MarshalJSON()
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(out, append(b, '\n'), 0o644)
+	return os.WriteFile(out, append(data, '\n'), 0o644)
 }
 
+// show prints a summary of a day file as it was recorded.
 func show(file string) error {
-	d, err := read(file)
+	day, err := readDay(file)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: recorded %s, %d rows, %d lost, digest %.12s\n", d.Name, d.Start, len(d.Rows), d.Lost, d.Sum)
-	traffic.Sum(d.Asks()).Print(os.Stdout)
+	fmt.Printf(
+		"%s: recorded %s, %d rows, %d lost, digest %.12s\n",
+		day.Name,
+		day.Start,
+		len(day.Rows),
+		day.Lost,
+		day.Sum,
+	)
+	traffic.Sum(day.Asks()).Print(os.Stdout)
 	return nil
 }
--- a/cmd/internal/signals/signals.go
+++ b/cmd/internal/signals/signals.go
@@ -1,11 +1,12 @@
-// Package signals takes a server's signals from the moment in which the program is
-// initialized to its end. Without a handler the kernel's own answer to SIGHUP and SIGTERM
-// ends the process: while it opens its folder, or in the midst of a drain once a handler was
-// given back. So the handlers are set when this package is initialized, which is before
-// main and, as it imports nothing that takes time, before most other packages; and they are
-// never given back. What remains is the time from exec to there, some milliseconds.
+// Package signals handles the signals of a server from program initialization to exit.
+// Without a handler, the kernel's default action for SIGHUP and SIGTERM ends the process,
+// for instance while it opens its data directory, or during a drain if the handlers have
+// been removed. The handlers are therefore installed when this package is initialized and
+// never removed. Initialization runs before main and before that of most other packages,
+// because this package imports nothing that is slow to initialize. The process remains
+// unprotected only for the few milliseconds from exec to that point.
 //
-// Programs that are not servers must not import it, or must call Default at once.
+// Programs that are not servers must not import this package, or must call Default first.
 package signals
 
 import (
@@ -16,7 +17,7 @@
 	"syscall"
 )
 
-// One signal that waits is enough: more of its kind ask for nothing else.
+// A buffer of one signal suffices, because further signals of a kind ask for the same.
 var (
 	stops   = make(chan os.Signal, 1)
 	reloads = make(chan os.Signal, 1)
@@ -25,26 +26,26 @@
 func init() {
 	signal.Notify(stops, os.Interrupt, syscall.SIGTERM)
 	signal.Notify(reloads, syscall.SIGHUP)
-	// A write to a log that nobody can read fails, and ends nothing.
+	// A write to a log whose reader is gone must return an error, not end the process.
 	signal.Ignore(syscall.SIGPIPE)
 }
 
-// exitInterrupted is a shell's status for a program that was interrupted.
+// exitInterrupted is the conventional exit status of an interrupted program: 128 + SIGINT.
 const exitInterrupted = 130
 
-// Stopping gives a context that ends at the first order to stop, also one that has come
-// already. Later ones change nothing, but for a second interrupt, by which somebody at a
-// terminal ends the process. It is called once.
+// Stopping returns a context that is canceled by the first stop signal, including one
+// received before the call. Later stop signals have no effect, except that a second
+// interrupt, as sent from a terminal, exits at once. It must be called only once.
 func Stopping(log interface{ Info(msg string, args ...any) }) context.Context {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		interrupts := 0
-		for s := range stops {
+		for received := range stops {
 			if ctx.Err() == nil {
-				stop()
-				log.Info("told to stop", "signal", s)
+				cancel()
+				log.Info("received a stop signal, shutting down", "signal", received)
 			}
-			if s != os.Interrupt {
+			if received != os.Interrupt {
 				continue
 			}
 			if interrupts++; interrupts > 1 {
@@ -55,17 +56,17 @@
 	return ctx
 }
 
-// Reloads tells that the settings file is to be read again, also of an order that has come
-// already.
+// Reloads returns a channel that receives each request to reload the settings file,
+// including one received before the call.
 func Reloads() <-chan os.Signal { return reloads }
 
-// Default leaves all signals to the kernel, for commands that are no servers. One that has
-// come already ends the process.
+// Default restores the default actions of all signals, for commands that are not servers.
+// It ends the process if a signal has already been received.
 func Default() {
 	signal.Reset(os.Interrupt, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGPIPE)
 	select {
-	case s := <-stops:
-		fmt.Fprintln(os.Stderr, s)
+	case received := <-stops:
+		fmt.Fprintln(os.Stderr, received)
 		os.Exit(exitInterrupted)
 	case <-reloads:
 		os.Exit(exitInterrupted)
--- a/cmd/internal/startup/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -10,30 +10,40 @@
 	"damsontiller/internal/platform"
 )
 
-// Platform is where a process stands, as the platform's settings say; http is
-// where it serves HTTP.
-func Platform(s *platform.Params, http string) (*Process, error) {
-	// A machine that is away for half of the time after which it counts as away
-	// for good is no member any more, and holds nobody up.
-	lasts := s.Contact() / 2
-	p := &Process{ID: s.ID, Listen: s.Listen(), HTTP: http, Zone: s.Zone, Data: s.Data, Level: "info",
-		Seeds: strings.Join(
-			s.Peers(),
-			",",
-		), MinFree: s.MinFree(), RenewInterval: lasts / 3, LeaseDuration: lasts, OrphanTimeout: 10 * time.Second}
-	p.OrphanTimeout = max(p.OrphanTimeout, p.LeaseDuration)
-	s.Fit()
-	return p, p.check()
+// Platform returns the configuration of a process that the platform's settings define;
+// http is the address at which it serves HTTP.
+func Platform(settings *platform.Params, http string) (*Process, error) {
+	// The lease lasts half of the contact timeout, so that an unreachable machine leaves the
+	// membership before it counts as lost, and delays no other machine.
+	leaseDuration := settings.Contact() / 2
+	process := &Process{
+		ID:            settings.ID,
+		Listen:        settings.Listen(),
+		HTTP:          http,
+		Zone:          settings.Zone,
+		Data:          settings.Data,
+		Level:         "info",
+		Seeds:         strings.Join(settings.Peers(), ","),
+		MinFree:       settings.MinFree(),
+		RenewInterval: leaseDuration / 3,
+		LeaseDuration: leaseDuration,
+		OrphanTimeout: 10 * time.Second,
+	}
+	process.OrphanTimeout = max(process.OrphanTimeout, process.LeaseDuration)
+	settings.Fit()
+	return process, process.check()
 }
 
-// Reseed follows the settings file until ctx ends: the seeds may change.
-func Reseed(ctx context.Context, s *platform.Params, n *node.Node, reloads <-chan os.Signal) {
+// Reseed watches the settings file until ctx is canceled and applies changes of the seeds.
+func Reseed(ctx context.Context, settings *platform.Params, n *node.Node, reloads <-chan os.Signal) {
 	n.Go(ctx, func(ctx context.Context) {
-		s.Watch(
+		settings.Watch(
 			ctx,
 			reloads,
-			func(q *platform.Params) { n.SetSeeds(q.Peers()) },
-			func(err error) { n.Log.Warn("settings not read", "err", err) },
+			func(changed *platform.Params) { n.SetSeeds(changed.Peers()) },
+			func(err error) {
+				n.Log.Warn("reading the settings file failed, keeping the previous settings", "err", err)
+			},
 		)
 	})
 }
--- a/cmd/internal/startup/startup.go
+++ b/cmd/internal/startup/startup.go
@@ -1,5 +1,5 @@
-// Package startup is what the programs share on the command line: settings from flags
-// and a file, checks that name the flag at fault, logging and signals.
+// Package startup holds the code that the programs share to start: settings from flags and
+// a settings file, validation with errors that name the flag, logging and exit codes.
 package startup
 
 import (
@@ -37,7 +37,7 @@
 	ExitFlags   = 2
 )
 
-// Process is where a process stands.
+// Process holds the settings of a server process.
 type Process struct {
 	ID, Listen, HTTP, Zone, Data, Level         string
 	Seeds                                       string
@@ -48,36 +48,42 @@
 	fs                                          *flag.FlagSet
 }
 
-// Flags defines the flags that every process has.
+// Flags defines the flags that all server processes have in common.
 func Flags(fs *flag.FlagSet) *Process {
-	p := &Process{fs: fs}
-	d := lease.DefaultParams
-	fs.StringVar(&p.ID, "id", "", "name of this machine")
-	fs.StringVar(&p.Listen, "listen", "", "IP number and port for the system's own processes")
-	fs.StringVar(&p.HTTP, "http", "", "IP number and port for HTTP")
-	fs.StringVar(&p.Zone, "zone", "", "zone of this machine")
-	fs.StringVar(&p.Data, "data", "", "data folder, where this process keeps anything")
-	fs.StringVar(&p.Seeds, "seeds", "", "up to three addresses of other processes, with commas between")
-	fs.StringVar(&p.Level, "log", "info", "least level logged: debug, info, warn, error")
-	fs.BoolVar(&p.Faults, "faults", false, "let the fault kit partition this process (never in service)")
-	fs.DurationVar(&p.RenewInterval, "renew", d.RenewInterval, "time between renewals of the lease")
-	fs.DurationVar(&p.LeaseDuration, "lasts", d.Duration, "time a lease lasts")
+	process := &Process{fs: fs}
+	defaults := lease.DefaultParams
+	fs.StringVar(&process.ID, "id", "", "name of this machine")
+	fs.StringVar(&process.Listen, "listen", "", "IP number and port for the system's own processes")
+	fs.StringVar(&process.HTTP, "http", "", "IP number and port for HTTP")
+	fs.StringVar(&process.Zone, "zone", "", "zone of this machine")
+	fs.StringVar(&process.Data, "data", "", "data folder, where this process keeps anything")
+	fs.StringVar(&process.Seeds, "seeds", "", "up to three addresses of other processes, with commas between")
+	fs.StringVar(&process.Level, "log", "info", "least level logged: debug, info, warn, error")
+	fs.BoolVar(&process.Faults, "faults", false, "let the fault kit partition this process (never in service)")
+	fs.DurationVar(&process.RenewInterval, "renew", defaults.RenewInterval, "time between renewals of the lease")
+	fs.DurationVar(&process.LeaseDuration, "lasts", defaults.Duration, "time a lease lasts")
 	fs.DurationVar(
-		&p.OrphanTimeout,
+		&process.OrphanTimeout,
 		"hold",
-		d.OrphanTimeout,
+		defaults.OrphanTimeout,
 		"time after which what an unresponsive edge left running is no longer counted",
 	)
-	fs.Int64Var(&p.MinFree, "min-free", 64, "MiB of free disk below which a store or core takes no new key")
-	fs.StringVar(&p.file, "params", "", "settings file: a JSON object of flag names and values; flags go before it")
-	return p
+	fs.Int64Var(&process.MinFree, "min-free", 64, "MiB of free disk below which a store or core takes no new key")
+	fs.StringVar(
+		&process.file,
+		"params",
+		"",
+		"settings file: a JSON object of flag names and values; flags go before it",
+	)
+	return process
 }
 
-func flagErr(name, format string, a ...any) error {
-	return code.New(code.BadFlag, "-%s: %s", name, fmt.Sprintf(format, a...))
+// flagError returns an error that names the invalid flag.
+func flagError(name, format string, args ...any) error {
+	return code.New(code.BadFlag, "-%s: %s", name, fmt.Sprintf(format, args...))
 }
 
-// Parse reads flags and the settings file, and checks them.
+// Parse reads the flags and the settings file and validates the settings.
 func (p *Process) Parse(args []string) error {
 	p.fs.SetOutput(io.Discard)
 	if err := p.fs.Parse(args); err != nil {
@@ -99,73 +105,75 @@
 	return p.check()
 }
 
+// load applies the settings file to the flags that the command line does not set.
 func (p *Process) load() error {
-	b, err := os.ReadFile(p.file)
+	data, err := os.ReadFile(p.file)
 	if err != nil {
-		return flagErr("params", "%v", err)
+		return flagError("params", "%v", err)
 	}
-	var m map[string]any
-	if err := json.Unmarshal(b, &m); err != nil {
-		return flagErr("params", "%s: %v", p.file, err)
+	var values map[string]any
+	if err := json.Unmarshal(data, &values); err != nil {
+		return flagError("params", "%s: %v", p.file, err)
 	}
 	given := map[string]bool{}
 	p.fs.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	for k, v := range m {
-		if k == "params" || p.fs.Lookup(k) == nil {
-			return flagErr("params", "%s: %q is not a setting", p.file, k)
+	for name, value := range values {
+		if name == "params" || p.fs.Lookup(name) == nil {
+			return flagError("params", "%s: %q is not a setting", p.file, name)
 		}
-		if given[k] {
+		if given[name] {
 			continue
 		}
-		switch v.(type) {
+		switch value.(type) {
 		case string, bool, float64:
 		default:
-			return flagErr("params", "%s: %q wants a plain value", p.file, k)
+			return flagError("params", "%s: %q wants a plain value", p.file, name)
 		}
-		if err := p.fs.Set(k, fmt.Sprint(v)); err != nil {
-			return flagErr(k, "%s: %v", p.file, err)
+		if err := p.fs.Set(name, fmt.Sprint(value)); err != nil {
+			return flagError(name, "%s: %v", p.file, err)
 		}
 	}
 	return nil
 }
 
+// check validates the settings.
 func (p *Process) check() error {
 	if !spec.Name(p.ID) {
-		return flagErr("id", "%q is not a name", p.ID)
+		return flagError("id", "%q is not a name", p.ID)
 	}
 	if err := spec.Addr(p.Listen); err != nil {
-		return flagErr("listen", "%v", err)
+		return flagError("listen", "%v", err)
 	}
 	if err := spec.Addr(p.HTTP); err != nil {
-		return flagErr("http", "%v", err)
+		return flagError("http", "%v", err)
 	}
 	if !spec.Name(p.Zone) {
-		return flagErr("zone", "%q is not a name", p.Zone)
+		return flagError("zone", "%q is not a name", p.Zone)
 	}
 	if n := len(p.SeedList()); n > 3 {
-		return flagErr("seeds", "%d addresses, at most three", n)
+		return flagError("seeds", "%d addresses, at most three", n)
 	}
 	for _, s := range p.SeedList() {
 		if err := spec.Addr(s); err != nil {
-			return flagErr("seeds", "%v", err)
+			return flagError("seeds", "%v", err)
 		}
 	}
 	if hclog.LevelFromString(p.Level) == hclog.NoLevel {
-		return flagErr("log", "%q is not a level", p.Level)
+		return flagError("log", "%q is not a level", p.Level)
 	}
 	if p.MinFree < 0 {
-		return flagErr("min-free", "%d is negative", p.MinFree)
+		return flagError("min-free", "%d is negative", p.MinFree)
 	}
 	if p.RenewInterval <= 0 || p.LeaseDuration < 2*p.RenewInterval {
-		return flagErr("lasts", "%s is less than twice -renew %s", p.LeaseDuration, p.RenewInterval)
+		return flagError("lasts", "%s is less than twice -renew %s", p.LeaseDuration, p.RenewInterval)
 	}
 	if p.OrphanTimeout < p.LeaseDuration {
-		return flagErr("hold", "%s is less than -lasts %s", p.OrphanTimeout, p.LeaseDuration)
+		return flagError("hold", "%s is less than -lasts %s", p.OrphanTimeout, p.LeaseDuration)
 	}
 	return nil
 }
 
-// SeedList is the seeds as a list.
+// SeedList returns the addresses of the seeds.
 func (p *Process) SeedList() []string {
 	if p.Seeds == "" {
 		return nil
@@ -173,14 +181,14 @@
 	return strings.Split(p.Seeds, ",")
 }
 
-// stderr is where everything is logged, also by libraries.
+// stderr receives all log output, including that of libraries.
 var stderr = logqueue.New(os.Stderr)
 
-// flushTimeout bounds the wait for the log at the end of a process.
+// flushTimeout limits the time to write the remaining log lines when a process exits.
 const flushTimeout = 300 * time.Millisecond
 
-// Log makes the process's log, and says that the process starts: from here on it is known to
-// take signals.
+// Log creates the logger of the process and logs that the process is starting. From that
+// line on, observers can rely on the process handling signals.
 func (p *Process) Log(name string) hclog.Logger {
 	log.SetOutput(stderr)
 	logger := hclog.New(
@@ -190,7 +198,7 @@
 	return logger
 }
 
-// Node makes the node's params.
+// Node returns the parameters of the process's node.
 func (p *Process) Node(role, ident string, log hclog.Logger) node.Params {
 	return node.Params{
 		Self:  &wire.Member{Id: p.ID, Role: role, Addr: p.Listen, Http: p.HTTP, Zone: p.Zone, Ident: ident},
@@ -204,10 +212,10 @@
 	}
 }
 
-// Engine opens the data folder.
+// Engine opens the storage engine in the data directory.
 func (p *Process) Engine(role string, log hclog.Logger) (*storage.Engine, error) {
 	if p.Data == "" {
-		return nil, flagErr("data", "missing")
+		return nil, flagError("data", "missing")
 	}
 	return storage.Open(
 		storage.Params{
@@ -215,32 +223,33 @@
 			ID:      p.ID,
 			Role:    role,
 			MinFree: p.MinFree << 20,
-			Log:     func(m string, a ...any) { log.Warn(m, a...) },
+			Log:     func(message string, args ...any) { log.Warn(message, args...) },
 		},
 	)
 }
 
-// DiskFaults adds the rehearsal kit's switch for a disk that is full or slow.
-func DiskFaults(e *echo.Echo, v *storage.Engine) {
-	e.POST("/debug/disk", func(c echo.Context) error {
-		q := struct {
+// DiskFaults adds the route by which fault injection simulates a full or slow disk.
+func DiskFaults(router *echo.Echo, engine *storage.Engine) {
+	router.POST("/debug/disk", func(c echo.Context) error {
+		request := struct {
 			Free    int64 `json:"free"`
 			DelayMs int64 `json:"delay_ms"`
 		}{Free: -1}
-		if err := c.Bind(&q); err != nil {
+		if err := c.Bind(&request); err != nil {
 			return web.Fail(c, code.New(code.BadJSON, "%w", err))
 		}
-		v.SimulateDisk(q.Free, time.Duration(q.DelayMs)*time.Millisecond)
+		engine.SimulateDisk(request.Free, time.Duration(request.DelayMs)*time.Millisecond)
 		return c.NoContent(http.StatusOK)
 	})
 }
 
-// Opener opens the addresses at which a process listens; one that is in use is logged.
+// Opener returns the opener for the addresses at which a process listens. It logs an
+// address that is in use.
 func Opener(log hclog.Logger) listen.Opener {
 	return listen.Opener{InUse: func(addr string) { log.Warn("address in use, waiting for it", "addr", addr) }}
 }
 
-// Exit reports a failure, ends the log and gives the exit code.
+// Exit prints err, flushes the log and returns the exit code.
 func Exit(err error) int {
 	defer stderr.Close(flushTimeout)
 	switch {
@@ -254,24 +263,24 @@
 	return ExitFailure
 }
 
-// Machines parses a list like c1=127.0.0.1:7101/a,c2=...
-func Machines(name, s string) ([]spec.Machine, error) {
-	var out []spec.Machine
+// Machines parses the value of the named flag, a list such as c1=127.0.0.1:7101/a,c2=...
+func Machines(flagName, list string) ([]spec.Machine, error) {
+	var machines []spec.Machine
 	ids := map[string]bool{}
-	for _, segment := range strings.Split(s, ",") {
-		id, rest, ok := strings.Cut(segment, "=")
-		addr, zone, ok2 := strings.Cut(rest, "/")
-		if !ok || !ok2 || !spec.Name(id) || !spec.Name(zone) {
-			return nil, flagErr(name, "%q is not name=address/zone", segment)
+	for _, segment := range strings.Split(list, ",") {
+		id, rest, idFound := strings.Cut(segment, "=")
+		addr, zone, zoneFound := strings.Cut(rest, "/")
+		if !idFound || !zoneFound || !spec.Name(id) || !spec.Name(zone) {
+			return nil, flagError(flagName, "%q is not name=address/zone", segment)
 		}
 		if err := spec.Addr(addr); err != nil {
-			return nil, flagErr(name, "%v", err)
+			return nil, flagError(flagName, "%v", err)
 		}
 		if ids[id] {
-			return nil, flagErr(name, "%q is listed twice", id)
+			return nil, flagError(flagName, "%q is listed twice", id)
 		}
 		ids[id] = true
-		out = append(out, spec.Machine{ID: id, Addr: addr, Zone: zone})
+		machines = append(machines, spec.Machine{ID: id, Addr: addr, Zone: zone})
 	}
-	return out, nil
+	return machines, nil
 }
--- a/cmd/internal/startup/startup_test.go
+++ b/cmd/internal/startup/startup_test.go
@@ -12,13 +12,15 @@
 	"damsontiller/internal/transport/code"
 )
 
+// parse parses the common flags of a process.
 func parse(args ...string) (*startup.Process, error) {
 	fs := flag.NewFlagSet("x", flag.ContinueOnError)
 	p := startup.Flags(fs)
 	return p, p.Parse(args)
 }
 
-var good = []string{
+// validFlags are the flags of a valid configuration.
+var validFlags = []string{
 	"-id",
 	"e1",
 	"-listen",
@@ -31,9 +33,10 @@
 	"127.0.0.1:1,127.0.0.1:2",
 }
 
-// TestFlags: each bad flag ends the start with exit code 2 and its name.
+// TestFlags checks that each invalid flag is rejected with exit code 2 and a message that
+// names it, and that flags take precedence over the settings file.
 func TestFlags(t *testing.T) {
-	if _, err := parse(good...); err != nil {
+	if _, err := parse(validFlags...); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
@@ -62,14 +65,14 @@
 		{[]string{"word"}, "word"},
 		{[]string{"-params", dir + "/none"}, "-params"}, {[]string{"-params", file(`{"idd":"x"}`)}, "idd"},
 	} {
-		_, err := parse(append(good[:len(good):len(good)], tc.args...)...)
+		_, err := parse(append(validFlags[:len(validFlags):len(validFlags)], tc.args...)...)
 		if code.Of(err) != code.BadFlag || !strings.Contains(err.Error(), tc.name) ||
 			startup.Exit(err) != startup.ExitFlags {
 			t.Errorf("%v: %v", tc.args, err)
 		}
 	}
-	// A file fills in what the flags leave out; flags go before it.
-	p, err := parse(append(good[:len(good):len(good)], "-params", file(`{"hold":"50s","zone":"z","faults":true}`))...)
+	// The settings file supplies the flags that are not given; given flags take precedence.
+	p, err := parse(append(validFlags[:len(validFlags):len(validFlags)], "-params", file(`{"hold":"50s","zone":"z","faults":true}`))...)
 	if err != nil || p.OrphanTimeout.String() != "50s" || p.Zone != "a" || !p.Faults {
 		t.Errorf("%+v %v", p, err)
 	}
