--- a/cmd/damsontiller-control/main.go
+++ b/cmd/damsontiller-control/main.go
@@ -91,7 +91,7 @@
 // serve runs a core machine, configured by flags or, without any, by the platform's
 // settings file.
 func serve(args []string) error {
-	if file := os.Getenv(platform.Env); file != "" && len(args) == 0 {
+	if file := os.Getenv(platform.ConfigPathEnv); file != "" && len(args) == 0 {
 		return onPlatform(file)
 	}
 	flags := flag.NewFlagSet("damsontiller-control serve", flag.ContinueOnError)
--- a/cmd/damsontiller-control/platform.go
+++ b/cmd/damsontiller-control/platform.go
@@ -20,15 +20,20 @@
 	if err != nil {
 		return err
 	}
-	if err := settings.Need("core"); err != nil {
+	if err := settings.CheckRole("core"); err != nil {
 		return err
 	}
 	process, err := startup.Platform(settings, settings.Bind.Control)
 	if err != nil {
 		return err
 	}
-	params := core.Params{Zones: settings.ZoneList(), Copies: settings.Copies(), AckTimeout: time.Second, MoveRate: 500}
-	if settings.Founds() {
+	params := core.Params{
+		Zones:      settings.ZoneList(),
+		Copies:     settings.ReplicationFactor(),
+		AckTimeout: time.Second,
+		MoveRate:   500,
+	}
+	if settings.IsFounder() {
 		params.InitialCoreAddrs = settings.Peers()
 	}
 	return runCore(
--- a/cmd/damsontiller-data/main.go
+++ b/cmd/damsontiller-data/main.go
@@ -26,7 +26,7 @@
 // run serves in the role that the arguments name, configured by flags or by the
 // platform's settings file.
 func run(args []string) error {
-	if file := os.Getenv(platform.Env); file != "" && len(args) == 2 && args[0] == "-role" {
+	if file := os.Getenv(platform.ConfigPathEnv); file != "" && len(args) == 2 && args[0] == "-role" {
 		return onPlatform(file, args[1])
 	}
 	flags := flag.NewFlagSet("damsontiller-data", flag.ContinueOnError)
--- a/cmd/damsontiller-data/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -22,10 +22,10 @@
 	if err != nil {
 		return err
 	}
-	if err := settings.Need(role); err != nil {
+	if err := settings.CheckRole(role); err != nil {
 		return err
 	}
-	process, err := startup.Platform(settings, settings.Own())
+	process, err := startup.Platform(settings, settings.StatusAddr())
 	if err != nil {
 		return err
 	}
@@ -80,8 +80,10 @@
 	router := web.New(log)
 	node.Routes(router)
 	go func() { served <- front.Serve(stopSignal, settings.Grace()-time.Second) }()
-	go func() { served <- platform.Side(sideCtx, opener, settings.Bind.Ready, platform.Ready(ready)) }()
-	go func() { served <- platform.Side(sideCtx, opener, process.HTTP, router) }()
+	go func() {
+		served <- platform.ServeAuxiliary(sideCtx, opener, settings.Bind.Ready, platform.ReadinessHandler(ready))
+	}()
+	go func() { served <- platform.ServeAuxiliary(sideCtx, opener, process.HTTP, router) }()
 	// Seeds are reloaded from here on, because they may change before any of them responds.
 	startup.Reseed(ctx, settings, node.Node, signals.Reloads())
 	started := make(chan error, 1)
--- a/cmd/internal/startup/platform.go
+++ b/cmd/internal/startup/platform.go
@@ -15,22 +15,22 @@
 func Platform(settings *platform.Params, http string) (*Process, error) {
 	// The lease lasts half of the contact timeout, so that an unreachable machine leaves the
 	// membership before it counts as lost, and delays no other machine.
-	leaseDuration := settings.Contact() / 2
+	leaseDuration := settings.ContactTimeout() / 2
 	process := &Process{
 		ID:            settings.ID,
-		Listen:        settings.Listen(),
+		Listen:        settings.ListenAddr(),
 		HTTP:          http,
 		Zone:          settings.Zone,
 		Data:          settings.Data,
 		Level:         "info",
 		Seeds:         strings.Join(settings.Peers(), ","),
-		MinFree:       settings.MinFree(),
+		MinFree:       settings.MinFreeMiB(),
 		RenewInterval: leaseDuration / 3,
 		LeaseDuration: leaseDuration,
 		OrphanTimeout: 10 * time.Second,
 	}
 	process.OrphanTimeout = max(process.OrphanTimeout, process.LeaseDuration)
-	settings.Fit()
+	settings.SetMemoryLimit()
 	return process, process.check()
 }
 
--- a/cmd/internal/startup/startup.go
+++ b/cmd/internal/startup/startup.go
@@ -42,7 +42,7 @@
 	ID, Listen, HTTP, Zone, Data, Level         string
 	Seeds                                       string
 	Faults                                      bool
-	MinFree                                     int64
+	MinFree                                     int64 // MiB of free disk that new keys leave unused
 	RenewInterval, LeaseDuration, OrphanTimeout time.Duration
 	file                                        string
 	fs                                          *flag.FlagSet
--- a/internal/coordination/core/reconciler.go
+++ b/internal/coordination/core/reconciler.go
@@ -174,7 +174,7 @@
 		}
 		asked++
 		go func() {
-			response, err := c.Peer.CallFor(
+			response, err := c.Peer.CallWithTimeout(
 				ctx,
 				presenceTimeout,
 				m.Addr,
--- a/internal/coordination/peer/peer_test.go
+++ b/internal/coordination/peer/peer_test.go
@@ -15,9 +15,8 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// TestNeighbours: a message of a later version, with fields nobody here knows,
-// is understood; one too old, for another identity or of an unserved kind is
-// refused by number.
+// TestNeighbours: a message of a later version with unknown fields is accepted. Messages of an
+// outdated version, for another identity or of an unserved kind are rejected with a code.
 func TestNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
@@ -32,7 +31,7 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		h := transport.NewHub(n.Host("b"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("b"), transport.DefaultParams, nil)
 		defer h.Close()
 		send := func(q *wire.Req, tail []byte) code.Code {
 			b, err := h.Call(t.Context(), "a", append(wire.MustEncode(q), tail...))
@@ -59,7 +58,7 @@
 			{"another identity", &wire.Req{Ver: wire.Version, Ident: "ib", Op: hello}, nil, code.WrongIdentity},
 			{"an unserved kind", &wire.Req{Ver: wire.Version, Op: &wire.Req_Put{Put: &wire.Put{}}}, nil, code.UnknownMessage},
 			{"a kind of a later version", &wire.Req{Ver: wire.Version + 1}, later, code.UnknownMessage},
-			{"garble", &wire.Req{Ver: wire.Version, Op: hello}, []byte{0xff}, code.Garbled},
+			{"invalid bytes", &wire.Req{Ver: wire.Version, Op: hello}, []byte{0xff}, code.Garbled},
 		} {
 			if got := send(tc.q, tc.tail); got != tc.want {
 				t.Errorf("%s: %d, want %d", tc.what, got, tc.want)
@@ -68,8 +67,8 @@
 	})
 }
 
-// TestNotUTF8: a string from outside that the wire can't carry is an error of that
-// one call or answer, and ends no process.
+// TestNotUTF8: a string that is not valid UTF-8, which the wire format cannot encode, fails
+// only the call or answer that contains it and does not terminate the process.
 func TestNotUTF8(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -17,8 +17,8 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// echo serves at addr and counts connections closed for speaking badly.
-func echo(t *testing.T, n transport.Net, addr string, bad *atomic.Int64, last *atomic.Value) *transport.Server {
+// echo serves calls at addr, and records the connections closed because of protocol errors.
+func echo(t *testing.T, n transport.Net, addr string, errorCount *atomic.Int64, lastCode *atomic.Value) *transport.Server {
 	t.Helper()
 	ln, err := n.Listen(addr)
 	if err != nil {
@@ -30,14 +30,14 @@
 		transport.DefaultParams,
 		func(_ context.Context, call *transport.Call) []byte { return call.Body },
 		func(err error) {
-			bad.Add(1)
-			last.Store(code.Of(err))
+			errorCount.Add(1)
+			lastCode.Store(code.Of(err))
 		},
 	)
 }
 
-// TestBadFrames: what is too long, garbled or of another version is refused by
-// number, and the server goes on for others.
+// TestBadFrames: frames that are too long, invalid or of another version are rejected with a
+// code, and the server continues to serve other connections.
 func TestBadFrames(t *testing.T) {
 	head := func(magic, ver, kind, zero byte, n uint32) []byte {
 		b := make([]byte, 16)
@@ -58,9 +58,9 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			n := memnet.New(1)
-			var bad atomic.Int64
-			var last atomic.Value
-			s := echo(t, n.Host("s"), "s", &bad, &last)
+			var errorCount atomic.Int64
+			var lastCode atomic.Value
+			s := echo(t, n.Host("s"), "s", &errorCount, &lastCode)
 			defer s.Close()
 			c, err := n.Host("c").Dial(t.Context(), "s")
 			if err != nil {
@@ -70,10 +70,10 @@
 			if _, err := io.ReadAll(c); err != nil && !errors.Is(err, io.ErrClosedPipe) {
 				t.Errorf("%s: %v", tc.what, err)
 			}
-			if bad.Load() != 1 || last.Load() != tc.want {
-				t.Errorf("%s: %d failures, code %v, want %v", tc.what, bad.Load(), last.Load(), tc.want)
+			if errorCount.Load() != 1 || lastCode.Load() != tc.want {
+				t.Errorf("%s: %d failures, code %v, want %v", tc.what, errorCount.Load(), lastCode.Load(), tc.want)
 			}
-			h := transport.NewHub(n.Host("d"), transport.DefaultParams, nil)
+			h := transport.NewClient(n.Host("d"), transport.DefaultParams, nil)
 			defer h.Close()
 			if b, err := h.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
 				t.Errorf("%s: the next call got %q, %v", tc.what, b, err)
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestOtherVersion: a caller is told that its peer speaks another version.
+// TestOtherVersion: a caller gets an error with a code if its peer uses another frame version.
 func TestOtherVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
@@ -98,11 +98,11 @@
 			defer c.Close()
 			b := make([]byte, 16)
 			_, _ = io.ReadFull(c, b)
-			b[1]++ // an answer of a later version
-			b[2] = 2
+			b[1]++   // a later version
+			b[2] = 2 // an answer
 			_, _ = c.Write(b)
 		}()
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 		defer h.Close()
 		if _, err := h.Call(t.Context(), "s", nil); code.Of(err) != code.WireVersion {
 			t.Errorf("got %v", err)
@@ -111,31 +111,31 @@
 	})
 }
 
-// TestFaults: a refused port, a partition and a lost connection are told apart.
+// TestFaults: a refused port, a partition and a lost connection are distinguished.
 func TestFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
 		partitions := &transport.Partitions{}
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, partitions)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, partitions)
 		defer h.Close()
 		if _, err := h.Call(t.Context(), "s", nil); !errors.Is(err, transport.ErrRefused) {
-			t.Errorf("nobody there: %v", err)
+			t.Errorf("no listener: %v", err)
 		}
-		var bad atomic.Int64
-		var last atomic.Value
-		s := echo(t, n.Host("s"), "s", &bad, &last)
+		var errorCount atomic.Int64
+		var lastCode atomic.Value
+		s := echo(t, n.Host("s"), "s", &errorCount, &lastCode)
 		if b, err := h.Call(t.Context(), "s", []byte("a")); err != nil || string(b) != "a" {
 			t.Errorf("%q %v", b, err)
 		}
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		partitions.Set([]string{"s"})
-		at := time.Now()
-		if _, err := h.Call(ctx, "s", nil); !errors.Is(err, transport.ErrLost) || time.Since(at) != time.Second {
-			t.Errorf("cut: %v after %s", err, time.Since(at))
+		began := time.Now()
+		if _, err := h.Call(ctx, "s", nil); !errors.Is(err, transport.ErrLost) || time.Since(began) != time.Second {
+			t.Errorf("partition: %v after %s", err, time.Since(began))
 		}
 		if partitions.Swallowed() != 1 {
-			t.Errorf("the cut fired %d times", partitions.Swallowed())
+			t.Errorf("%d calls were dropped", partitions.Swallowed())
 		}
 		partitions.Set(nil)
 		s.Close()
@@ -145,7 +145,7 @@
 	})
 }
 
-// TestRealPort: over real TCP, with a real refused port.
+// TestRealPort: calls over real TCP, including a refused port.
 func TestRealPort(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,7 +159,7 @@
 		func(_ context.Context, call *transport.Call) []byte { return call.Body },
 		func(error) {},
 	)
-	h := transport.NewHub(transport.TCP(transport.DefaultParams, listen.Opener{}), transport.DefaultParams, nil)
+	h := transport.NewClient(transport.TCP(transport.DefaultParams, listen.Opener{}), transport.DefaultParams, nil)
 	defer h.Close()
 	big := make([]byte, 1<<20)
 	if b, err := h.Call(t.Context(), addr, big); err != nil || len(b) != len(big) {
@@ -167,7 +167,7 @@
 	}
 	s.Close()
 	for {
-		// The first call may find the old connection breaking.
+		// The first call may use the old connection while it is being closed.
 		if _, err := h.Call(t.Context(), addr, nil); errors.Is(err, transport.ErrRefused) {
 			break
 		} else if !errors.Is(err, transport.ErrLost) {
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestCloseWaits: once a server is closed no handler runs any more, so that
-// what handlers use may be closed as well.
+// TestCloseWaits: Close returns after all handlers have ended, so that the resources that they
+// use can be closed.
 func TestCloseWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
@@ -193,7 +193,7 @@
 			time.Sleep(time.Second)
 			return b
 		}, func(error) {})
-		h := transport.NewHub(n.Host("c"), transport.DefaultParams, nil)
+		h := transport.NewClient(n.Host("c"), transport.DefaultParams, nil)
 		defer h.Close()
 		for range 3 {
 			go func() { _, _ = h.Call(t.Context(), "s", nil) }()
@@ -208,14 +208,14 @@
 	})
 }
 
-// TestDrop: a connection on which nothing has been received for a while can be closed, so
-// that the next call dials anew; one that is in use is left alone.
+// TestDrop: Drop closes a connection on which nothing has been received for the given time, so
+// that the next call dials again. It does not close a connection in use.
 func TestDrop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		var bad atomic.Int64
-		var last atomic.Value
-		s := echo(t, n.Host("s"), "s", &bad, &last)
+		var errorCount atomic.Int64
+		var lastCode atomic.Value
+		s := echo(t, n.Host("s"), "s", &errorCount, &lastCode)
 		defer s.Close()
 		dials := 0
 		host := n.Host("c")
@@ -224,14 +224,14 @@
 			dials++
 			return dial(ctx, addr)
 		}
-		h := transport.NewHub(host, transport.DefaultParams, &transport.Partitions{})
+		h := transport.NewClient(host, transport.DefaultParams, &transport.Partitions{})
 		defer h.Close()
 		call := func() {
 			if b, err := h.Call(t.Context(), "s", []byte("x")); err != nil || string(b) != "x" {
 				t.Errorf("%q %v", b, err)
 			}
 		}
-		h.Drop("s", time.Second) // there is none
+		h.Drop("s", time.Second) // no connection yet
 		call()
 		h.Drop("s", time.Second)
 		call()
@@ -242,7 +242,7 @@
 		h.Drop("s", time.Second)
 		call()
 		if dials != 2 {
-			t.Errorf("%d dials after it was let go", dials)
+			t.Errorf("%d dials after it was dropped", dials)
 		}
 	})
 }
