--- a/cmd/damsontiller-data/platform.go
+++ b/cmd/damsontiller-data/platform.go
@@ -41,8 +41,8 @@
 	return code.New(code.BadFlag, "-role: %q is neither edge nor store", role)
 }
 
-// platformEdge runs an edge that proxies the requests of the platform's callers. It stops
-// when a server ends, as the front server does after a stop signal.
+// platformEdge runs an edge that proxies the requests of the platform's callers. It returns
+// when the start fails or a server ends, as the front server does after a stop signal.
 func platformEdge(process *startup.Process, settings *platform.Params) error {
 	log := process.Log("damsontiller-data")
 	stopSignal := signals.Stopping(log)
