--- a/internal/coordination/core/core.go
+++ b/internal/coordination/core/core.go
@@ -27,8 +27,9 @@
 	// continues with an empty database under a new identity.
 	Ident() string
 	ReplaceIdentity(why string) error
-	// SetAside does the same, but keeps the data so that AdoptSetAside can take it over.
-	SetAside(why string) error
+	// ReplaceIdentityKeepingBlobs does the same, but keeps the data so that ImportRetiredBlobs can
+	// import the blobs.
+	ReplaceIdentityKeepingBlobs(why string) error
 	// MeasureDisk measures the free disk space.
 	MeasureDisk()
 	DiskStatusReporter
