--- a/internal/coordination/broadcast/digest_test.go
+++ b/internal/coordination/broadcast/digest_test.go
@@ -24,10 +24,10 @@
 	broadcasters [2]*broadcast.Broadcaster
 	peers        [2]*peer.Peer
 	bytes        atomic.Int64
-	calls        atomic.Int64
+	writes       atomic.Int64
 }
 
-// countingConn counts the bytes and calls written to a connection.
+// countingConn counts the bytes and writes of a connection.
 type countingConn struct {
 	net.Conn
 	counters *countedPair
@@ -35,7 +35,7 @@
 
 func (c countingConn) Write(b []byte) (int, error) {
 	c.counters.bytes.Add(int64(len(b)))
-	c.counters.calls.Add(1)
+	c.counters.writes.Add(1)
 	return c.Conn.Write(b)
 }
 
