--- a/internal/dataplane/balancing/outlier/outlier.go
+++ b/internal/dataplane/balancing/outlier/outlier.go
@@ -102,8 +102,8 @@
 	return min(sum, 1)
 }
 
-// rates are the failure rates that a runner may have; the first stands for the baseline rate
-// of a healthy runner. Low rates are typical of a fault that many runners share, such as an
+// rates are the failure rates that a runner may have; mixture replaces the first by the
+// baseline rate of a healthy runner. Low rates are typical of a fault that many runners share, such as an
 // occasional lost answer. From failingRate on the runner should be ejected.
 var rates = [...]float64{0, 0.02, 0.06, 0.2, 0.35, 0.65, 0.97}
 
--- a/internal/dataplane/balancing/outlier/window.go
+++ b/internal/dataplane/balancing/outlier/window.go
@@ -31,8 +31,8 @@
 type track struct {
 	window [slotCount]Count // ring buffer, indexed by slot number modulo slotCount
 	slot   int64            // number of the current slot
-	// failureEdges are the last two distinct edges that reported a failure; a
-	// single edge may have a bad link.
+	// failureEdges are the last two distinct edges that reported a failure. Both are required
+	// for an ejection, because the network link of a single edge may be at fault.
 	failureEdges [2]string
 	failureTimes [2]time.Time
 	ejection     *ejection
@@ -41,7 +41,7 @@
 // slotOf returns the number of the slot that contains now.
 func slotOf(now time.Time) int64 { return now.UnixNano() / int64(slotLength) }
 
-// advance moves on to the slot of now. Counts that leave the longest window are added to b, if set.
+// advance moves the window forward to the slot of now. Counts that leave the longest window are added to b, if set.
 func (t *track) advance(now time.Time, b *baseline) {
 	for n := min(slotOf(now)-t.slot, slotCount); n > 0; n-- {
 		t.slot = slotOf(now) - n + 1
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -83,7 +83,7 @@
 	return manager
 }
 
-// KnownWait returns the remaining wait that this node knows of, without a request to the stores.
+// KnownWait returns the remaining wait known to this node, without a request to the stores.
 func (manager *Manager) KnownWait(key string) time.Duration {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
--- a/internal/dataplane/cooldown/snapshot.go
+++ b/internal/dataplane/cooldown/snapshot.go
@@ -68,7 +68,7 @@
 	endsByOperation map[uint64]time.Time
 }
 
-// retention is how long an expired cooldown is remembered, so that a late answer of a store
+// retention is how long an expired cooldown is kept, so that a late answer of a store
 // does not put it back in force.
 const retention = 10 * time.Minute
 
@@ -293,7 +293,7 @@
 	manager.node.Log.Debug("failed to read cooldown from the stores", "key", key, "err", err)
 }
 
-// Idle reports whether this node knows of no cooldown in force and has no gate after a recent one.
+// Idle reports whether no cooldown in force is known to this node and it has no gate after a recent one.
 func (manager *Manager) Idle() bool { return !manager.active.Load() }
 
 // GateOpen reports whether a call of the key is allowed by its cooldown and its gate, as known to
--- a/internal/dataplane/quota/bytes_test.go
+++ b/internal/dataplane/quota/bytes_test.go
@@ -75,9 +75,9 @@
 	for range seconds * 4 {
 		for i, node := range nodes {
 			report := node.Report()
-			news := collector.Collect(fleet[i], 1, report, fleet, func(tenant string) Limit { return limitOf[tenant] })
-			node.Merge(report, time.Now(), news)
-			bytes += proto.Size(report) + proto.Size(news)
+			answer := collector.Collect(fleet[i], 1, report, fleet, func(tenant string) Limit { return limitOf[tenant] })
+			node.Merge(report, time.Now(), answer)
+			bytes += proto.Size(report) + proto.Size(answer)
 		}
 		for range int(ratePerS / 4) {
 			tenant := pickTenant()
--- a/internal/dataplane/quota/collector.go
+++ b/internal/dataplane/quota/collector.go
@@ -81,15 +81,15 @@
 	}
 	collector.expire(now)
 	node = collector.update(node, id, incarnation, report, now)
-	news := &wire.QuotaNews{Table: collector.tableID, Nodes: int32(max(len(fleet), len(collector.nodes)))}
+	answer := &wire.QuotaNews{Table: collector.tableID, Nodes: int32(max(len(fleet), len(collector.nodes)))}
 	view := collector.view(fleet, now)
-	news.Available = toCount(permille * (1 - view.unknownNodes/view.nodeCount))
+	answer.Available = toCount(permille * (1 - view.unknownNodes/view.nodeCount))
 	collector.findConstrained(view, limit, now)
 	included := map[string]bool{}
 	include := func(tenant string) {
 		if tenantLimit := limit(tenant); !included[tenant] && !tenantLimit.Unlimited() {
 			included[tenant] = true
-			news.Tenants = append(news.Tenants, collector.tenantNews(node, tenant, tenantLimit, view))
+			answer.Tenants = append(answer.Tenants, collector.tenantNews(node, tenant, tenantLimit, view))
 		}
 	}
 	for _, use := range report.Use {
@@ -98,7 +98,7 @@
 	for _, tenant := range collector.constrained {
 		include(tenant)
 	}
-	return news
+	return answer
 }
 
 // checkInterval is the minimum time between two searches for tenants near their limits.
--- a/internal/dataplane/quota/node.go
+++ b/internal/dataplane/quota/node.go
@@ -227,16 +227,16 @@
 }
 
 // Merge applies the collector's answer to a report that was sent at sentAt.
-func (node *Node) Merge(report *wire.QuotaReport, sentAt time.Time, news *wire.QuotaNews) {
+func (node *Node) Merge(report *wire.QuotaReport, sentAt time.Time, answer *wire.QuotaNews) {
 	now := time.Now()
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if news == nil || news.Resend {
+	if answer == nil || answer.Resend {
 		// The collector is a different one or does not have this node's counts.
 		node.tableID = 0
 		return
 	}
-	node.tableID, node.nodeCount, node.availableShare = news.Table, int(news.Nodes), float64(news.Available)/permille
+	node.tableID, node.nodeCount, node.availableShare = answer.Table, int(answer.Nodes), float64(answer.Available)/permille
 	if node.lastSyncAt.IsZero() {
 		close(node.ready)
 	}
@@ -249,18 +249,18 @@
 	for _, a := range node.accounts {
 		a.admittedAtSync, a.constrained = a.admitted.sum, false
 	}
-	for _, tenantNews := range news.Tenants {
+	for _, tenantNews := range answer.Tenants {
 		a, _ := node.account(tenantNews.Tenant, now)
 		node.merge(a, tenantNews, sentAt)
 	}
 }
 
 // merge applies the counts of the other nodes for one tenant.
-func (node *Node) merge(a *account, news *wire.TenantNews, sentAt time.Time) {
+func (node *Node) merge(a *account, answer *wire.TenantNews, sentAt time.Time) {
 	a.mergedAt = sentAt
-	a.othersAdmitted, a.fleetCap = float64(news.Others), float64(news.Cap)
-	a.othersRate = node.params.ratePerS(news.OthersAsked)
-	a.constrained = news.Constrained
+	a.othersAdmitted, a.fleetCap = float64(answer.Others), float64(answer.Cap)
+	a.othersRate = node.params.ratePerS(answer.OthersAsked)
+	a.constrained = answer.Constrained
 	ownRate := node.params.ratePerS(a.requested.recent(rateSlots))
 	remaining := max(0, a.fleetCap-a.othersAdmitted-float64(a.admitted.sum))
 	share := 1.0
--- a/internal/dataplane/quota/node_test.go
+++ b/internal/dataplane/quota/node_test.go
@@ -19,9 +19,9 @@
 	return node
 }
 
-func merge(node *Node, news []*wire.TenantNews) {
+func merge(node *Node, answer []*wire.TenantNews) {
 	report := node.Report()
-	node.Merge(report, time.Now(), &wire.QuotaNews{Table: 1, Nodes: 50, Available: permille, Tenants: news})
+	node.Merge(report, time.Now(), &wire.QuotaNews{Table: 1, Nodes: 50, Available: permille, Tenants: answer})
 }
 
 // countAdmitted sends up to most requests and returns how many are admitted before the first refusal.
@@ -103,15 +103,15 @@
 		limitOf := func(string) Limit { return limit }
 		collect := func() *wire.QuotaNews {
 			report, sentAt := node.Report(), time.Now()
-			news := collector.Collect("e1", 1, report, Fleet{"e1"}, limitOf)
-			node.Merge(report, sentAt, news)
-			return news
+			answer := collector.Collect("e1", 1, report, Fleet{"e1"}, limitOf)
+			node.Merge(report, sentAt, answer)
+			return answer
 		}
 		if !collect().Resend {
 			t.Error("the collector accepted a partial report without the earlier counts")
 		}
-		if news := collect(); news.Resend || collector.totals[tenantName].admitted != 7 {
-			t.Errorf("after the second report: %v", news)
+		if answer := collect(); answer.Resend || collector.totals[tenantName].admitted != 7 {
+			t.Errorf("after the second report: %v", answer)
 		}
 		// Unchanged counts are not sent again.
 		if report := node.Report(); len(report.Use) != 0 {
--- a/internal/dataplane/request/proxy/conversation.go
+++ b/internal/dataplane/request/proxy/conversation.go
@@ -147,7 +147,7 @@
 	}
 	if err != nil {
 		// The latest turn exists, so its predecessors must exist too: not finding one does not
-		// prove that it is gone.
+		// prove that it was deleted.
 		return nil, code.New(code.StoresUnreachable, "turn %s: the turns before it: %w", id, err)
 	}
 	return chain, nil
@@ -256,7 +256,7 @@
 	storeRetryMaxDelay = 100 * time.Millisecond
 )
 
-// retryAtStores repeats an operation at the stores until it succeeds, fails for good or ctx ends.
+// retryAtStores repeats an operation at the stores until it succeeds, fails permanently or ctx ends.
 // The operation must be idempotent. While the set of stores changes, stores refuse clients that use
 // the old set, possibly after other stores have accepted the write, and a new store may not know
 // yet that it is in the set. Both conditions are transient.
--- a/internal/dataplane/request/proxy/loadbalancer.go
+++ b/internal/dataplane/request/proxy/loadbalancer.go
@@ -55,7 +55,7 @@
 
 // Pick selects the runner for a job: by the job's affinity key, in this node's zone first, unless
 // that runner is loaded much more than the rest; without a key, the least loaded. hasCapacity
-// reports whether the selected runner can start another job at once.
+// reports whether the selected runner can start another job immediately.
 func (l *Load) Pick(selection Selection) (r *endpoints.Runner, hasCapacity bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/request/proxy/operation.go
+++ b/internal/dataplane/request/proxy/operation.go
@@ -56,7 +56,7 @@
 }
 
 // A request whose operation is in progress elsewhere polls the claim for a limited time, since the
-// other request will most likely end soon. Then the caller is told when to retry.
+// other request will most likely end soon. Then it is refused, with the time to retry after.
 const (
 	inProgressMaxWait      = time.Second
 	inProgressPollInterval = 50 * time.Millisecond
@@ -264,7 +264,7 @@
 	switch {
 	case recorded:
 	case answer.NotRun():
-		// Releases the claim before the caller is told that the job did not run. If the stores are
+		// Releases the claim before the caller receives the refusal. If the stores are
 		// unreachable, the release continues in the background.
 		operations.settle(j, owner, operation{})
 	default:
@@ -282,7 +282,7 @@
 
 // record records an outcome, before the caller receives it if the stores are reachable. Unreachable
 // stores delay the caller by no more than RecordTimeout: until the outcome is recorded, repeated
-// requests are told that the operation is in progress, and none runs.
+// requests are refused as in progress, and none runs.
 func (operations *Operations) record(j *Job, owner string, reply *operationReply) {
 	operations.settle(j, owner, operation{State: operationDone, Owner: owner, Reply: reply})
 }
--- a/internal/dataplane/request/proxy/selection.go
+++ b/internal/dataplane/request/proxy/selection.go
@@ -136,7 +136,7 @@
 func (handler *Handler) warmupNodes(r *endpoints.Runner, ratePerS float64) int {
 	maxNodes := WarmupNodes
 	if ratePerS < 1 {
-		// Each node may send one job at once, which is most of what such a slow runner can take.
+		// Each node may send one job immediately, which already uses most of such a slow rate.
 		maxNodes--
 	}
 	ownHash := rendezvousHash(handler.deps.Self.Id, r.ID)
@@ -173,8 +173,8 @@
 		holdLeft := min(time.Until(holdUntil), j.TimeLeft())
 		if runner == nil {
 			// If only cooldowns prevent a send, the job is held until the first one ends, within
-			// the time that it would wait for a slot. If that is too short, the caller is told at
-			// once when to retry.
+			// the time that it would wait for a slot. If that is too short, the job is refused
+			// immediately, with the time to retry after.
 			if untriedWait, anyWait := handler.cooldownWaits(j, tried); anyWait > 0 &&
 				(untriedWait <= 0 || untriedWait > holdLeft) {
 				return nil, Refuse(
--- a/internal/dataplane/request/proxy/send.go
+++ b/internal/dataplane/request/proxy/send.go
@@ -160,7 +160,7 @@
 		x.handler.deps.Load.MarkWarmingUp(x.runner.ID, answer.info.WarmupRemaining)
 	}
 	if answer.info.NotRun || answer.info.OtherRunner {
-		return x.classifyRefusal(answer)
+		return x.handleRefusal(answer)
 	}
 	x.record(answer)
 	if err := x.unusable(answer); err != nil {
@@ -231,8 +231,8 @@
 // maxRefusalBytes limits how much of a refusal's body is read so that its connection can be reused.
 const maxRefusalBytes = 64 << 10
 
-// classifyRefusal handles a response that states that the job did not run.
-func (x *exchange) classifyRefusal(answer *reply) attemptResult {
+// handleRefusal handles a response that states that the job did not run.
+func (x *exchange) handleRefusal(answer *reply) attemptResult {
 	result := x.applyRefusal(answer)
 	if n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxRefusalBytes)); err == nil && n < maxRefusalBytes {
 		x.markReusable(answer)
--- a/internal/dataplane/request/proxy/warmup.go
+++ b/internal/dataplane/request/proxy/warmup.go
@@ -6,8 +6,8 @@
 	"golang.org/x/time/rate"
 )
 
-// WarmupNodes is the number of nodes that share a warming runner's rate. Each may send one job at
-// once on top of its share, so the number is small. The nodes are selected by the runner's id, so
+// WarmupNodes is the number of nodes that share a warming runner's rate. Each may send one job
+// immediately in addition to its share, so the number is small. The nodes are selected by the runner's id, so
 // that all nodes select the same ones.
 const WarmupNodes = 4
 
--- a/internal/proto/register/import_test.go
+++ b/internal/proto/register/import_test.go
@@ -72,12 +72,12 @@
 
 // TestCopyIsNoVote changes the voters from {a, old, b} to {a, new, b}. One value was accepted
 // by a alone and is copied to new, which has promised a higher ballot to the proposer of
-// another value. Once the new set stands alone, a read that reaches a and new must not consider
+// another value. Once only the new set is in force, a read that reaches a and new must not consider
 // the first value chosen, because the accept request under the higher ballot still arrives.
 func TestCopyIsNoVote(t *testing.T) {
 	ballot := func(n uint64) *wire.Ballot { return &wire.Ballot{N: n, Node: 1} }
-	accept := func(n uint64, view string) *wire.Acc {
-		return &wire.Acc{Key: "k", Ballot: ballot(n), Cell: &wire.Cell{Ver: 1, Val: []byte(view), Ops: []uint64{n}}}
+	accept := func(n uint64, value string) *wire.Acc {
+		return &wire.Acc{Key: "k", Ballot: ballot(n), Cell: &wire.Cell{Ver: 1, Val: []byte(value), Ops: []uint64{n}}}
 	}
 	disks := map[string]*disk{}
 	acceptors := map[string]*register.Acceptor{}
@@ -102,7 +102,7 @@
 		err != nil {
 		t.Fatal(n, err)
 	}
-	// The copied mark survives a restart.
+	// The restarted acceptor still knows that the record was copied.
 	acceptors["new"] = register.NewAcceptor(disks["new"])
 	read := func(unreachable string) string {
 		p := register.NewProposer(
--- a/internal/proto/register/prepared.go
+++ b/internal/proto/register/prepared.go
@@ -44,7 +44,7 @@
 	// preparedLifetime is far below the shortest retention period, so that no voter has expired
 	// a value written within it. It includes the time for which the machine was suspended.
 	preparedLifetime = 10 * time.Second
-	maxPrepared      = 2048
+	maxPrepared      = 2048    // entries
 	maxPreparedBytes = 1 << 20 // of keys, values and operation ids together
 	// maxPreparedEntryBytes bounds the size of one entry.
 	maxPreparedEntryBytes = maxPreparedBytes / 16
