--- a/internal/dataplane/balancing/assignment/assigner.go
+++ b/internal/dataplane/balancing/assignment/assigner.go
@@ -7,8 +7,8 @@
 //   - an edge counts its term from before its request, the assigner from after its
 //     answer, so a share expires at the edge first;
 //   - the assigner lowers a share only once the edge has confirmed it;
-//   - a new assigner assigns no more than the edges that have reported to it held,
-//     until every edge that could still hold shares has reported or has departed;
+//   - a new assigner assigns at most the slots that edges held when they first reported
+//     to it, until every edge that could still hold shares has reported or has departed;
 //   - an assigner that has not recently confirmed that its epoch is the latest raises
 //     no share.
 package assignment
--- a/internal/dataplane/balancing/assignment/service.go
+++ b/internal/dataplane/balancing/assignment/service.go
@@ -27,7 +27,7 @@
 func New(p Params, n *node.Node, epochs *singleton.EpochGuard) *Service {
 	service := &Service{params: p, node: n, epochs: epochs}
 	n.Peer.Handle(&wire.Req_Deal{}, service.assign)
-	n.Peer.Handle(&wire.Req_Tell{}, service.suspect)
+	n.Peer.Handle(&wire.Req_Tell{}, service.handleDeparture)
 	return service
 }
 
@@ -84,12 +84,12 @@
 		return nil, code.New(code.OldEpoch, "epoch %d is over", assigner.epoch)
 	}
 	// An assigner may have been superseded by a higher epoch without having seen it. It
-	// stops raising shares well before the shares of edges that moved on expire here.
+	// stops raising shares well before the shares of edges that use the new assigner expire here.
 	ack := assigner.Report(q.Id, q.Inc, q.GetDeal(), service.params.SinceConfirmed() < service.params.Term*3/4)
 	return &wire.Resp{Op: &wire.Resp_Deal{Deal: ack}}, nil
 }
 
-func (service *Service) suspect(_ context.Context, _ *wire.Req) (*wire.Resp, error) {
+func (service *Service) handleDeparture(_ context.Context, _ *wire.Req) (*wire.Resp, error) {
 	assigner, err := service.currentAssigner()
 	if err != nil {
 		return nil, err
--- a/internal/dataplane/balancing/backlog/backlog.go
+++ b/internal/dataplane/balancing/backlog/backlog.go
@@ -173,8 +173,9 @@
 	dispatched float64
 }
 
-// A rate is only used once it has been observed over minRateSpan and minRateJobs. After
-// maxRateSpan the older half of the span counts half.
+// A rate is only used once it has been observed over minRateSpan and minRateJobs. A span longer
+// than maxRateSpan is shortened to half of maxRateSpan at the same rate, so that later dispatches
+// have more weight.
 const (
 	minRateSpan = 500 * time.Millisecond
 	minRateJobs = 4
@@ -196,8 +197,8 @@
 }
 
 // rejectLate rejects a job immediately if, at the current dispatch rate, it can't be
-// dispatched before its deadline; the answer says when it would have been. If it were
-// kept, it could take the slot of a job that can still be served.
+// dispatched before its deadline; the answer's wait is the time by which the deadline
+// would be missed. If the job were kept, it could take the slot of a job that can still be served.
 func (b *Backlog) rejectLate(c *job.Ctx, waiting int, now time.Time) (job.Answer, bool) {
 	rate := b.rates[c.Route]
 	if rate == nil {
@@ -251,8 +252,9 @@
 				result.err = job.Failure(code.NoRunner, "no runner is left for %s", c.Route)
 				result.err.Wait = time.Second
 			case short.cooldown > 0 && !c.Fits(short.turnAfter(waiting[c.Route]), b.params.CallTime):
-				// A wait that exceeds the deadline is reported at once. The answer carries
-				// the cooldown of the runners, since callers interpret it as that.
+				// A wait that exceeds the deadline is reported immediately. The answer states
+				// the runners' cooldown without the time in the queue, since callers expect the
+				// cooldown.
 				result.err = cooldown.CoolingAnswer(short.cooldown)
 			default:
 				shortages[key] = short
--- a/internal/dataplane/balancing/endpoints/endpoints.go
+++ b/internal/dataplane/balancing/endpoints/endpoints.go
@@ -34,7 +34,7 @@
 // NewList returns a list that was requested at the given time. It sorts all in place.
 func NewList(at time.Time, all []Runner) *List {
 	l := &List{ReadAt: at, Runners: all, byService: map[string][]*Runner{}, byID: map[string]*Runner{}}
-	// The same order on every node, so that equal rules lead to equal choices.
+	// The order is the same on every node, so that the same rules select the same runners.
 	sort.Slice(l.Runners, func(i, j int) bool { return l.Runners[i].ID < l.Runners[j].ID })
 	for i := range l.Runners {
 		r := &l.Runners[i]
--- a/internal/dataplane/balancing/loadreport/loadreport.go
+++ b/internal/dataplane/balancing/loadreport/loadreport.go
@@ -186,7 +186,7 @@
 }
 
 // readDelay returns how long an edge waits, after the list has become stale, before it reads the
-// list itself. The first edge of each zone reads at once and shares the result before the others
+// list itself. The first edge of each zone reads immediately and shares the result before the others
 // would read, since the platform limits the call rate of all nodes together. The maximum delay
 // is short enough that draining runners are noticed in time.
 func (report *LoadReport) readDelay(order []*wire.Member) time.Duration {
@@ -217,7 +217,7 @@
 	return out
 }
 
-// withCounts sets the outcome counts of b.
+// withCounts sets the outcome counts of b. Paces are sent in hundredths.
 func withCounts(b *wire.Busy, c outlier.Count) *wire.Busy {
 	b.Ended, b.Failures, b.Paced, b.Pace =
 		int32(c.Ended), int32(c.Failures), int32(c.Paced), int32(math.Round(100*c.Pace))
@@ -426,7 +426,8 @@
 	return &wire.Resp{Op: &wire.Resp_LoadReport{LoadReport: a}}, nil
 }
 
-// answerEdge records an edge's report and fills in the load of the others and the outliers.
+// answerEdge records an edge's report and fills in the load of the others and the
+// outliers, with slowness factors in hundredths.
 func (report *LoadReport) answerEdge(id string, q *wire.LoadReport, a *wire.LoadReportAck) {
 	report.mu.Lock()
 	report.reports[id] = edgeReport{time.Now(), q.GetOwn()}
@@ -451,7 +452,7 @@
 	}
 }
 
-// outcomesOf returns the outcome counts in a report.
+// outcomesOf returns the outcome counts in a report, whose paces are in hundredths.
 func outcomesOf(own []*wire.Busy) map[string]outlier.Count {
 	counts := map[string]outlier.Count{}
 	for _, b := range own {
--- a/internal/dataplane/balancing/outlier/watch.go
+++ b/internal/dataplane/balancing/outlier/watch.go
@@ -11,11 +11,11 @@
 	params Params
 
 	mu        sync.Mutex
-	counts    map[string]Count // outcomes not reported yet
-	local     map[string]*localRecord
-	typical   map[string]*typical // by path
+	counts    map[string]Count        // outcomes not reported yet, by runner
+	local     map[string]*localRecord // by runner
+	typical   map[string]*typical     // by path
 	ejected   map[string]bool
-	trials    map[string]time.Time // assigned trials, by expiry
+	trials    map[string]time.Time // expiry of each assigned trial, by runner
 	slow      map[string]float64
 	updatedAt time.Time // of the last verdict
 }
@@ -257,8 +257,8 @@
 const maxLogPace = 3.5
 
 // pace returns the logarithm of a job's duration relative to the typical duration of its path,
-// and whether enough samples are known. Of first byte and events it takes the faster one, since
-// only a slow runner is late with both.
+// and whether enough samples are known. It uses the lower of the paces of
+// the first byte and of the events, since only a slow runner is slow in both.
 func (w *Watch) pace(t Duration) (float64, bool) {
 	if t.Path == "" || t.First <= 0 {
 		return 0, false
--- a/internal/dataplane/cooldown/schedule.go
+++ b/internal/dataplane/cooldown/schedule.go
@@ -98,5 +98,5 @@
 	return value{min(step, maxStep), WaitMs(wait)}, true, nil
 }
 
-// errInForce cancels a write if a longer cooldown is already in force.
+// errInForce cancels a write if the cooldown in force is already long enough.
 var errInForce = code.New(code.Cooling, "a longer cooldown is in force")
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -440,7 +440,7 @@
 	}
 }
 
-// reportDeparture notifies the assigner, which polls the runner itself at once.
+// reportDeparture notifies the assigner, which then polls the runner immediately.
 func (e *Edge) reportDeparture(runner, why string) {
 	e.Log.Info("runner appears to be shutting down", "runner", runner, "why", why)
 	go func() {
--- a/internal/dataplane/programs/idempotency/idempotency.go
+++ b/internal/dataplane/programs/idempotency/idempotency.go
@@ -102,7 +102,7 @@
 		}
 	case ran == "no":
 		// The job was not forwarded or was refused. The claim must be released before the
-		// caller is told that the job did not run.
+		// answer states that the job did not run.
 		if c.NoOtherAttempt = policy.release(c, false); !c.NoOtherAttempt && c.Started {
 			policy.Background.Go(func() { policy.release(c, true) })
 		}
--- a/internal/dataplane/quota/fleet_test.go
+++ b/internal/dataplane/quota/fleet_test.go
@@ -92,15 +92,15 @@
 			return
 		}
 		limitOf := func(string) Limit { return f.limit }
-		var news *wire.QuotaNews
+		var answer *wire.QuotaNews
 		for range 1 + f.random.IntN(2) {
 			// Some reports are delivered twice.
-			news = to.collector.Collect(n.id, n.incarnation, report, fleet, limitOf)
+			answer = to.collector.Collect(n.id, n.incarnation, report, fleet, limitOf)
 		}
 		if f.random.Float64() < f.loss {
 			return
 		}
-		n.node.Merge(report, sentAt, news)
+		n.node.Merge(report, sentAt, answer)
 		return
 	}
 }
--- a/internal/dataplane/quota/node_test.go
+++ b/internal/dataplane/quota/node_test.go
@@ -42,7 +42,7 @@
 		name               string
 		admitted           int
 		silent             time.Duration
-		wantNow, wantLater int // admitted at once, and one window later
+		wantNow, wantLater int // admitted immediately, and one window later
 	}{
 		{"as much as before", 30, 2 * time.Second, 0, 30},
 		{"its equal share", 3, 2 * time.Second, 10, 13},
--- a/internal/dataplane/request/call/call.go
+++ b/internal/dataplane/request/call/call.go
@@ -88,7 +88,7 @@
 type CooldownCheck struct{ Cooldowns *cooldown.Manager }
 
 // Do applies the policy. A job whose runner is cooling down returns to the backlog if the wait
-// fits its deadline; otherwise its caller is answered at once.
+// fits its deadline; otherwise the answer is returned immediately.
 func (p CooldownCheck) Do(c *job.Ctx, next job.Next) job.Answer {
 	c.At(job.Picked)
 	c.CooldownReadAt = clock.Now(time.Now)
@@ -342,7 +342,7 @@
 	}
 	if notExecuted {
 		a := job.Failure(code.NoRunner, "runner %s refused with status %d", c.Runner.Name, r.StatusCode)
-		// The same runner would refuse again at once; another may not.
+		// The same runner would most likely refuse again immediately; another one may accept.
 		p.Directory.Avoid(c.Runner.Index, p.Avoid/refusalAvoidDivisor)
 		a.Retryable, a.Wait = r.StatusCode == http.StatusServiceUnavailable, 0
 		return a
--- a/internal/dataplane/request/proxy/pass.go
+++ b/internal/dataplane/request/proxy/pass.go
@@ -28,19 +28,19 @@
 }
 
 // recordAttempt adds a send that was not answered.
-func (s *attempts) recordAttempt(result attemptResult) {
+func (history *attempts) recordAttempt(result attemptResult) {
 	if result.sent {
-		s.sentCount++
+		history.sentCount++
 	}
 	if result.outcome != retry.NotRun {
-		s.mayHaveRun = true
+		history.mayHaveRun = true
 	}
 }
 
 // downgradeRefusal replaces a refusal that promises the job did not run, if an earlier send may
 // have run it.
-func (s *attempts) downgradeRefusal(answer Answer) Answer {
-	if s.mayHaveRun && answer.NotRun() {
+func (history *attempts) downgradeRefusal(answer Answer) Answer {
+	if history.mayHaveRun && answer.NotRun() {
 		return Answer{
 			Err: code.New(code.OutcomeUnknown, "an earlier send may have run; then: %s", code.Text(answer.Err)),
 		}
--- a/internal/dataplane/request/proxy/pool.go
+++ b/internal/dataplane/request/proxy/pool.go
@@ -33,7 +33,7 @@
 	DialTimeout time.Duration
 }
 
-// DefaultPool suits runners in one metropolitan area.
+// DefaultPool are the default parameters, for runners in one metropolitan area.
 var DefaultPool = PoolParams{MaxIdle: 24, IdleTimeout: 20 * time.Second, DialTimeout: time.Second}
 
 // NewPool returns a Pool that opens connections with dial.
@@ -48,11 +48,11 @@
 	unused    bool      // no response has been received on it yet
 }
 
-// errDial is a failed dial: nothing was sent.
-type errDial struct{ err error }
+// dialError is the error of a failed dial: nothing was sent.
+type dialError struct{ err error }
 
-func (e errDial) Error() string { return "dial: " + e.err.Error() }
-func (e errDial) Unwrap() error { return e.err }
+func (e dialError) Error() string { return "dial: " + e.err.Error() }
+func (e dialError) Unwrap() error { return e.err }
 
 func poolKey(r *endpoints.Runner) string { return r.ID + "@" + r.Addr }
 
@@ -73,7 +73,7 @@
 	defer stop()
 	netConn, err := p.dial(ctx, r.Addr)
 	if err != nil {
-		return nil, errDial{err}
+		return nil, dialError{err}
 	}
 	p.mu.Lock()
 	p.opened++
@@ -171,8 +171,8 @@
 // reused, so that a request does not race with the runner closing it.
 const keepAliveMargin = 500 * time.Millisecond
 
-// keepAliveTime returns how long a connection may stay idle after a response, or at most 0 if it
-// can't be reused.
+// keepAliveTime returns how long a connection may stay idle after a response. A result of 0 or
+// less means that it can't be reused.
 func (p *Pool) keepAliveTime(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
--- a/internal/dataplane/request/proxy/response.go
+++ b/internal/dataplane/request/proxy/response.go
@@ -131,8 +131,8 @@
 	response.w.WriteHeader(r.StatusCode)
 }
 
-// errCallerGone: the caller can't be written to anymore.
-var errCallerGone = errors.New("the caller has disconnected")
+// errCallerDisconnected is the error of a failed write to the caller.
+var errCallerDisconnected = errors.New("the caller has disconnected")
 
 // forwardStream forwards events as they arrive, complete ones only, so that another run can
 // continue after the last one. It returns nil only if the runner ended the stream.
@@ -141,7 +141,7 @@
 	controller := http.NewResponseController(response.w)
 	response.writeHead(r)
 	if err := controller.Flush(); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	if response.resumable {
 		response.resumption.begin(cmp.Or(response.lastEventID, response.callerLastEventID))
@@ -171,11 +171,11 @@
 				response.recordEvent(event)
 			}
 			if _, writeErr := response.w.Write(event); writeErr != nil {
-				return errCallerGone
+				return errCallerDisconnected
 			}
 			if err == nil && reader.Buffered() == 0 {
 				if writeErr := controller.Flush(); writeErr != nil {
-					return errCallerGone
+					return errCallerDisconnected
 				}
 			}
 			event = event[:0]
@@ -243,7 +243,7 @@
 		response.writeHead(r)
 		if len(content) > 0 {
 			if _, err := response.w.Write(content); err != nil {
-				return errCallerGone
+				return errCallerDisconnected
 			}
 		}
 		return nil
@@ -253,7 +253,7 @@
 	}
 	response.writeHead(r)
 	if _, err := response.w.Write(content); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	_, err = io.Copy(callerWriter{response.w}, r.Body)
 	return err
@@ -267,7 +267,7 @@
 	sent["Content-Length"] = []string{formatInt(int64(len(body)))}
 	response.w.WriteHeader(status)
 	if _, err := response.w.Write(body); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	return nil
 }
@@ -278,7 +278,7 @@
 func (c callerWriter) Write(b []byte) (int, error) {
 	n, err := c.w.Write(b)
 	if err != nil {
-		return n, errCallerGone
+		return n, errCallerDisconnected
 	}
 	return n, nil
 }
--- a/internal/dataplane/request/proxy/send.go
+++ b/internal/dataplane/request/proxy/send.go
@@ -167,7 +167,7 @@
 		return attemptResult{sent: true, err: err}
 	}
 	if err := x.forwardAnswer(answer); err != nil {
-		if errors.Is(err, errCallerGone) {
+		if errors.Is(err, errCallerDisconnected) {
 			return attemptResult{sent: true, err: code.New(code.OutcomeUnknown, "%w", err)}
 		}
 		return x.incompleteResult(err)
--- a/internal/dataplane/request/retry/retry.go
+++ b/internal/dataplane/request/retry/retry.go
@@ -11,14 +11,14 @@
 	// or the answer was truncated or did not name the request.
 	Unknown Outcome = iota
 	// NotRun means that the request did not run and will not: no byte of it was sent, or the
-	// runner said so in an answer that names the request.
+	// runner stated so in an answer that names the request.
 	NotRun
-	// Answered means that the request ran and the runner's complete response was passed on.
+	// Answered means that the request ran and the runner's complete response was forwarded.
 	Answered
 )
 
 // Allowed reports whether a request may be sent again after an outcome. A request that is not
-// repeatable may be only if it certainly did not run.
+// repeatable may be sent again only if it certainly did not run.
 func Allowed(o Outcome, repeatable bool) bool {
 	switch o {
 	case NotRun:
--- a/internal/dataplane/store/bulk.go
+++ b/internal/dataplane/store/bulk.go
@@ -21,8 +21,9 @@
 	bulkRetryDelay = 50 * time.Millisecond
 )
 
-// requestBulk requests copies from another store. It retries if the answer was lost or the
-// other store does not have the requested version yet.
+// requestBulk requests copies from another store. It retries after every error but a wrong
+// identity, since the answer may have been lost or the other store may not have the requested
+// version yet.
 func (s *Store) requestBulk(ctx context.Context, m spec.Machine, q *wire.Bulk) (*wire.Copies, error) {
 	for attempt := 0; ; attempt++ {
 		r, err := s.Peer.CallFor(ctx, pageTimeout, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}})
