--- a/internal/dataplane/balancing/outlier/outlier_test.go
+++ b/internal/dataplane/balancing/outlier/outlier_test.go
@@ -21,19 +21,19 @@
 	params                   Params
 	fails                    func(runner int, at time.Duration) float64 // failure probability
 	pace                     func(runner int, at time.Duration) float64 // factor over the typical duration; nil for 1
-	failure                  func(edge, runner int) bool                // failures that only this edge sees
+	failure                  func(edge, runner int) bool                // whether a runner fails all jobs of this edge
 
 	d         *Detector
 	list      *endpoints.List
 	random    *rand.Rand
-	reported  []map[string]Count
+	counts    []map[string]Count // by edge, since its last report
 	trials    []map[string]bool
 	ejected   map[string]bool
 	slow      map[string]float64
 	ejections int // total number of ejections
 }
 
-// andina and tsehay have the sizes and job rates of the two grown sites.
+// andina and tsehay have the sizes and job rates of the two sites after their growth.
 func andina() *fleet { return &fleet{edges: 47, runners: 72, capacity: 12, jobsPerS: 5.5} }
 func tsehay() *fleet { return &fleet{edges: 64, runners: 60, capacity: 32, jobsPerS: 10} }
 
@@ -52,7 +52,7 @@
 	}
 	f.list = endpoints.NewList(epoch, all)
 	for range f.edges {
-		f.reported, f.trials = append(f.reported, map[string]Count{}), append(f.trials, map[string]bool{})
+		f.counts, f.trials = append(f.counts, map[string]Count{}), append(f.trials, map[string]bool{})
 	}
 }
 
@@ -78,8 +78,8 @@
 				f.job(e, i, at)
 				delete(f.trials[e], id)
 			}
-			f.d.Report(f.id(1000+e), f.reported[e], now)
-			f.reported[e] = map[string]Count{}
+			f.d.Report(f.id(1000+e), f.counts[e], now)
+			f.counts[e] = map[string]Count{}
 			f.d.Decide(f.list, f.load, now)
 			v := f.d.Verdict(now)
 			previous := f.ejected
@@ -108,7 +108,7 @@
 }
 
 func (f *fleet) job(e, i int, at time.Duration) {
-	c := f.reported[e][f.id(i)]
+	c := f.counts[e][f.id(i)]
 	c.Ended++
 	if f.failure != nil && f.failure(e, i) || f.random.Float64() < f.fails(i, at) {
 		c.Failures++
@@ -120,7 +120,7 @@
 		}
 		c.Pace += x
 	}
-	f.reported[e][f.id(i)] = c
+	f.counts[e][f.id(i)] = c
 }
 
 // poisson returns a random number with a Poisson distribution.
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -78,9 +78,9 @@
 // scriptJob returns the view of a job that is passed to a policy script.
 func scriptJob(c *job.Ctx) *script.Job {
 	class, _, _ := strings.Cut(c.Program, "/")
-	words := len(c.Prompt)
+	textBytes := len(c.Prompt)
 	for _, l := range c.History {
-		words += len(l.Words) + len(l.Answer)
+		textBytes += len(l.Words) + len(l.Answer)
 	}
 	return &script.Job{
 		Program: class,
@@ -91,7 +91,7 @@
 		Keyed:   c.Key != "",
 		Follows: c.Follows != "",
 		Left:    c.Left().Seconds(),
-		Words:   int64(words),
+		Words:   int64(textBytes),
 		Output:  c.MaxOutput,
 		Parts:   c.Parts,
 	}
--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -29,7 +29,7 @@
 
 // Params are the settings of the request proxy.
 type Params struct {
-	MaxBody         int64         // body size limit where the route table sets none
+	MaxBody         int64         // body size limit in bytes where the route table sets none
 	Margin          time.Duration // subtracted from the caller's timeout to get the job's deadline
 	StartupWait     time.Duration // how long a job waits for a node that has just started
 	MaxHoldFraction float64       // fraction of its latency target that a job waits for a free slot
--- a/internal/dataplane/request/proxy/proxy_test.go
+++ b/internal/dataplane/request/proxy/proxy_test.go
@@ -671,16 +671,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		var z reactivationTimes
 		if !z.observe(nil, "a").IsZero() || !z.observe([]string{"a"}, "a").IsZero() {
-			t.Error("the zone was not reactivated")
+			t.Error("a time was returned although the zone was not reactivated")
 		}
 		time.Sleep(time.Second)
 		at := time.Now()
 		if got := z.observe(nil, "a"); !got.Equal(at) || !z.observe(nil, "b").IsZero() {
-			t.Errorf("refilled at %s, want %s", got, at)
+			t.Errorf("reactivated at %s, want %s", got, at)
 		}
 		time.Sleep(time.Second)
 		if got := z.observe([]string{"b"}, "a"); !got.Equal(at) {
-			t.Errorf("refilled at %s, want %s", got, at)
+			t.Errorf("reactivated at %s, want %s", got, at)
 		}
 	})
 }
@@ -709,7 +709,7 @@
 }
 
 // TestWaitUntilReady checks that a job waits for a node that has just started to become ready, for
-// a limited time and while its caller is connected. A node that is stopping refuses at once.
+// a limited time and while its caller is connected. A node that is stopping refuses immediately.
 func TestWaitUntilReady(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/dataplane/request/turnapi/handler.go
+++ b/internal/dataplane/request/turnapi/handler.go
@@ -36,12 +36,12 @@
 
 // Params are the limits of accepted requests.
 type Params struct {
-	MaxBody int64
+	MaxBody int64         // bytes
 	Wait    time.Duration // default if the caller states no wait
 	// Margin is subtracted from the wait, so that the answer arrives before the wait is over.
 	Margin    time.Duration
 	MaxParts  int
-	MaxOutput int64
+	MaxOutput int64 // largest max_output of a turn
 }
 
 // DefaultParams are the default limits.
--- a/internal/dataplane/store/transfer_test.go
+++ b/internal/dataplane/store/transfer_test.go
@@ -45,17 +45,17 @@
 	return s
 }
 
-// applyStoreChange applies a version that begins a change to a set with the given new store.
-func applyStoreChange(t *testing.T, s *Store, ver uint64, newcomer string) {
+// applyStoreChange applies a version that begins a change to a set with a new store of the given identity.
+func applyStoreChange(t *testing.T, s *Store, ver uint64, newIdent string) {
 	t.Helper()
-	me := spec.Machine{ID: "s1", Addr: "10.0.0.1:7100", Zone: "a", Ident: s.Peer.Ident()}
-	now := []spec.Machine{
-		me,
+	self := spec.Machine{ID: "s1", Addr: "10.0.0.1:7100", Zone: "a", Ident: s.Peer.Ident()}
+	current := []spec.Machine{
+		self,
 		{ID: "s2", Addr: "s2", Zone: "b", Ident: "i2"},
 		{ID: "s3", Addr: "s3", Zone: "c", Ident: "i3"},
 	}
-	next := []spec.Machine{me, now[1], {ID: "s4", Addr: "s4", Zone: "c", Ident: newcomer}}
-	c := spec.Cluster{Stores: now, NextStores: next, StoresSince: ver, CoresSince: 1}
+	next := []spec.Machine{self, current[1], {ID: "s4", Addr: "s4", Zone: "c", Ident: newIdent}}
+	c := spec.Cluster{Stores: current, NextStores: next, StoresSince: ver, CoresSince: 1}
 	raw, err := c.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
@@ -100,18 +100,18 @@
 func TestBulkOtherChange(t *testing.T) {
 	s := newChangingStore(t)
 	sets := s.Cluster.Now().StoresDigest()
-	ask := func() error {
+	requestCopies := func() error {
 		_, err := s.handleBulk(
 			t.Context(),
 			&wire.Req{Op: &wire.Req_Bulk{Bulk: &wire.Bulk{Ident: "i4", Spec: 5, Sets: sets}}},
 		)
 		return err
 	}
-	if err := ask(); err != nil {
+	if err := requestCopies(); err != nil {
 		t.Error(err)
 	}
 	applyStoreChange(t, s, 7, "i4")
-	if err := ask(); code.Of(err) != code.StaleSpec {
+	if err := requestCopies(); code.Of(err) != code.StaleSpec {
 		t.Errorf("a later change between the same sets: %v", err)
 	}
 }
@@ -121,7 +121,7 @@
 func TestSaveCopiesAfterChange(t *testing.T) {
 	s := newChangingStore(t)
 	f := &transfer{spec: 5, sets: s.Cluster.Now().StoresDigest()}
-	take := func(key string) error {
+	save := func(key string) error {
 		ballot := &wire.Ballot{N: 3, Node: 1}
 		return s.saveCopies(
 			f,
@@ -129,11 +129,11 @@
 			[]*wire.Copy{{Key: key, Ballot: ballot, Rec: &wire.Rec{Accepted: ballot, Cell: &wire.Cell{Ver: 1}}}},
 		)
 	}
-	if err := take("claim/a"); err != nil {
+	if err := save("claim/a"); err != nil {
 		t.Error(err)
 	}
 	applyStoreChange(t, s, 7, "i4")
-	if err := take("claim/b"); code.Of(err) != code.StaleSpec {
+	if err := save("claim/b"); code.Of(err) != code.StaleSpec {
 		t.Errorf("after the change: %v", err)
 	}
 	if r, err := s.engine.Load("claim/b"); err != nil || r.Accepted != nil {
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -42,7 +42,7 @@
 	Conv      string   `json:"conv,omitempty"`
 	Key       string   `json:"key,omitempty"` // a digest of the caller's key
 	Parts     []string `json:"parts,omitempty"`
-	Words     int      `json:"words"`
+	Words     int      `json:"words"` // length of the caller's text in bytes
 	Most      int64    `json:"most,omitempty"`
 	Wait      int64    `json:"wait"` // time allowed at arrival
 	Code      int      `json:"code"`
--- a/internal/proto/register/register_test.go
+++ b/internal/proto/register/register_test.go
@@ -23,7 +23,7 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// disk is an in-memory register.Disk whose saves are synced at once.
+// disk is an in-memory register.Disk whose saves are synced immediately.
 type disk struct {
 	mu      sync.Mutex
 	records map[string][]byte
@@ -95,7 +95,7 @@
 }
 
 func (c *testCluster) call(ctx context.Context, addr string, q *wire.Req) (*wire.Resp, error) {
-	leg := func() error {
+	transmit := func() error {
 		lost, delay := c.drawLoss()
 		if lost {
 			<-ctx.Done()
@@ -127,7 +127,7 @@
 		}
 		c.mu.Unlock()
 	}
-	if err := leg(); err != nil {
+	if err := transmit(); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
@@ -155,8 +155,8 @@
 	c.serving.RUnlock()
 	// The caller must not share memory with the acceptor.
 	resp := proto.Clone(&wire.Resp{Op: &wire.Resp_View{View: view}}).(*wire.Resp)
-	if legErr := leg(); legErr != nil {
-		return nil, legErr
+	if transmitErr := transmit(); transmitErr != nil {
+		return nil, transmitErr
 	}
 	return resp, err
 }
--- a/internal/proto/register/window_test.go
+++ b/internal/proto/register/window_test.go
@@ -14,12 +14,12 @@
 	"damsontiller/internal/proto/wire"
 )
 
-// stallableNetwork passes a proposer's requests on, or holds them back. It stalls after the
-// first accept, which only some voters receive and whose replies are lost.
+// stallableNetwork forwards a proposer's requests, or delays them while stalled. It stalls after
+// the first accept, which only some voters receive and whose replies are lost.
 type stallableNetwork struct {
 	mu      sync.Mutex
 	stalled bool
-	reached string        // voters that receive the first accept; empty to pass everything on
+	reached string        // voters that receive the first accept; empty to forward everything
 	resumed chan struct{} // closed when the network resumes
 	call    wire.Caller
 }
@@ -189,7 +189,7 @@
 			return cluster.call(ctx, addr, q)
 		})
 		startedAt := time.Now()
-		// The time of day runs backwards, so that only the remembered ballot can help.
+		// The time of day runs backwards, so that only the highest ballot seen can raise the next one.
 		proposer.Clock = func() time.Time { return startedAt.Add(-time.Since(startedAt)) }
 		for range 3 {
 			ctx, stop := context.WithTimeout(t.Context(), time.Second)
