--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -47,7 +47,7 @@
 	Backlog      backlog.Params
 	SlotInterval time.Duration // interval between requests for slots
 	ReadTimeout  time.Duration // timeout of one read from the stores before a job is forwarded
-	WriteTimeout time.Duration // timeout of one write to the stores after a job's answer
+	WriteTimeout time.Duration // timeout of one attempt to commit the output of a turn to its budget
 	// Point is called at each numbered point of a job's request path, for tests.
 	Point            func(job.Point, *job.Ctx)
 	LateWriteTimeout time.Duration // timeout of writes that follow a missed deadline
--- a/internal/dataplane/programs/idempotency/idempotency.go
+++ b/internal/dataplane/programs/idempotency/idempotency.go
@@ -44,9 +44,9 @@
 // claim.
 type Policy struct {
 	Stores *storeclient.Client
-	// ReadTimeout is the deadline of reading the claim, WriteTimeout of one write after the job
-	// was forwarded, and LateWriteTimeout of storing the result of a job whose own deadline has
-	// passed.
+	// ReadTimeout is the deadline of reading the claim; one attempt to release the claim has half
+	// of it. LateWriteTimeout is the deadline of storing the result of a job whose own deadline
+	// has passed. WriteTimeout is not used.
 	ReadTimeout, WriteTimeout, LateWriteTimeout time.Duration
 	// Background runs the work that continues after the answer.
 	Background job.Background
--- a/internal/dataplane/store/transfer_test.go
+++ b/internal/dataplane/store/transfer_test.go
@@ -45,7 +45,8 @@
 	return s
 }
 
-// applyStoreChange applies a version that begins a change to a set with a new store of the given identity.
+// applyStoreChange applies a version that begins a change to a set with a new store of the given
+// identity.
 func applyStoreChange(t *testing.T, s *Store, ver uint64, newIdent string) {
 	t.Helper()
 	self := spec.Machine{ID: "s1", Addr: "10.0.0.1:7100", Zone: "a", Ident: s.Peer.Ident()}
--- a/internal/dataplane/traffic/traffic.go
+++ b/internal/dataplane/traffic/traffic.go
@@ -42,9 +42,9 @@
 	Conv      string   `json:"conv,omitempty"`
 	Key       string   `json:"key,omitempty"` // a digest of the caller's key
 	Parts     []string `json:"parts,omitempty"`
-	Words     int      `json:"words"` // length of the caller's text in bytes
-	Most      int64    `json:"most,omitempty"`
-	Wait      int64    `json:"wait"` // time allowed at arrival
+	Words     int      `json:"words"`          // length of the caller's text in bytes
+	Most      int64    `json:"most,omitempty"` // output limit requested
+	Wait      int64    `json:"wait"`           // time allowed at arrival
 	Code      int      `json:"code"`
 	Took      int64    `json:"took"`
 	Queued    int64    `json:"queued"` // time until it was forwarded to a runner
