--- a/internal/coordination/broadcast/broadcast.go
+++ b/internal/coordination/broadcast/broadcast.go
@@ -215,7 +215,7 @@
 		go func() {
 			for len(subtree) > 0 {
 				child, rest := subtree[0], subtree[1:]
-				r, err := broadcaster.peer.CallFor(
+				r, err := broadcaster.peer.CallWithTimeout(
 					background,
 					timeout,
 					child.Addr,
@@ -314,7 +314,7 @@
 // compares the sum of the hashes of all items, then the sums of each bucket if the total
 // differs, then the versions of the items in the buckets that differ.
 func (broadcaster *Broadcaster) repair(ctx context.Context, addr string) {
-	r, err := broadcaster.peer.CallFor(
+	r, err := broadcaster.peer.CallWithTimeout(
 		ctx,
 		broadcaster.params.DigestInterval,
 		addr,
@@ -339,7 +339,7 @@
 	}
 	q.Heads = broadcaster.headsInBuckets(q)
 	request := &wire.Req{Op: &wire.Req_Digest{Digest: q}}
-	if r, err = broadcaster.peer.CallFor(ctx, broadcaster.params.DigestInterval, addr, request); err != nil {
+	if r, err = broadcaster.peer.CallWithTimeout(ctx, broadcaster.params.DigestInterval, addr, request); err != nil {
 		return
 	}
 	broadcaster.Apply(r.GetDigest().GetItems())
@@ -350,7 +350,7 @@
 		}
 	}
 	if len(missing) > 0 {
-		_, _ = broadcaster.peer.CallFor(
+		_, _ = broadcaster.peer.CallWithTimeout(
 			ctx,
 			broadcaster.params.DigestInterval,
 			addr,
--- a/internal/coordination/broadcast/broadcast_test.go
+++ b/internal/coordination/broadcast/broadcast_test.go
@@ -201,7 +201,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			cluster, end := newTestCluster(t, n, 0)
 			defer end()
-			cluster.net.Delay(2 * time.Millisecond)
+			cluster.net.SetMaxDelay(2 * time.Millisecond)
 			sent := func() (s uint64) {
 				for _, pr := range cluster.peers {
 					s += pr.Sent()
--- a/internal/coordination/singleton/singleton.go
+++ b/internal/coordination/singleton/singleton.go
@@ -215,7 +215,7 @@
 
 // ping reports an error unless the process at addr answers within pingTimeout.
 func ping(ctx context.Context, p *peer.Peer, addr string) error {
-	_, err := p.CallFor(ctx, pingTimeout, addr, &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{}}})
+	_, err := p.CallWithTimeout(ctx, pingTimeout, addr, &wire.Req{Op: &wire.Req_Hello{Hello: &wire.Hello{}}})
 	return err
 }
 
--- a/internal/platform/params.go
+++ b/internal/platform/params.go
@@ -272,7 +272,7 @@
 // without a subscriber ends the process.
 func (p *Params) Watch(ctx context.Context, reloads <-chan os.Signal, onChange func(*Params), onError func(error)) {
 	w := p.watcher(onChange, onError)
-	loop.Take(ctx, reloads, watchInterval, func() { w.poll(false) }, func(os.Signal) { w.poll(true) })
+	loop.Consume(ctx, reloads, watchInterval, func() { w.poll(false) }, func(os.Signal) { w.poll(true) })
 }
 
 // poll reads the file if it has changed, or in any case if force is set.
--- a/internal/transport/idle_test.go
+++ b/internal/transport/idle_test.go
@@ -14,16 +14,16 @@
 	"damsontiller/internal/transport/memnet"
 )
 
-// TestIdle: a connection on which nothing is asked for a while is closed once
-// another is dialled; one with a call under way is not, and a later call to the
-// same address dials anew.
+// TestIdle: a connection without calls for the idle timeout is closed once another one is
+// dialed. A connection with a pending call stays open, and a later call to the same address
+// dials again.
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
-		var bad atomic.Int64
-		var last atomic.Value
+		var errorCount atomic.Int64
+		var lastCode atomic.Value
 		for i := range 4 {
-			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &bad, &last)
+			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &errorCount, &lastCode)
 			defer s.Close()
 		}
 		ln, err := n.Host("slow").Listen("slow")
@@ -32,11 +32,11 @@
 		}
 		slow := transport.Serve(t.Context(), ln, transport.DefaultParams, func(_ context.Context, call *transport.Call) []byte {
 			b := call.Body
-			time.Sleep(3 * transport.DefaultParams.Idle)
+			time.Sleep(3 * transport.DefaultParams.IdleTimeout)
 			return b
-		}, func(error) { bad.Add(1) })
+		}, func(error) { errorCount.Add(1) })
 		defer slow.Close()
-		// The open connections, by address.
+		// Number of open connections, by address.
 		var mu sync.Mutex
 		open, dials := map[string]int{}, 0
 		host := n.Host("c")
@@ -50,7 +50,7 @@
 			defer mu.Unlock()
 			open[addr]++
 			dials++
-			return &ending{Conn: c, end: func() {
+			return &closeNotifier{Conn: c, onClose: func() {
 				mu.Lock()
 				defer mu.Unlock()
 				open[addr]--
@@ -64,7 +64,7 @@
 			}
 			return n
 		}
-		h := transport.NewHub(host, transport.DefaultParams, nil)
+		h := transport.NewClient(host, transport.DefaultParams, nil)
 		defer h.Close()
 		ask := func(addr string) {
 			t.Helper()
@@ -80,9 +80,9 @@
 		if count() != 3 {
 			t.Fatalf("%d connections, want 3", count())
 		}
-		time.Sleep(transport.DefaultParams.Idle * 2 / 3)
+		time.Sleep(transport.DefaultParams.IdleTimeout * 2 / 3)
 		ask("s1")
-		time.Sleep(transport.DefaultParams.Idle * 2 / 3)
+		time.Sleep(transport.DefaultParams.IdleTimeout * 2 / 3)
 		ask("s2")
 		synctest.Wait()
 		if count() != 3 || open["s0"] != 0 {
@@ -93,43 +93,44 @@
 			t.Errorf("open %v after %d dials", open, dials)
 		}
 		wg.Wait()
-		if bad.Load() != 0 {
-			t.Errorf("%d failures at the servers", bad.Load())
+		if errorCount.Load() != 0 {
+			t.Errorf("%d failures at the servers", errorCount.Load())
 		}
 	})
 }
 
-type ending struct {
+// closeNotifier calls onClose when the connection is first closed.
+type closeNotifier struct {
 	net.Conn
-	once sync.Once
-	end  func()
+	once    sync.Once
+	onClose func()
 }
 
-func (c *ending) Close() error {
-	c.once.Do(c.end)
+func (c *closeNotifier) Close() error {
+	c.once.Do(c.onClose)
 	return c.Conn.Close()
 }
 
-// TestIdleRace: calls that begin as their connection is closed are all answered.
+// TestIdleRace: calls that begin while their connection is closed as idle are all answered.
 func TestIdleRace(t *testing.T) {
-	var bad atomic.Int64
-	var last atomic.Value
+	var errorCount atomic.Int64
+	var lastCode atomic.Value
 	const peers = 6
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
 		for i := range peers {
-			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &bad, &last)
+			s := echo(t, n.Host(fmt.Sprintf("s%d", i)), fmt.Sprintf("s%d", i), &errorCount, &lastCode)
 			defer s.Close()
 		}
 		p := transport.DefaultParams
-		p.Idle = time.Second
-		h := transport.NewHub(n.Host("c"), p, nil)
+		p.IdleTimeout = time.Second
+		h := transport.NewClient(n.Host("c"), p, nil)
 		defer h.Close()
 		var wg sync.WaitGroup
 		for i := range peers {
 			wg.Go(func() {
 				for range 200 {
-					// Right about when the connection is closed.
+					// About the time when the connection is closed.
 					time.Sleep(time.Second + time.Duration(i)*time.Microsecond)
 					if _, err := h.Call(t.Context(), fmt.Sprintf("s%d", i), []byte("x")); err != nil {
 						t.Errorf("s%d: %v", i, err)
