--- a/internal/dataplane/balancing/assignment/service.go
+++ b/internal/dataplane/balancing/assignment/service.go
@@ -83,7 +83,7 @@
 		service.setCurrent(nil)
 		return nil, code.New(code.OldEpoch, "epoch %d is over", assigner.epoch)
 	}
-	// An assigner may have been superseded by a higher epoch without having seen it. It
+	// An assigner may have been superseded by a higher epoch that it has not received. It
 	// stops raising shares well before the shares of edges that use the new assigner expire here.
 	ack := assigner.Report(q.Id, q.Inc, q.GetDeal(), service.params.SinceConfirmed() < service.params.Term*3/4)
 	return &wire.Resp{Op: &wire.Resp_Deal{Deal: ack}}, nil
--- a/internal/dataplane/balancing/backlog/slowstart.go
+++ b/internal/dataplane/balancing/backlog/slowstart.go
@@ -7,8 +7,9 @@
 	"damsontiller/internal/dataplane/request/job"
 )
 
-// slotsKnownBefore is how long before the end of a cooldown this node's slots are taken to be
-// those that it will have at the end: by then the assigner has seen the waiting jobs.
+// slotsKnownBefore is how long before the end of a cooldown this node's slots are assumed to
+// be those that it will have at the end: by then the assigner has received the number of waiting
+// jobs.
 const slotsKnownBefore = 200 * time.Millisecond
 
 // shortage describes why a job can't be dispatched now.
--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -114,7 +114,7 @@
 func New(r *cluster.Cluster, log hclog.Logger) *Selector { return &Selector{cluster: r, log: log} }
 
 // PolicyFor returns the policy for a job's program. The policy's share of the programs is
-// selected by a hash of the program name, so that every node decides alike.
+// selected by a hash of the program name, so that every node selects the same policy.
 func (selector *Selector) PolicyFor(c *job.Ctx) Policy {
 	v := selector.cluster.Now()
 	live := v.Spec.Live
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -47,7 +47,7 @@
 	stores *storeclient.Client
 
 	mu sync.Mutex
-	// deadlines are the deadlines that this node has seen, on its own clock. They only save
+	// deadlines are the deadlines known to this node, on its own clock. They only save
 	// reads: a known deadline is in force, but a missing one does not mean that there is none.
 	deadlines map[string]time.Time
 	// gates limit concurrent calls after a cooldown has ended.
--- a/internal/dataplane/quota/node.go
+++ b/internal/dataplane/quota/node.go
@@ -236,7 +236,8 @@
 		node.tableID = 0
 		return
 	}
-	node.tableID, node.nodeCount, node.availableShare = answer.Table, int(answer.Nodes), float64(answer.Available)/permille
+	node.tableID, node.nodeCount, node.availableShare =
+		answer.Table, int(answer.Nodes), float64(answer.Available)/permille
 	if node.lastSyncAt.IsZero() {
 		close(node.ready)
 	}
--- a/internal/dataplane/store/transfer.go
+++ b/internal/dataplane/store/transfer.go
@@ -195,8 +195,8 @@
 			last,
 		)
 	}
-	// Keys that were only named: the store due to send the copy has departed or has an older
-	// version.
+	// Keys that were listed without a copy: the store that should send the copy has departed or
+	// has an older version.
 	for kind, all := range missing.all {
 		if err := s.fetchMissing(ctx, t, kind, all); err != nil {
 			return err
