--- a/internal/dataplane/request/proxy/handler.go
+++ b/internal/dataplane/request/proxy/handler.go
@@ -238,7 +238,7 @@
 }
 
 // waitUntilReady waits up to StartupWait for a node that has just started to become ready. After a
-// power loss all callers reconnect at once, and a refusal would cost each of them an attempt.
+// power loss all callers reconnect simultaneously, and a refusal would cost each of them an attempt.
 func (handler *Handler) waitUntilReady(j *Job) error {
 	for {
 		err := handler.deps.Ready()
--- a/internal/dataplane/store/bulk.go
+++ b/internal/dataplane/store/bulk.go
@@ -26,7 +26,12 @@
 // version yet.
 func (s *Store) requestBulk(ctx context.Context, m spec.Machine, q *wire.Bulk) (*wire.Copies, error) {
 	for attempt := 0; ; attempt++ {
-		r, err := s.Peer.CallWithTimeout(ctx, pageTimeout, m.Addr, &wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}})
+		r, err := s.Peer.CallWithTimeout(
+			ctx,
+			pageTimeout,
+			m.Addr,
+			&wire.Req{Ident: m.Ident, Op: &wire.Req_Bulk{Bulk: q}},
+		)
 		if err == nil {
 			return r.GetCopies(), nil
 		}
--- a/internal/proto/register/exhaustive_test.go
+++ b/internal/proto/register/exhaustive_test.go
@@ -149,7 +149,7 @@
 	slices.SortFunc(sched.posted, func(a, b *exploredCall) int {
 		return strings.Compare(fmt.Sprint(a.client, a.addr, a.q), fmt.Sprint(b.client, b.addr, b.q))
 	})
-	// The requests that a client posts at once belong to one round. Replies to its earlier
+	// The requests that a client posts in one step belong to one round. Replies to its earlier
 	// rounds are no longer received.
 	begun := [2]bool{}
 	for _, c := range sched.posted {
