--- a/internal/coordination/core/persistence.go
+++ b/internal/coordination/core/persistence.go
@@ -45,15 +45,15 @@
 
 // DiskStatusReporter reports the state of a data folder.
 type DiskStatusReporter interface {
-	// Status describes a problem with the disk; HungFor is how long the disk has not responded.
+	// Status describes a problem with the disk; StallDuration is how long the disk has not responded.
 	Status() string
-	HungFor() time.Duration
+	StallDuration() time.Duration
 	FolderState() *wire.FolderState
 }
 
 // DiskState returns the state of a data folder as lease renewals report it.
 func DiskState(disk DiskStatusReporter) lease.DiskState {
-	return lease.DiskState{Status: disk.Status(), HungFor: disk.HungFor(), Folder: disk.FolderState()}
+	return lease.DiskState{Status: disk.Status(), HungFor: disk.StallDuration(), Folder: disk.FolderState()}
 }
 
 // clusterMetadataKey is the record of the cluster in force. The name is part of the stored format.
--- a/internal/coordination/core/removal.go
+++ b/internal/coordination/core/removal.go
@@ -56,7 +56,7 @@
 	err := replacer.replaceIdentity(
 		replacer.node.Cluster.Now(),
 		"the folder was restored from a backup",
-		replacer.disk.SetAside,
+		replacer.disk.ReplaceIdentityKeepingBlobs,
 	)
 	if err == nil {
 		replacer.node.Lease.ResetFolder()
