--- a/internal/dataplane/balancing/policy/policy.go
+++ b/internal/dataplane/balancing/policy/policy.go
@@ -78,9 +78,9 @@
 // scriptJob returns the view of a job that is passed to a policy script.
 func scriptJob(c *job.Ctx) *script.Job {
 	class, _, _ := strings.Cut(c.Program, "/")
-	words := len(c.Prompt)
+	textBytes := len(c.Prompt)
 	for _, l := range c.History {
-		words += len(l.Words) + len(l.Answer)
+		textBytes += len(l.Words) + len(l.Answer)
 	}
 	return &script.Job{
 		Program:     class,
@@ -91,7 +91,7 @@
 		Keyed:       c.Key != "",
 		Follows:     c.Follows != "",
 		SecondsLeft: c.Left().Seconds(),
-		InputLength: int64(words),
+		InputLength: int64(textBytes),
 		MaxOutput:   c.MaxOutput,
 		Parts:       c.Parts,
 	}
@@ -114,7 +114,7 @@
 func New(r *cluster.Cluster, log hclog.Logger) *Selector { return &Selector{cluster: r, log: log} }
 
 // PolicyFor returns the policy for a job's program. The policy's share of the programs is
-// selected by a hash of the program name, so that every node decides alike.
+// selected by a hash of the program name, so that every node selects the same policy.
 func (selector *Selector) PolicyFor(c *job.Ctx) Policy {
 	v := selector.cluster.Now()
 	live := v.Spec.Live
--- a/internal/dataplane/cooldown/manager.go
+++ b/internal/dataplane/cooldown/manager.go
@@ -47,7 +47,7 @@
 	stores *storeclient.Client
 
 	mu sync.Mutex
-	// deadlines are the deadlines that this node has seen, on its own clock. They only save
+	// deadlines are the deadlines known to this node, on its own clock. They only save
 	// reads: a known deadline is in force, but a missing one does not mean that there is none.
 	deadlines map[string]time.Time
 	// gates limit concurrent calls after a cooldown has ended.
@@ -83,7 +83,7 @@
 	return manager
 }
 
-// KnownWait returns the remaining wait that this node knows of, without a request to the stores.
+// KnownWait returns the remaining wait known to this node, without a request to the stores.
 func (manager *Manager) KnownWait(key string) time.Duration {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -47,7 +47,7 @@
 	Backlog      backlog.Params
 	SlotInterval time.Duration // interval between requests for slots
 	ReadTimeout  time.Duration // timeout of one read from the stores before a job is forwarded
-	WriteTimeout time.Duration // timeout of one write to the stores after its answer
+	WriteTimeout time.Duration // timeout of one attempt to commit the output of a turn to its budget
 	// Point is called at each numbered point of a job's request path, for tests.
 	Point            func(job.Point, *job.Ctx)
 	LateWriteTimeout time.Duration // timeout of writes that follow a missed deadline
@@ -440,7 +440,7 @@
 	}
 }
 
-// reportDeparture notifies the assigner, which polls the runner itself at once.
+// reportDeparture notifies the assigner, which then polls the runner immediately.
 func (e *Edge) reportDeparture(runner, why string) {
 	e.Log.Info("runner appears to be shutting down", "runner", runner, "why", why)
 	go func() {
--- a/internal/dataplane/programs/idempotency/idempotency.go
+++ b/internal/dataplane/programs/idempotency/idempotency.go
@@ -44,9 +44,9 @@
 // claim.
 type Policy struct {
 	Stores *storeclient.Client
-	// ReadTimeout is the deadline of reading the claim, WriteTimeout of one write after the job
-	// was forwarded, and LateWriteTimeout of storing the result of a job whose own deadline has
-	// passed.
+	// ReadTimeout is the deadline of reading the claim; one attempt to release the claim has half
+	// of it. LateWriteTimeout is the deadline of storing the result of a job whose own deadline
+	// has passed. WriteTimeout is not used.
 	ReadTimeout, WriteTimeout, LateWriteTimeout time.Duration
 	// Background runs the work that continues after the answer.
 	Background job.Background
@@ -102,7 +102,7 @@
 		}
 	case ran == "no":
 		// The job was not forwarded or was refused. The claim must be released before the
-		// caller is told that the job did not run.
+		// answer states that the job did not run.
 		if c.NoOtherAttempt = policy.release(c, false); !c.NoOtherAttempt && c.Started {
 			policy.Background.Go(func() { policy.release(c, true) })
 		}
